--- a/bench/agreement.py
+++ b/bench/agreement.py
@@ -53,8 +53,10 @@
         net.propose(one(0), table(2, members=2, mark=1))
 
         def ended(net=net) -> bool:
-            return one(0) not in net.up and not any(m.pending for m in net.up.values()) and (
-                len({m.known.written for m in net.up.values()}) == 1
+            return (
+                one(0) not in net.up
+                and not any(m.pending for m in net.up.values())
+                and (len({m.known.written for m in net.up.values()}) == 1)
             )
 
         if net.run(120 * SECOND, ended):
--- a/bench/changes.py
+++ b/bench/changes.py
@@ -33,21 +33,46 @@
 from madderbeam.transport.clients import Put
 
 SETTINGS = {
-    "classes": [{"name": "safe", "goalTimeUs": 1_000_000, "deadlineUs": 6_000_000,
-                 "idempotency": "read_like"}],
-    "clients": {"marksRetry": True}, "groupSize": 1, "me": 0, "stepUs": 5000,
-    "contract": {"coldShare": 0.15, "coldUs": 1_000_000, "drainGraceUs": 2_000_000, "fallMultiple": 2.5,
-                 "fallUs": 2_000_000},
-    "familyInfo": {"maxCalls": 16}, "localities": ["here"], "shapes": ["plain"], "weightSource": "nominal",
-    "policyLimits": {"attemptsCap": 3, "connIdleUs": 10_000_000, "connectTimeoutUs": 1_000_000,
-                     "maxOpen": 100_000, "retryAfter": True, "maxRetryAfterUs": 2_000_000},
+    "classes": [
+        {"name": "safe", "goalTimeUs": 1_000_000, "deadlineUs": 6_000_000, "idempotency": "read_like"}
+    ],
+    "clients": {"marksRetry": True},
+    "groupSize": 1,
+    "me": 0,
+    "stepUs": 5000,
+    "contract": {
+        "coldShare": 0.15,
+        "coldUs": 1_000_000,
+        "drainGraceUs": 2_000_000,
+        "fallMultiple": 2.5,
+        "fallUs": 2_000_000,
+    },
+    "familyInfo": {"maxCalls": 16},
+    "localities": ["here"],
+    "shapes": ["plain"],
+    "weightSource": "nominal",
+    "policyLimits": {
+        "attemptsCap": 3,
+        "connIdleUs": 10_000_000,
+        "connectTimeoutUs": 1_000_000,
+        "maxOpen": 100_000,
+        "retryAfter": True,
+        "maxRetryAfterUs": 2_000_000,
+    },
 }
 
 
 def row(number: int) -> dict[str, Any]:
-    return {"uid": f"p{number // 100}/10.0.{number // 250}.{number % 250}:80", "pod_group": number // 100,
-            "endpoint": f"10.0.{number // 250}.{number % 250}:80", "az": "here", "model": "plain",
-            "state": "in_service", "capacity_hint": 100.0, "boot_ms": 0}
+    return {
+        "uid": f"p{number // 100}/10.0.{number // 250}.{number % 250}:80",
+        "pod_group": number // 100,
+        "endpoint": f"10.0.{number // 250}.{number % 250}:80",
+        "az": "here",
+        "model": "plain",
+        "state": "in_service",
+        "capacity_hint": 100.0,
+        "boot_ms": 0,
+    }
 
 
 def courier(folder: Path, endpoints: int, changes: bool) -> Host:
@@ -56,11 +81,20 @@
     (folder / "state").mkdir()
     listed = {"form": 1, "all": True, "targets": [row(n) for n in range(endpoints)]}
     (folder / "n.partners.json").write_text(json.dumps(seal(listed)))
-    file = {"form": 1, "name": "n", "listen": "127.0.0.1:0", "settings": SETTINGS,
-            "limits": {"sockets": 1024, "clients": 64, "client_idle_ms": 60_000, "disk_mb": 200},
-            "sidecar": {"state": str(folder / "state"), "partners": "n.partners.json",
-                        "finals": str(folder / "finals"), "feed_mb": 16},
-            **({"changes": {}} if changes else {})}
+    file = {
+        "form": 1,
+        "name": "n",
+        "listen": "127.0.0.1:0",
+        "settings": SETTINGS,
+        "limits": {"sockets": 1024, "clients": 64, "client_idle_ms": 60_000, "disk_mb": 200},
+        "sidecar": {
+            "state": str(folder / "state"),
+            "partners": "n.partners.json",
+            "finals": str(folder / "finals"),
+            "feed_mb": 16,
+        },
+        **({"changes": {}} if changes else {}),
+    }
     (folder / "n.json").write_text(json.dumps(seal(file)))
     loop = asyncio.get_running_loop()
     host = assemble(loop, real_ports(loop), load_sidecar(str(folder / "n.json"), RealDisk()))
@@ -89,7 +123,8 @@
     base = snapshot_of(host.config)
     uids = [row(n)["uid"] for n in range(endpoints)]
     ops = {
-        "drain": lambda u, n: Op("drain"), "rate": lambda u, n: Op("edit", {"per_s": 50.0}),
+        "drain": lambda u, n: Op("drain"),
+        "rate": lambda u, n: Op("edit", {"per_s": 50.0}),
         "move": lambda u, n: Op("edit", {"address": f"10.9.{n // 250}.{n % 250}:81"}),
         "remove": lambda u, n: Op("remove"),
     }
@@ -105,8 +140,10 @@
                 rows.append((making, *applied(host, base, after)))
                 applied(host, after, base)
             made_ms, instant, turn = (statistics.median(r[k] for r in rows) for k in range(3))
-            print(f"{name} {count} of {endpoints}: made {made_ms:.2f} ms, the instant {instant:.2f} ms, the "
-                  f"turn behind it {turn:.2f} ms")
+            print(
+                f"{name} {count} of {endpoints}: made {made_ms:.2f} ms, the instant {instant:.2f} ms, the "
+                f"turn behind it {turn:.2f} ms"
+            )
     targets = [{**row(n), "state": "terminating"} for n in range(endpoints)]
     listed = [spent(lambda: host.listed({"all": False, "targets": targets})) for _ in range(7)]
     print(f"for comparison, {endpoints} drains by the list's own way: {statistics.median(listed):.2f} ms")
@@ -119,8 +156,10 @@
     grown = (tracemalloc.get_traced_memory()[0] - at) / 100
     whole = [dict(base.endpoints.items()) for _ in range(10)]
     copied = (tracemalloc.get_traced_memory()[0] - at - 100 * grown) / len(whole)
-    print(f"a version with one endpoint otherwise: {grown:.0f} bytes; a copied map: {copied:.0f} bytes "
-          f"(ratio {copied / grown:.0f})")
+    print(
+        f"a version with one endpoint otherwise: {grown:.0f} bytes; a copied map: {copied:.0f} bytes "
+        f"(ratio {copied / grown:.0f})"
+    )
     tracemalloc.stop()
 
 
@@ -130,8 +169,10 @@
     whole = size(machine.start(0))
     change = Change("one", 1, {("endpoint", uid): Op("drain")})
     actions = machine.handle(1, Offered(change, Facts())) + machine.handle(2, Seen(Facts()))
-    print(f"on disk: {size(actions + machine.handle(40_000_000, Seen(Facts())))} bytes for a change of one "
-          f"endpoint, {whole} for the whole")
+    print(
+        f"on disk: {size(actions + machine.handle(40_000_000, Seen(Facts())))} bytes for a change of one "
+        f"endpoint, {whole} for the whole"
+    )
 
 
 def size(actions: list[Any]) -> int:
@@ -162,11 +203,14 @@
         host.turn()
     for lot in range(messages // 40):
         for name, host in hosts.items():
+
             def many(host: Host = host, lot: int = lot) -> None:
                 for n in range(40):
-                    host.admission.put(Put(f"m{lot}-{n}", 0, "safe", None, 1000, 0, "", False, b"x" * 100),
-                                       Quiet())  # type: ignore[arg-type]
+                    host.admission.put(
+                        Put(f"m{lot}-{n}", 0, "safe", None, 1000, 0, "", False, b"x" * 100), Quiet()
+                    )  # type: ignore[arg-type]
                 host.turn()
+
             took[name].append(spent(many) / 40 * 1e3)
             for m in list(host.journal.held.values()):
                 host.ends.done(m)
--- a/bench/changes_load.py
+++ b/bench/changes_load.py
@@ -56,17 +56,32 @@
     down = sorted(u for u, row in rows.items() if row.state == DRAINING)
     had = {row.address for row in rows.values()}
     free = [p for p in partners if p.address not in had]
-    change: dict[str, Any] = {"name": f"c{number}", "base": machine.current.version, "accept": ACCEPT,
-                              "trial_ms": chance.choice((1000, 2000))}
+    change: dict[str, Any] = {
+        "name": f"c{number}",
+        "base": machine.current.version,
+        "accept": ACCEPT,
+        "trial_ms": chance.choice((1000, 2000)),
+    }
     bad = chance.random() < 0.2
     if bad:
-        wrong = ({"drain": ["nobody"]}, {"limits": {"window": 999}}, {"limits": {"retry_cap_ms": 1}},
-                 {"tenants": {"u": {"share": 0.5}}}, {"base": 10**9, "limits": {"max_held": 99}})
+        wrong = (
+            {"drain": ["nobody"]},
+            {"limits": {"window": 999}},
+            {"limits": {"retry_cap_ms": 1}},
+            {"tenants": {"u": {"share": 0.5}}},
+            {"base": 10**9, "limits": {"max_held": 99}},
+        )
         return {**change, **chance.choice(wrong)}, True
     what = chance.randrange(5)
     if what == 0 and free:
-        change["add"] = [{"uid": f"e{number}", "dest": chance.randrange(1, 4), "per_s": 1000,
-                          "address": chance.choice(free).address}]
+        change["add"] = [
+            {
+                "uid": f"e{number}",
+                "dest": chance.randrange(1, 4),
+                "per_s": 1000,
+                "address": chance.choice(free).address,
+            }
+        ]
     elif what == 1 and len(up) > 4:
         change["drain"] = [chance.choice(up)]
     elif what == 2 and down:
@@ -83,8 +98,9 @@
     partners = [Partner(random.Random(n), 0.01) for n in range(16)]
     for partner in partners:
         await partner.start()
-    estate = Estate(folder, {n: [p.address for p in partners[3 * n - 3:3 * n]] for n in (1, 2, 3)},
-                    refused_per_s=1000.0).write()
+    estate = Estate(
+        folder, {n: [p.address for p in partners[3 * n - 3 : 3 * n]] for n in (1, 2, 3)}, refused_per_s=1000.0
+    ).write()
     statuses: Counter[str] = Counter()
     wrong: Counter[str] = Counter()
     async with Courier(estate) as courier:
@@ -97,6 +113,7 @@
         def writes(endpoint: int) -> bool:
             seen()
             return may_write(endpoint)
+
         courier.host.calls.hooks.may_write = writes
         courier.host.admission.taken_up.append(seen)
         load = Load(courier, args.per_s)
@@ -126,8 +143,10 @@
     lost = [m for m in load.taken if not runs[m] and not finals.get(m)]
     twice = [m for m, count in finals.items() if count > 1]
     print(f"{args.changes} changes in {took:.0f} s: {dict(sorted(statuses.items()))}")
-    print(f"{len(load.taken)} messages taken on ({dict(load.said)}), {sum(runs[m] > 0 for m in load.taken)} "
-          f"delivered, {len(finals)} ended by a notice; {len(lost)} with no end, {len(twice)} with two")
+    print(
+        f"{len(load.taken)} messages taken on ({dict(load.said)}), {sum(runs[m] > 0 for m in load.taken)} "
+        f"delivered, {len(finals)} ended by a notice; {len(lost)} with no end, {len(twice)} with two"
+    )
     print(f"looks at what the courier goes by that were not of one version: {sum(wrong.values())}")
     return 1 if lost or twice or wrong else 0
 
--- a/bench/federation.py
+++ b/bench/federation.py
@@ -35,10 +35,12 @@
 
 async def until(so, limit=LIMIT):
     """When this held; TimeoutError."""
+
     async def inner():
         while not await so():
             await asyncio.sleep(0.01)
         return now()
+
     return await asyncio.wait_for(inner(), limit)
 
 
@@ -81,8 +83,10 @@
             await until(lambda n=number: in_force(estate.members.values(), n))
     for name, spans in (("plain", plain), ("offered to one that is killed", killed)):
         if spans:
-            print(f"proposal, {name}: median {statistics.median(spans):.0f} ms, worst {max(spans):.0f} ms, "
-                  f"{len(spans)} tables")
+            print(
+                f"proposal, {name}: median {statistics.median(spans):.0f} ms, worst {max(spans):.0f} ms, "
+                f"{len(spans)} tables"
+            )
     print(f"proposal: {unheard} tables were known to nobody as the member died, and came with its next start")
 
 
@@ -104,8 +108,11 @@
                 ident, tried = f"{n:016x}", 0
                 while True:
                     at = now()
-                    put = (estate.publish(client, member, ident, "season", kind=kind, life=2000) if n % 4 == 0
-                           else estate.put(client, member, ident, 2, kind=kind, life=2000))
+                    put = (
+                        estate.publish(client, member, ident, "season", kind=kind, life=2000)
+                        if n % 4 == 0
+                        else estate.put(client, member, ident, 2, kind=kind, life=2000)
+                    )
                     told = await put
                     if told == "+OK" or now() - sent.setdefault(ident, at) > 2:
                         return tried
@@ -122,20 +129,27 @@
                 n += 3
                 await asyncio.sleep(max(0.0, n / rate - (now() - began)))
             await asyncio.sleep(2.5)
-            ran = {(c.dest, c.body): c.ended for c in sorted(estate.calls(), key=lambda c: -c.ended)
-                   if c.effect == "ran"}
+            ran = {
+                (c.dest, c.body): c.ended
+                for c in sorted(estate.calls(), key=lambda c: -c.ended)
+                if c.effect == "ran"
+            }
             wanted = [(p, d) for p in estate.publications for d in p.dests]
             good = sum(1 for p, d in wanted if ran.get((d, p.body), 1e18) <= sent.get(p.ident, p.taken) + 2.0)
             times = sorted(c.begun for c in estate.calls() if c.dest == 2)
             gap = max(b - a for a, b in zip(times, times[1:], strict=False))
-            print(f"switch, {name}: {len(wanted)} deliveries, {good / len(wanted):.4f} in time, longest gap "
-                  f"in calls at the destination {gap * 1e3:.0f} ms, table {number or 1}")
+            print(
+                f"switch, {name}: {len(wanted)} deliveries, {good / len(wanted):.4f} in time, longest gap "
+                f"in calls at the destination {gap * 1e3:.0f} ms, table {number or 1}"
+            )
 
 
 def cpu(pid: int) -> float:
     """Seconds of processor time of a process, all its threads."""
-    return sum(int((task / "schedstat").read_text().split()[0])
-               for task in Path(f"/proc/{pid}/task").iterdir()) / 1e9
+    return (
+        sum(int((task / "schedstat").read_text().split()[0]) for task in Path(f"/proc/{pid}/task").iterdir())
+        / 1e9
+    )
 
 
 async def cost(folder: Path, messages: int = 3000, rounds: int = 8) -> None:
@@ -149,12 +163,24 @@
         text = (member.folder / "estate.toml").read_text()
         from loopback import Client
         from member_processes import free_port
+
         (off / "estate.toml").write_text(plain(text, free_port))
-        (off / "partners.toml").write_text((member.folder / "partners.toml").read_text().replace(
-            'site = "macon"\n', "").replace('site = "savannah"\n', ""))
+        (off / "partners.toml").write_text(
+            (member.folder / "partners.toml")
+            .read_text()
+            .replace('site = "macon"\n', "")
+            .replace('site = "savannah"\n', "")
+        )
         alone = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "madderbeam", "run", "--config", str(rendered(off)), cwd=HERE,
-            stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "madderbeam",
+            "run",
+            "--config",
+            str(rendered(off)),
+            cwd=HERE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         port = 0
         while not port:
             line = (await alone.stderr.readline()).decode()
@@ -177,8 +203,8 @@
                 todo = [client.message(f"{turn:04x}{n:012x}", dest=1) for n in range(messages)]
                 taken = 0
                 for n in range(0, len(todo), 4):  # as a program that hands a batch in
-                    client.writer.write(b"".join(todo[n:n + 4]))
-                    for _ in todo[n:n + 4]:
+                    client.writer.write(b"".join(todo[n : n + 4]))
+                    for _ in todo[n : n + 4]:
                         told = await client.line()
                         taken += told == "+OK"
                         if told.startswith("-BUSY"):
@@ -186,35 +212,49 @@
                 took = time.monotonic() - began
                 if turn > 1:
                     spans[which].append((cpu(pid) - before) / taken * 1e6)
-                    print(f"cost, {which}: {spans[which][-1]:.0f} us CPU a message, {taken} in {took:.1f} s",
-                          flush=True)
+                    print(
+                        f"cost, {which}: {spans[which][-1]:.0f} us CPU a message, {taken} in {took:.1f} s",
+                        flush=True,
+                    )
         finally:
             alone.kill()
             await alone.wait()
             await reading
     pairs = sorted(a / b for a, b in zip(spans["on"], spans["off"], strict=True))
-    print(f"cost: a local message with the federation on costs {statistics.median(pairs):.3f} times one "
-          f"without (pairs from {pairs[0]:.3f} to {pairs[-1]:.3f})")
+    print(
+        f"cost: a local message with the federation on costs {statistics.median(pairs):.3f} times one "
+        f"without (pairs from {pairs[0]:.3f} to {pairs[-1]:.3f})"
+    )
 
 
 def plain(text: str, free_port) -> str:
     """The same application with no federation."""
     head, _, rest = text.partition("[federation]")
-    app = rest[rest.index("[[application]]"):]
-    lines = [f'listen = "127.0.0.1:{free_port("127.0.0.1")}"' if line.startswith("listen") else
-             f'control = "127.0.0.1:{free_port("127.0.0.1")}"' if line.startswith("control") else line
-             for line in app.splitlines() if not line.startswith(("via", "member"))]
+    app = rest[rest.index("[[application]]") :]
+    lines = [
+        f'listen = "127.0.0.1:{free_port("127.0.0.1")}"'
+        if line.startswith("listen")
+        else f'control = "127.0.0.1:{free_port("127.0.0.1")}"'
+        if line.startswith("control")
+        else line
+        for line in app.splitlines()
+        if not line.startswith(("via", "member"))
+    ]
     return head + "\n".join(lines) + "\n"
 
 
 def rendered(folder: Path) -> Path:
     from madderbeam.config.check import check
     from madderbeam.config.render import render, write
+
     report = check(folder / "estate.toml")
     assert report.loaded is not None, [str(p) for p in report.problems]
     write(render(report.loaded), folder / "rendered")
-    return next(p for p in (folder / "rendered").glob("*.json")
-                if "partners" not in p.name and p.name != "manifest.json")
+    return next(
+        p
+        for p in (folder / "rendered").glob("*.json")
+        if "partners" not in p.name and p.name != "manifest.json"
+    )
 
 
 def main() -> None:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -19,8 +19,19 @@
 OUTCOMES = ("ok", "full", "connect_failed", "timeout", "reset", "error", "moot", "cancelled")
 AT_ONCE_S = 0.002  # a refusal so soon after the arrival waited for nothing
 QUICK = 0.6  # refusals on new connections within this part of the quickest good answer: a full table
-COLUMNS = ("arrived", "again", "send", "new", *OUTCOMES, "table", "told", "refused at once", "refused unsent",
-           "refused tried", "fail")
+COLUMNS = (
+    "arrived",
+    "again",
+    "send",
+    "new",
+    *OUTCOMES,
+    "table",
+    "told",
+    "refused at once",
+    "refused unsent",
+    "refused tried",
+    "fail",
+)
 
 
 def read(path: Path) -> list[tuple[float, int, str, list[str]]]:
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -188,10 +188,21 @@
 def run(root: Path, which: str, mb: float, messages: int, ids: int = 0) -> dict[str, float | None]:
     """One row, in a process of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        command = [sys.executable, "-c", DRIVER, str(root), which, str(mb), str(messages), str(GROUP), folder,
-                   str(ids)]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=300,
-                              env={**os.environ, "PYTHONPATH": str(root)})
+        command = [
+            sys.executable,
+            "-c",
+            DRIVER,
+            str(root),
+            which,
+            str(mb),
+            str(messages),
+            str(GROUP),
+            folder,
+            str(ids),
+        ]
+        done = subprocess.run(
+            command, capture_output=True, text=True, timeout=300, env={**os.environ, "PYTHONPATH": str(root)}
+        )
     if done.returncode:
         raise RuntimeError(done.stderr[-400:])
     return json.loads(done.stdout.splitlines()[-1])
@@ -201,10 +212,18 @@
     return ("-" if value is None else format(value, form)).rjust(width)
 
 
-COLUMNS = (("turn ms", "turn_ms", ".2f"), ("step ms", "step_ms", ".2f"), ("CPU ms", "turn_cpu_ms", ".2f"),
-           ("CPU ms", "step_cpu_ms", ".2f"),
-           ("p99.9 ms", "p999_ms", ".3f"), ("writes", "writes", ".2f"), ("bytes", "bytes", ".2f"),
-           ("CPU us", "cpu_us", ".1f"), ("restart s", "restart_s", ".3f"), ("usable", "usable", ".0%"))
+COLUMNS = (
+    ("turn ms", "turn_ms", ".2f"),
+    ("step ms", "step_ms", ".2f"),
+    ("CPU ms", "turn_cpu_ms", ".2f"),
+    ("CPU ms", "step_cpu_ms", ".2f"),
+    ("p99.9 ms", "p999_ms", ".3f"),
+    ("writes", "writes", ".2f"),
+    ("bytes", "bytes", ".2f"),
+    ("CPU us", "cpu_us", ".1f"),
+    ("restart s", "restart_s", ".3f"),
+    ("usable", "usable", ".0%"),
+)
 
 
 def main() -> int:
--- a/bench/kafka.py
+++ b/bench/kafka.py
@@ -31,8 +31,16 @@
     head = Writer()
     for kind, value in (("int16", 0), ("int16", 7), ("int32", number), ("int16", -1)):
         head.fixed(kind, value)
-    body = head.bytes() + encode(schemas.PRODUCE.request, {"acks": -1, "timeout_ms": 1000, "topics": [
-        {"name": "notice.1", "partitions": [{"index": 0, "records": write_batch(records)}]}]}, 7, False)
+    body = head.bytes() + encode(
+        schemas.PRODUCE.request,
+        {
+            "acks": -1,
+            "timeout_ms": 1000,
+            "topics": [{"name": "notice.1", "partitions": [{"index": 0, "records": write_batch(records)}]}],
+        },
+        7,
+        False,
+    )
     return struct.pack(">i", len(body)) + body
 
 
@@ -83,8 +91,10 @@
                     await way(made, f"{name}{many}-", many)
                     cpu, took = time.process_time() - cpu, time.perf_counter() - start
                     base = base or cpu
-                    print(f"  {name}, {many:3} at once: {cpu / COUNT * 1e6:5.0f} us a message (ratio "
-                          f"{cpu / base:.2f}), {COUNT / took:,.0f} a second")
+                    print(
+                        f"  {name}, {many:3} at once: {cpu / COUNT * 1e6:5.0f} us a message (ratio "
+                        f"{cpu / base:.2f}), {COUNT / took:,.0f} a second"
+                    )
 
 
 def decoder():
@@ -95,8 +105,10 @@
         for _ in range(rounds):
             read_batches(data)
         took = time.process_time() - start
-        print(f"  decoding, {name:6}: {took / rounds / 100 * 1e6:5.1f} us a record, "
-              f"{len(batch) * rounds / took / 1e6:.1f} MB a second")
+        print(
+            f"  decoding, {name:6}: {took / rounds / 100 * 1e6:5.1f} us a record, "
+            f"{len(batch) * rounds / took / 1e6:.1f} MB a second"
+        )
 
 
 def fuzz(given):
@@ -118,11 +130,12 @@
                 case 1:
                     del data[at:]
                 case 2:
-                    data[at:at] = data[:chance.randrange(40)]
+                    data[at:at] = data[: chance.randrange(40)]
                 case _:
-                    data[at : at + 4] = struct.pack(">i", chance.choice((-1, -2, 2 ** 31 - 1, 1 << 20)))
+                    data[at : at + 4] = struct.pack(">i", chance.choice((-1, -2, 2**31 - 1, 1 << 20)))
         if len(data) > 21 and chance.random() < 0.5:  # behind a right checksum
             import google_crc32c
+
             data[17:21] = struct.pack(">I", google_crc32c.value(bytes(data[21:])))
         with contextlib.suppress(BadBatch):
             read_batches(bytes(data))
--- a/bench/large_fleet.py
+++ b/bench/large_fleet.py
@@ -36,24 +36,30 @@
     broken = 0
     cases = FULL_CASES if args.full else SMALL_CASES
     with ProcessPoolExecutor() as pool:
-        runs = {case: [pool.submit(one, replace(script, seed=seed)) for seed in range(args.seeds)]
-                for case, script in cases.items()}
+        runs = {
+            case: [pool.submit(one, replace(script, seed=seed)) for seed in range(args.seeds)]
+            for case, script in cases.items()
+        }
         base: tuple[int, int] = (1, 1)
         for case, futures in runs.items():
             reports = [f.result() for f in futures]
 
             def total(name: str, reports: list[Report] = reports) -> int:
                 return sum(getattr(r, name) for r in reports)
+
             delivered, calls = total("delivered"), total("calls")
             base = (delivered, calls) if case == CALM else base
             broken += sum(r.violation is not None for r in reports)
             worth = [r.quality.worth for r in reports if r.quality]
             dials, failed = total("dials") / delivered, total("failed_dials") / delivered
-            print(f"{case.ljust(78)} served {delivered / base[0]:.2f}  "
-                  f"worth {sum(worth) / len(reports):.3f}  calls {calls / base[1]:.2f}  "
-                  f"for each delivered: {calls / delivered:.2f} calls, {dials:.2f} connections, "
-                  f"{failed:.2f} failed  lists {total('lists')}  probes {total('probes')}  "
-                  f"refused {total('refused') / total('messages'):.2f}", flush=True)
+            print(
+                f"{case.ljust(78)} served {delivered / base[0]:.2f}  "
+                f"worth {sum(worth) / len(reports):.3f}  calls {calls / base[1]:.2f}  "
+                f"for each delivered: {calls / delivered:.2f} calls, {dials:.2f} connections, "
+                f"{failed:.2f} failed  lists {total('lists')}  probes {total('probes')}  "
+                f"refused {total('refused') / total('messages'):.2f}",
+                flush=True,
+            )
             for r in reports:
                 if r.violation:
                     print("  ", r.line)
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -32,7 +32,7 @@
     body = b"x" * size
     start = time.perf_counter()
     for n in range(count):
-        frames.unpack_short(frames.pack_short("r", [n, body])[frames.HEAD:])
+        frames.unpack_short(frames.pack_short("r", [n, body])[frames.HEAD :])
     return time.perf_counter() - start
 
 
@@ -49,6 +49,7 @@
         got[0] += isinstance(event, FromLink)
         if got[0] == count:
             done.set()
+
     settings = MeshSettings(unsent_bytes=1 << 30, ping_s=60.0)
     a = Mesh(loop, network, A, Life(1, 1), "bench", ("127.0.0.1", 0), at_a, settings=settings)
     b = Mesh(loop, network, B, Life(1, 2), "bench", ("127.0.0.1", 0), at_b, settings=settings)
@@ -75,6 +76,7 @@
     def told(channel: str, event: object) -> None:
         up[0] += isinstance(event, LinkUp)
         up[1] += isinstance(event, LinkDown)
+
     meshes = []
     for me, host in ((A, "10.0.0.1"), (B, "10.0.0.2")):
         loop = process_loop(scheduler)
@@ -86,8 +88,10 @@
         while up[0] == up[1]:
             scheduler.run(scheduler.now_us + 10_000)
         scheduler.run(scheduler.now_us + chance.randrange(3_000_000))
-        start, way = scheduler.now_us, fabric.way(*chance.choice((("10.0.0.1", "10.0.0.2"),
-                                                                  ("10.0.0.2", "10.0.0.1"))))
+        start, way = (
+            scheduler.now_us,
+            fabric.way(*chance.choice((("10.0.0.1", "10.0.0.2"), ("10.0.0.2", "10.0.0.1")))),
+        )
         way.break_off()
         while up[0] > up[1]:
             scheduler.run(scheduler.now_us + 10_000)
@@ -103,17 +107,23 @@
     parser.add_argument("--size", type=int, default=200)
     args = parser.parse_args()
     empty = frames.pack("federation", frames.Frame(A, Life(1, 1 << 63), "m", []))
-    print(f"bytes beside the row: {len(empty) - 1} of a datagram (federation's name of 10), "
-          f"{len(frames.pack_short('r', [], HOUR_US)) - 1} on a link; a ping: "
-          f"{len(frames.pack_short('', [3600, HOUR_US], HOUR_US))}, its pong: "
-          f"{len(frames.pack_short('', [3600]))}")
+    print(
+        f"bytes beside the row: {len(empty) - 1} of a datagram (federation's name of 10), "
+        f"{len(frames.pack_short('r', [], HOUR_US)) - 1} on a link; a ping: "
+        f"{len(frames.pack_short('', [3600, HOUR_US], HOUR_US))}, its pong: "
+        f"{len(frames.pack_short('', [3600]))}"
+    )
     alone = min(packing_s(args.messages, args.size) for _ in range(3))
     took, size, rtt = min(asyncio.run(link_s(args.messages, args.size)) for _ in range(3))
-    print(f"{args.messages} messages of {args.size} bytes: {size:.1f} bytes each on a link, "
-          f"{took / alone:.1f} times what packing and unpacking alone takes; round trip {rtt} us")
+    print(
+        f"{args.messages} messages of {args.size} bytes: {size:.1f} bytes each on a link, "
+        f"{took / alone:.1f} times what packing and unpacking alone takes; round trip {rtt} us"
+    )
     found = silent_periods(args.cuts)
-    print(f"{args.cuts} links cut in one direction stood for {median(found):.2f} ping periods (median), "
-          f"{quantiles(found, n=100)[98]:.2f} (99th percentile), {max(found):.2f} (most)")
+    print(
+        f"{args.cuts} links cut in one direction stood for {median(found):.2f} ping periods (median), "
+        f"{quantiles(found, n=100)[98]:.2f} (99th percentile), {max(found):.2f} (most)"
+    )
 
 
 if __name__ == "__main__":
--- a/bench/ordinary_path.py
+++ b/bench/ordinary_path.py
@@ -39,11 +39,22 @@
     discovery.target("a", endpoint.port, 7, rate=1e6)
     with tempfile.TemporaryDirectory() as folder:
         (Path(folder) / "state").mkdir()
-        config = {"name": "n0", "seed": "5", "known": discovery.whole(), "settings": raw_settings(),
-                  "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 30}}
+        config = {
+            "name": "n0",
+            "seed": "5",
+            "known": discovery.whole(),
+            "settings": raw_settings(),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 30},
+        }
         (Path(folder) / "config.json").write_text(json.dumps(config))
-        env = {**os.environ, "LB_NAME": "n0", "LB_LISTEN": "127.0.0.1:0", "LB_STATE": f"{folder}/state",
-               "LB_CONFIG": f"{folder}/config.json", "LB_DISCOVERY": f"127.0.0.1:{discovery.port}"}
+        env = {
+            **os.environ,
+            "LB_NAME": "n0",
+            "LB_LISTEN": "127.0.0.1:0",
+            "LB_STATE": f"{folder}/state",
+            "LB_CONFIG": f"{folder}/config.json",
+            "LB_DISCOVERY": f"127.0.0.1:{discovery.port}",
+        }
         courier = subprocess.Popen([sys.executable, "-m", module], env=env, cwd=root, stderr=subprocess.PIPE)
         try:
             port = 0
@@ -98,8 +109,10 @@
         for cost, (root, module) in zip(costs, trees, strict=True):
             cost.append(asyncio.run(run(root, module, args.messages)))
     for cost, (_, module) in zip(costs, trees, strict=True):
-        print(f"{module}: {statistics.median(cost):.0f} us of CPU a message (median of {args.runs}; "
-              f"{min(cost):.0f} to {max(cost):.0f})")
+        print(
+            f"{module}: {statistics.median(cost):.0f} us of CPU a message (median of {args.runs}; "
+            f"{min(cost):.0f} to {max(cost):.0f})"
+        )
     if len(costs) > 1:
         print(f"ratio {statistics.median(costs[0]) / statistics.median(costs[1]):.3f}")
     return 0
--- a/bench/quota.py
+++ b/bench/quota.py
@@ -41,8 +41,12 @@
     return tree, level
 
 
-FIELDS = (("messages_per_s", 1, ""), ("bytes_per_s", 1_000, "burst_bytes"), ("messages_per_h", 1_800, ""),
-          ("bytes_per_h", 500_000, ""))
+FIELDS = (
+    ("messages_per_s", 1, ""),
+    ("bytes_per_s", 1_000, "burst_bytes"),
+    ("messages_per_h", 1_800, ""),
+    ("bytes_per_h", 500_000, ""),
+)
 
 
 def written(amount: int, dims: int) -> dict[str, int]:
@@ -99,13 +103,17 @@
                     chance = random.Random(2)
                     some = chance.sample(leaves, min(busy, len(leaves)))
                     start = 3_600_000_000  # buckets that a lease begins with are full by then
-                    asked = [(chance.choice(some), "notice", chance.randrange(20, 2000), 0, start + n * 20)
-                             for n in range(messages)]
+                    asked = [
+                        (chance.choice(some), "notice", chance.randrange(20, 2000), 0, start + n * 20)
+                        for n in range(messages)
+                    ]
                     rows.append(cost(made, asked))
             (tree, a), (bulk, b), (_, c), (lease, d) = rows
-            print(f"{dims} dimensions, {busy} leaves busy: tree {tree:.1f} us, credits {bulk:.1f} us "
-                  f"({tree / bulk:.1f} times), by a lease {lease:.1f} us ({tree / lease:.1f} times); "
-                  f"passed {a:.3f}, {b:.3f}, {c:.3f}, {d:.3f}")
+            print(
+                f"{dims} dimensions, {busy} leaves busy: tree {tree:.1f} us, credits {bulk:.1f} us "
+                f"({tree / bulk:.1f} times), by a lease {lease:.1f} us ({tree / lease:.1f} times); "
+                f"passed {a:.3f}, {b:.3f}, {c:.3f}, {d:.3f}"
+            )
 
 
 def split(
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -12,7 +12,18 @@
 import msgpack
 
 from madderbeam.membership.values import (
-    Due, FromLink, Heard, Life, LinkUp, MemberChanged, MemberId, MemberView, Rumour, SetTimer, State, ToLink,
+    Due,
+    FromLink,
+    Heard,
+    Life,
+    LinkUp,
+    MemberChanged,
+    MemberId,
+    MemberView,
+    Rumour,
+    SetTimer,
+    State,
+    ToLink,
 )
 from madderbeam.relay.custody import Custodian
 from madderbeam.relay.grouping import Tables
@@ -22,7 +33,16 @@
 from madderbeam.relay.subscriptions import Subscriptions
 from madderbeam.relay.telling import CustodySettings
 from madderbeam.relay.values import (
-    Credit, Effect, Ended, Expand, Publication, PublicationEnded, Published, Result, Subscribed, Taken,
+    Credit,
+    Effect,
+    Ended,
+    Expand,
+    Publication,
+    PublicationEnded,
+    Published,
+    Result,
+    Subscribed,
+    Taken,
 )
 
 ORIGIN = MemberId("macon", "a")
@@ -78,8 +98,18 @@
         for n, (topic, dest, body) in enumerate(publications):
             at = self.now + n * every_us
             publication = Publication(
-                f"{n:016x}", ORIGIN, topic, dest, "notice", Effect.SAFE, "acme", "", "", body,
-                at + 10_000_000, 1,
+                f"{n:016x}",
+                ORIGIN,
+                topic,
+                dest,
+                "notice",
+                Effect.SAFE,
+                "acme",
+                "",
+                "",
+                body,
+                at + 10_000_000,
+                1,
             )
             self.later(at, ORIGIN, Published(publication, SITES if topic else (self.owners[dest],)))
         while self.ended < len(publications):
@@ -134,12 +164,16 @@
 
 
 def main():
-    print("subscribers  body  grouped: frames entries   bytes  one each: frames entries    bytes  "
-          "frames  entries   bytes")
+    print(
+        "subscribers  body  grouped: frames entries   bytes  one each: frames entries    bytes  "
+        "frames  entries   bytes"
+    )
     for subscribers, size in ((40, 200), (40, 2000), (40, 20_000), (2000, 2000)):
         (f1, e1, b1), (f2, e2, b2) = notice(subscribers, size)
-        print(f"{5 * subscribers:11} {size:5}  {f1:15} {e1:7} {b1:7}  {f2:16} {e2:7} {b2:8}"
-              f"  {f2 / f1:5.1f}x  {e2 / e1:6.1f}x {b2 / b1:6.1f}x")
+        print(
+            f"{5 * subscribers:11} {size:5}  {f1:15} {e1:7} {b1:7}  {f2:16} {e2:7} {b2:8}"
+            f"  {f2 / f1:5.1f}x  {e2 / e1:6.1f}x {b2 / b1:6.1f}x"
+        )
     print("100 notices a second, frames a notice:", flow(200))
     print(f"entries of one through both machines: {pace(2000):,.0f} a second of CPU")
     count, size, false = filters()
--- a/bench/shared.py
+++ b/bench/shared.py
@@ -19,7 +19,15 @@
 import shared_site
 
 from madderbeam.membership.values import (
-    Due, FromLink, Life, MemberChanged, MemberId, MemberView, SetTimer, State, ToLink,
+    Due,
+    FromLink,
+    Life,
+    MemberChanged,
+    MemberId,
+    MemberView,
+    SetTimer,
+    State,
+    ToLink,
 )
 from madderbeam.shared.lease_messages import from_row, to_row
 from madderbeam.shared.lease_settings import LeaseSettings
@@ -187,16 +195,23 @@
 def leases():
     for share in (0.7, 0.9, 1.1):
         (with_leases, fixed, central), each, most = play(share)
-        print(f"limit {share:.0%} of the load: leases {with_leases:.4f}, fixed parts {fixed:.4f}, "
-              f"central {central:.4f}; leases/central {with_leases / central:.4f}, "
-              f"fixed/central {fixed / central:.4f}; {each:.0f} bytes/s a member, {most:.0f} the granter")
+        print(
+            f"limit {share:.0%} of the load: leases {with_leases:.4f}, fixed parts {fixed:.4f}, "
+            f"central {central:.4f}; leases/central {with_leases / central:.4f}, "
+            f"fixed/central {fixed / central:.4f}; {each:.0f} bytes/s a member, {most:.0f} the granter"
+        )
     bytes_by_size()
     amount_time()
 
 
 if __name__ == "__main__":
-    scenes = {"leases": leases, "calls": shared_site.calls, "know": shared_site.know,
-              "bytes": shared_site.sent, "returns": shared_site.returns}
+    scenes = {
+        "leases": leases,
+        "calls": shared_site.calls,
+        "know": shared_site.know,
+        "bytes": shared_site.sent,
+        "returns": shared_site.returns,
+    }
     name, *rest = sys.argv[1:] or [""]
     if name not in scenes or rest and name != "returns":
         sys.exit(f"usage: python bench/shared.py {'|'.join(scenes)}")
--- a/bench/shared_news.py
+++ b/bench/shared_news.py
@@ -52,9 +52,13 @@
             ran = [c.begun for c in partner.calls if c.effect == RAN and c.begun >= back]
         first = min(ran) - back if ran else float("inf")
         second = max((sum(t <= u < t + 1 for u in ran) for t in ran if t < min(ran) + 1), default=0)
-        return {"calls in the wait": during, "calls while out": len(tried),
-                "after the first second": sum(c.begun > out + 1 for c in tried),
-                "first answer after s": round(first, 2), "most calls in a second of its return": second}
+        return {
+            "calls in the wait": during,
+            "calls while out": len(tried),
+            "after the first second": sum(c.begun > out + 1 for c in tried),
+            "first answer after s": round(first, 2),
+            "most calls in a second of its return": second,
+        }
 
 
 def main() -> None:
@@ -64,8 +68,10 @@
     for share in (False, True):
         with tempfile.TemporaryDirectory() as folder:
             found = asyncio.run(scene(Path(folder), couriers, share))
-        print(f"{couriers} couriers, share = {str(share).lower()}: "
-              + ", ".join(f"{name} {value}" for name, value in found.items()))
+        print(
+            f"{couriers} couriers, share = {str(share).lower()}: "
+            + ", ".join(f"{name} {value}" for name, value in found.items())
+        )
 
 
 if __name__ == "__main__":
--- a/bench/shared_site.py
+++ b/bench/shared_site.py
@@ -40,10 +40,13 @@
     for mode, span_s in (("out", 8), ("hang", 8), ("wait", 3)):
         rows = [[_calls(base, seed, share, mode, span_s) for seed in range(seeds)] for share in (False, True)]
         without, shared = ([sum(column) for column in zip(*row, strict=True)] for row in rows)
-        print(f"{mode} for {span_s} s, {seeds} seeds, calls: {without[0]} without, {shared[0]} with "
-              f"({without[0] / max(1, shared[0]):.1f} times fewer); of these in the first second "
-              f"{without[1]}, {shared[1]}; answered again after {without[2] / seeds:.2f} s, "
-              f"{shared[2] / seeds:.2f} s", flush=True)
+        print(
+            f"{mode} for {span_s} s, {seeds} seeds, calls: {without[0]} without, {shared[0]} with "
+            f"({without[0] / max(1, shared[0]):.1f} times fewer); of these in the first second "
+            f"{without[1]}, {shared[1]}; answered again after {without[2] / seeds:.2f} s, "
+            f"{shared[2] / seeds:.2f} s",
+            flush=True,
+        )
 
 
 def know(times=100):
@@ -61,13 +64,19 @@
             town.couriers[me].tell_news(Learnt(News(kind, 1, "p-1", span)))
             town.run(30 * S if kind is Kind.FULL else 2 * S)
             town.couriers[me].tell_news(Learnt(News(kind, 1, "p-1", 0)))
-            heard = [min((t for t, news in c.heeds if news.kind is kind), default=None)
-                     for m, c in town.couriers.items() if m != me]
+            heard = [
+                min((t for t, news in c.heeds if news.kind is kind), default=None)
+                for m, c in town.couriers.items()
+                if m != me
+            ]
             spans += [((max(heard) - at) / S) if None not in heard else float("inf")]
             town.run(15 * S)
         spans.sort()
-        print(f"{kind.value}: all {MEMBERS - 1} others know after {statistics.median(spans):.3f} s (median), "
-              f"{spans[int(0.99 * times)]:.3f} s (99th percentile of {times})", flush=True)
+        print(
+            f"{kind.value}: all {MEMBERS - 1} others know after {statistics.median(spans):.3f} s (median), "
+            f"{spans[int(0.99 * times)]:.3f} s (99th percentile of {times})",
+            flush=True,
+        )
 
 
 def sent():
@@ -85,8 +94,11 @@
                 town.partner.returns(town.now)
                 town.run(12 * S)
             found.append(town.net.bytes / members / ((town.now - at) / S))
-        print(f"{members:4} members, 8 s of each 20 s an outage: {found[1]:5.0f} bytes a second a member, "
-              f"{found[0]:5.0f} without news: {found[1] - found[0]:4.0f} more", flush=True)
+        print(
+            f"{members:4} members, 8 s of each 20 s an outage: {found[1]:5.0f} bytes a second a member, "
+            f"{found[0]:5.0f} without news: {found[1] - found[0]:4.0f} more",
+            flush=True,
+        )
 
 
 def _return(base, seed, share, load, each):
@@ -116,6 +128,9 @@
             continue
         for share, found in rows.items():
             warm = sorted(seconds for _, seconds in found)
-            print(f"seeds {first} to {seed}, {'with' if share else 'without'}: {sum(f for f, _ in found)} of "
-                  f"{len(found)} fell; warm after {statistics.median(warm)} s (median), "
-                  f"{warm[int(0.99 * len(found))]} s (99th percentile)", flush=True)
+            print(
+                f"seeds {first} to {seed}, {'with' if share else 'without'}: {sum(f for f, _ in found)} of "
+                f"{len(found)} fell; warm after {statistics.median(warm)} s (median), "
+                f"{warm[int(0.99 * len(found))]} s (99th percentile)",
+                flush=True,
+            )
--- a/bench/standby.py
+++ b/bench/standby.py
@@ -51,6 +51,7 @@
         path = side.folder / "rendered" / f"{side.short}.json"
         if side is self.a:
             from madderbeam.config.rendered import seal
+
             found = json.loads(path.read_text())
             found["standby"]["to"] = f"{self.b.host}:{self.b.mesh}"
             if self.off:
@@ -61,8 +62,9 @@
 async def one(mode: str, messages: int) -> dict[str, float]:
     """Latencies of +OK in milliseconds, CPU in microseconds a message."""
     with tempfile.TemporaryDirectory() as folder:
-        made = Direct(Path(folder), {"slots": 64, "max_held": 4000},
-                      mode="after" if mode == "after" else "before")
+        made = Direct(
+            Path(folder), {"slots": 64, "max_held": 4000}, mode="after" if mode == "after" else "before"
+        )
         made.off = mode == "none"
         async with made as p:
             if mode != "none":
@@ -77,6 +79,7 @@
                     told = await client.put(f"{which}x{n}x{at}", kind=("safe", "unsafe")[n % 2], life=20_000)
                     if told == "+OK":
                         took.append(time.perf_counter() - at)
+
             await asyncio.gather(*(loop(c, n, 100) for n, c in enumerate(clients)))  # the partner gets warm
             await asyncio.sleep(0.5)
             took.clear()
@@ -87,9 +90,15 @@
             after = [cpu_s(s.process.pid) if s.process else 0.0 for s in (p.a, p.b)]
             cost = [(y - x) / messages * 1e6 for x, y in zip(before, after, strict=True)]
             took.sort()
-            return {"p50_ms": took[len(took) // 2] * 1e3, "p99_ms": took[len(took) * 99 // 100] * 1e3,
-                    "owner_us": cost[0], "standby_us": cost[1], "a_second": messages / took_s,
-                    "taken": len(took) / messages, "calls": (len(p.partner.calls) - called) / messages}
+            return {
+                "p50_ms": took[len(took) // 2] * 1e3,
+                "p99_ms": took[len(took) * 99 // 100] * 1e3,
+                "owner_us": cost[0],
+                "standby_us": cost[1],
+                "a_second": messages / took_s,
+                "taken": len(took) / messages,
+                "calls": (len(p.partner.calls) - called) / messages,
+            }
 
 
 async def cost(messages: int, runs: int) -> None:
@@ -121,14 +130,20 @@
             await p.b.standing()
             began = time.perf_counter()
             await p.a.start()
-            print(f"held {held}, {size / 1e6:.1f} MB: owner ready, its copy in step, after "
-                  f"{time.perf_counter() - began:.2f} s", flush=True)
+            print(
+                f"held {held}, {size / 1e6:.1f} MB: owner ready, its copy in step, after "
+                f"{time.perf_counter() - began:.2f} s",
+                flush=True,
+            )
             await p.a.kill()
             began = time.perf_counter()
             await p.moved()
             line = next(x for x in p.b.lines if "is ready on port" in x)
-            print(f"from the kill to serving {time.perf_counter() - began:.2f} s, at most 1.1 s of it the "
-                  f"lease: {line.partition('INFO ')[2]}", flush=True)
+            print(
+                f"from the kill to serving {time.perf_counter() - began:.2f} s, at most 1.1 s of it the "
+                f"lease: {line.partition('INFO ')[2]}",
+                flush=True,
+            )
 
 
 async def move(seconds: float) -> None:
@@ -145,8 +160,10 @@
             stop.set()
             answers = [told for each in await asyncio.gather(*loads) for told in each]
             refused = [told for told in answers if told and told != "+OK"]
-            print(f"{len(answers)} messages, refused {len(refused)}, unanswered {answers.count('')}, "
-                  f"promotion to serving {took:.2f} s, longest gap of a client {max(gaps):.2f} s")
+            print(
+                f"{len(answers)} messages, refused {len(refused)}, unanswered {answers.count('')}, "
+                f"promotion to serving {took:.2f} s, longest gap of a client {max(gaps):.2f} s"
+            )
 
 
 async def _load(p: Pair, stop: asyncio.Event, which: int, gaps: list[float]) -> list[str]:
@@ -175,6 +192,7 @@
 async def points(kills: int) -> None:
     """One pair after the other: the owner dies at some moment under load."""
     import random
+
     chance, taken, unsafe, lost = random.Random(7), 0, 0, 0
     for kill in range(kills):
         with tempfile.TemporaryDirectory() as folder:
@@ -195,12 +213,15 @@
                 taken += sum(text == "+OK" for text in answers.values())
                 twice = [i for i in answers if int(i[1:]) % 2 and len(p.delivered(i)) > 1]
                 unsafe += len(twice)
-        print(f"{kill + 1} kills: taken on {taken}, unsafe twice {unsafe}, runs with one lost {lost}",
-              flush=True)
+        print(
+            f"{kill + 1} kills: taken on {taken}, unsafe twice {unsafe}, runs with one lost {lost}",
+            flush=True,
+        )
 
 
 def seeds(count: int) -> int:
     from world import judge, play
+
     logging.disable(logging.CRITICAL)
     bad = 0
     for takeover_by in ("person", "lease"):
@@ -213,16 +234,21 @@
             over += world.over_at is not None
             if broken:
                 print(seed, broken[:3])
-        print(f"{takeover_by}: {count} seeds, {taken} messages taken on, {over} take-overs, rules broken in "
-              f"{bad}, {time.process_time() - began:.0f} s of CPU", flush=True)
+        print(
+            f"{takeover_by}: {count} seeds, {taken} messages taken on, {over} take-overs, rules broken in "
+            f"{bad}, {time.process_time() - began:.0f} s of CPU",
+            flush=True,
+        )
     lost, taken = 0, 0
     for seed in range(count // 10):
         world = play(seed, mode="after", silent="alone")
         broken, gone = judge(world)
         bad += bool(broken)
         lost, taken = lost + gone, taken + len(world.taken)
-    print(f"after: {count // 10} seeds, of {taken} messages taken on {lost} lost, rules broken in {bad} of "
-          "all runs")
+    print(
+        f"after: {count // 10} seeds, of {taken} messages taken on {lost} lost, rules broken in {bad} of "
+        "all runs"
+    )
     return 1 if bad else 0
 
 
@@ -237,8 +263,14 @@
     args = parser.parse_args()
     if args.what == "seeds":
         return seeds(args.seeds)
-    asyncio.run({"cost": lambda: cost(args.messages, args.runs), "takeover": lambda: takeover(args.held),
-                 "move": lambda: move(2.0), "points": lambda: points(args.kills)}[args.what]())
+    asyncio.run(
+        {
+            "cost": lambda: cost(args.messages, args.runs),
+            "takeover": lambda: takeover(args.held),
+            "move": lambda: move(2.0),
+            "points": lambda: points(args.kills),
+        }[args.what]()
+    )
     return 0
 
 
--- a/madderbeam/changes/check.py
+++ b/madderbeam/changes/check.py
@@ -31,8 +31,9 @@
 def _sizes(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
     for section, most in MOST.items():
         if len(snapshot.sections[section]) > most:
-            yield errors.TooMany(section, f"{len(snapshot.sections[section])} with those taken away",
-                                 f"at most {most}")
+            yield errors.TooMany(
+                section, f"{len(snapshot.sections[section])} with those taken away", f"at most {most}"
+            )
 
 
 def _endpoints(snapshot: Snapshot, touched: frozenset[Key]) -> Iterator[errors.ChangeError]:
@@ -46,15 +47,21 @@
         first = kinds.setdefault(row.dest, row)
         if first.kind != row.kind:
             mine, other = _told(first, row, touched)
-            yield errors.Broken(f"endpoint {mine.uid}.kind", f"{mine.kind!r} where {other.uid} of the same "
-                                f"destination {row.dest} is of {other.kind!r}", "one kind a destination")
+            yield errors.Broken(
+                f"endpoint {mine.uid}.kind",
+                f"{mine.kind!r} where {other.uid} of the same destination {row.dest} is of {other.kind!r}",
+                "one kind a destination",
+            )
         if row.state != READY:
             continue
         last = places.setdefault(row.address, row)
         if last is not row:
             mine, other = _told(last, row, touched)
-            yield errors.Broken(f"endpoint {mine.uid}.address", f"{other.uid} has the endpoint {row.address}",
-                                "one endpoint in service an address")
+            yield errors.Broken(
+                f"endpoint {mine.uid}.address",
+                f"{other.uid} has the endpoint {row.address}",
+                "one endpoint in service an address",
+            )
 
 
 def _told(a: Endpoint, b: Endpoint, touched: frozenset[Key]) -> tuple[Endpoint, Endpoint]:
@@ -69,14 +76,23 @@
     for name in names:
         row = snapshot.get(("class", name))
         if row["deadline_ms"] < row["wanted_ms"]:
-            yield errors.Broken(f"class {name}.deadline_ms", f"{row['deadline_ms']} is under wanted_ms "
-                                f"{row['wanted_ms']}", "at least wanted_ms")
+            yield errors.Broken(
+                f"class {name}.deadline_ms",
+                f"{row['deadline_ms']} is under wanted_ms {row['wanted_ms']}",
+                "at least wanted_ms",
+            )
         if row["repeat"] == "keyed" and not row["key_window_ms"]:
-            yield errors.Broken(f"class {name}.key_window_ms", "lacks, and the class is keyed",
-                                "a whole number from 1 to 86400000")
+            yield errors.Broken(
+                f"class {name}.key_window_ms",
+                "lacks, and the class is keyed",
+                "a whole number from 1 to 86400000",
+            )
         if row["repeat"] != "keyed" and row["key_window_ms"]:
-            yield errors.Broken(f"class {name}.key_window_ms", f"the class is {row['repeat']}, not keyed",
-                                "only where repeat is keyed")
+            yield errors.Broken(
+                f"class {name}.key_window_ms",
+                f"the class is {row['repeat']}, not keyed",
+                "only where repeat is keyed",
+            )
 
 
 def _tenants(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
@@ -90,16 +106,23 @@
     fixed: Mapping[str, Any] = dict(snapshot.sections["fixed"].items())
     base, cap = limit.get("retry_base_ms", 0), limit.get("retry_cap_ms", 0)
     if cap < base:
-        yield errors.Broken("limits.retry_cap_ms", f"{cap} is under retry_base_ms {base}",
-                            "at least retry_base_ms")
+        yield errors.Broken(
+            "limits.retry_cap_ms", f"{cap} is under retry_base_ms {base}", "at least retry_base_ms"
+        )
     most = max(1, int(WINDOW_SHARE * fixed.get("slots", 1 << 20)))
     if limit.get("window", 1) > most:
-        yield errors.Broken("limits.window", f"{limit['window']} is over three quarters of {fixed['slots']} "
-                            "slots", f"a whole number from 1 to {most}")
+        yield errors.Broken(
+            "limits.window",
+            f"{limit['window']} is over three quarters of {fixed['slots']} slots",
+            f"a whole number from 1 to {most}",
+        )
     room = int(fixed.get("disk_bytes", 1 << 60) / HELD_BYTES)
     if limit.get("max_held", 0) > room:
-        yield errors.Broken("limits.max_held", f"{limit['max_held']} is more than the disk's limit has room "
-                            "for", f"at most {room}, with bodies of no size")
+        yield errors.Broken(
+            "limits.max_held",
+            f"{limit['max_held']} is more than the disk's limit has room for",
+            f"at most {room}, with bodies of no size",
+        )
 
 
 def routing(snapshot: Snapshot) -> dict[str, Any] | None:
@@ -119,8 +142,9 @@
     try:
         from madderbeam.routing.router import Router, RoutingError
     except ImportError:
-        yield errors.NeedsRestart("routes", "routes and pools need the extra `routing`",
-                                  "pip install 'madderbeam[routing]'")
+        yield errors.NeedsRestart(
+            "routes", "routes and pools need the extra `routing`", "pip install 'madderbeam[routing]'"
+        )
         return
     try:
         Router(0).configure(raw)
@@ -130,8 +154,9 @@
     dests = {row.dest for row in snapshot.endpoints.values()}
     for name, number in snapshot.sections["name"].items():
         if number not in dests:
-            yield errors.Broken(f"names.{name}", f"no endpoint is of destination {number}", some(
-                map(str, dests)))
+            yield errors.Broken(
+                f"names.{name}", f"no endpoint is of destination {number}", some(map(str, dests))
+            )
 
 
 def _quota(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
@@ -139,6 +164,7 @@
     if not raw:
         return
     from madderbeam.quota.gate import Gate, QuotaError
+
     try:
         Gate(raw, 0, random.Random(0), 1)
         nodes = list(raw["nodes"])
@@ -161,8 +187,11 @@
     if on.get(("fixed", "kafka")):
         for section, name in change.ops:
             if section in ("class", "tenant"):
-                yield errors.NeedsRestart(f"{section} {name}", "Kafka clients have been told the classes and "
-                                          "tenants", "a courier with no Kafka front")
+                yield errors.NeedsRestart(
+                    f"{section} {name}",
+                    "Kafka clients have been told the classes and tenants",
+                    "a courier with no Kafka front",
+                )
     if on.get(("fixed", "share")) and ("whole", "quota") in change.ops:
         yield errors.NeedsRestart("quota", "the site's couriers share it", "a courier that shares nothing")
 
@@ -181,16 +210,23 @@
     return ready, dests
 
 
-def live(before: Snapshot, after: Snapshot, change: Change, facts: Facts,
-         settings: Settings) -> list[errors.LiveError]:
+def live(
+    before: Snapshot, after: Snapshot, change: Change, facts: Facts, settings: Settings
+) -> list[errors.LiveError]:
     """What stands against the change now, but for what its author has accepted."""
     return [e for e in _live(before, after, change, facts, settings) if e.code not in change.accept]
 
 
-def _live(before: Snapshot, after: Snapshot, change: Change, facts: Facts,
-          settings: Settings) -> Iterator[errors.LiveError]:
-    touched = {row.dest for key in change.keys if key[0] == "endpoint"
-               for row in (before.get(key), after.get(key)) if row is not None}
+def _live(
+    before: Snapshot, after: Snapshot, change: Change, facts: Facts, settings: Settings
+) -> Iterator[errors.LiveError]:
+    touched = {
+        row.dest
+        for key in change.keys
+        if key[0] == "endpoint"
+        for row in (before.get(key), after.get(key))
+        if row is not None
+    }
     if not touched:
         return
     had, _ = _serving(before)
@@ -198,14 +234,20 @@
     for dest in sorted(touched):
         held, out = facts.held.get(dest, 0), facts.out.get(dest, 0)
         if dest not in dests and (held or out):
-            yield errors.Orphans(f"destination {dest}", f"would go with {held} messages held and {out} calls "
-                                 "out", "a destination for which nothing is held")
+            yield errors.Orphans(
+                f"destination {dest}",
+                f"would go with {held} messages held and {out} calls out",
+                "a destination for which nothing is held",
+            )
         elif dest in dests and not has.get(dest) and had.get(dest) and (held or out):
-            yield errors.NothingReady(f"destination {dest}", f"no endpoint would be in service, with {held} "
-                                      f"messages held and {out} calls out", "one in service, at least")
+            yield errors.NothingReady(
+                f"destination {dest}",
+                f"no endpoint would be in service, with {held} messages held and {out} calls out",
+                "one in service, at least",
+            )
         elif out and has.get(dest, 0) < settings.left_share * min(had.get(dest, 0), out):
-            yield errors.LittleLeft(f"destination {dest}", f"{has.get(dest, 0)} of {had[dest]} endpoints "
-                                    f"would be in service, with {out} calls out",
-                                    f"at least {settings.left_share:.0%} of them")
-
-
+            yield errors.LittleLeft(
+                f"destination {dest}",
+                f"{has.get(dest, 0)} of {had[dest]} endpoints would be in service, with {out} calls out",
+                f"at least {settings.left_share:.0%} of them",
+            )
--- a/madderbeam/changes/document.py
+++ b/madderbeam/changes/document.py
@@ -13,8 +13,23 @@
 TABLES = {"classes": "class", "tenants": "tenant", "kinds": "kind"}
 WITHOUT = {**TABLES, "pools": "pool", "names": "name"}
 LIVE = tuple(kind.code for kind in (errors.NothingReady, errors.Orphans, errors.LittleLeft))
-KNOWN = ("name", "base", "accept", "trial_ms", "add", "edit", "drain", "remove", *TABLES, "limits", "pools",
-         "names", "routes", "quota", "without")
+KNOWN = (
+    "name",
+    "base",
+    "accept",
+    "trial_ms",
+    "add",
+    "edit",
+    "drain",
+    "remove",
+    *TABLES,
+    "limits",
+    "pools",
+    "names",
+    "routes",
+    "quota",
+    "without",
+)
 TRIAL_MS = Field("whole", 1_000, 3_600_000)
 DEST = ENDPOINT["dest"]
 
--- a/madderbeam/changes/drains.py
+++ b/madderbeam/changes/drains.py
@@ -18,8 +18,9 @@
         self.heard: dict[str, int] = {}
         self.left: dict[str, None] = {}  # ids that were taken away: they come back as returning ones
 
-    def changed(self, now_us: int, before: Snapshot, after: Snapshot,
-                uids: Iterable[str]) -> tuple[frozenset[str], frozenset[str]]:
+    def changed(
+        self, now_us: int, before: Snapshot, after: Snapshot, uids: Iterable[str]
+    ) -> tuple[frozenset[str], frozenset[str]]:
         """A snapshot comes into force that differs in these: which are back and held back until their drain
         is over, and which come in cold. The clock of a drain that was heard before goes on."""
         held, cold = set(), set()
@@ -66,5 +67,6 @@
 
     def next_us(self, now_us: int) -> int | None:
         """When the next drain's time is over."""
-        return min((at + self.hold_us for at in self.heard.values() if at + self.hold_us > now_us),
-                   default=None)
+        return min(
+            (at + self.hold_us for at in self.heard.values() if at + self.hold_us > now_us), default=None
+        )
--- a/madderbeam/changes/fields.py
+++ b/madderbeam/changes/fields.py
@@ -39,10 +39,14 @@
             return f"{word} from {self.least:.15g} to {self.most:.15g}"
         if self.kind == "above":
             return f"a number above {self.least:g}, at most {self.most:g}"
-        return {"choice": ", ".join(self.choices), "flag": "true or false", "address":
-                "HOST:PORT with a port from 1 to 65535", "uid": "text of 1 to 300 characters", "topic":
-                "letters, digits, '.', '_', '-', at most 249", "names": "a list of names"}.get(
-            self.kind, "a name of letters, digits, '.', '_', '-' with at most 64 characters")
+        return {
+            "choice": ", ".join(self.choices),
+            "flag": "true or false",
+            "address": "HOST:PORT with a port from 1 to 65535",
+            "uid": "text of 1 to 300 characters",
+            "topic": "letters, digits, '.', '_', '-', at most 249",
+            "names": "a list of names",
+        }.get(self.kind, "a name of letters, digits, '.', '_', '-' with at most 64 characters")
 
     def read(self, value: Any) -> Any:
         """The value; Wrong if it can't be one."""
@@ -61,8 +65,11 @@
         if kind == "flag":
             return isinstance(value, bool)
         if kind == "names":
-            return (isinstance(value, (list, tuple)) and len(value) <= 1000
-                    and all(isinstance(v, str) and NAME.fullmatch(v) for v in value))
+            return (
+                isinstance(value, (list, tuple))
+                and len(value) <= 1000
+                and all(isinstance(v, str) and NAME.fullmatch(v) for v in value)
+            )
         if not isinstance(value, str):
             return False
         if kind == "choice":
@@ -86,25 +93,34 @@
 
 DAY = 86_400_000
 CLASS = {
-    "wanted_ms": Field("whole", 1, DAY), "deadline_ms": Field("whole", 1, DAY),
+    "wanted_ms": Field("whole", 1, DAY),
+    "deadline_ms": Field("whole", 1, DAY),
     "repeat": Field("choice", default="unsafe", choices=("safe", "keyed", "unsafe")),
     "key_window_ms": Field("whole", 0, DAY, 0),
     "key_scope": Field("choice", default="all", choices=("all", "zone")),
-    "worth": Field("number", 0, 1e6, 1.0), "late_share": Field("number", 0, 1, 0.0),
+    "worth": Field("number", 0, 1e6, 1.0),
+    "late_share": Field("number", 0, 1, 0.0),
     "ordered": Field("flag", default=False),
 }
 TENANT = {"share": Field("number", 0, 1), "per_s": Field("number", 0, 1e6, 1000.0)}
 KIND = {"bundle": Field("whole", 1, 1000, 1), "routes_apart": Field("flag", default=False)}
 ENDPOINT = {
-    "uid": Field("uid"), "dest": Field("whole", 0, 4_294_967_295), "address": Field("address"),
-    "zone": Field("name", default="here"), "kind": Field("name", default="plain"),
+    "uid": Field("uid"),
+    "dest": Field("whole", 0, 4_294_967_295),
+    "address": Field("address"),
+    "zone": Field("name", default="here"),
+    "kind": Field("name", default="plain"),
     "per_s": Field("above", 0, 1e6),
     "state": Field("choice", default="in_service", choices=("in_service", "terminating")),
-    "topic": Field("topic", default=""), "topics": Field("names", default=()),
+    "topic": Field("topic", default=""),
+    "topics": Field("names", default=()),
 }
 LIMITS = {
-    "max_held": Field("whole", 16, 1_000_000), "attempts": Field("whole", 1, 12),
-    "retry_base_ms": Field("whole", 1, 60_000), "retry_cap_ms": Field("whole", 1, 600_000),
-    "max_wait_ms": Field("whole", 0, 600_000), "window": Field("whole", 1, 7_500),
+    "max_held": Field("whole", 16, 1_000_000),
+    "attempts": Field("whole", 1, 12),
+    "retry_base_ms": Field("whole", 1, 60_000),
+    "retry_cap_ms": Field("whole", 1, 600_000),
+    "max_wait_ms": Field("whole", 0, 600_000),
+    "window": Field("whole", 1, 7_500),
 }
 SECTIONS: Mapping[str, Mapping[str, Field]] = {"class": CLASS, "tenant": TENANT, "kind": KIND}
--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -21,13 +21,33 @@
 from madderbeam.changes.check import bound, live, whole
 from madderbeam.changes.drains import Drains
 from madderbeam.changes.events import (
-    Apply, Dropped, Failed, FileSeen, Go, Look, Offered, Readmit, Seen, Settled, TrialStopped)
+    Apply,
+    Dropped,
+    Failed,
+    FileSeen,
+    Go,
+    Look,
+    Offered,
+    Readmit,
+    Seen,
+    Settled,
+    TrialStopped,
+)
 from madderbeam.changes.making import inverse_of, made, undoing
 from madderbeam.changes.records import (
-    Back, Outcome, Restored, Staged, base_rows, change_row, ops_row, raw_difference, rows_row, trial_row)
+    Back,
+    Outcome,
+    Restored,
+    Staged,
+    base_rows,
+    change_row,
+    ops_row,
+    raw_difference,
+    rows_row,
+    trial_row,
+)
 from madderbeam.changes.trial import Trial
-from madderbeam.changes.values import (
-    DRAINING, NUMBERED, Change, Facts, Key, Settings, Snapshot)
+from madderbeam.changes.values import DRAINING, NUMBERED, Change, Facts, Key, Settings, Snapshot
 from madderbeam.membership.values import Due, Note, Persist, SetTimer, Unwritten
 
 BACK_MOST = 16  # versions that can be undone
@@ -52,8 +72,13 @@
 class Changes:
     """All of one courier's changes. `wall_ms` gives the wall time of the machine's."""
 
-    def __init__(self, settings: Settings, restored: Restored, wall_ms: Callable[[int], int],
-                 fixed: Mapping[Key, Any] | None = None) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        restored: Restored,
+        wall_ms: Callable[[int], int],
+        fixed: Mapping[Key, Any] | None = None,
+    ) -> None:
         """`fixed`: rows that are the file's alone, whatever was kept."""
         self.s, self.wall_ms, self.fixed = settings, wall_ms, fixed or {}
         self.kept = self._with_fixed(restored.snapshot)
@@ -116,9 +141,13 @@
         later += [(t.version, t.id, t.after.keys()) for t in self.trials if t.version > version]
         for number, other, keys in later:
             if common := back.ops.keys() & keys:
-                wrong.append(errors.BuiltUpon(
-                    f"version {version}", f"{other} (version {number}) touched {_some(common)} as well",
-                    "a version that no later one touches"))
+                wrong.append(
+                    errors.BuiltUpon(
+                        f"version {version}",
+                        f"{other} (version {number}) touched {_some(common)} as well",
+                        "a version that no later one touches",
+                    )
+                )
         return undoing(ident, version, self.current.version, back.ops), wrong
 
     def outcome(self, ident: str) -> Outcome | None:
@@ -181,8 +210,11 @@
         if wrong := [*self._place(change), *wrong]:
             self._settle(now_us, change.id, 0, "refused", "\n".join(e.line() for e in wrong))
             return
-        if event.go and self._only_drains(change, after) and (
-                change.source == "file" or any(change.keys & t.after.keys() for t in self.trials)):
+        if (
+            event.go
+            and self._only_drains(change, after)
+            and (change.source == "file" or any(change.keys & t.after.keys() for t in self.trials))
+        ):
             self._drain_now(now_us, change, after)
             return
         order = 1 + max((s.order for s in self.staged), default=0)
@@ -226,13 +258,21 @@
             return [errors.Unknown(at, f"there is no version {change.base}", f"{self.current.version}")]
         oldest = min(self.back) - 1 if self.back else self.kept.version
         if change.base < min(oldest, self.kept.version):
-            return [errors.Stale(at, f"version {change.base} is too old to be compared",
-                                 f"{oldest} to {self.current.version}")]
+            return [
+                errors.Stale(
+                    at,
+                    f"version {change.base} is too old to be compared",
+                    f"{oldest} to {self.current.version}",
+                )
+            ]
         since = [b.ops.keys() for v, b in self.back.items() if v > change.base]
         since += [t.after.keys() for t in self.trials if t.version > change.base]
         if common := {key for keys in since for key in change.keys & keys}:
-            return [errors.Stale(at, f"{_some(common)} has changed since version {change.base}",
-                                 f"{self.current.version}")]
+            return [
+                errors.Stale(
+                    at, f"{_some(common)} has changed since version {change.base}", f"{self.current.version}"
+                )
+            ]
         return []
 
     def _checked(self, change: Change, facts: Facts | None) -> tuple[Snapshot, list[errors.ChangeError]]:
@@ -291,8 +331,9 @@
             after, wrong = self._checked(change, facts)
             if wrong := [*self._stale(change), *wrong]:
                 self._leave(staged)
-                self._settle(now_us, change.id, 0, "refused",
-                             "as its turn came: " + "\n".join(e.line() for e in wrong))
+                self._settle(
+                    now_us, change.id, 0, "refused", "as its turn came: " + "\n".join(e.line() for e in wrong)
+                )
                 continue
             self._begin(now_us, facts, staged, after)
             self.actions.append(Look())
@@ -308,8 +349,16 @@
         change, before = staged.change, self.current
         self.version = after.version
         rows = raw_difference(before, after)
-        trial = Trial(change, after.version, {key: before.get(key) for key in rows}, rows, now_us,
-                      now_us + self._trial_us(change), self.wall_ms(now_us), facts)
+        trial = Trial(
+            change,
+            after.version,
+            {key: before.get(key) for key in rows},
+            rows,
+            now_us,
+            now_us + self._trial_us(change),
+            self.wall_ms(now_us),
+            facts,
+        )
         self._beginning = trial, before, dict(self.drains.heard), dict(self.drains.left)
         self.trials.append(trial)
         self.staged.remove(staged)
@@ -317,8 +366,10 @@
         self.actions.append(Persist("trial", str(trial.version), trial_row(trial)))
         self._apply(now_us, before, after, trial=True)
         self.actions.append(Persist("staged", change.id, None))
-        self._note(f"{change.id} is in force as version {after.version}, on trial for "
-                   f"{self._trial_us(change) // 1000} ms")
+        self._note(
+            f"{change.id} is in force as version {after.version}, on trial for "
+            f"{self._trial_us(change) // 1000} ms"
+        )
         self._timer(LOOK, now_us + self.s.look_ms * 1000)
         self.actions += behind
 
@@ -434,8 +485,9 @@
         """All that is kept anew; what it stands for before then goes."""
         old, parts, before = self.base, self.parts, self.gen
         self.gen, self.base, self.unwritten = before + 1, self.chain, False
-        rows = list(base_rows(self.kept, self.gen, self.chain, self.version,
-                              [t.version for t in self.trials]))
+        rows = list(
+            base_rows(self.kept, self.gen, self.chain, self.version, [t.version for t in self.trials])
+        )
         self.parts = len(rows) - 1
         self.actions += [Persist("trial", str(t.version), trial_row(t)) for t in self.trials]
         self.actions += [Persist(*row) for row in rows]
@@ -487,8 +539,11 @@
 
 def _retired(trial: Trial) -> dict[Key, Any]:
     """The numbers that a trial has given stay given: messages may name them."""
-    return {key: {**row, "retired": True} for key, row in trial.after.items()
-            if key[0] in NUMBERED and trial.before[key] is None and row is not None}
+    return {
+        key: {**row, "retired": True}
+        for key, row in trial.after.items()
+        if key[0] in NUMBERED and trial.before[key] is None and row is not None
+    }
 
 
 def _some(keys: Iterable[Key], most: int = 3) -> str:
--- a/madderbeam/changes/making.py
+++ b/madderbeam/changes/making.py
@@ -9,8 +9,7 @@
 from madderbeam.changes import errors
 from madderbeam.changes.document import like, some
 from madderbeam.changes.fields import NEEDED, SECTIONS
-from madderbeam.changes.values import (
-    DRAINING, NUMBERED, READY, Change, Endpoint, Key, Op, Snapshot, blank)
+from madderbeam.changes.values import DRAINING, NUMBERED, READY, Change, Endpoint, Key, Op, Snapshot, blank
 
 NAMES = frozenset(f.name for f in fields(Endpoint))
 
@@ -71,8 +70,11 @@
         return {**old, "retired": True}
     given = op.row
     if op.what == "edit":
-        lacks = [n for n, f in SECTIONS[section].items()
-                 if f.default is NEEDED and n not in given and there is None]
+        lacks = [
+            n
+            for n, f in SECTIONS[section].items()
+            if f.default is NEEDED and n not in given and there is None
+        ]
         if lacks:
             allowed = SECTIONS[section][lacks[0]].allowed
             raise errors.Unreadable(f"{section} {name}.{lacks[0]}", "lacks, and there is none yet", allowed)
@@ -123,6 +125,7 @@
                 found[key] = Op("remove") if its is None else Op("put", its)
     return found
 
+
 # Undoing
 
 
@@ -144,11 +147,15 @@
         restores.append(f"{key[0]} {key[1]}" + (" goes again" if op.what == "remove" else " as it was"))
         if key[0] == "endpoint" and old is not None and old.state == READY:
             if new is None:
-                leaves.append(f"endpoint {key[1]} was taken away: it comes back cold, and its connections "
-                              "are opened anew; if it has shut it is not there")
+                leaves.append(
+                    f"endpoint {key[1]} was taken away: it comes back cold, and its connections "
+                    "are opened anew; if it has shut it is not there"
+                )
             elif new.state == DRAINING:
-                leaves.append(f"endpoint {key[1]} was told to drain: the drain holds for its time, then it "
-                              "comes back cold; if it has shut it is not there")
+                leaves.append(
+                    f"endpoint {key[1]} was told to drain: the drain holds for its time, then it "
+                    "comes back cold; if it has shut it is not there"
+                )
         elif key[0] in NUMBERED and op.what == "remove":
             leaves.append(f"{key[0]} {key[1]}: messages that were taken on under it keep its terms")
         elif key == ("whole", "quota"):
--- a/madderbeam/changes/records.py
+++ b/madderbeam/changes/records.py
@@ -82,8 +82,12 @@
 
 def raw_difference(old: Snapshot, new: Snapshot) -> dict[Key, Any]:
     """Rows that are otherwise, numbers and all; None for one that is gone. What is `fixed` is not kept."""
-    return {(section, name): new.get((section, name)) for section in SECTION_NAMES if section != "fixed"
-            for name in old.sections[section].differing(new.sections[section])}
+    return {
+        (section, name): new.get((section, name))
+        for section in SECTION_NAMES
+        if section != "fixed"
+        for name in old.sections[section].differing(new.sections[section])
+    }
 
 
 def rows_row(rows: Mapping[Key, Any]) -> Row:
@@ -96,8 +100,17 @@
 
 def to_row(value: Any) -> Any:
     if isinstance(value, Endpoint):
-        return [value.uid, value.dest, value.address, value.per_s, value.zone, value.kind, value.state,
-                value.topic, list(value.topics)]
+        return [
+            value.uid,
+            value.dest,
+            value.address,
+            value.per_s,
+            value.zone,
+            value.kind,
+            value.state,
+            value.topic,
+            list(value.topics),
+        ]
     return list(value) if isinstance(value, tuple) else value
 
 
@@ -109,8 +122,15 @@
 
 
 def ops_row(ops: Mapping[Key, Op]) -> Row:
-    return [[section, name, op.what, {k: to_row(v) for k, v in op.row.items()}
-             if isinstance(op.row, dict) else to_row(op.row)] for (section, name), op in ops.items()]
+    return [
+        [
+            section,
+            name,
+            op.what,
+            {k: to_row(v) for k, v in op.row.items()} if isinstance(op.row, dict) else to_row(op.row),
+        ]
+        for (section, name), op in ops.items()
+    ]
 
 
 def ops_from(rows: Row) -> dict[Key, Op]:
@@ -135,12 +155,17 @@
     return [change_row(t.change), t.at_ms, rows_row(t.before), rows_row(t.after)]
 
 
-def base_rows(snapshot: Snapshot, gen: int, chain: int, version: int,
-              trials: Iterable[int]) -> Iterable[tuple[str, str, Any]]:
+def base_rows(
+    snapshot: Snapshot, gen: int, chain: int, version: int, trials: Iterable[int]
+) -> Iterable[tuple[str, str, Any]]:
     """All of a snapshot, the record that makes it count last."""
-    rows: list[Row] = [[section, name, to_row(row)] for section in SECTION_NAMES if section != "fixed"
-                       for name, row in snapshot.sections[section].items()]
-    parts = [rows[at:at + EACH] for at in range(0, len(rows), EACH)]
+    rows: list[Row] = [
+        [section, name, to_row(row)]
+        for section in SECTION_NAMES
+        if section != "fixed"
+        for name, row in snapshot.sections[section].items()
+    ]
+    parts = [rows[at : at + EACH] for at in range(0, len(rows), EACH)]
     yield from (("base", f"{gen}/{n}", part) for n, part in enumerate(parts))
     yield "base", "", [gen, chain, len(parts), version, list(trials)]
 
@@ -178,8 +203,9 @@
     for (kind, key), value in kept.items():
         if kind == "trial" and int(key) not in over:
             change, at_ms, before, after = value
-            r.trials.append(Trial(change_from(change), int(key), rows_from(before), rows_from(after), 0, 0,
-                                  int(at_ms)))
+            r.trials.append(
+                Trial(change_from(change), int(key), rows_from(before), rows_from(after), 0, 0, int(at_ms))
+            )
             r.version = max(r.version, int(key))
         elif kind == "staged":
             r.staged.append(Staged(change_from(value[0]), bool(value[1]), int(value[2])))
--- a/madderbeam/changes/trial.py
+++ b/madderbeam/changes/trial.py
@@ -66,16 +66,24 @@
         found = []
         for key, new in self.after.items():
             old = self.before[key]
-            if key[0] == "endpoint" and new is not None and new.state == READY and (
-                    old is None or (old.address, old.dest) != (new.address, new.dest)):
+            if (
+                key[0] == "endpoint"
+                and new is not None
+                and new.state == READY
+                and (old is None or (old.address, old.dest) != (new.address, new.dest))
+            ):
                 found.append(key[1])
         return found
 
     @property
     def dests(self) -> set[int]:
         """Destinations whose endpoints it touches."""
-        return {row.dest for side in (self.before, self.after) for key, row in side.items()
-                if key[0] == "endpoint" and row is not None}
+        return {
+            row.dest
+            for side in (self.before, self.after)
+            for key, row in side.items()
+            if key[0] == "endpoint" and row is not None
+        }
 
     def look(self, now_us: int, facts: Facts, settings: Settings, current: Snapshot) -> str:
         """Why it is to be undone, '' if nothing speaks against it."""
@@ -84,8 +92,12 @@
         self.seen_us = now_us
         if self.first is None:
             self.first = facts
-        return (self._failing(facts, settings) or self._nothing_ready(facts, current)
-                or self._refused(now_us, facts, settings) or self._growing(facts, settings))
+        return (
+            self._failing(facts, settings)
+            or self._nothing_ready(facts, current)
+            or self._refused(now_us, facts, settings)
+            or self._growing(facts, settings)
+        )
 
     def _failing(self, facts: Facts, settings: Settings) -> str:
         assert self.first is not None
@@ -94,8 +106,10 @@
             now, then = facts.calls.get(uid, (0, 0)), self.first.calls.get(uid, (0, 0))
             ended, failed = ended + now[0] - then[0], failed + now[1] - then[1]
         if ended >= settings.least_calls and failed > settings.failing_share * ended:
-            return (f"calls-fail: {failed} of {ended} calls at its new endpoints failed; the bound is "
-                    f"{settings.failing_share:.0%}")
+            return (
+                f"calls-fail: {failed} of {ended} calls at its new endpoints failed; the bound is "
+                f"{settings.failing_share:.0%}"
+            )
         return ""
 
     def _nothing_ready(self, facts: Facts, current: Snapshot) -> str:
@@ -113,8 +127,10 @@
         passed = max(SETTLES_US, now_us - self.since_us) / 1e6
         rate = (facts.refused - self.first.refused) / passed
         if rate > settings.refused_per_s and rate > 2 * self.first.refused_before:
-            return (f"refusals: {rate:.0f} a second, before it was {self.first.refused_before:.0f}; the "
-                    f"bound is {settings.refused_per_s:g}")
+            return (
+                f"refusals: {rate:.0f} a second, before it was {self.first.refused_before:.0f}; the "
+                f"bound is {settings.refused_per_s:g}"
+            )
         return ""
 
     def _growing(self, facts: Facts, settings: Settings) -> str:
@@ -124,7 +140,7 @@
             return ""
         if rows[-1] - rows[0] < settings.held_growth * max(1, facts.max_held):
             return ""
-        return (f"holds-grow: {rows[0]} messages held became {rows[-1]} in {GROWING} looks; the bound is "
-                f"{settings.held_growth:.0%} of {facts.max_held}")
-
-
+        return (
+            f"holds-grow: {rows[0]} messages held became {rows[-1]} in {GROWING} looks; the bound is "
+            f"{settings.held_growth:.0%} of {facts.max_held}"
+        )
--- a/madderbeam/changes/values.py
+++ b/madderbeam/changes/values.py
@@ -41,8 +41,17 @@
 
     def drained(self) -> Endpoint:
         """The same, draining."""
-        return Endpoint(self.uid, self.dest, self.address, self.per_s, self.zone, self.kind, DRAINING,
-                        self.topic, self.topics)
+        return Endpoint(
+            self.uid,
+            self.dest,
+            self.address,
+            self.per_s,
+            self.zone,
+            self.kind,
+            DRAINING,
+            self.topic,
+            self.topics,
+        )
 
 
 @dataclass(frozen=True)
@@ -75,8 +84,9 @@
         found: dict[str, dict[str, Any]] = {}
         for (section, name), row in rows.items():
             found.setdefault(section, {})[name] = row
-        sections = {s: shared.with_rows(found[s]) if s in found else shared
-                    for s, shared in self.sections.items()}
+        sections = {
+            s: shared.with_rows(found[s]) if s in found else shared for s, shared in self.sections.items()
+        }
         return Snapshot(version, sections)
 
     def same(self, other: Snapshot) -> bool:
--- a/madderbeam/client.py
+++ b/madderbeam/client.py
@@ -57,14 +57,30 @@
 
     def __init__(self, url: str, feed: str | Path = "", connections: int = 32) -> None:
         pool = redis.BlockingConnectionPool.from_url(
-            url, max_connections=connections, timeout=ANSWER_S, socket_timeout=ANSWER_S,
-            retry=redis.retry.Retry(redis.backoff.NoBackoff(), 0))
+            url,
+            max_connections=connections,
+            timeout=ANSWER_S,
+            socket_timeout=ANSWER_S,
+            retry=redis.retry.Retry(redis.backoff.NoBackoff(), 0),
+        )
         self.redis = redis.Redis(connection_pool=pool)
         self.feed = Path(feed) if feed else None
 
-    def put(self, cls: str, dest: int | None, body: bytes, within_ms: int, *, tenant: str = "", key: str = "",
-            order: str = NO_ORDER, ident: str = "", resubmitted: bool = False, to: str = "",
-            path: str = "") -> str:
+    def put(
+        self,
+        cls: str,
+        dest: int | None,
+        body: bytes,
+        within_ms: int,
+        *,
+        tenant: str = "",
+        key: str = "",
+        order: str = NO_ORDER,
+        ident: str = "",
+        resubmitted: bool = False,
+        to: str = "",
+        path: str = "",
+    ) -> str:
         """Hand a message in; its id.
 
         `within_ms`: for how long it may still be delivered. `key`: needed in a keyed class, the same each
@@ -129,8 +145,10 @@
     def _aside(self, descriptor: int) -> Iterator[Final]:
         """What was set aside before the feed that is open."""
         assert self.feed is not None
-        with contextlib.suppress(FileNotFoundError), \
-                self.feed.with_name(self.feed.name + ".1").open(encoding="utf-8") as old:
+        with (
+            contextlib.suppress(FileNotFoundError),
+            self.feed.with_name(self.feed.name + ".1").open(encoding="utf-8") as old,
+        ):
             if os.fstat(old.fileno()).st_ino != os.fstat(descriptor).st_ino:
                 yield from _lines(old.read())
 
--- a/madderbeam/config/between.py
+++ b/madderbeam/config/between.py
@@ -32,8 +32,9 @@
             continue
         other, theirs = first[told.name]
         for path, one, two in walk(_common(theirs), _common(loaded)):
-            found.append(_problem(file, path, f"is {short(two)}, and {short(one)} by {other}",
-                                  "the same at all sites"))
+            found.append(
+                _problem(file, path, f"is {short(two)}, and {short(one)} by {other}", "the same at all sites")
+            )
     return found
 
 
@@ -58,5 +59,9 @@
 
 def _effect(cls: m.MessageClass) -> dict[str, Any]:
     """What one site must know of another's class. Aims and worth may be a site's own."""
-    return {"repeat": cls.repeat, "key_window_ms": cls.key_window_ms, "key_scope": cls.key_scope,
-            "ordered": cls.ordered}
+    return {
+        "repeat": cls.repeat,
+        "key_window_ms": cls.key_window_ms,
+        "key_scope": cls.key_scope,
+        "ordered": cls.ordered,
+    }
--- a/madderbeam/config/check.py
+++ b/madderbeam/config/check.py
@@ -142,8 +142,13 @@
             report.add(source, (*at, "name"), f"{node.name!r} stands twice", "each once")
             right = False
         if node.parent and node.parent not in seen:
-            report.add(source, (*at, "parent"), f"no node {node.parent!r} ahead of it", some(seen),
-                       like(node.parent, seen))
+            report.add(
+                source,
+                (*at, "parent"),
+                f"no node {node.parent!r} ahead of it",
+                some(seen),
+                like(node.parent, seen),
+            )
             right = False
         if not node.parent and node.share != m.Rates():
             report.add(source, (*at, "share"), "there is no parent of whose limit it has a part", "limit")
@@ -157,6 +162,7 @@
     if right and estate.quota:
         from madderbeam.config.quotas import quota
         from madderbeam.quota.gate import Gate, QuotaError
+
         try:
             Gate(quota(estate, 1) or {}, 0, random.Random(0), 1)
         except QuotaError as error:
@@ -164,8 +170,12 @@
 
 
 def _across(
-    estate: m.Estate, partners: m.Partners | None, folder: Path, source: Source, listed: Source | None,
-    report: Report
+    estate: m.Estate,
+    partners: m.Partners | None,
+    folder: Path,
+    source: Source,
+    listed: Source | None,
+    report: Report,
 ) -> None:
     """What tables say of one another."""
     _classes(estate, source, report)
--- a/madderbeam/config/commands.py
+++ b/madderbeam/config/commands.py
@@ -18,8 +18,11 @@
     render = parts.add_parser("render", help="write one file a courier")
     render.add_argument("estate", type=Path, metavar="ESTATE")
     render.add_argument("--out", type=Path, required=True, metavar="DIR")
-    render.add_argument("--discovery", metavar="HOST:PORT",
-                        help="write the platform's LB_CONFIG form instead, for couriers with this discovery")
+    render.add_argument(
+        "--discovery",
+        metavar="HOST:PORT",
+        help="write the platform's LB_CONFIG form instead, for couriers with this discovery",
+    )
     render.set_defaults(action=_render)
     diff = parts.add_parser("diff", help="what changes in meaning, and whether it needs a restart")
     diff.add_argument("old", type=Path, metavar="OLD", help="an estate file, or a folder of rendered files")
@@ -32,8 +35,12 @@
     schema.add_argument("file", nargs="?", choices=("estate", "partners"), default="estate")
     schema.set_defaults(action=_schema)
     page = parts.add_parser("page", help="the page of all settings (docs/operators/configuration.md)")
-    page.add_argument("--fill", type=Path, metavar="FILE",
-                      help="instead, renew the tables of settings and errors in docs/operators/federation.md")
+    page.add_argument(
+        "--fill",
+        type=Path,
+        metavar="FILE",
+        help="instead, renew the tables of settings and errors in docs/operators/federation.md",
+    )
     page.set_defaults(action=_page)
 
 
@@ -77,12 +84,16 @@
     if report.loaded is None:
         return 1
     if args.discovery is not None and split_address(args.discovery) is None:
-        print(f"madderbeam config render: --discovery: must be HOST:PORT, not {args.discovery!r}",
-              file=sys.stderr)
+        print(
+            f"madderbeam config render: --discovery: must be HOST:PORT, not {args.discovery!r}",
+            file=sys.stderr,
+        )
         return 2
     if args.discovery and report.loaded.estate.federation is not None:
-        print("madderbeam config render: the platform's form has no federation: leave --discovery out",
-              file=sys.stderr)
+        print(
+            "madderbeam config render: the platform's form has no federation: leave --discovery out",
+            file=sys.stderr,
+        )
         return 2
     files = platform(report.loaded, args.discovery) if args.discovery else render(report.loaded)
     try:
@@ -94,6 +105,7 @@
         print(f"{args.out / file.name}: {'written' if file.name in written else 'as it was'}")
     if report.loaded.estate.federation is not None:
         from madderbeam.config.sites import first_line
+
         print(first_line(report.loaded))
     return 0
 
--- a/madderbeam/config/federated.py
+++ b/madderbeam/config/federated.py
@@ -39,8 +39,15 @@
     return found
 
 
-def federated(estate: m.Estate, apps: Apps, partners: m.Partners | None, folder: Path, source: Source,
-              listed: Source | None, report: Report) -> None:
+def federated(
+    estate: m.Estate,
+    apps: Apps,
+    partners: m.Partners | None,
+    folder: Path,
+    source: Source,
+    listed: Source | None,
+    report: Report,
+) -> None:
     """Tell all mistakes; `listed` is the partner list's file, where it could be read."""
     told = estate.federation
     if told is None:
@@ -97,8 +104,13 @@
             report.add(source, ("site", n, "name"), f"{here.name!r} stands twice", "each once")
         names.append(here.name)
     if estate.federation.site not in names:
-        report.add(source, ("federation", "site"), f"no site {estate.federation.site!r}", some(names),
-                   like(estate.federation.site, names))
+        report.add(
+            source,
+            ("federation", "site"),
+            f"no site {estate.federation.site!r}",
+            some(names),
+            like(estate.federation.site, names),
+        )
     seen: dict[tuple[str, str], Row] = {}
     taken: dict[tuple[str, int], Row] = {}
     for row in known:
@@ -109,8 +121,12 @@
         if address is None:
             report.add(source, (*row.at, "address"), f"can't be {row.address!r}", ADDRESS)
         elif address in taken:
-            report.add(source, (*row.at, "address"), f"{taken[address]} has the address {row.address}",
-                       "an address that no other member has")
+            report.add(
+                source,
+                (*row.at, "address"),
+                f"{taken[address]} has the address {row.address}",
+                "an address that no other member has",
+            )
         else:
             taken[address] = row
     _voters(estate, source, report)
@@ -119,11 +135,19 @@
 def _voters(estate: m.Estate, source: Source, report: Report) -> None:
     votes = sum(row.votes for s in estate.site for row in s.member)
     if not votes:
-        report.add(source, ("site",) if estate.site else ("federation",), "no member votes",
-                   "a [[site]] with a member that does, at least")
+        report.add(
+            source,
+            ("site",) if estate.site else ("federation",),
+            "no member votes",
+            "a [[site]] with a member that does, at least",
+        )
     elif votes < 3:
-        report.warn(source, ("site",), f"{votes} member{'s' * (votes > 1)} with a vote: if one of them is "
-                    "lost no further table can be agreed on; three outlast the loss of one")
+        report.warn(
+            source,
+            ("site",),
+            f"{votes} member{'s' * (votes > 1)} with a vote: if one of them is "
+            "lost no further table can be agreed on; three outlast the loss of one",
+        )
 
 
 def _address(text: str, everywhere: bool = False) -> tuple[str, int] | None:
@@ -141,20 +165,32 @@
 def _figures(told: m.Federation, apps: Apps, source: Source, report: Report) -> None:
     at: Key = ("federation",)
     if told.probe_timeout_ms >= told.probe_period_ms:
-        report.add(source, (*at, "probe_timeout_ms"),
-                   f"probe_timeout_ms {told.probe_timeout_ms} is not under probe_period_ms "
-                   f"{told.probe_period_ms}", f"a whole number from 10 to {told.probe_period_ms - 1}")
+        report.add(
+            source,
+            (*at, "probe_timeout_ms"),
+            f"probe_timeout_ms {told.probe_timeout_ms} is not under probe_period_ms {told.probe_period_ms}",
+            f"a whole number from 10 to {told.probe_period_ms - 1}",
+        )
     least, name = min((app.max_wait_ms, app.name) for app, _ in apps)
     if told.wait_told_ms > least:
-        report.add(source, (*at, "wait_told_ms"),
-                   f"wait_told_ms {told.wait_told_ms} is over max_wait_ms {least} of {name}",
-                   f"a whole number from 10 to {least}" if least >= 10 else "with max_wait_ms from 10")
-    for name, most, theirs in (("backlog_messages", min(a.max_held for a, _ in apps), "max_held"),
-                               ("backlog_mb", min(a.disk_mb for a, _ in apps), "disk_mb")):
+        report.add(
+            source,
+            (*at, "wait_told_ms"),
+            f"wait_told_ms {told.wait_told_ms} is over max_wait_ms {least} of {name}",
+            f"a whole number from 10 to {least}" if least >= 10 else "with max_wait_ms from 10",
+        )
+    for name, most, theirs in (
+        ("backlog_messages", min(a.max_held for a, _ in apps), "max_held"),
+        ("backlog_mb", min(a.disk_mb for a, _ in apps), "disk_mb"),
+    ):
         given = getattr(told, name)
         if given is not None and given > most:
-            report.add(source, (*at, name), f"{name} {given:g} is over {theirs} {most:g}",
-                       f"at most {most:g}: it is a part of that")
+            report.add(
+                source,
+                (*at, name),
+                f"{name} {given:g} is over {theirs} {most:g}",
+                f"at most {most:g}: it is a part of that",
+            )
 
 
 def _members(told: m.Federation, apps: Apps, known: list[Row], source: Source, report: Report) -> None:
@@ -170,13 +206,27 @@
             report.add(source, place, f"{whose[me]} is the member {me!r}", "one member an application")
         whose.setdefault(me, app.name)
         if app.mesh_listen is not None and _address(app.mesh_listen, True) is None:
-            report.add(source, (*at, "mesh_listen"), f"can't be {app.mesh_listen!r}",
-                       "HOST:PORT, HOST an IP address, PORT from 1 to 65535")
+            report.add(
+                source,
+                (*at, "mesh_listen"),
+                f"can't be {app.mesh_listen!r}",
+                "HOST:PORT, HOST an IP address, PORT from 1 to 65535",
+            )
         if app.control is None:
-            report.warn(source, at, f"{app.name} has no second address (control): its view of the federation "
-                        "can't be read, and no table be offered there")
-        _via(app, (*at, "via") if (*at, "via") in source.lines else ("defaults", "via"), f"{told.site}/{me}",
-             everyone, source, report)
+            report.warn(
+                source,
+                at,
+                f"{app.name} has no second address (control): its view of the federation "
+                "can't be read, and no table be offered there",
+            )
+        _via(
+            app,
+            (*at, "via") if (*at, "via") in source.lines else ("defaults", "via"),
+            f"{told.site}/{me}",
+            everyone,
+            source,
+            report,
+        )
 
 
 def _via(app: m.Application, at: Key, me: str, everyone: list[str], source: Source, report: Report) -> None:
@@ -202,26 +252,39 @@
     for app, at in apps[1:]:
         for name in ("classes", "tenants", "partners"):
             if set(getattr(app, name)) != set(getattr(first, name)):
-                report.add(source, (*at, name) if (*at, name) in source.lines else at,
-                           f"{name} are not those of {first.name}, whose streams it may have to take over",
-                           f"the same {name} for all members of a site")
+                report.add(
+                    source,
+                    (*at, name) if (*at, name) in source.lines else at,
+                    f"{name} are not those of {first.name}, whose streams it may have to take over",
+                    f"the same {name} for all members of a site",
+                )
 
 
 def _partners(estate: m.Estate, partners: m.Partners, listed: Source, report: Report) -> None:
     from madderbeam.federation.table import DEST_MOST
+
     names = [s.name for s in estate.site]
     numbers = listed.numbers(("partner",), len(partners.partner))
     for n, partner in zip(numbers, partners.partner, strict=False):
         at: Key = ("partner", n)
         if partner.site is None and len(names) > 1:
-            report.add(listed, (*at, "site"), "lacks: with several sites it is to be said, the same at all",
-                       some(names))
+            report.add(
+                listed,
+                (*at, "site"),
+                "lacks: with several sites it is to be said, the same at all",
+                some(names),
+            )
         elif partner.site is not None and partner.site not in names:
-            report.add(listed, (*at, "site"), f"no site {partner.site!r}", some(names),
-                       like(partner.site, names))
+            report.add(
+                listed, (*at, "site"), f"no site {partner.site!r}", some(names), like(partner.site, names)
+            )
         if partner.number > DEST_MOST:
-            report.add(listed, (*at, "number"), f"{partner.number} is over what a table takes",
-                       f"a whole number from 0 to {DEST_MOST}")
+            report.add(
+                listed,
+                (*at, "number"),
+                f"{partner.number} is over what a table takes",
+                f"a whole number from 0 to {DEST_MOST}",
+            )
         for k, topic in enumerate(partner.topics):
             if topic in partner.topics[:k]:
                 report.add(listed, (*at, "topics", k), f"{topic!r} stands twice", "each once")
@@ -234,14 +297,19 @@
     for app, at in apps:
         lacking = [name for name in served if app.partners and name not in app.partners]
         if lacking:
-            report.add(source, (*at, "partners"), f"{estate.federation.site} serves {some(lacking)} as well",
-                       "all partners that the site serves, or none named, which stands for all")
+            report.add(
+                source,
+                (*at, "partners"),
+                f"{estate.federation.site} serves {some(lacking)} as well",
+                "all partners that the site serves, or none named, which stands for all",
+            )
 
 
 def _table_file(path: Path, source: Source, report: Report) -> None:
     """One that is there already is a table."""
     from madderbeam.federation.errors import TableUnfit
     from madderbeam.federation.table import TEXT_MOST, parse
+
     try:
         with path.open(encoding="utf-8") as file:
             parse(file.read(TEXT_MOST + 1))
@@ -259,6 +327,7 @@
     """The first table is one that members can read: its bounds are the table's own."""
     from madderbeam.federation.errors import TableUnfit
     from madderbeam.federation.table import read
+
     try:
         read(first_table(estate, partners).document())
     except TableUnfit as error:
--- a/madderbeam/config/federation.py
+++ b/madderbeam/config/federation.py
@@ -76,12 +76,17 @@
         table=_table(value.get("table"), f"{field}.table"),
         table_file=_text(value.get("table_file", ""), f"{field}.table_file"),
         lease_ms=None if value.get("lease_ms") is None else _whole(value["lease_ms"], f"{field}.lease_ms"),
-        lease_drift_ppm=_whole(value.get("lease_drift_ppm", Federation.lease_drift_ppm),
-                               f"{field}.lease_drift_ppm", least=0),
+        lease_drift_ppm=_whole(
+            value.get("lease_drift_ppm", Federation.lease_drift_ppm), f"{field}.lease_drift_ppm", least=0
+        ),
         share=_flag(value.get("share", False), f"{field}.share"),
         times=_times(value.get("times", {}), f"{field}.times"),
-        **{n: _whole(value[n], f"{field}.{n}")
-           for n in ("agree_within_ms", "backlog_messages", "backlog_bytes", "wait_told_ms") if n in value})
+        **{
+            n: _whole(value[n], f"{field}.{n}")
+            for n in ("agree_within_ms", "backlog_messages", "backlog_bytes", "wait_told_ms")
+            if n in value
+        },
+    )
     if found.id not in found.table.members(found.site):
         raise FederationUnfit(f"{field}.member: {found.id} is not in the table")
     return found
@@ -106,8 +111,10 @@
             found[name] = _whole(given, f"{field}.{name}", least=0 if name == "indirect_probes" else 1)
     times = Times(**found)
     if times.probe_timeout_ms >= times.probe_period_ms:
-        raise FederationUnfit(f"{field}.probe_timeout_ms: must be under probe_period_ms "
-                              f"{times.probe_period_ms}, not {times.probe_timeout_ms}")
+        raise FederationUnfit(
+            f"{field}.probe_timeout_ms: must be under probe_period_ms "
+            f"{times.probe_period_ms}, not {times.probe_timeout_ms}"
+        )
     return times
 
 
--- a/madderbeam/config/partners.py
+++ b/madderbeam/config/partners.py
@@ -67,13 +67,21 @@
             if method not in ("round_robin", "least_conn"):
                 for name in ("backup", "slow_start_ms"):
                     if getattr(e, name):
-                        report.add(source, here, f"{name} does not go with the method {method}",
-                                   "with round_robin and least_conn only")
+                        report.add(
+                            source,
+                            here,
+                            f"{name} does not go with the method {method}",
+                            "with round_robin and least_conn only",
+                        )
             if e.backup and e.down:
                 report.add(source, here, "backup and down", "one of them")
             if (e.fail_timeout_ms or e.slow_start_ms) and not e.max_fails:
-                report.add(source, here, "fail_timeout_ms or slow_start_ms without max_fails",
-                           "max_fails from 1 to 1000 beside them")
+                report.add(
+                    source,
+                    here,
+                    "fail_timeout_ms or slow_start_ms without max_fails",
+                    "max_fails from 1 to 1000 beside them",
+                )
         if len(tables) == len(partner.endpoints) and all(e.down for _, e in tables):
             report.add(source, at, "all of its endpoints are down", "one that is not, at least")
 
@@ -86,8 +94,13 @@
     for index, route in zip(numbered, partners.route, strict=False):
         at: Key = ("route", index)
         if route.partner and route.partner not in names:
-            report.add(source, (*at, "partner"), f"no partner {route.partner!r}", some(names),
-                       like(route.partner, names))
+            report.add(
+                source,
+                (*at, "partner"),
+                f"no partner {route.partner!r}",
+                some(names),
+                like(route.partner, names),
+            )
         try:
             text = _compiles(route)
         except ImportError:
@@ -101,7 +114,7 @@
                 report.add(source, at, f"matches as route[{seen[key]}] does", "each once")
             seen.setdefault(key, index)
         if route.host and route.on != "path":
-            report.add(source, (*at, "host"), f"a route on {route.on} has no host", "with on = \"path\" only")
+            report.add(source, (*at, "host"), f"a route on {route.on} has no host", 'with on = "path" only')
         if route.on == "path" and route.match not in ("~", "~*") and not route.text.startswith("/"):
             report.add(source, (*at, "text"), f"{route.text!r} is no path", "text that begins with /")
 
@@ -110,6 +123,7 @@
     """What is wrong with a route by itself, '' if nothing is."""
     from madderbeam.routing.hosts import HostError, Hosts
     from madderbeam.routing.routes import Match, Route, RouteError, Routes
+
     try:
         Hosts([route.host])
         Routes([Route(Match(route.match), route.text, "p")])
--- a/madderbeam/config/platform.py
+++ b/madderbeam/config/platform.py
@@ -111,13 +111,17 @@
         name=str(env.get("LB_NAME") or raw.get("name", "")),
         listen=parse_address(env.get("LB_LISTEN") or raw.get("listen"), "LB_LISTEN"),
         discovery=_first_discovery(env, raw),
-        state=state, seed=_seed(raw.get("seed", 0)),
+        state=state,
+        seed=_seed(raw.get("seed", 0)),
         sockets=int(_number(limits, "sockets", 1024)),
         disk_bytes=int(_number(limits, "disk_mb", 3) * 1_000_000),
-        known=_known(raw.get("known", {})), settings=_settings(given),
+        known=_known(raw.get("known", {})),
+        settings=_settings(given),
         zones=tuple(str(z) for z in given.get("localities") or ()),
-        control=parse_address(control, "LB_CONTROL") if control else None, listen_fd=_descriptor(env),
-        zone=str(raw.get("zone", "")))
+        control=parse_address(control, "LB_CONTROL") if control else None,
+        listen_fd=_descriptor(env),
+        zone=str(raw.get("zone", "")),
+    )
 
 
 def load_sidecar(path: str, disk: Disk) -> Config:
@@ -141,17 +145,31 @@
     control = raw.get("control")
     return Config(
         control=parse_address(control, f"{path}: control") if control else None,
-        name=raw["name"], listen=(listen[5:], 0) if unix else parse_address(listen, f"{path}: listen"),
+        name=raw["name"],
+        listen=(listen[5:], 0) if unix else parse_address(listen, f"{path}: listen"),
         discovery=parse_address(side["finals"][7:].rstrip("/"), f"{path}: finals") if web else ("", 0),
-        state=side["state"], seed=secrets.randbits(64), sockets=int(limits["sockets"]),
-        disk_bytes=int(limits["disk_mb"] * 1_000_000) - GUARD_BYTES, known=_known(known), settings=settings,
-        zones=tuple(raw["settings"]["localities"]), zone=str(raw.get("zone", "")),
-        kafka=_kafka(raw.get("kafka"), path), quota=_quota(raw.get("quota"), path),
-        federation=_federation(raw.get("federation"), path), changes=_changes(raw.get("changes"), path),
+        state=side["state"],
+        seed=secrets.randbits(64),
+        sockets=int(limits["sockets"]),
+        disk_bytes=int(limits["disk_mb"] * 1_000_000) - GUARD_BYTES,
+        known=_known(known),
+        settings=settings,
+        zones=tuple(raw["settings"]["localities"]),
+        zone=str(raw.get("zone", "")),
+        kafka=_kafka(raw.get("kafka"), path),
+        quota=_quota(raw.get("quota"), path),
+        federation=_federation(raw.get("federation"), path),
+        changes=_changes(raw.get("changes"), path),
         standby=_standby(raw.get("standby"), path),
-        sidecar=Sidecar(listed, "" if web else side["finals"], int(side["feed_mb"] * 1e6),
-                        int(limits["clients"]), limits["client_idle_ms"] / 1e3,
-                        limits.get("journal_sync", False)))
+        sidecar=Sidecar(
+            listed,
+            "" if web else side["finals"],
+            int(side["feed_mb"] * 1e6),
+            int(limits["clients"]),
+            limits["client_idle_ms"] / 1e3,
+            limits.get("journal_sync", False),
+        ),
+    )
 
 
 def _kafka(raw: Any, shown: str) -> Kafka | None:
@@ -171,6 +189,7 @@
     import random
 
     from madderbeam.quota.gate import Gate, QuotaError
+
     try:
         Gate(raw, 0, random.Random(0), 1)
     except (QuotaError, AttributeError) as error:
@@ -182,6 +201,7 @@
     if raw is None:
         return None
     from madderbeam.config.federation import FederationUnfit, read
+
     try:
         return read(raw)
     except FederationUnfit as error:
@@ -192,6 +212,7 @@
     if raw is None:
         return None
     from madderbeam.config.standby import StandbyUnfit, read
+
     try:
         return read(raw)
     except StandbyUnfit as error:
@@ -202,6 +223,7 @@
     if raw is None:
         return None
     from madderbeam.changes.values import Settings as Bounds
+
     try:
         Bounds(**raw)
     except TypeError as error:
@@ -218,6 +240,7 @@
     found = {"rev": 0, "all": True, "targets": targets}
     if (routing := value.get("routing")) is not None:
         from madderbeam.routing.router import Router, RoutingError
+
         try:
             Router(0).configure(routing)
         except RoutingError as error:
--- a/madderbeam/config/reference.py
+++ b/madderbeam/config/reference.py
@@ -135,16 +135,25 @@
 
 def _federation_settings() -> list[str]:
     app, partner = "estate.application[]", "partners.partner[]"
-    wanted = ("estate.federation.", "estate.site[]", f"{app}.member", f"{app}.via", f"{app}.mesh_listen",
-              f"{partner}.site", f"{partner}.topics")
-    rows = [_row(path.partition(".")[2], found)
-            for path, found in settings().items() if path.startswith(wanted)]
+    wanted = (
+        "estate.federation.",
+        "estate.site[]",
+        f"{app}.member",
+        f"{app}.via",
+        f"{app}.mesh_listen",
+        f"{partner}.site",
+        f"{partner}.topics",
+    )
+    rows = [
+        _row(path.partition(".")[2], found) for path, found in settings().items() if path.startswith(wanted)
+    ]
     return ["| setting | allowed | default | meaning |", "| --- | --- | --- | --- |", *rows]
 
 
 def errors() -> list[tuple[str, str, str, str]]:
     """Each error of a federation, by its code: its name, what happened, what an operator can do."""
     from madderbeam.federation.errors import FederationError
+
     found, todo = [], list(FederationError.__subclasses__())
     while todo:
         kind = todo.pop()
--- a/madderbeam/config/render.py
+++ b/madderbeam/config/render.py
@@ -39,8 +39,15 @@
     return hashlib.sha256(path.read_bytes()).hexdigest()
 
 
-SERVER = {"weight": 1, "backup": 1, "down": 1, "max_conns": 1, "max_fails": 1, "fail_timeout_ms": 1000,
-          "slow_start_ms": 1000}  # settings of an endpoint in a pool, and what their units are multiplied by
+SERVER = {
+    "weight": 1,
+    "backup": 1,
+    "down": 1,
+    "max_conns": 1,
+    "max_fails": 1,
+    "fail_timeout_ms": 1000,
+    "slow_start_ms": 1000,
+}  # settings of an endpoint in a pool, and what their units are multiplied by
 
 
 def _me(loaded: Loaded, app: m.Application, couriers: int) -> int:
@@ -52,8 +59,11 @@
 def _server(endpoint: m.Endpoint) -> dict[str, Any]:
     """What a pool is told of an endpoint."""
     given = endpoint.model_dump(exclude_none=True)
-    return {name.replace("_ms", "_us"): given[name] * times if times > 1 else given[name]
-            for name, times in SERVER.items() if name in given}
+    return {
+        name.replace("_ms", "_us"): given[name] * times if times > 1 else given[name]
+        for name, times in SERVER.items()
+        if name in given
+    }
 
 
 def _routing(loaded: Loaded, app: m.Application) -> dict[str, Any] | None:
@@ -187,8 +197,12 @@
     files = []
     for app in loaded.applications:
         routing = _routing(loaded, app)
-        listed = {"form": FORM, "all": True, "targets": _targets(loaded, app),
-                  **({"routing": routing} if routing else {})}
+        listed = {
+            "form": FORM,
+            "all": True,
+            "targets": _targets(loaded, app),
+            **({"routing": routing} if routing else {}),
+        }
         files.append(File(partner_file(app), _dump(seal(listed))))
         unix = app.listen.startswith("unix:")
         tree = quota(loaded.estate, app.couriers or len(loaded.applications))
@@ -234,12 +248,22 @@
     files = []
     for app in loaded.applications:
         routing = _routing(loaded, app)
-        known = {"rev": 0, "all": True, "targets": _targets(loaded, app),
-                 **({"routing": routing} if routing else {})}
-        config = {"name": app.name, "listen": app.listen, "discovery": discovery, "seed": 0,
-                  **({"zone": app.zone} if app.zone else {}),
-                  "limits": {"cores": 1.0, "sockets": app.sockets, "disk_mb": app.disk_mb},
-                  "known": known, "settings": _settings(loaded, app)}
+        known = {
+            "rev": 0,
+            "all": True,
+            "targets": _targets(loaded, app),
+            **({"routing": routing} if routing else {}),
+        }
+        config = {
+            "name": app.name,
+            "listen": app.listen,
+            "discovery": discovery,
+            "seed": 0,
+            **({"zone": app.zone} if app.zone else {}),
+            "limits": {"cores": 1.0, "sockets": app.sockets, "disk_mb": app.disk_mb},
+            "known": known,
+            "settings": _settings(loaded, app),
+        }
         files.append(File(f"{app.name}.json", _dump(config)))
     return files
 
--- a/madderbeam/config/sites.py
+++ b/madderbeam/config/sites.py
@@ -13,8 +13,14 @@
     from madderbeam.federation.values import Table
 
 FIRST = 1  # the number of the table that is made from a file
-TIMES = ("probe_period_ms", "probe_timeout_ms", "indirect_probes", "suspicion_alpha", "suspicion_beta",
-         "exchange_period_ms")
+TIMES = (
+    "probe_period_ms",
+    "probe_timeout_ms",
+    "indirect_probes",
+    "suspicion_alpha",
+    "suspicion_beta",
+    "exchange_period_ms",
+)
 PLAIN = ("lease_ms", "lease_drift_ppm", "agree_within_ms", "wait_told_ms", "share")
 BACKLOG = 0.5, 0.25  # default parts of max_held and disk_mb
 
@@ -33,8 +39,14 @@
 def first_table(estate: m.Estate, partners: m.Partners) -> Table:
     """The table that all sites begin with: the same at all of them if their text is."""
     from madderbeam.federation.values import MemberRow, Table
-    sites = {s.name: tuple(MemberRow(row.name, split_address(row.address) or ("", 0), row.votes)
-                           for row in sorted(s.member, key=lambda row: row.name)) for s in estate.site}
+
+    sites = {
+        s.name: tuple(
+            MemberRow(row.name, split_address(row.address) or ("", 0), row.votes)
+            for row in sorted(s.member, key=lambda row: row.name)
+        )
+        for s in estate.site
+    }
     return Table(FIRST, sites, {p.number: site(p, estate) for p in partners.partner})
 
 
@@ -49,9 +61,11 @@
     told, table = loaded.estate.federation, first_table(loaded.estate, loaded.partners)
     assert told is not None
     members = sum(len(rows) for rows in table.sites.values())
-    return (f"federation {told.name}: first table {table.digest} ({len(table.sites)} sites, "
-            f"{members} members, {len(table.voters)} voters, {len(table.owners)} partners): "
-            "compare it with other sites'")
+    return (
+        f"federation {told.name}: first table {table.digest} ({len(table.sites)} sites, "
+        f"{members} members, {len(table.voters)} voters, {len(table.owners)} partners): "
+        "compare it with other sites'"
+    )
 
 
 def section(loaded: Loaded, app: m.Application) -> dict[str, Any]:
--- a/madderbeam/config/standby.py
+++ b/madderbeam/config/standby.py
@@ -44,9 +44,16 @@
     """From a rendered file; StandbyUnfit."""
     try:
         found = Standby(
-            str(raw["key_file"]), _address(raw, "listen"), _address(raw, "to"), str(raw["mode"]),
-            str(raw["silent"]), int(raw["silent_ms"]), float(raw["lag_mb"]), str(raw["takeover"]),
-            int(raw["drift_ppm"]))
+            str(raw["key_file"]),
+            _address(raw, "listen"),
+            _address(raw, "to"),
+            str(raw["mode"]),
+            str(raw["silent"]),
+            int(raw["silent_ms"]),
+            float(raw["lag_mb"]),
+            str(raw["takeover"]),
+            int(raw["drift_ppm"]),
+        )
     except (KeyError, TypeError, ValueError) as error:
         raise StandbyUnfit(f"standby: can't be used: {error}") from None
     if found.mode not in ("after", "before") or found.silent not in ("refuse", "alone"):
--- a/madderbeam/federation/errors.py
+++ b/madderbeam/federation/errors.py
@@ -100,6 +100,8 @@
 
     code = "members-full"
     advice = "raise members_most, or look for members that start under ever new names"
+
+
 # Relay
 
 
@@ -141,6 +143,8 @@
 
     code = "deliveries-lost"
     advice = "the log names publication, site and destinations; ask their partners whether it came"
+
+
 # Switch-over, leases and the inquiry
 
 
@@ -194,6 +198,8 @@
 
     code = "out-alone"
     advice = "see whether the partner refuses this machine's address, and the way from here to it"
+
+
 # Shared
 
 
--- a/madderbeam/federation/folder.py
+++ b/madderbeam/federation/folder.py
@@ -149,4 +149,3 @@
             self.out.note("this member does not vote: the operator's word could not be written down")
         if self.distrusted is not None:
             self.out.timer(REWRITE_US, "distrust")
-
--- a/madderbeam/federation/machine.py
+++ b/madderbeam/federation/machine.py
@@ -11,7 +11,6 @@
 from madderbeam.membership.values import Due, FromLink
 
 
-
 class Part(Protocol):
     """A machine that joins in: the switch part."""
 
--- a/madderbeam/host/admission.py
+++ b/madderbeam/host/admission.py
@@ -30,9 +30,19 @@
     room, in microseconds.
     """
 
-    def __init__(self, settings: i.Settings, journal: Journal, listing: Listing, ends: Ends,
-                 attempts: Attempts, cancel: Callable[[int, int], None], tell: Callable[[i.Event], None],
-                 come_back_us: Callable[[], int], figures: Figures, routing: Routing) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        journal: Journal,
+        listing: Listing,
+        ends: Ends,
+        attempts: Attempts,
+        cancel: Callable[[int, int], None],
+        tell: Callable[[i.Event], None],
+        come_back_us: Callable[[], int],
+        figures: Figures,
+        routing: Routing,
+    ) -> None:
         self.s, self.journal, self.listing = settings, journal, listing
         self.ends, self.attempts = ends, attempts
         self.cancel, self.tell, self.come_back_us = cancel, tell, come_back_us
@@ -77,9 +87,20 @@
             weight *= verdict.weight
         self.numbers += 1
         until = self.journal.wall() + put.life_ms / 1e3
-        m = Held(self.numbers, put.id, cls, tenant, put.dest, put.key, until,
-                 put.resubmitted, put.body, put.order, ran_at=self.journal.key_ran_at(put.key),
-                 relayed=put.relayed)
+        m = Held(
+            self.numbers,
+            put.id,
+            cls,
+            tenant,
+            put.dest,
+            put.key,
+            until,
+            put.resubmitted,
+            put.body,
+            put.order,
+            ran_at=self.journal.key_ran_at(put.key),
+            relayed=put.relayed,
+        )
         self._replace(m)
         for told in self.taken_up:
             told(m)
@@ -119,9 +140,20 @@
         # After a reboot an attempt may lie before the monotonic clock's zero: a negative time would say that
         # none may have run, and a deposit would go out again.
         ran_at = max(0, mono(ran)) if ran else -1
-        return i.MessageArrived(m.number, m.cls, m.dest, mono(m.until), m.tenant, m.order,
-                                m.resubmitted, restored, m.tries, ran_at, weight,
-                                self.routing.affinity(m))
+        return i.MessageArrived(
+            m.number,
+            m.cls,
+            m.dest,
+            mono(m.until),
+            m.tenant,
+            m.order,
+            m.resubmitted,
+            restored,
+            m.tries,
+            ran_at,
+            weight,
+            self.routing.affinity(m),
+        )
 
     def _replace(self, m: Held) -> None:
         """A key that is still open here is handed in again only by a client that gave the older one up. Both
@@ -189,6 +221,7 @@
             self.figures.ended(DECLINED, m.cls)
             for reply in replies:
                 reply.busy(self.come_back_us())
+
         try:
             self.journal.take(m, taken, refused)
         except OSError as error:
--- a/madderbeam/host/assembly.py
+++ b/madderbeam/host/assembly.py
@@ -29,14 +29,23 @@
 
 IDLE_SHARE = 0.2  # of the limit on open files is for idle connections; see also surroundings.CLIENT_SHARE
 # What joins where the configuration has the field; each module's `join(host, ports)` is loaded only then.
-ROOMS = {"quota": "madderbeam.host.quota", "kafka": "madderbeam.host.kafka",
-         "federation": "madderbeam.host.federation.room", "changes": "madderbeam.host.changes.room",
-         "standby": "madderbeam.host.standby.owner"}
+ROOMS = {
+    "quota": "madderbeam.host.quota",
+    "kafka": "madderbeam.host.kafka",
+    "federation": "madderbeam.host.federation.room",
+    "changes": "madderbeam.host.changes.room",
+    "standby": "madderbeam.host.standby.owner",
+}
 IN_FORCE = "madderbeam.host.changes.reading"  # where changes are on: what was last in force counts
 
 
-def assemble(loop: asyncio.AbstractEventLoop, ports: Ports, config: Config,
-             control: ControlServer | None = None, trace: Callable[[str], None] | None = None) -> Host:
+def assemble(
+    loop: asyncio.AbstractEventLoop,
+    ports: Ports,
+    config: Config,
+    control: ControlServer | None = None,
+    trace: Callable[[str], None] | None = None,
+) -> Host:
     """One courier, on whatever loop and ports it is given; not started.
 
     `control`: the second address, if the process listens there already. `trace` gets all decisions.
@@ -50,18 +59,40 @@
     network = Sparing(ports.network, lambda: host.clients.make_room() or host.calls.spare())
     around = surroundings(loop, ports.disk, network, config, host.accepted, host.listed)
     host.notices, host.watch = around.notices, around.watch
-    host.ends = Ends(loop, host.journal, host.notices, host.tell, lambda n: host.attempts.forget(n),
-                     host.figures)
-    host.attempts = Attempts(s, host.journal, host.listing, host.ends, host.tell, host.maybe_exit,
-                             host.figures)
-    hooks = Hooks(host.listing.may_write, host.attempts.begin, host.attempts.ended,
-                  host.told_wait, host.attempts.probed, host.attempts.late, host.told_load,
-                  host.listing.waited, host.figures.forwarded, host.attempts.write_s)
-    host.calls = Calls(loop, network, hooks, s.connection_idle_us, s.connect_timeout_us,
-                       int(config.sockets * IDLE_SHARE))
+    host.ends = Ends(
+        loop, host.journal, host.notices, host.tell, lambda n: host.attempts.forget(n), host.figures
+    )
+    host.attempts = Attempts(
+        s, host.journal, host.listing, host.ends, host.tell, host.maybe_exit, host.figures
+    )
+    hooks = Hooks(
+        host.listing.may_write,
+        host.attempts.begin,
+        host.attempts.ended,
+        host.told_wait,
+        host.attempts.probed,
+        host.attempts.late,
+        host.told_load,
+        host.listing.waited,
+        host.figures.forwarded,
+        host.attempts.write_s,
+    )
+    host.calls = Calls(
+        loop, network, hooks, s.connection_idle_us, s.connect_timeout_us, int(config.sockets * IDLE_SHARE)
+    )
     host.attempts.calls = host.calls
-    host.admission = Admission(s, host.journal, host.listing, host.ends, host.attempts, host.calls.cancel,
-                               host.tell, host.courier.come_back_us, host.figures, host.routing)
+    host.admission = Admission(
+        s,
+        host.journal,
+        host.listing,
+        host.ends,
+        host.attempts,
+        host.calls.cancel,
+        host.tell,
+        host.courier.come_back_us,
+        host.figures,
+        host.routing,
+    )
     host.clients = ClientServer(loop, ports.network, host.admission.put, around.places)
     host.fronts.append(host.clients)
     _served(host, control or ControlServer(loop, ports.network))
@@ -81,11 +112,19 @@
     journal: Callable[..., Journal] = Journal
     if config.standby is not None:
         journal = importlib.import_module("madderbeam.host.standby.journal").WaitingJournal
-    host.journal = journal(ports.disk, ports.clock, config.state, room, remembered_s(s), host.later,
-                           bool(config.sidecar and config.sidecar.sync))
+    host.journal = journal(
+        ports.disk,
+        ports.clock,
+        config.state,
+        room,
+        remembered_s(s),
+        host.later,
+        bool(config.sidecar and config.sidecar.sync),
+    )
     # Beside one program an endpoint may stand there by its name.
-    host.listing = Listing(s, config.zones, host.clock, host.bans,
-                           parse_address if config.sidecar else dialed_address)
+    host.listing = Listing(
+        s, config.zones, host.clock, host.bans, parse_address if config.sidecar else dialed_address
+    )
     host.routing = Routing(config, host.listing, ports.clock)
 
 
--- a/madderbeam/host/attempts.py
+++ b/madderbeam/host/attempts.py
@@ -22,8 +22,16 @@
 class Attempts:
     """Carries out what the decision module sends, and tells it how each attempt ended."""
 
-    def __init__(self, settings: i.Settings, journal: Journal, listing: Listing, ends: Ends,
-                 tell: Callable[[i.Event], None], over: Callable[[], None], figures: Figures) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        journal: Journal,
+        listing: Listing,
+        ends: Ends,
+        tell: Callable[[i.Event], None],
+        over: Callable[[], None],
+        figures: Figures,
+    ) -> None:
         self.s, self.journal, self.listing, self.ends = settings, journal, listing, ends
         self.figures = figures
         self.tell, self.over = tell, over  # over: an attempt has ended, and perhaps the last thing open
@@ -43,7 +51,7 @@
         for endpoint, items in bundles.items():
             most = self.listing.batch(endpoint)
             for at in range(0, len(items), most):
-                self._call(endpoint, items[at:at + most])
+                self._call(endpoint, items[at : at + most])
 
     def send(self, a: i.Send, bundles: dict[int, list[Item]]) -> None:
         """Send at once, or with the turn's bundles where the endpoint takes them."""
@@ -96,8 +104,10 @@
         # One that has ended while its call waited for a connection must not go out behind its notice, nor one
         # ahead of an end that the disk did not take meanwhile.
         held = [self.journal.held.get(n.number) for n in items]
-        if any(m is None or m.status or self._key_s(m, m.may_have_run_at) <= 0 or self.ends.blocked(m)
-               for m in held):
+        if any(
+            m is None or m.status or self._key_s(m, m.may_have_run_at) <= 0 or self.ends.blocked(m)
+            for m in held
+        ):
             go(False)
             return
 
@@ -110,6 +120,7 @@
         def failed(error: OSError) -> None:
             log.error("journal: %s", error)
             go(False)
+
         self.journal.attempt([n.number for n in items], self.journal.wall(), recorded, failed)
 
     def _key_s(self, m: Held, ran_at: float) -> float:
@@ -135,8 +146,19 @@
             self.journal.missed(m.number)
         if over:
             self.forget(item.number)
-        self.tell(i.AttemptEnded(item.number, item.attempt, endpoint, outcome.result, max(1, latency), over,
-                                 outcome.wait_us, item.fresh if item.begun else None, outcome.spoilt))
+        self.tell(
+            i.AttemptEnded(
+                item.number,
+                item.attempt,
+                endpoint,
+                outcome.result,
+                max(1, latency),
+                over,
+                outcome.wait_us,
+                item.fresh if item.begun else None,
+                outcome.spoilt,
+            )
+        )
         self.over()
 
     def _done(self, m: Held, outcome: Outcome) -> None:
--- a/madderbeam/host/changes/applying.py
+++ b/madderbeam/host/changes/applying.py
@@ -95,8 +95,14 @@
         else:
             number = listing.number(new.uid)
             state = READY if new.state == IN_SERVICE and not held else i.EndpointState.DRAINING
-            entry = i.ListEntry(number, new.dest, state, new.per_s, listing.kinds.get(new.kind, 0),
-                                listing.zones.get(new.zone, 0))
+            entry = i.ListEntry(
+                number,
+                new.dest,
+                state,
+                new.per_s,
+                listing.kinds.get(new.kind, 0),
+                listing.zones.get(new.zone, 0),
+            )
             listing.entries[number] = entry
             listing.dests.add(new.dest)
             listing.told.pop(number, None)
@@ -157,8 +163,10 @@
         courier.tries = min(s.tries, s.max_attempts)
         courier.cap = health.cap = min(s.window, max(1, int(WINDOW_SHARE * s.slots)))
         old = courier.quota
-        courier.quota = [[t.quota_per_s / s.couriers, *(old[n][1:] if n < len(old) else (1.0, courier.now))]
-                         for n, t in enumerate(s.tenants)]
+        courier.quota = [
+            [t.quota_per_s / s.couriers, *(old[n][1:] if n < len(old) else (1.0, courier.now))]
+            for n, t in enumerate(s.tenants)
+        ]
         more = len(s.kinds) - len(health.roomy)
         health.roomy += [health.roomy[0]] * more
 
--- a/madderbeam/host/changes/calls.py
+++ b/madderbeam/host/changes/calls.py
@@ -22,15 +22,24 @@
 class Calls:
     """`tell` hands the machine an event, and has carried out what follows from it when it returns."""
 
-    def __init__(self, machine: Changes, facts: Callable[[], Facts], tell: Callable[[Any], None],
-                 now: Callable[[], int], versions: Callable[[], dict[int, int]]) -> None:
+    def __init__(
+        self,
+        machine: Changes,
+        facts: Callable[[], Facts],
+        tell: Callable[[Any], None],
+        now: Callable[[], int],
+        versions: Callable[[], dict[int, int]],
+    ) -> None:
         self.machine, self.facts, self.tell, self.now = machine, facts, tell, now
         self.versions = versions
 
     def table(self) -> dict[str, tuple[str, Callable[[bytes], Answer]]]:
         """What is answered where."""
-        return {"GET /changes": ("GET", self._show), "POST /changes": ("POST", self._hand_in),
-                "/changes/undo": ("POST", self._undo)}
+        return {
+            "GET /changes": ("GET", self._show),
+            "POST /changes": ("POST", self._hand_in),
+            "/changes/undo": ("POST", self._undo),
+        }
 
     # Handing in
 
@@ -46,8 +55,11 @@
             return _no(400, wrong)
         if do == "check":
             wrong = self.machine.check(change, self.facts())
-            return _no(409, wrong) if wrong else Answer(200, f"{change.id}: holds on version "
-                                                        f"{self.machine.current.version}\n")
+            return (
+                _no(409, wrong)
+                if wrong
+                else Answer(200, f"{change.id}: holds on version {self.machine.current.version}\n")
+            )
         if do == "apply" and (staged := self.machine.waits(change.id)) and staged.change == change:
             return self._go(change.id)
         return self._offer(change, do == "apply")
@@ -67,8 +79,11 @@
     def _became(self, ident: str) -> Answer:
         trial, staged, out = self.machine.trial(ident), self.machine.waits(ident), self.machine.outcome(ident)
         if trial is not None:
-            return Answer(202, f"{ident}: in force as version {trial.version}, on trial for "
-                          f"{(trial.until_us - self.now()) // 1000} ms\n")
+            return Answer(
+                202,
+                f"{ident}: in force as version {trial.version}, on trial for "
+                f"{(trial.until_us - self.now()) // 1000} ms\n",
+            )
         if staged is not None:
             return Answer(202, f"{ident}: staged; {'it waits for its turn' if staged.go else 'say apply'}\n")
         if out is not None:
@@ -114,17 +129,26 @@
     def state(self) -> dict[str, Any]:
         """All that is known; spans in milliseconds."""
         m, now, current = self.machine, self.now(), self.machine.current
-        trials = [{
-            "name": trial.id, "version": trial.version, "left_ms": max(0, trial.until_us - now) // 1000,
-            "touches": sorted(f"{section} {name}" for section, name in trial.after)[:100]}
-            for trial in m.trials]
+        trials = [
+            {
+                "name": trial.id,
+                "version": trial.version,
+                "left_ms": max(0, trial.until_us - now) // 1000,
+                "touches": sorted(f"{section} {name}" for section, name in trial.after)[:100],
+            }
+            for trial in m.trials
+        ]
         return {
-            "version": current.version, "on_trial": trials,
+            "version": current.version,
+            "on_trial": trials,
             "waiting": [{"name": s.change.id, "go": s.go, "base": s.change.base} for s in m.staged],
-            "history": [{"name": o.id, "version": o.version, "what": o.what, "why": o.why, "at_ms": o.at_ms}
-                        for o in m.past.values()],
-            "drains": {uid: max(0, at + m.drains.hold_us - now) // 1000
-                       for uid, at in sorted(m.drains.heard.items())},
+            "history": [
+                {"name": o.id, "version": o.version, "what": o.what, "why": o.why, "at_ms": o.at_ms}
+                for o in m.past.values()
+            ],
+            "drains": {
+                uid: max(0, at + m.drains.hold_us - now) // 1000 for uid, at in sorted(m.drains.heard.items())
+            },
             "rows": {s: len(current.sections[s]) for s in current.sections if s != "fixed"},
             "messages_by_version": {str(v): n for v, n in sorted(self.versions().items())},
         }
@@ -145,5 +169,6 @@
 
 def _restores(ident: str, restores: Sequence[str], leaves: Sequence[str]) -> str:
     more = f" and {len(restores) - 20} more" if len(restores) > 20 else ""
-    return (f"{ident}: restored: {', '.join(restores[:20])}{more}\n"
-            + "".join(f"{ident}: not restored: {text}\n" for text in leaves[:50]))
+    return f"{ident}: restored: {', '.join(restores[:20])}{more}\n" + "".join(
+        f"{ident}: not restored: {text}\n" for text in leaves[:50]
+    )
--- a/madderbeam/host/changes/commands.py
+++ b/madderbeam/host/changes/commands.py
@@ -17,8 +17,11 @@
     """Add this package's subcommands to the `madderbeam` command."""
     top = commands.add_parser("change", help="change a running courier's configuration")
     parts = top.add_subparsers(dest="part", required=True)
-    helps = {"check": "tell every mistake, a line each; exit 1 if there is one",
-             "stage": "check, and keep it until `apply`", "apply": "check, and bring it into force on trial"}
+    helps = {
+        "check": "tell every mistake, a line each; exit 1 if there is one",
+        "stage": "check, and keep it until `apply`",
+        "apply": "check, and bring it into force on trial",
+    }
     for name, text in helps.items():
         part = parts.add_parser(name, help=text)
         part.add_argument("file", type=Path, metavar="FILE", help="the change, TOML or JSON")
@@ -26,8 +29,10 @@
     undo = parts.add_parser("undo", help="undo a change that is on trial or kept, or drop one that waits")
     undo.add_argument("name", metavar="NAME")
     undo.set_defaults(action=_undo)
-    for name, text in (("status", "what is in force, on trial and waiting"),
-                       ("history", "what became of changes, the oldest first")):
+    for name, text in (
+        ("status", "what is in force, on trial and waiting"),
+        ("history", "what became of changes, the oldest first"),
+    ):
         part = parts.add_parser(name, help=text)
         part.add_argument("--json", action="store_true", help="as the courier tells it")
         part.set_defaults(action=_status if name == "status" else _history)
--- a/madderbeam/host/changes/facts.py
+++ b/madderbeam/host/changes/facts.py
@@ -57,6 +57,11 @@
         at, refused = self.samples[0]
         now = self._refused()
         return Facts(
-            ready, {d.number: d.out for d in courier.dests.values() if d.out},
+            ready,
+            {d.number: d.out for d in courier.dests.values() if d.out},
             {d.number: len(d.queue) + d.out for d in courier.dests.values() if d.queue or d.out},
-            dict(self.calls), now, (now - refused) / max(1.0, host.loop.time() - at), host.s.max_held)
+            dict(self.calls),
+            now,
+            (now - refused) / max(1.0, host.loop.time() - at),
+            host.s.max_held,
+        )
--- a/madderbeam/host/changes/file.py
+++ b/madderbeam/host/changes/file.py
@@ -27,8 +27,15 @@
     """Looks at a courier's rendered file and its partner list together. `later` calls back after so many
     seconds."""
 
-    def __init__(self, disk: Disk, listed: str, machine: Changes, facts: Callable[[], Facts],
-                 tell: Callable[[Any], None], later: Callable[[float, Callable[[], None]], None]) -> None:
+    def __init__(
+        self,
+        disk: Disk,
+        listed: str,
+        machine: Changes,
+        facts: Callable[[], Facts],
+        tell: Callable[[Any], None],
+        later: Callable[[float, Callable[[], None]], None],
+    ) -> None:
         """`listed`: the partner list's path, NAME.partners.json; the courier's file is NAME.json beside."""
         self.disk, self.listed, self.machine, self.facts = disk, listed, machine, facts
         self.tell, self.later = tell, later
@@ -130,5 +137,6 @@
     stays. None if it is new there or gone."""
     if old is None or new is None:
         return None
-    return {f.name: getattr(new, f.name) for f in fields(Endpoint) if getattr(old, f.name) != getattr(
-        new, f.name)}
+    return {
+        f.name: getattr(new, f.name) for f in fields(Endpoint) if getattr(old, f.name) != getattr(new, f.name)
+    }
--- a/madderbeam/host/changes/reading.py
+++ b/madderbeam/host/changes/reading.py
@@ -40,14 +40,26 @@
     s = config.settings
     for n, c in enumerate(s.classes):
         rows["class", c.name] = {
-            "wanted_ms": c.aim_us // 1000, "deadline_ms": c.deadline_us // 1000, "repeat": NAMED[c.effect],
-            "key_window_ms": c.key_window_us // 1000, "key_scope": c.key_scope, "worth": c.worth,
-            "late_share": c.late_share, "ordered": c.ordered, "number": n, "retired": False}
+            "wanted_ms": c.aim_us // 1000,
+            "deadline_ms": c.deadline_us // 1000,
+            "repeat": NAMED[c.effect],
+            "key_window_ms": c.key_window_us // 1000,
+            "key_scope": c.key_scope,
+            "worth": c.worth,
+            "late_share": c.late_share,
+            "ordered": c.ordered,
+            "number": n,
+            "retired": False,
+        }
     for n, t in enumerate(s.tenants):
         rows["tenant", t.name] = {"share": t.share, "per_s": t.quota_per_s, "number": n, "retired": False}
     for n, k in enumerate(s.kinds):
-        rows["kind", k.name] = {"bundle": k.batch, "routes_apart": k.routes_apart, "number": n,
-                                "retired": False}
+        rows["kind", k.name] = {
+            "bundle": k.batch,
+            "routes_apart": k.routes_apart,
+            "number": n,
+            "retired": False,
+        }
     for target in config.known["targets"]:
         row = endpoint_of(target)
         rows["endpoint", row.uid] = row
@@ -80,25 +92,40 @@
     if not bound:
         return fixed
     whole = snapshot_of(config)
-    keys = {(s, name) for s in bound for side in (kept, whole) for name in side.sections[s] if (
-        s != "whole" or name == "quota")}
+    keys = {
+        (s, name)
+        for s in bound
+        for side in (kept, whole)
+        for name in side.sections[s]
+        if (s != "whole" or name == "quota")
+    }
     return fixed | {key: whole.get(key) for key in keys}
 
 
 def endpoint_of(target: Mapping[str, Any]) -> Endpoint:
     """From discovery's form, as a rendered list has it."""
     return Endpoint(
-        str(target["uid"]), int(target["pod_group"]), str(target["endpoint"]),
-        float(target.get("capacity_hint") or 0), str(target.get("az") or "here"),
-        str(target.get("model") or "plain"), str(target["state"]), str(target.get("topic") or ""),
-        tuple(map(str, target.get("topics") or ())))
+        str(target["uid"]),
+        int(target["pod_group"]),
+        str(target["endpoint"]),
+        float(target.get("capacity_hint") or 0),
+        str(target.get("az") or "here"),
+        str(target.get("model") or "plain"),
+        str(target["state"]),
+        str(target.get("topic") or ""),
+        tuple(map(str, target.get("topics") or ())),
+    )
 
 
 def _limits(s: i.Settings) -> dict[str, int]:
-    return {"max_held": s.max_held, "attempts": min(s.tries, s.max_attempts),
-            "retry_base_ms": s.backoff_base_us // 1000, "retry_cap_ms": s.backoff_cap_us // 1000,
-            "max_wait_ms": s.max_retry_after_us // 1000,
-            "window": s.window or max(1, int(0.75 * s.slots))}
+    return {
+        "max_held": s.max_held,
+        "attempts": min(s.tries, s.max_attempts),
+        "retry_base_ms": s.backoff_base_us // 1000,
+        "retry_cap_ms": s.backoff_cap_us // 1000,
+        "max_wait_ms": s.max_retry_after_us // 1000,
+        "window": s.window or max(1, int(0.75 * s.slots)),
+    }
 
 
 # From a snapshot to what a courier runs on
@@ -106,29 +133,53 @@
 
 def target_of(row: Endpoint, state: str = "") -> dict[str, Any]:
     """In discovery's form."""
-    return {"uid": row.uid, "endpoint": row.address, "az": row.zone, "model": row.kind,
-            "pod_group": row.dest, "state": state or row.state, "capacity_hint": row.per_s, "boot_ms": 0,
-            **({"topic": row.topic} if row.topic else {}),
-            **({"topics": list(row.topics)} if row.topics else {})}
+    return {
+        "uid": row.uid,
+        "endpoint": row.address,
+        "az": row.zone,
+        "model": row.kind,
+        "pod_group": row.dest,
+        "state": state or row.state,
+        "capacity_hint": row.per_s,
+        "boot_ms": 0,
+        **({"topic": row.topic} if row.topic else {}),
+        **({"topics": list(row.topics)} if row.topics else {}),
+    }
 
 
 def settings_of(base: i.Settings, snapshot: Snapshot) -> i.Settings:
     """The base with what the snapshot says. A class, tenant or kind that was taken away keeps its number."""
+
     def numbered(section: str) -> list[tuple[str, Mapping[str, Any]]]:
         return sorted(snapshot.sections[section].items(), key=lambda item: item[1]["number"])
 
     limit: Mapping[str, int] = dict(snapshot.sections["limit"].items())
     return replace(
         base,
-        classes=tuple(i.MessageClass(
-            name, c["wanted_ms"] * 1000, c["deadline_ms"] * 1000, REPEAT[c["repeat"]], c["worth"],
-            c["late_share"], c["key_scope"], c["key_window_ms"] * 1000, c["ordered"])
-            for name, c in numbered("class")),
+        classes=tuple(
+            i.MessageClass(
+                name,
+                c["wanted_ms"] * 1000,
+                c["deadline_ms"] * 1000,
+                REPEAT[c["repeat"]],
+                c["worth"],
+                c["late_share"],
+                c["key_scope"],
+                c["key_window_ms"] * 1000,
+                c["ordered"],
+            )
+            for name, c in numbered("class")
+        ),
         tenants=tuple(i.Tenant(name, t["share"], t["per_s"]) for name, t in numbered("tenant")),
         kinds=tuple(i.Kind(name, k["routes_apart"], k["bundle"]) for name, k in numbered("kind")),
-        max_held=limit["max_held"], tries=limit["attempts"], max_attempts=limit["attempts"],
-        backoff_base_us=limit["retry_base_ms"] * 1000, backoff_cap_us=limit["retry_cap_ms"] * 1000,
-        max_retry_after_us=limit["max_wait_ms"] * 1000, window=limit["window"])
+        max_held=limit["max_held"],
+        tries=limit["attempts"],
+        max_attempts=limit["attempts"],
+        backoff_base_us=limit["retry_base_ms"] * 1000,
+        backoff_cap_us=limit["retry_cap_ms"] * 1000,
+        max_retry_after_us=limit["max_wait_ms"] * 1000,
+        window=limit["window"],
+    )
 
 
 def zones_of(base: tuple[str, ...], snapshot: Snapshot) -> tuple[str, ...]:
@@ -150,10 +201,14 @@
     """An endpoint whose drain was heard is listed as draining; it comes in once that is over."""
     snapshot = newest(restored)
     snapshot = snapshot.with_rows(file_rows(config, snapshot), snapshot.version)
-    targets = [target_of(row, DRAINING if uid in restored.drains else "")
-               for uid, row in snapshot.endpoints.items()]
+    targets = [
+        target_of(row, DRAINING if uid in restored.drains else "") for uid, row in snapshot.endpoints.items()
+    ]
     raw = routing(snapshot)
     return replace(
-        config, settings=settings_of(config.settings, snapshot), zones=zones_of(config.zones, snapshot),
+        config,
+        settings=settings_of(config.settings, snapshot),
+        zones=zones_of(config.zones, snapshot),
         quota=snapshot.get(("whole", "quota")) or None,
-        known={"rev": 0, "targets": targets, **({"routing": raw} if raw else {})})
+        known={"rev": 0, "targets": targets, **({"routing": raw} if raw else {})},
+    )
--- a/madderbeam/host/changes/room.py
+++ b/madderbeam/host/changes/room.py
@@ -41,14 +41,14 @@
             snapshot = snapshot_of(host.config)
             restored = Restored(snapshot, snapshot.version)
         settings = Settings(**host.config.changes)
-        self.machine = Changes(settings, restored, self._wall_ms,
-                               file_rows(host.config, in_force(restored)))
+        self.machine = Changes(settings, restored, self._wall_ms, file_rows(host.config, in_force(restored)))
         self.left = leftovers(self.kept.map, restored)
         self.runner = Runner(host.loop, host.clock, self.machine, self.kept, self.act, "changes")
         self.applying = Applying(host, ports)
         self.gathering = Gathering(host)
-        self.file = FileSource(ports.disk, host.config.sidecar.partners, self.machine, self.facts,
-                               self.runner.tell, self._later)
+        self.file = FileSource(
+            ports.disk, host.config.sidecar.partners, self.machine, self.facts, self.runner.tell, self._later
+        )
         self.versions: dict[int, int] = {}  # messages that are open, by the version they were admitted under
         self.calls = Calls(self.machine, self.facts, self.runner.tell, host.clock, self._open_by_version)
         self.applying.begin(self.machine.current)
@@ -152,5 +152,3 @@
     host.service.calls |= room.calls.table()
     host.control.most = max(host.control.most, CALL_MOST)
     host.rooms.append(room)
-
-
--- a/madderbeam/host/ends.py
+++ b/madderbeam/host/ends.py
@@ -26,8 +26,15 @@
     events for the decision module.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, journal: Journal, notices: Notices | Feed,
-                 tell: Callable[[i.Event], None], ended: Callable[[int], None], figures: Figures) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        journal: Journal,
+        notices: Notices | Feed,
+        tell: Callable[[i.Event], None],
+        ended: Callable[[int], None],
+        figures: Figures,
+    ) -> None:
         self.loop, self.journal, self.notices, self.tell, self.ended = loop, journal, notices, tell, ended
         self.figures = figures
         self.guards: dict[int, asyncio.TimerHandle] = {}
@@ -85,8 +92,13 @@
         message's time is up; from then on a restart sends nothing either, and no promise is made."""
         if self.closed:
             return
-        self.journal.final(m.number, status, again_ms, lambda: self._notify(m),
-                           lambda error: self._unsettled(m, status, again_ms, error))
+        self.journal.final(
+            m.number,
+            status,
+            again_ms,
+            lambda: self._notify(m),
+            lambda error: self._unsettled(m, status, again_ms, error),
+        )
 
     def _unsettled(self, m: Held, status: str, again_ms: int, error: OSError) -> None:
         log.error("journal: %s", error)
--- a/madderbeam/host/federation/calls.py
+++ b/madderbeam/host/federation/calls.py
@@ -56,8 +56,11 @@
         service, control = member.host.service, member.host.control
         control.most = max(control.most, CALL_MOST)
         service.calls |= {
-            "/federation": ("GET", self._show), "/federation/table": ("POST", self._offer),
-            "/federation/off": ("POST", self._off), "/federation/trust": ("POST", self._trust)}
+            "/federation": ("GET", self._show),
+            "/federation/table": ("POST", self._offer),
+            "/federation/off": ("POST", self._off),
+            "/federation/trust": ("POST", self._trust),
+        }
 
     def outcome(self, outcome: Outcome) -> None:
         """What became of a table that was offered here."""
@@ -81,15 +84,21 @@
         now = here.host.clock()
         sites = here.membership.sites()
         return {
-            "federation": here.config.name, "member": str(self.me), "start": here.membership.life.start,
+            "federation": here.config.name,
+            "member": str(self.me),
+            "start": here.membership.life.start,
             "members": [_member(view, now) for view in here.membership.views()],
-            "sites": {name: {"live": list(map(str, s.live)), "none_for_ms": _ago(s.none_since_us, now)}
-                      for name, s in sites.items()},
+            "sites": {
+                name: {"live": list(map(str, s.live)), "none_for_ms": _ago(s.none_since_us, now)}
+                for name, s in sites.items()
+            },
             "health": here.membership.health,
             "table": here.table().document(),
-            "agreement": here.agreement.status(now), "switch": here.switch.status(now),
+            "agreement": here.agreement.status(now),
+            "switch": here.switch.status(now),
             "offered": {str(p): "agreed" if o.agreed else _line(o.error) for p, o in self.outcomes.items()},
-            "streams": _streams(here.streams.figures, now), "custody": here.custodian.figures,
+            "streams": _streams(here.streams.figures, now),
+            "custody": here.custodian.figures,
             "mesh": here.mesh.figures(),
             **({"shared": here.shared.status(now)} if here.shared else {}),
         }
@@ -170,13 +179,22 @@
 
 
 def _member(view: MemberView, now_us: int) -> dict[str, Any]:
-    return {"member": str(view.id), "state": view.state.name.lower(), "start": view.life.start,
-            "address": "{}:{}".format(*view.address), "draining": view.draining,
-            "for_ms": _ago(view.since_us, now_us)}
+    return {
+        "member": str(view.id),
+        "state": view.state.name.lower(),
+        "start": view.life.start,
+        "address": "{}:{}".format(*view.address),
+        "draining": view.draining,
+        "for_ms": _ago(view.since_us, now_us),
+    }
 
 
 def _streams(figures: dict[str, dict[str, Any]], now_us: int) -> dict[str, dict[str, Any]]:
     """As the machine has them, with spans in place of times."""
-    return {site: {"away_for_ms": _ago(row["away_since_us"], now_us),
-                   **{k: v for k, v in row.items() if k != "away_since_us"}}
-            for site, row in figures.items()}
+    return {
+        site: {
+            "away_for_ms": _ago(row["away_since_us"], now_us),
+            **{k: v for k, v in row.items() if k != "away_since_us"},
+        }
+        for site, row in figures.items()
+    }
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -22,7 +22,17 @@
 from madderbeam.relay.derive import delivery_id, delivery_key, held_id
 from madderbeam.relay.messages import BODY_MOST, Ends, EndsAck, Entry, Nak
 from madderbeam.relay.values import (
-    Credit, Ended, Expand, LocalEnded, NotTaken, Publication, Resting, Result, Settled, Taken)
+    Credit,
+    Ended,
+    Expand,
+    LocalEnded,
+    NotTaken,
+    Publication,
+    Resting,
+    Result,
+    Settled,
+    Taken,
+)
 from madderbeam.transport.clients import BadRequest, Put
 
 CREDIT_S = 0.2  # how often the room that is left is looked at, and told if it is another
@@ -72,9 +82,17 @@
 class Custody:
     """`tell` hands events to the custodian, `streams` to the origin's machine of this same courier."""
 
-    def __init__(self, host: Host, me: MemberId, life: Life, custodian: Custodian,
-                 tell: Callable[[Any], None], streams: Callable[[Any], None],
-                 come_home: Callable[[Held], bool], kept: Kept) -> None:
+    def __init__(
+        self,
+        host: Host,
+        me: MemberId,
+        life: Life,
+        custodian: Custodian,
+        tell: Callable[[Any], None],
+        streams: Callable[[Any], None],
+        come_home: Callable[[Held], bool],
+        kept: Kept,
+    ) -> None:
         """`come_home`: a message of this courier's own is to be served here; False if it can't be now."""
         self.kept = kept
         self.host, self.me, self.custodian, self.tell, self.streams = host, me, custodian, tell, streams
@@ -172,8 +190,18 @@
             return
         life_ms = max(0, (p.until_us - self.host.clock()) // 1000)
         self._owed(ident, p.name, dest)
-        put = Put(ident, int(p.order) if p.order.isdigit() else 0, p.cls, p.tenant or None, life_ms, dest,
-                  delivery_key(p, dest), False, p.body, relayed=True)
+        put = Put(
+            ident,
+            int(p.order) if p.order.isdigit() else 0,
+            p.cls,
+            p.tenant or None,
+            life_ms,
+            dest,
+            delivery_key(p, dest),
+            False,
+            p.body,
+            relayed=True,
+        )
         try:
             self.host.admission.put(put, Hand(self, work, dest))
         except BadRequest as error:
--- a/madderbeam/host/federation/kept.py
+++ b/madderbeam/host/federation/kept.py
@@ -47,8 +47,13 @@
         file = self.disk.open(self.path)
         if end < len(data):
             self.damaged = not _torn(data[end:])
-            log.log(logging.ERROR if self.damaged else logging.WARNING, "%s: %d bytes at its end are %s",
-                    self.path, len(data) - end, "damaged" if self.damaged else "torn, cut off")
+            log.log(
+                logging.ERROR if self.damaged else logging.WARNING,
+                "%s: %d bytes at its end are %s",
+                self.path,
+                len(data) - end,
+                "damaged" if self.damaged else "torn, cut off",
+            )
             if self.damaged:  # to be looked at; the map goes on in a file of its own
                 file.close()
                 self.disk.rename(self.path, self.path + ".damaged")
--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -183,8 +183,10 @@
         calls, names = self.host.calls, self.host.listing.names
         found: dict[str, Any] = {}
         if self.places:
-            found["places"] = {dest: {names.get(n, ""): [calls.connections(n), self.told.get(n, 0)]
-                                      for n in limited} for dest, limited in self.places.items()}
+            found["places"] = {
+                dest: {names.get(n, ""): [calls.connections(n), self.told.get(n, 0)] for n in limited}
+                for dest, limited in self.places.items()
+            }
         if self.gate is not None:
             lots = self.gate.leased.lots.items()
             found["quota"] = {name: round(lot.k / ONE, 6) for name, lot in lots}
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -26,7 +26,14 @@
 from madderbeam.relay.origin import Streams
 from madderbeam.relay.subscriptions import Subscriptions
 from madderbeam.relay.values import (
-    Effect, Publication, PublicationEnded, Published, Result, SiteEnded, Withdrawn)
+    Effect,
+    Publication,
+    PublicationEnded,
+    Published,
+    Result,
+    SiteEnded,
+    Withdrawn,
+)
 from madderbeam.transport.answers import Answer
 from madderbeam.transport.clients import Put
 
@@ -39,11 +46,20 @@
     """Door of admission for what other sites serve. `table` gives the one in force, `local` takes the own
     site's part of a publication, `streams` is told through `tell`."""
 
-    def __init__(self, host: Host, me: MemberId, serving: Serving, streams: Streams,
-                 subscriptions: Subscriptions, table: Callable[[], Table], tell: Callable[[Any], None],
-                 local: Callable[[Publication], None], wait_us: int,
-                 in_custody: Callable[[str], bool] = lambda ident: False,
-                 settling: Callable[[int], bool] = lambda number: False) -> None:
+    def __init__(
+        self,
+        host: Host,
+        me: MemberId,
+        serving: Serving,
+        streams: Streams,
+        subscriptions: Subscriptions,
+        table: Callable[[], Table],
+        tell: Callable[[Any], None],
+        local: Callable[[Publication], None],
+        wait_us: int,
+        in_custody: Callable[[str], bool] = lambda ident: False,
+        settling: Callable[[int], bool] = lambda number: False,
+    ) -> None:
         """`in_custody`: whether the message of this id is a delivery of another courier's publication;
         `settling`: whether that of this number has ended and is held until its end is kept."""
         self.in_custody, self.settling = in_custody, settling
@@ -130,8 +146,20 @@
         tenant = s.tenants[m.tenant].name if m.tenant < len(s.tenants) else ""
         until_us = self.host.journal.wall.monotonic(m.until)
         ident = derived_id(f"{self.me}:{m.id}", m.dest) if m.relayed or self.in_custody(m.id) else m.id
-        return Publication(ident, self.me, "", m.dest, cls.name, Effect(cls.effect.value), tenant, m.key,
-                           str(m.order) if m.order else "", m.body, until_us, self.table().number)
+        return Publication(
+            ident,
+            self.me,
+            "",
+            m.dest,
+            cls.name,
+            Effect(cls.effect.value),
+            tenant,
+            m.key,
+            str(m.order) if m.order else "",
+            m.body,
+            until_us,
+            self.table().number,
+        )
 
     def _publish(self, m: Held, publication: Publication, sites: tuple[str, ...]) -> None:
         self.taken += 1
@@ -178,7 +206,8 @@
         """Whether a message that is restored is a publication, or may be at another site already."""
         home = self.in_custody(m.id) and not m.relayed  # it has come back since
         claimed = m.dest == TOPIC or (
-            not m.may_have_run_at and not home and self._single(m).name in self.sent)
+            not m.may_have_run_at and not home and self._single(m).name in self.sent
+        )
         if claimed:
             self.restored.append(m)
         return claimed
--- a/madderbeam/host/federation/room.py
+++ b/madderbeam/host/federation/room.py
@@ -18,7 +18,17 @@
 from madderbeam.federation.switch import Switch
 from madderbeam.federation.switch_settings import SwitchSettings
 from madderbeam.federation.values import (
-    Begin, Check, Checked, Hold, InForce, Outcome, Paused, Released, Relinquish, Table)
+    Begin,
+    Check,
+    Checked,
+    Hold,
+    InForce,
+    Outcome,
+    Paused,
+    Released,
+    Relinquish,
+    Table,
+)
 from madderbeam.host.federation.calls import Calls, Member
 from madderbeam.host.federation.custody import Custody
 from madderbeam.host.federation.kept import Kept
@@ -33,9 +43,28 @@
 from madderbeam.membership.machine import Membership
 from madderbeam.membership.settings import Settings as MembershipSettings
 from madderbeam.membership.values import (
-    Arrived, Draining, Due, Exchange, ExchangeFailed, FolderIsOlder, FromLink, Heard, Leaving, LifeRaised,
-    LinkDown, LinkUp, MemberChanged, MemberId, Resumed, SendDatagram, Spread, State, StateCame,
-    StateReply, ToLink)
+    Arrived,
+    Draining,
+    Due,
+    Exchange,
+    ExchangeFailed,
+    FolderIsOlder,
+    FromLink,
+    Heard,
+    Leaving,
+    LifeRaised,
+    LinkDown,
+    LinkUp,
+    MemberChanged,
+    MemberId,
+    Resumed,
+    SendDatagram,
+    Spread,
+    State,
+    StateCame,
+    StateReply,
+    ToLink,
+)
 from madderbeam.policy.interface import Effect
 from madderbeam.ports import Ports
 from madderbeam.relay import messages as streams
@@ -72,18 +101,40 @@
         self.me = config.id
         self.life = next_life(self.kept.map, self.chance.getrandbits(64))
         self.table = self._known()
-        self.mesh = Mesh(host.loop, ports.network, self.me, self.life, config.name, config.listen,
-                         self._heard, channels=(M, R, T, S, L), chance=self.chance,
-                         settings=MeshSettings(drift_ppm=config.lease_drift_ppm))
+        self.mesh = Mesh(
+            host.loop,
+            ports.network,
+            self.me,
+            self.life,
+            config.name,
+            config.listen,
+            self._heard,
+            channels=(M, R, T, S, L),
+            chance=self.chance,
+            settings=MeshSettings(drift_ppm=config.lease_drift_ppm),
+        )
         self.subscribed: dict[str, set[int]] | None = None  # not told yet; that there are none is told, too
         self.started = False
         self._membership()
         self._table()
         self._relay()
         self._shared()
-        self.calls = Calls(Member(host, ports.disk, config, self.membership, self.agreement, self.switch,
-                                  self.streams, self.custodian, self.mesh, self.shared, lambda: self.table,
-                                  self.federation.tell))
+        self.calls = Calls(
+            Member(
+                host,
+                ports.disk,
+                config,
+                self.membership,
+                self.agreement,
+                self.switch,
+                self.streams,
+                self.custodian,
+                self.mesh,
+                self.shared,
+                lambda: self.table,
+                self.federation.tell,
+            )
+        )
         self._actions: dict[type, Callable[[Any], None]] = self._acts()
 
     def _known(self) -> Table:
@@ -104,12 +155,17 @@
     def _membership(self) -> None:
         c, t = self.config, self.config.times
         settings = MembershipSettings(
-            probe_period_us=t.probe_period_ms * 1000, probe_timeout_us=t.probe_timeout_ms * 1000,
-            indirect=t.indirect_probes, suspicion_alpha=t.suspicion_alpha, suspicion_beta=t.suspicion_beta,
-            exchange_period_us=t.exchange_period_ms * 1000)
+            probe_period_us=t.probe_period_ms * 1000,
+            probe_timeout_us=t.probe_timeout_ms * 1000,
+            indirect=t.indirect_probes,
+            suspicion_alpha=t.suspicion_alpha,
+            suspicion_beta=t.suspicion_beta,
+            exchange_period_us=t.exchange_period_ms * 1000,
+        )
         seeds = tuple(c.via.get(member, address) for member, address in c.seeds)
-        self.membership = Membership(settings, self.me, self.life, c.listen, seeds, c.via, self.chance,
-                                     self.kept.map)
+        self.membership = Membership(
+            settings, self.me, self.life, c.listen, seeds, c.via, self.chance, self.kept.map
+        )
         self.members = self._run(self.membership)
 
     def _table(self) -> None:
@@ -117,13 +173,25 @@
         agreed = AgreementSettings(agree_within_us=c.agree_within_ms * 1000)
         self.agreement = Agreement(agreed, self.me, self.life, self.chance, self.kept.map, self.table)
         switched = SwitchSettings(lease_us=(c.lease_ms or 0) * 1000, drift_ppm=c.lease_drift_ppm)
-        self.switch = Switch(switched, self.me, self.life, self.kept.map, self.table,
-                             FromAgreement(self.agreement), self._wall_ms)
+        self.switch = Switch(
+            switched,
+            self.me,
+            self.life,
+            self.kept.map,
+            self.table,
+            FromAgreement(self.agreement),
+            self._wall_ms,
+        )
         self.machine = Federation(self.agreement, self.switch)
         self.federation = self._run(self.machine)
         self.serving = Serving(
-            self.host, self.me, self._may_call,
-            self._released, lambda m: self.publications.passed_on(m), c.lease_ms is not None)
+            self.host,
+            self.me,
+            self._may_call,
+            self._released,
+            lambda m: self.publications.passed_on(m),
+            c.lease_ms is not None,
+        )
 
     def _may_call(self, dest: int) -> bool:
         """Asked just before each call: also the first after a pause, before any timer has told of it."""
@@ -138,17 +206,34 @@
         windows = [k.key_window_us for k in self.host.s.classes if k.effect is Effect.KEYED]
         settings = StreamSettings(room=backlog, keyed_window_us=min(windows, default=0))
         self.streams = Streams(settings, self.me, self.life, self._wall_ms, self.kept.map)
-        self.custodian = Custodian(CustodySettings(), self.me, self.life, self.tables.expand, self._wall_ms,
-                                   self.kept.map)
+        self.custodian = Custodian(
+            CustodySettings(), self.me, self.life, self.tables.expand, self._wall_ms, self.kept.map
+        )
         self.topics, self.origin = self._run(self.subscriptions), self._run(self.streams)
         self.relay = self._run(self.custodian)
-        self.custody = Custody(self.host, self.me, self.life, self.custodian, self.relay.tell,
-                               self.origin.tell, lambda m: self.publications.come_home(m),
-                               self.kept)
+        self.custody = Custody(
+            self.host,
+            self.me,
+            self.life,
+            self.custodian,
+            self.relay.tell,
+            self.origin.tell,
+            lambda m: self.publications.come_home(m),
+            self.kept,
+        )
         self.publications = Publications(
-            self.host, self.me, self.serving, self.streams, self.subscriptions, lambda: self.table,
-            self.origin.tell, self.custody.local, c.wait_told_ms * 1000, self.custody.deliveries.__contains__,
-            self.custody.settling.__contains__)
+            self.host,
+            self.me,
+            self.serving,
+            self.streams,
+            self.subscriptions,
+            lambda: self.table,
+            self.origin.tell,
+            self.custody.local,
+            c.wait_told_ms * 1000,
+            self.custody.deliveries.__contains__,
+            self.custody.settling.__contains__,
+        )
 
     def _shared(self) -> None:
         """What the couriers of this site share, if they do."""
@@ -158,11 +243,18 @@
             return
         partners = Partners(self.me, self.life)
         settings = LeaseSettings(drift_ppm=self.config.lease_drift_ppm)
-        leases = Leases(settings, self.me, self.life, self.chance, self.kept.map,
-                        lambda r: self.shared.more.in_use(r) if self.shared is not None else 0.0)
+        leases = Leases(
+            settings,
+            self.me,
+            self.life,
+            self.chance,
+            self.kept.map,
+            lambda r: self.shared.more.in_use(r) if self.shared is not None else 0.0,
+        )
         self.news, self.leases = self._run(partners), self._run(leases)
-        self.shared = Shared(self.host, self.me, self.life, self.serving, partners, leases, self.news.tell,
-                             self.leases.tell)
+        self.shared = Shared(
+            self.host, self.me, self.life, self.serving, partners, leases, self.news.tell, self.leases.tell
+        )
 
     @property
     def runners(self) -> tuple[Runner, ...]:
@@ -174,8 +266,13 @@
     def open(self) -> None:
         """The journal is restored: begin. OSError if the mesh's address can't be had."""
         port = self.mesh.listen()
-        log.info("federation %s: start %d of %s, others come at port %d", self.config.name, self.life.start,
-                 self.me, port)
+        log.info(
+            "federation %s: start %d of %s, others come at port %d",
+            self.config.name,
+            self.life.start,
+            self.me,
+            port,
+        )
         self.started = True
         now = self.host.clock()
         if self.kept.damaged:
@@ -231,7 +328,8 @@
             "federation.publications": self.publications.taken,
             "federation.refused": self.publications.refused,
             "federation.unwritten": sum(r.unwritten for r in self.runners),
-            **custody, **mesh,
+            **custody,
+            **mesh,
         }
 
     # What is heard
@@ -309,13 +407,22 @@
     def _shared_acts(self) -> dict[type, Callable[[Any], None]]:
         if self.shared is None:
             return {}
-        return {Heed: self.shared.heed, Lapsed: self.shared.lapsed, TryFor: self.shared.try_for,
-                Allot: self.shared.allot}
+        return {
+            Heed: self.shared.heed,
+            Lapsed: self.shared.lapsed,
+            TryFor: self.shared.try_for,
+            Allot: self.shared.allot,
+        }
 
     def _member_changed(self, action: MemberChanged) -> None:
         view = action.view
-        log.info("federation: %s is %s (start %d)%s", view.id, view.state.name.lower(), view.life.start,
-                 ", draining" if view.draining else "")
+        log.info(
+            "federation: %s is %s (start %d)%s",
+            view.id,
+            view.state.name.lower(),
+            view.life.start,
+            ", draining" if view.draining else "",
+        )
         self.mesh.saw(view.id, view.life)
         shared = (self.news, self.leases) if self.news is not None else ()
         for runner in (self.federation, self.topics, self.origin, *shared):
@@ -330,8 +437,9 @@
             self.news.tell(action)
 
     def _resumed(self, action: Resumed) -> None:
-        log.warning("federation: this process was paused for %.1f s: it asks what is in force",
-                    action.paused_us / 1e6)
+        log.warning(
+            "federation: this process was paused for %.1f s: it asks what is in force", action.paused_us / 1e6
+        )
         self.federation.tell(Paused())
         if self.news is not None:
             self.leases.tell(action)
@@ -393,8 +501,12 @@
         self.table = action.table
         self.tables.put(action.table.number, action.table.owners)
         self.serving.changed_us = self.host.clock()
-        log.info("federation: table %d (%s) is in force here%s", action.table.number, action.table.digest,
-                 f", after {action.before.number}" if action.before else "")
+        log.info(
+            "federation: table %d (%s) is in force here%s",
+            action.table.number,
+            action.table.digest,
+            f", after {action.before.number}" if action.before else "",
+        )
         self.host.later(0, self.publications.sweep)
         if self.shared is not None:
             before = [t for t in self.switch.book.ledger.history if t.number < action.table.number]
@@ -444,6 +556,7 @@
     def over(number: int) -> None:
         ended(number)
         room.publications.over(number)
+
     host.ends.ended = over
     host.ends.tellers.append(room.custody.ended)
     host.admission.doors.append(room.publications.door)
--- a/madderbeam/host/federation/runner.py
+++ b/madderbeam/host/federation/runner.py
@@ -27,8 +27,15 @@
     the list is dropped, and the machine is told which records are not written.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], int], machine: Machine,
-                 kept: Kept, act: Callable[[Any], None], name: str = "federation") -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Callable[[], int],
+        machine: Machine,
+        kept: Kept,
+        act: Callable[[Any], None],
+        name: str = "federation",
+    ) -> None:
         """`clock`: the monotonic one, in microseconds. `name`: whose machine it is, for the log."""
         self.loop, self.clock, self.machine, self.kept, self.act = loop, clock, machine, kept, act
         self.name = name
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -29,9 +29,15 @@
     serves from now on; `may_call` is asked just before each call. `leased`: a hold ends calls that are out,
     since the right to make them ends by itself; else they last until they are released."""
 
-    def __init__(self, host: Host, me: MemberId, may_call: Callable[[int], bool],
-                 told: Callable[[Released], None], passed_on: Callable[[Held], None],
-                 leased: bool) -> None:
+    def __init__(
+        self,
+        host: Host,
+        me: MemberId,
+        may_call: Callable[[int], bool],
+        told: Callable[[Released], None],
+        passed_on: Callable[[Held], None],
+        leased: bool,
+    ) -> None:
         self.host, self.me, self.may_call, self.told, self.passed_on = host, me, may_call, told, passed_on
         self.leased = leased
         self.hold = Hold(True, "has not started")
@@ -86,8 +92,12 @@
         entries = [closed.get(e.endpoint, e) for e in self._entries(dest)]
         self._show([replace(e, cold=cold or e.cold) for e in entries])
         if action.releases:
-            log.info("federation: destination %d is served here from now on: %d waits, %s", dest,
-                     sum(len(r.waits) for r in action.releases), "cold" if cold else "warm")
+            log.info(
+                "federation: destination %d is served here from now on: %d waits, %s",
+                dest,
+                sum(len(r.waits) for r in action.releases),
+                "cold" if cold else "warm",
+            )
 
     def relinquish(self, action: Relinquish) -> None:
         """Begin no call there, and say when none is out."""
@@ -109,8 +119,7 @@
         if hold.on:
             shut = self.begun if hold.dests is None else self.begun & hold.dests
             self._hide(sorted(shut))
-            for call in [c for c in self.host.calls.out
-                         if self.leased and self._dest(c.endpoint) in shut]:
+            for call in [c for c in self.host.calls.out if self.leased and self._dest(c.endpoint) in shut]:
                 call.drop()  # it must not outlast the right to make it
         self._show([e for dest in sorted(self.begun) for e in self._entries(dest)])
 
@@ -134,8 +143,12 @@
     def _look(self) -> None:
         self.looking = False
         out = {self._dest(call.endpoint) for call in self.host.calls.out}
-        out |= {m.dest for c in self.host.calls.out for item in c.items
-                if (m := self.host.journal.held.get(item.number))}
+        out |= {
+            m.dest
+            for c in self.host.calls.out
+            for item in c.items
+            if (m := self.host.journal.held.get(item.number))
+        }
         for dest, (table, quiet) in list(self.leaving.items()):
             if dest in out:
                 self.leaving[dest] = (table, 0)
@@ -151,8 +164,11 @@
     def _release(self, dest: int, table: int) -> Release:
         listing, now = self.host.listing, self.host.clock()
         waits = tuple(Wait(uid, until - now) for d, uid, until in listing.waits_by_name() if d == dest)
-        drains = tuple(Wait(listing.names[e.endpoint], DRAIN_US) for e in self._entries(dest)
-                       if e.state is i.EndpointState.DRAINING)
+        drains = tuple(
+            Wait(listing.names[e.endpoint], DRAIN_US)
+            for e in self._entries(dest)
+            if e.state is i.EndpointState.DRAINING
+        )
         return Release(dest, self.me, table, waits, drains, self._cold(dest))
 
     def _cold(self, dest: int) -> bool:
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/shared.py
@@ -24,7 +24,19 @@
 from madderbeam.shared.needs import Meter
 from madderbeam.shared.returning import Partners
 from madderbeam.shared.values import (
-    Allot, Answered, Failed, Heed, Kind, Lapsed, Learnt, Limit, Need, News, Site, TryFor)
+    Allot,
+    Answered,
+    Failed,
+    Heed,
+    Kind,
+    Lapsed,
+    Learnt,
+    Limit,
+    Need,
+    News,
+    Site,
+    TryFor,
+)
 from madderbeam.transport.calls import Item, Outcome
 
 LOOK_S = 0.25  # what the decision module has found is looked at so often
@@ -44,8 +56,17 @@
 class Shared:
     """`news` and `leases` take events for the two machines."""
 
-    def __init__(self, host: Host, me: MemberId, life: Life, serving: Serving, partners: Partners,
-                 leases: Leases, news: Callable[[Any], None], lease: Callable[[Any], None]) -> None:
+    def __init__(
+        self,
+        host: Host,
+        me: MemberId,
+        life: Life,
+        serving: Serving,
+        partners: Partners,
+        leases: Leases,
+        news: Callable[[Any], None],
+        lease: Callable[[Any], None],
+    ) -> None:
         self.host, self.me, self.serving = host, me, serving
         self.partners, self.leases, self.news, self.lease = partners, leases, news, lease
         self.out: set[int] = set()  # destinations that are out, as this courier finds
@@ -83,6 +104,7 @@
                 self._fails(endpoint, latency_us)
             elif outcome.result is i.Result.FULL and (entry := self._entry(endpoint)) is not None:
                 self.refused.add(entry.destination)
+
         host.calls.hooks.told_wait, host.calls.hooks.ended = told_wait, over
 
     def open(self) -> None:
@@ -170,8 +192,11 @@
     def listed(self) -> None:
         """The list has changed: drains that are new here."""
         listing = self.host.listing
-        now = {listing.names[e.endpoint]: e.destination for e in listing.entries.values()
-               if e.state is i.EndpointState.DRAINING}
+        now = {
+            listing.names[e.endpoint]: e.destination
+            for e in listing.entries.values()
+            if e.state is i.EndpointState.DRAINING
+        }
         for uid in now.keys() - self.drains:
             self.news(Learnt(News(Kind.DRAIN, now[uid], uid, self.host.s.drain_grace_us)))
         self.drains = set(now)
@@ -252,8 +277,12 @@
             self._show(news.dest)
         elif news.kind in (Kind.OUTAGE, Kind.DOUBT):
             if news.kind is Kind.OUTAGE:
-                log.info("federation: destination %d is out, says %s: %s tries for all", news.dest,
-                         action.source, self.partners.trier(self.host.clock(), news.dest))
+                log.info(
+                    "federation: destination %d is out, says %s: %s tries for all",
+                    news.dest,
+                    action.source,
+                    self.partners.trier(self.host.clock(), news.dest),
+                )
             if news.dest not in self.held:
                 self.held.add(news.dest)
                 self._show(news.dest)
@@ -283,8 +312,11 @@
     def try_for(self, action: TryFor) -> None:
         """This courier tries for all, or does no longer."""
         self._show(action.dest)
-        log.info("federation: destination %d: this courier %s for all", action.dest,
-                 "tries" if action.on else "tries no longer")
+        log.info(
+            "federation: destination %d: this courier %s for all",
+            action.dest,
+            "tries" if action.on else "tries no longer",
+        )
 
     # Leases
 
@@ -334,5 +366,9 @@
 
     def status(self, now_us: int) -> dict[str, Any]:
         """For GET /federation."""
-        return {**self.partners.status(now_us), "held_back": sorted(self.held),
-                "leases": self.leases.status(now_us), **self.more.status()}
+        return {
+            **self.partners.status(now_us),
+            "held_back": sorted(self.held),
+            "leases": self.leases.status(now_us),
+            **self.more.status(),
+        }
--- a/madderbeam/host/figures.py
+++ b/madderbeam/host/figures.py
@@ -30,13 +30,28 @@
         """A SIGHUP was followed, or its file could not be used."""
         self.reloads[applied] += 1
 
-    def lines(self, outstanding: int, discovered: int, ejected: int, damage: int,
-              more: Mapping[str, int] | None = None) -> str:
+    def lines(
+        self,
+        outstanding: int,
+        discovered: int,
+        ejected: int,
+        damage: int,
+        more: Mapping[str, int] | None = None,
+    ) -> str:
         """All figures, one name=value a line; `more`: of features that are on."""
-        rows = [(f"{what}.{name}", count) for what, counts in self.ends.items()
-                for name, count in zip(self.classes, counts, strict=True)]
-        rows += [("forwards", self.forwards), ("outstanding", outstanding), ("discovered", discovered),
-                 ("ejected", ejected), ("sighup_applied", self.reloads[True]),
-                 ("sighup_rejected", self.reloads[False]), ("journal_damage", damage)]
+        rows = [
+            (f"{what}.{name}", count)
+            for what, counts in self.ends.items()
+            for name, count in zip(self.classes, counts, strict=True)
+        ]
+        rows += [
+            ("forwards", self.forwards),
+            ("outstanding", outstanding),
+            ("discovered", discovered),
+            ("ejected", ejected),
+            ("sighup_applied", self.reloads[True]),
+            ("sighup_rejected", self.reloads[False]),
+            ("journal_damage", damage),
+        ]
         rows += (more or {}).items()
         return "".join(f"{PREFIX}.{name}={count}\n" for name, count in rows)
--- a/madderbeam/host/handover.py
+++ b/madderbeam/host/handover.py
@@ -20,9 +20,22 @@
 
 SERIES = 1  # of what is passed on beside the decision module; another one is not understood
 CLASSES: tuple[type, ...] = (
-    messages.Courier, health.Health, state.Message, state.Circuit, state.Endpoint, state.Lane,
-    state.Destination, state.Call, interface.Settings, interface.MessageClass, interface.Tenant,
-    interface.Kind, interface.ListEntry, interface.EndpointState, interface.Effect)
+    messages.Courier,
+    health.Health,
+    state.Message,
+    state.Circuit,
+    state.Endpoint,
+    state.Lane,
+    state.Destination,
+    state.Call,
+    interface.Settings,
+    interface.MessageClass,
+    interface.Tenant,
+    interface.Kind,
+    interface.ListEntry,
+    interface.EndpointState,
+    interface.Effect,
+)
 LISTING = ("uids", "names", "listed_ever", "ever", "entries", "told", "dests", "waits")  # its fields
 log = logging.getLogger(__name__)
 
@@ -53,19 +66,28 @@
 def snapshot(host: Host, wanted: str) -> tuple[dict[str, Any], list[Socket]]:
     """All of a host that rests, for a process whose form is `wanted`; nothing of the host changes."""
     message: dict[str, Any] = {
-        "series": SERIES, "drained": host.drain.on, "numbers": host.admission.numbers,
-        "waits": host.listing.waits_by_name(), "bans": list(host.bans.ids), "nodes": None, "calls": [],
-        "clients": []}
+        "series": SERIES,
+        "drained": host.drain.on,
+        "numbers": host.admission.numbers,
+        "waits": host.listing.waits_by_name(),
+        "bans": list(host.bans.ids),
+        "nodes": None,
+        "calls": [],
+        "clients": [],
+    }
     socks: list[Socket] = []
     if host.clients.sock is not None:
         socks.append(host.clients.sock)
     message["listens"] = len(socks)
     if wanted == form():
         host.courier.actions = host.courier.health.actions = []
-        whole = {"courier": host.courier, "numbers": host.attempts.numbers,
-                 "rev": host.watch.rev if isinstance(host.watch, Watch) else 0,
-                 "pools": {n: pool.address for n, pool in host.calls.pools.items()},
-                 **{name: getattr(host.listing, name) for name in LISTING}}
+        whole = {
+            "courier": host.courier,
+            "numbers": host.attempts.numbers,
+            "rev": host.watch.rev if isinstance(host.watch, Watch) else 0,
+            "pools": {n: pool.address for n, pool in host.calls.pools.items()},
+            **{name: getattr(host.listing, name) for name in LISTING},
+        }
         router, host.courier.routing = host.courier.routing, None  # the next process makes its own
         try:
             message["nodes"] = graph.encode(whole, CLASSES)
@@ -88,16 +110,18 @@
     """What came from the process before: read, and nothing begun with it yet. graph.Unknown if it can't be
     read, which the process before must be told, so that it goes on."""
 
-    def __init__(self, message: dict[str, Any], socks: Sequence[Socket], settings: interface.Settings,
-                 seed: int) -> None:
+    def __init__(
+        self, message: dict[str, Any], socks: Sequence[Socket], settings: interface.Settings, seed: int
+    ) -> None:
         """`seed`: of the random numbers that the decision module goes on with."""
         self.message, self.socks = message, socks
         if message.get("series") != SERIES:
             raise graph.Unknown(f"series {message.get('series')!r} of what is passed on")
         self.whole: dict[str, Any] | None = None
         if message["nodes"] is not None:
-            self.whole = graph.decode(message["nodes"], CLASSES,
-                                      random.Random(f"passed {seed} {message['numbers']}"))
+            self.whole = graph.decode(
+                message["nodes"], CLASSES, random.Random(f"passed {seed} {message['numbers']}")
+            )
             message["nodes"] = None
             if self.whole["courier"].s != settings:
                 log.warning("the settings have changed: messages come from the journal, as after a restart")
@@ -106,8 +130,8 @@
         if len(socks) != message["listens"] + calls + len(message["clients"]):
             raise graph.Unknown("sockets lack")
         self.listen = socks[0] if message["listens"] else None
-        self.calls = socks[message["listens"]:][:calls]
-        self.clients = socks[message["listens"] + calls:]
+        self.calls = socks[message["listens"] :][:calls]
+        self.clients = socks[message["listens"] + calls :]
 
     def close(self) -> None:
         """Nothing of it is gone on with."""
@@ -152,8 +176,11 @@
         if entry := host.listing.entries.get(number):
             host.calls.place(number, address, dest=entry.destination)
     host.routing.configure(host.config.known.get("routing"))
-    host.routing.placed((entry, whole["pools"][number]) for number, entry in host.listing.entries.items()
-                        if number in whole["pools"])
+    host.routing.placed(
+        (entry, whole["pools"][number])
+        for number, entry in host.listing.entries.items()
+        if number in whole["pools"]
+    )
     host.routing.refresh()
 
 
--- a/madderbeam/host/kafka.py
+++ b/madderbeam/host/kafka.py
@@ -130,5 +130,15 @@
     """Kafka clients hand in what admission takes, and read the feed."""
     assert host.config.kafka is not None
     feed = host.notices if isinstance(host.notices, Feed) else None
-    host.rooms.append(KafkaRoom(host.loop, ports.network, ports.disk, ports.clock, host.config,
-                                host.config.kafka, host.admission.put, feed))
+    host.rooms.append(
+        KafkaRoom(
+            host.loop,
+            ports.network,
+            ports.disk,
+            ports.clock,
+            host.config,
+            host.config.kafka,
+            host.admission.put,
+            feed,
+        )
+    )
--- a/madderbeam/host/listing.py
+++ b/madderbeam/host/listing.py
@@ -13,8 +13,11 @@
 from madderbeam.policy import interface as i
 from madderbeam.ports import Address
 
-STATES = {"in_service": i.EndpointState.READY, "terminating": i.EndpointState.DRAINING,
-          "terminated": i.EndpointState.GONE}
+STATES = {
+    "in_service": i.EndpointState.READY,
+    "terminating": i.EndpointState.DRAINING,
+    "terminated": i.EndpointState.GONE,
+}
 READY = i.EndpointState.READY
 UNREADABLE = (LookupError, TypeError, ValueError, OverflowError, AttributeError, ConfigError)  # of an entry
 EVER = 4096  # ids that are known to have been listed, the newest
@@ -28,8 +31,14 @@
     `address`: reads where an endpoint is; ConfigError if it can't be used.
     """
 
-    def __init__(self, settings: i.Settings, zones: tuple[str, ...], clock: Callable[[], int],
-                 bans: Container[str] = (), address: Callable[[Any, str], Address] = dialed_address) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        zones: tuple[str, ...],
+        clock: Callable[[], int],
+        bans: Container[str] = (),
+        address: Callable[[Any, str], Address] = dialed_address,
+    ) -> None:
         self.s, self.clock, self.bans, self.address = settings, clock, bans, address
         self.kinds = {k.name: n for n, k in enumerate(settings.kinds)}
         self.zones = {z: n for n, z in enumerate(zones)}
@@ -225,8 +234,9 @@
     def told_again(self, dest: int, uid: str, until: int) -> tuple[i.ListEntry, ...]:
         """The entries that are under a wait which another process was told; '' stands for a destination's.
         One that was told here and ends later holds on."""
-        found = [e for e in self.entries.values()
-                 if e.destination == dest and uid in ("", self.names[e.endpoint])]
+        found = [
+            e for e in self.entries.values() if e.destination == dest and uid in ("", self.names[e.endpoint])
+        ]
         return self._closed(found, until)
 
     def _closed(self, entries: list[i.ListEntry], until: int) -> tuple[i.ListEntry, ...]:
@@ -246,8 +256,11 @@
     def waits_by_name(self) -> list[tuple[int, str, int]]:
         """Those that still run: the destination, the endpoint's id or '' for all of them, when it ends."""
         now = self.clock()
-        return [(dest, self.names.get(endpoint, ""), until) for (dest, endpoint), until in self.waits.items()
-                if dest >= 0 and until > now]
+        return [
+            (dest, self.names.get(endpoint, ""), until)
+            for (dest, endpoint), until in self.waits.items()
+            if dest >= 0 and until > now
+        ]
 
     def told_wait(self, endpoint: int, wait_us: int) -> tuple[i.ListEntry, ...]:
         """An answer told to wait for so long: the entries that are under it. One that has left the list still
--- a/madderbeam/host/process.py
+++ b/madderbeam/host/process.py
@@ -45,8 +45,14 @@
         return self.count <= self.a_second
 
 
-def start(loop: asyncio.AbstractEventLoop, ports: Ports, env: Mapping[str, str], config: Config,
-          control: ControlServer | None = None, passed: Passed | None = None) -> Host:
+def start(
+    loop: asyncio.AbstractEventLoop,
+    ports: Ports,
+    env: Mapping[str, str],
+    config: Config,
+    control: ControlServer | None = None,
+    passed: Passed | None = None,
+) -> Host:
     """Start one courier on this loop; it is to be closed once its `closed` is done.
 
     `passed`: what another process has handed over, which this one goes on from.
@@ -60,12 +66,18 @@
     return host
 
 
-def begin(loop: asyncio.AbstractEventLoop, ports: Ports, env: Mapping[str, str], host: Host,
-          passed: Passed | None = None) -> None:
+def begin(
+    loop: asyncio.AbstractEventLoop,
+    ports: Ports,
+    env: Mapping[str, str],
+    host: Host,
+    passed: Passed | None = None,
+) -> None:
     """Let a courier that is assembled begin its work; OSError as of `start`."""
     config = host.config
-    reloader = Reloader(loop, env, ports.disk, host.move, random.Random(f"reload {config.seed}"),
-                        host.figures.reloaded)
+    reloader = Reloader(
+        loop, env, ports.disk, host.move, random.Random(f"reload {config.seed}"), host.figures.reloaded
+    )
     # Unhandled, SIGHUP would end the process. A sidecar looks at its partner list at once.
     loop.add_signal_handler(signal.SIGHUP, host.look if config.sidecar else reloader.hup)
     loop.add_signal_handler(signal.SIGTERM, host.terminate)
@@ -126,8 +138,9 @@
     """Plain lines, a bounded number of them a second."""
     handler = logging.StreamHandler()
     handler.addFilter(Bounded(RealClock(), 50))
-    logging.basicConfig(level=logging.INFO, handlers=[handler],
-                        format="%(asctime)s %(levelname)s %(message)s")
+    logging.basicConfig(
+        level=logging.INFO, handlers=[handler], format="%(asctime)s %(levelname)s %(message)s"
+    )
 
 
 def main() -> int:
--- a/madderbeam/host/reload.py
+++ b/madderbeam/host/reload.py
@@ -18,9 +18,15 @@
     """Reads the file on each SIGHUP and again, with growing waits, while it can't be used: it may be half
     written. Until it can, the old configuration stays in force."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, env: Mapping[str, str], disk: Disk,
-                 moved: Callable[[Address], None], chance: random.Random,
-                 reloaded: Callable[[bool], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        env: Mapping[str, str],
+        disk: Disk,
+        moved: Callable[[Address], None],
+        chance: random.Random,
+        reloaded: Callable[[bool], None],
+    ) -> None:
         self.loop, self.env, self.disk, self.moved = loop, env, disk, moved
         self.reloaded = reloaded  # told of each SIGHUP, whether its file could be used
         self.counted = False
--- a/madderbeam/host/routing.py
+++ b/madderbeam/host/routing.py
@@ -54,8 +54,11 @@
         entries = self.listing.entries
         self.addresses = {n: a for n, a in self.addresses.items() if n in entries}
         if self.router is not None:
-            ready = [(n, e.destination, self.addresses[n], self.listing.zone(e.zone))
-                     for n, e in entries.items() if e.state is i.EndpointState.READY and n in self.addresses]
+            ready = [
+                (n, e.destination, self.addresses[n], self.listing.zone(e.zone))
+                for n, e in entries.items()
+                if e.state is i.EndpointState.READY and n in self.addresses
+            ]
             self.router.listed(ready, self.clock.monotonic_us())
 
     def destination(self, put: Put) -> int:
