--- a/madderbeam/host/service.py
+++ b/madderbeam/host/service.py
@@ -50,15 +50,26 @@
     """Answers calls. `relist` shows the decision module entries of the list that changed by hand, `figures`
     gives the text of all figures, `ready` whether this process serves."""
 
-    def __init__(self, listing: Listing, bans: Bans, drain: Drain, ready: Callable[[], bool],
-                 figures: Callable[[], str], relist: Callable[[Sequence[i.ListEntry]], None]) -> None:
+    def __init__(
+        self,
+        listing: Listing,
+        bans: Bans,
+        drain: Drain,
+        ready: Callable[[], bool],
+        figures: Callable[[], str],
+        relist: Callable[[Sequence[i.ListEntry]], None],
+    ) -> None:
         self.listing, self.bans, self.drain = listing, bans, drain
         self.ready, self.figures, self.relist = ready, figures, relist
         self.over = False  # another process has charge of everything
         self.calls: dict[str, tuple[str, Callable[[bytes], Answer]]] = {
-            "/ready": ("GET", self._ready), "/metrics": ("GET", lambda _: Answer(200, self.figures())),
-            "/drain": ("PUT", self._drain), "/undrain": ("PUT", self._undrain),
-            "/endpoints/disable": ("PUT", self._disable), "/endpoints/enable": ("PUT", self._enable)}
+            "/ready": ("GET", self._ready),
+            "/metrics": ("GET", lambda _: Answer(200, self.figures())),
+            "/drain": ("PUT", self._drain),
+            "/undrain": ("PUT", self._undrain),
+            "/endpoints/disable": ("PUT", self._disable),
+            "/endpoints/enable": ("PUT", self._enable),
+        }
 
     def act(self, method: str, path: str, body: bytes) -> Answer:
         """The answer to one call."""
--- a/madderbeam/host/standby/copy.py
+++ b/madderbeam/host/standby/copy.py
@@ -33,8 +33,9 @@
     def write(self, segment: int, at: int, data: bytes) -> None:
         """OSError, and nothing of it stands there, if the disk does not take it."""
         if at != self.sizes.get(segment, 0):
-            raise OSError(errno.EINVAL, f"byte {at} of segment {segment}, which has "
-                          f"{self.sizes.get(segment, 0)}")
+            raise OSError(
+                errno.EINVAL, f"byte {at} of segment {segment}, which has {self.sizes.get(segment, 0)}"
+            )
         if self.file is None or self.active != segment:
             self.close()
             self.active, self.file = segment, self.disk.open(f"{self.folder}/{name(segment)}")
@@ -82,6 +83,9 @@
 
 
 def _time(record: list[object]) -> float:
-    at = record[6] if record[0] == "segment" and len(record) > 6 else (
-        record[2] if record[0] in ("try", "over") and len(record) > 2 else 0.0)
+    at = (
+        record[6]
+        if record[0] == "segment" and len(record) > 6
+        else (record[2] if record[0] in ("try", "over") and len(record) > 2 else 0.0)
+    )
     return float(at) if isinstance(at, (int, float)) else 0.0
--- a/madderbeam/host/standby/journal.py
+++ b/madderbeam/host/standby/journal.py
@@ -129,8 +129,9 @@
     def step(self) -> bool:
         return not self.fenced and super().step()
 
-    def take(self, m: Held, done: Callable[[], None] = _nothing,
-             failed: Callable[[OSError], None] | None = None) -> None:
+    def take(
+        self, m: Held, done: Callable[[], None] = _nothing, failed: Callable[[OSError], None] | None = None
+    ) -> None:
         room = self.room
         if room is None:
             super().take(m, done, failed)
@@ -153,6 +154,7 @@
             (failed or _raise)(error)
             for _, lost in self.told_later.pop(m.id, ()):
                 lost()
+
         self.taking.add(m.number)
         try:
             super().take(m, lambda: room.ask(Sort.TAKE, sure, unsure, m.until), refused)
@@ -166,8 +168,13 @@
         else:
             told()
 
-    def attempt(self, numbers: list[int], at: float, done: Callable[[], None] = _nothing,
-                failed: Callable[[OSError], None] | None = None) -> None:
+    def attempt(
+        self,
+        numbers: list[int],
+        at: float,
+        done: Callable[[], None] = _nothing,
+        failed: Callable[[OSError], None] | None = None,
+    ) -> None:
         room = self.room
         if room is None:
             super().attempt(numbers, at, done, failed)
@@ -178,8 +185,14 @@
         held = [self.held.get(n) for n in numbers]
         light = all(m is None or m.cls in self.safe and m.number not in self.taking for m in held)
 
-        closes = min((m.may_have_run_at + self.windows[m.cls] for m in held
-                      if m is not None and m.cls in self.windows and m.may_have_run_at), default=0.0)
+        closes = min(
+            (
+                m.may_have_run_at + self.windows[m.cls]
+                for m in held
+                if m is not None and m.cls in self.windows and m.may_have_run_at
+            ),
+            default=0.0,
+        )
 
         def deny(why: str = "the standby does not confirm it") -> None:
             for n in numbers:
@@ -191,11 +204,18 @@
                 deny("the window of a key has passed while the standby was waited for")
             else:
                 done()
+
         sort = Sort.LIGHT if light else Sort.ATTEMPT
         super().attempt(numbers, at, lambda: room.ask(sort, go, deny, 0.0), failed)
 
-    def final(self, number: int, status: str, again_ms: int, done: Callable[[], None] = _nothing,
-              failed: Callable[[OSError], None] | None = None) -> None:
+    def final(
+        self,
+        number: int,
+        status: str,
+        again_ms: int,
+        done: Callable[[], None] = _nothing,
+        failed: Callable[[OSError], None] | None = None,
+    ) -> None:
         room, m = self.room, self.held.get(number)
         if room is None or m is None:
             super().final(number, status, again_ms, done, failed)
@@ -204,4 +224,5 @@
 
         def deny() -> None:
             (failed or _raise)(Unsure("the standby does not confirm an end"))
+
         super().final(number, status, again_ms, lambda: room.ask(Sort.FINAL, done, deny, until), failed)
--- a/madderbeam/host/standby/keeper.py
+++ b/madderbeam/host/standby/keeper.py
@@ -15,7 +15,18 @@
 from madderbeam.ports import Ports
 from madderbeam.replication.standby import Standby
 from madderbeam.replication.values import (
-    Close, Down, Got, Hello, Promote, Remove, Removed, Say, TakeOver, Write, Wrote)
+    Close,
+    Down,
+    Got,
+    Hello,
+    Promote,
+    Remove,
+    Removed,
+    Say,
+    TakeOver,
+    Write,
+    Wrote,
+)
 from madderbeam.transport.control import Answer
 from madderbeam.transport.replication import StandbyPort
 
@@ -35,9 +46,15 @@
         self.copy = Copy(ports.disk, config.state, sync)
         self.machine = Standby(settings(config), self.copy.sizes, self.copy.digests, self.kept.map)
         self.runner = Runner(loop, self.clock, self.machine, self.kept, self._act, "standby")
-        self.port = StandbyPort(loop, ports.network, max(1.0, mine.silent_ms / 1e3),
-                                lambda: read_keys(ports.disk, mine.key_file), self._hello, self._got,
-                                lambda link: self.runner.tell(Down(link)))
+        self.port = StandbyPort(
+            loop,
+            ports.network,
+            max(1.0, mine.silent_ms / 1e3),
+            lambda: read_keys(ports.disk, mine.key_file),
+            self._hello,
+            self._got,
+            lambda link: self.runner.tell(Down(link)),
+        )
         self.taken: asyncio.Future[TakeOver] = loop.create_future()
         self.heard_at = 0
         self.closed = False
@@ -107,23 +124,41 @@
         self.runner.tell(Promote())
         if self.machine.over is not None:
             return Answer(200, f"promoted, with fence {self.machine.fence}\n")
-        what = "the owner is asked to end in order" if self.machine.yielded else (
-            "the owner's lease is waited for")
+        what = (
+            "the owner is asked to end in order"
+            if self.machine.yielded
+            else ("the owner's lease is waited for")
+        )
         return Answer(200, f"promoting: {what}\n")
 
     def figures(self) -> dict[str, int]:
         m = self.machine
-        return {"standby_connected": int(bool(m.link)), "standby_whole": int(m.whole),
-                "standby_sure": int(m.sure), "standby_bytes": sum(m.sizes.values()), "standby_fence": m.fence}
+        return {
+            "standby_connected": int(bool(m.link)),
+            "standby_whole": int(m.whole),
+            "standby_sure": int(m.sure),
+            "standby_bytes": sum(m.sizes.values()),
+            "standby_fence": m.fence,
+        }
 
     def status(self) -> dict[str, Any]:
         m, now = self.machine, self.clock()
-        return {"role": "standby", "state": m.state, "fence": m.fence, "owner": m.name, "whole": m.whole,
-                "midway": m.midway, "sure": m.sure, "strict": m.strict, "segments": len(m.sizes),
-                "bytes": sum(m.sizes.values()), "records": m.position,
-                "heard_s": round((now - self.heard_at) / 1e6, 3) if self.heard_at else None,
-                "lease_s": round(max(0, m.lease_end() - now) / 1e6, 3),
-                "trouble": m.trouble.line() if m.trouble else ""}
+        return {
+            "role": "standby",
+            "state": m.state,
+            "fence": m.fence,
+            "owner": m.name,
+            "whole": m.whole,
+            "midway": m.midway,
+            "sure": m.sure,
+            "strict": m.strict,
+            "segments": len(m.sizes),
+            "bytes": sum(m.sizes.values()),
+            "records": m.position,
+            "heard_s": round((now - self.heard_at) / 1e6, 3) if self.heard_at else None,
+            "lease_s": round(max(0, m.lease_end() - now) / 1e6, 3),
+            "trouble": m.trouble.line() if m.trouble else "",
+        }
 
     def promoted(self) -> None:
         """The folder is a courier's now: only its port stays, to tell owners that come that they are
--- a/madderbeam/host/standby/owner.py
+++ b/madderbeam/host/standby/owner.py
@@ -20,8 +20,24 @@
 from madderbeam.quota.gate import Verdict
 from madderbeam.replication.owner import Owner
 from madderbeam.replication.values import (
-    Appended, Block, Check, Checked, Close, Deny, Down, Dropped, Ended, Go, Got, Read, Released, Say, Sort,
-    Stop, Wait)
+    Appended,
+    Block,
+    Check,
+    Checked,
+    Close,
+    Deny,
+    Down,
+    Dropped,
+    Ended,
+    Go,
+    Got,
+    Read,
+    Released,
+    Say,
+    Sort,
+    Stop,
+    Wait,
+)
 from madderbeam.transport.control import Answer
 from madderbeam.transport.replication import OwnerLink
 
@@ -44,9 +60,16 @@
         self.machine = Owner(settings(host.config), host.config.name, sizes, self.kept.map)
         self.runner = Watched(self.loop, self.clock, self.machine, self.kept, self._act, "standby")
         assert mine.to is not None
-        self.link = OwnerLink(self.loop, ports.network, mine.to, mine.silent_ms / 1e3,
-                              lambda: read_keys(ports.disk, mine.key_file), self.machine.hello,
-                              lambda channel, row: self.tell(Got(channel, row)), lambda: self.tell(Down()))
+        self.link = OwnerLink(
+            self.loop,
+            ports.network,
+            mine.to,
+            mine.silent_ms / 1e3,
+            lambda: read_keys(ports.disk, mine.key_file),
+            self.machine.hello,
+            lambda channel, row: self.tell(Got(channel, row)),
+            lambda: self.tell(Down()),
+        )
         self.tokens = itertools.count(1)
         self.waiting: dict[int, tuple[Callable[[], None], Callable[[], None]]] = {}
         self.settled: asyncio.Future[bool] = self.loop.create_future()  # False: it was taken over
@@ -54,8 +77,11 @@
         self.file: tuple[int, bytes] = 0, b""  # the segment that is being read
         self.moving = self.fenced = False
         safe = frozenset(n for n, c in enumerate(host.s.classes) if c.effect is Effect.SAFE)
-        windows = {n: (c.key_window_us - host.s.tick_us) / 1e6 for n, c in enumerate(host.s.classes)
-                   if c.effect is Effect.KEYED}
+        windows = {
+            n: (c.key_window_us - host.s.tick_us) / 1e6
+            for n, c in enumerate(host.s.classes)
+            if c.effect is Effect.KEYED
+        }
         self.runner.after = self._look
         host.journal.attach(self, safe, windows)
 
@@ -128,15 +154,18 @@
             return
         try:
             if isinstance(action, Check):
-                digest = zlib.crc32(self._content(action.segment, action.size)[:action.size])
+                digest = zlib.crc32(self._content(action.segment, action.size)[: action.size])
                 self.tell(Checked(action.segment, action.size, digest))
             else:
                 whole = self._content(action.segment, action.at + action.most)
-                self.tell(Block(action.segment, action.at, whole[action.at:action.at + action.most]))
+                self.tell(Block(action.segment, action.at, whole[action.at : action.at + action.most]))
         except OSError as error:
             log.error("standby: segment %d: %s", action.segment, error)
-            failed = Checked(action.segment, action.size, -1) if isinstance(action, Check) else (
-                Block(action.segment, action.at, None))
+            failed = (
+                Checked(action.segment, action.size, -1)
+                if isinstance(action, Check)
+                else (Block(action.segment, action.at, None))
+            )
             self.tell(failed)
 
     def _content(self, segment: int, least: int) -> bytes:
@@ -189,18 +218,32 @@
 
     def figures(self) -> dict[str, int]:
         m = self.machine
-        return {"standby_in_step": int(m.in_step), "standby_alone": int(m.alone),
-                "standby_lag_bytes": m.lag_bytes, "standby_lag_ms": m.lag_us(self.clock()) // 1000,
-                "standby_waiting": len(m.waiting.all)}
+        return {
+            "standby_in_step": int(m.in_step),
+            "standby_alone": int(m.alone),
+            "standby_lag_bytes": m.lag_bytes,
+            "standby_lag_ms": m.lag_us(self.clock()) // 1000,
+            "standby_waiting": len(m.waiting.all),
+        }
 
     def status(self) -> dict[str, Any]:
         m, now = self.machine, self.clock()
-        return {"role": "owner", "state": "in step" if m.in_step else m.state, "fence": m.fence,
-                "fenced": m.fenced, "mode": m.s.mode, "silent": m.s.silent, "strict": m.strict,
-                "alone": m.alone, "leased": m.leased(now) if m.strict else None,
-                "lag_records": m.position - m.confirmed, "lag_bytes": m.lag_bytes,
-                "lag_s": round(m.lag_us(now) / 1e6, 3), "waiting": len(m.waiting.all),
-                "trouble": m.trouble.line() if m.trouble else ""}
+        return {
+            "role": "owner",
+            "state": "in step" if m.in_step else m.state,
+            "fence": m.fence,
+            "fenced": m.fenced,
+            "mode": m.s.mode,
+            "silent": m.s.silent,
+            "strict": m.strict,
+            "alone": m.alone,
+            "leased": m.leased(now) if m.strict else None,
+            "lag_records": m.position - m.confirmed,
+            "lag_bytes": m.lag_bytes,
+            "lag_s": round(m.lag_us(now) / 1e6, 3),
+            "waiting": len(m.waiting.all),
+            "trouble": m.trouble.line() if m.trouble else "",
+        }
 
 
 def join(host: Host, ports: Ports) -> None:
--- a/madderbeam/host/standby/process.py
+++ b/madderbeam/host/standby/process.py
@@ -40,6 +40,7 @@
     def end() -> None:
         if not ends.done():
             ends.set_result(None)
+
     for sig in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(sig, end)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)  # there is nothing to read anew yet
@@ -71,8 +72,9 @@
         raise Gone
 
 
-async def _standby(loop: asyncio.AbstractEventLoop, ports: Ports, config: Config,
-                   ends: asyncio.Future[None]) -> int:
+async def _standby(
+    loop: asyncio.AbstractEventLoop, ports: Ports, config: Config, ends: asyncio.Future[None]
+) -> int:
     """Keep the copy; once promoted, be a courier on it."""
     keeper = Keeper(loop, ports, config)
     control = ControlServer(loop, ports.network, keeper.act)
@@ -80,8 +82,9 @@
         if config.control:
             control.listen(config.control)
         port = keeper.begin()
-        log.info("%s is a standby on port %d with %d bytes", config.name, port,
-                 sum(keeper.copy.sizes.values()))
+        log.info(
+            "%s is a standby on port %d with %d bytes", config.name, port, sum(keeper.copy.sizes.values())
+        )
         await _unless(ends, keeper.taken)
         taken = keeper.taken.result()
         keeper.copy.close()
@@ -96,8 +99,13 @@
         control.close()
 
 
-async def _courier(loop: asyncio.AbstractEventLoop, ports: Ports, config: Config,
-                   control: ControlServer | None, ends: asyncio.Future[None]) -> int:
+async def _courier(
+    loop: asyncio.AbstractEventLoop,
+    ports: Ports,
+    config: Config,
+    control: ControlServer | None,
+    ends: asyncio.Future[None],
+) -> int:
     """A courier, which begins work once its own standby is in step, where it has one."""
     kept = Kept(ports.disk, kept_folder(config))
     fence = kept.map.get(("fenced", ""), 0)
--- a/madderbeam/host/standby/shared.py
+++ b/madderbeam/host/standby/shared.py
@@ -41,14 +41,25 @@
 def settings(config: Config) -> Settings:
     """As the pure machines take them."""
     t = told(config)
-    return Settings(t.mode, t.silent, t.silent_ms * 1000, int(t.lag_mb * 1e6), t.takeover, t.drift_ppm,
-                    config.disk_bytes, form(config.settings, config.known))
+    return Settings(
+        t.mode,
+        t.silent,
+        t.silent_ms * 1000,
+        int(t.lag_mb * 1e6),
+        t.takeover,
+        t.drift_ppm,
+        config.disk_bytes,
+        form(config.settings, config.known),
+    )
 
 
 def form(s: Policy, known: dict[str, Any]) -> str:
     """What both couriers must have in common: records name classes, tenants and partners by number."""
-    rows = [[[c.name, c.effect.name, c.key_window_us, c.deadline_us] for c in s.classes],
-            [t.name for t in s.tenants], sorted({t.get("pod_group", 0) for t in known.get("targets", ())})]
+    rows = [
+        [[c.name, c.effect.name, c.key_window_us, c.deadline_us] for c in s.classes],
+        [t.name for t in s.tenants],
+        sorted({t.get("pod_group", 0) for t in known.get("targets", ())}),
+    ]
     return hashlib.sha256(json.dumps(rows).encode()).hexdigest()
 
 
--- a/madderbeam/host/surroundings.py
+++ b/madderbeam/host/surroundings.py
@@ -31,17 +31,30 @@
     places: Places
 
 
-def surroundings(loop: asyncio.AbstractEventLoop, disk: Disk, network: Network, config: Config,
-                 accepted: Callable[[list[int]], None],
-                 listed: Callable[[dict[str, Any]], bool]) -> Surroundings:
+def surroundings(
+    loop: asyncio.AbstractEventLoop,
+    disk: Disk,
+    network: Network,
+    config: Config,
+    accepted: Callable[[list[int]], None],
+    listed: Callable[[dict[str, Any]], bool],
+) -> Surroundings:
     """`accepted` is told of notices that were, `listed` of news of the list."""
     chance, side = random.Random(f"links {config.seed}"), config.sidecar
     most = max(8, int(config.sockets * CLIENT_SHARE))
     if side is None:
-        return Surroundings(Notices(loop, network, config.discovery, chance, accepted),
-                            Watch(loop, network, config.discovery, chance, config.known["rev"], listed),
-                            Places(most))
-    notices = (Feed(loop, disk, side.feed, side.feed_bytes, chance, accepted) if side.feed
-               else Notices(loop, network, config.discovery, chance, accepted))
-    return Surroundings(notices, ListFile(loop, disk, side.partners, listed),
-                        Places(min(side.clients, most), 1.0, side.client_idle_s, SIDECAR_PIPELINE))
+        return Surroundings(
+            Notices(loop, network, config.discovery, chance, accepted),
+            Watch(loop, network, config.discovery, chance, config.known["rev"], listed),
+            Places(most),
+        )
+    notices = (
+        Feed(loop, disk, side.feed, side.feed_bytes, chance, accepted)
+        if side.feed
+        else Notices(loop, network, config.discovery, chance, accepted)
+    )
+    return Surroundings(
+        notices,
+        ListFile(loop, disk, side.partners, listed),
+        Places(min(side.clients, most), 1.0, side.client_idle_s, SIDECAR_PIPELINE),
+    )
--- a/madderbeam/host/trace.py
+++ b/madderbeam/host/trace.py
@@ -37,8 +37,9 @@
             where = f"{self._dest(e.endpoint)} {e.message} {e.endpoint}"
             return f"{e.result.value} {where} {e.latency_us} {e.retry_after_us // 1000} {e.fresh}"
         if isinstance(e, i.EndpointsListed):
-            shown = [f"{x.endpoint}:{x.destination}:{x.state.value}:{x.rate_per_s:g}:{x.kind}"
-                     for x in e.entries]
+            shown = [
+                f"{x.endpoint}:{x.destination}:{x.state.value}:{x.rate_per_s:g}:{x.kind}" for x in e.entries
+            ]
             return f"listed {e.form.value} {' '.join(shown)}"
         return ""
 
--- a/madderbeam/host/turn.py
+++ b/madderbeam/host/turn.py
@@ -80,9 +80,11 @@
 
     def later(self, seconds: float, action: Callable[[], None]) -> None:
         """What has no time is done with the next look at sockets, before any timer."""
+
         def act() -> None:
             if not self.handed:
                 action()
+
         if seconds:
             self.loop.call_later(seconds, act)
         else:
@@ -220,8 +222,9 @@
         for room in self.rooms:
             more |= room.figures()
         ejected = sum(number in self.listing.entries for number in avoided)
-        return self.figures.lines(self.journal.open, len(self.listing.entries), ejected, self.journal.damage,
-                                  more)
+        return self.figures.lines(
+            self.journal.open, len(self.listing.entries), ejected, self.journal.damage, more
+        )
 
     # The list
 
@@ -246,8 +249,9 @@
         placed = [(entry, address) for entry, address in read if address is not None]
         self.routing.placed(placed)
         for entry, address in placed:
-            self.calls.place(entry.endpoint, address, self.listing.topics.get(entry.endpoint, ""),
-                             entry.destination)
+            self.calls.place(
+                entry.endpoint, address, self.listing.topics.get(entry.endpoint, ""), entry.destination
+            )
         if form is not i.ListForm.DELTA:
             entries += self.listing.kept(change, entries)
             for number in self.listing.unnamed(entries):
--- a/madderbeam/host/upgrade.py
+++ b/madderbeam/host/upgrade.py
@@ -129,8 +129,9 @@
 class Takeover:
     """The side that asks: has the lock of its folder, and what another process passed on, if one did."""
 
-    def __init__(self, lock: Lock, conn: socket.socket | None = None,
-                 passed: handover.Passed | None = None) -> None:
+    def __init__(
+        self, lock: Lock, conn: socket.socket | None = None, passed: handover.Passed | None = None
+    ) -> None:
         self.lock, self.conn, self.passed = lock, conn, passed
 
     def done(self) -> None:
--- a/madderbeam/journal/commands.py
+++ b/madderbeam/journal/commands.py
@@ -17,9 +17,10 @@
     top = commands.add_parser("journal", help="look at a courier's folder, also while it runs")
     parts = top.add_subparsers(dest="part", required=True)
     for name, text, action in (
-            ("inspect", "messages, owed notices, keys, bytes live and dead, by segment", _inspect),
-            ("verify", "what is damaged, a line each; exit 1 if anything is, 2 if it can't be read", _verify),
-            ("dump", "each record as a line of JSON", _dump)):
+        ("inspect", "messages, owed notices, keys, bytes live and dead, by segment", _inspect),
+        ("verify", "what is damaged, a line each; exit 1 if anything is, 2 if it can't be read", _verify),
+        ("dump", "each record as a line of JSON", _dump),
+    ):
         part = parts.add_parser(name, help=text)
         part.add_argument("folder", metavar="FOLDER")
         if name == "inspect":
@@ -35,11 +36,14 @@
         try:
             return action(args)
         except OSError as error:
-            print(f"madderbeam journal: {error.strerror and f'{args.folder}: {error.strerror}' or error}",
-                  file=sys.stderr)
+            print(
+                f"madderbeam journal: {error.strerror and f'{args.folder}: {error.strerror}' or error}",
+                file=sys.stderr,
+            )
             return 2
         finally:
             logger.setLevel(before)
+
     return run
 
 
@@ -49,8 +53,9 @@
         print(json.dumps(found.json(), indent=1))
         return 0
     print(f"format {found.format}, {found.bytes} bytes in {len(found.segments)} segments, {found.live} live")
-    print(f"open messages {found.open}, of which {found.may_have_run} may have run; "
-          f"notices owed {found.owed}")
+    print(
+        f"open messages {found.open}, of which {found.may_have_run} may have run; notices owed {found.owed}"
+    )
     print(f"remembered: {found.ids} ids, {found.keys} keys")
     for s in found.segments:
         torn = f", {s.torn} bytes torn" if s.torn else ""
--- a/madderbeam/journal/damage.py
+++ b/madderbeam/journal/damage.py
@@ -116,8 +116,11 @@
     def fixed(self) -> int:
         """Bytes of its header and of the word on the next segment: a rewritten one has them as well."""
         starts = [at for at, _ in self.records] + [self.end]
-        return sum(starts[i + 1] - at for i, (at, record) in enumerate(self.records)
-                   if record[0] in ("segment", "end"))
+        return sum(
+            starts[i + 1] - at
+            for i, (at, record) in enumerate(self.records)
+            if record[0] in ("segment", "end")
+        )
 
     @property
     def doubt(self) -> Doubt | None:
@@ -207,7 +210,7 @@
 
 def _bad(part: Part, bad: Bad) -> Finding:
     """What stands where a record should."""
-    head = bad.start[:FRAME.size]
+    head = bad.start[: FRAME.size]
     size = FRAME.unpack(head)[0] if len(head) == FRAME.size else -1
     if bad.whole:
         return Finding(Kind.LENGTH, part.name, bad.at, bad.end)
--- a/madderbeam/journal/inspect.py
+++ b/madderbeam/journal/inspect.py
@@ -98,16 +98,40 @@
     journal = Looked(disk, clock, folder, found)
     segments = tuple(
         Segment(p.name, p.size, len(p.records), s.live, len(s.messages), p.size - p.end)
-        for p in found.parts if (s := journal.files.all.get(p.told)) is not None)
+        for p in found.parts
+        if (s := journal.files.all.get(p.told)) is not None
+    )
     messages = tuple(
-        {"number": m.number, "id": m.id, "state": m.state, "class": m.cls, "tenant": m.tenant, "dest": m.dest,
-         "key": m.key, "tries": m.tries, "until": m.until, "bytes": len(m.body), "status": m.status}
-        for m in journal.held.values())
+        {
+            "number": m.number,
+            "id": m.id,
+            "state": m.state,
+            "class": m.cls,
+            "tenant": m.tenant,
+            "dest": m.dest,
+            "key": m.key,
+            "tries": m.tries,
+            "until": m.until,
+            "bytes": len(m.body),
+            "status": m.status,
+        }
+        for m in journal.held.values()
+    )
     ran = sum(m.state == "trying" for m in journal.held.values())
     size = sum(blocks(p.size) for p in found.parts)
-    return Summary(2 if found.parts else 1, journal.open, ran, len(journal.held) - journal.open,
-                   len(journal.over), len(journal.keys), size, sum(s.live for s in segments),
-                   len(found.damage), segments, messages)
+    return Summary(
+        2 if found.parts else 1,
+        journal.open,
+        ran,
+        len(journal.held) - journal.open,
+        len(journal.over),
+        len(journal.keys),
+        size,
+        sum(s.live for s in segments),
+        len(found.damage),
+        segments,
+        messages,
+    )
 
 
 def verify(disk: Disk, folder: str) -> list[Finding]:
--- a/madderbeam/journal/message.py
+++ b/madderbeam/journal/message.py
@@ -57,9 +57,24 @@
 
     def record(self) -> list[Any]:
         """Its fields in their order. Written out: looking them up for each message is a third of its cost."""
-        fields = ["take", self.number, self.id, self.cls, self.tenant, self.dest, self.key, self.until,
-                  self.resubmitted, self.body, self.order, self.tries, self.trying_at, self.ran_at,
-                  self.status, self.again_ms]
+        fields = [
+            "take",
+            self.number,
+            self.id,
+            self.cls,
+            self.tenant,
+            self.dest,
+            self.key,
+            self.until,
+            self.resubmitted,
+            self.body,
+            self.order,
+            self.tries,
+            self.trying_at,
+            self.ran_at,
+            self.status,
+            self.again_ms,
+        ]
         if self.relayed:
             fields.append(True)
         return fields
--- a/madderbeam/journal/records.py
+++ b/madderbeam/journal/records.py
@@ -39,7 +39,7 @@
     end = at + FRAME.size + size
     if not 0 < size <= MOST or end > len(data):
         return None
-    payload = data[at + FRAME.size:end]
+    payload = data[at + FRAME.size : end]
     if zlib.crc32(payload) != checksum:
         return None
     try:
@@ -69,8 +69,11 @@
 
 
 # How a record begins behind its frame: an array, and the name of a kind that this version writes.
-BEGINS = re.compile(rb"(?=(?:[\x91-\x9f]|\xdc..)(?:\xa7segment|\xa4take|\xa3try|\xa4miss|\xa5final|\xa4over|"
-                    rb"\xa5known|\xa3end|\xa4gone))", re.DOTALL)  # it takes up nothing: finds may overlap
+BEGINS = re.compile(
+    rb"(?=(?:[\x91-\x9f]|\xdc..)(?:\xa7segment|\xa4take|\xa3try|\xa4miss|\xa5final|\xa4over|"
+    rb"\xa5known|\xa3end|\xa4gone))",
+    re.DOTALL,
+)  # it takes up nothing: finds may overlap
 HEAD = re.compile(rb"[\x91-\x9f]\xa7segment")
 LONGEST_NAME = 11  # bytes of a match of BEGINS at most
 SHOWN = 64  # bytes of what is no record that are kept
@@ -80,7 +83,7 @@
     """The checksum at `at` is that of what stands behind its frame up to `end`."""
     if end - at <= FRAME.size:
         return False
-    return bool(zlib.crc32(memoryview(data)[at + FRAME.size:end]) == FRAME.unpack_from(data, at)[1])
+    return bool(zlib.crc32(memoryview(data)[at + FRAME.size : end]) == FRAME.unpack_from(data, at)[1])
 
 
 def torn(rest: Bad, head: bool = False) -> bool:
@@ -92,11 +95,11 @@
     if size < FRAME.size:
         return True
     length = FRAME.unpack_from(start)[0]
-    begun = start[FRAME.size:]
+    begun = start[FRAME.size :]
     if not 0 < length <= MOST or size >= FRAME.size + length:
         return False
     if len(begun) < LONGEST_NAME:  # its kind may not be whole
-        return begun[:1] in (b"", b"\xdc") or 0x91 <= begun[0] <= 0x9f
+        return begun[:1] in (b"", b"\xdc") or 0x91 <= begun[0] <= 0x9F
     return (HEAD if head else BEGINS).match(begun) is not None
 
 
@@ -134,4 +137,4 @@
 
 def made_bad(data: bytes, at: int, end: int) -> Bad:
     """These bytes, which are no record."""
-    return Bad(at, end, data[at:at + SHOWN], fits(data, at, end))
+    return Bad(at, end, data[at : at + SHOWN], fits(data, at, end))
--- a/madderbeam/journal/recovery.py
+++ b/madderbeam/journal/recovery.py
@@ -52,8 +52,9 @@
             foreign.append(Finding(Kind.FOREIGN, each))
     for part in read_:
         if part.header and part.header[1] > FORMAT:
-            raise NewerFormat(f"{folder}: was written in format {part.header[1]}; "
-                              f"this version reads up to {FORMAT}")
+            raise NewerFormat(
+                f"{folder}: was written in format {part.header[1]}; this version reads up to {FORMAT}"
+            )
     found.parts, found.findings = judge(read_)
     found.findings += foreign
     found.highest = max((max(p.number, p.told) for p in read_), default=0)
--- a/madderbeam/journal/segments.py
+++ b/madderbeam/journal/segments.py
@@ -55,8 +55,9 @@
 class Files:
     """Appends to the newest segment and begins new ones; within the limit, and never behind a torn record."""
 
-    def __init__(self, disk: Disk, folder: str, limit: int, full: int,
-                 header: Callable[[int], list[Any]]) -> None:
+    def __init__(
+        self, disk: Disk, folder: str, limit: int, full: int, header: Callable[[int], list[Any]]
+    ) -> None:
         self.disk, self.folder, self.limit, self.full, self.header = disk, folder, limit, full, header
         self.all: dict[int, Segment] = {}
         self.used = 0  # bytes of all files, in whole blocks
@@ -208,8 +209,15 @@
             self.file = None
 
 
-def header(number_: int, last: int, base: float, boot: str, now: float, listed: list[list[int]],
-           doubt: list[Any] | None) -> list[Any]:
+def header(
+    number_: int,
+    last: int,
+    base: float,
+    boot: str,
+    now: float,
+    listed: list[list[int]],
+    doubt: list[Any] | None,
+) -> list[Any]:
     """The first record of a segment: from which state of the journal it starts, which others are there, and
     what was made of damage."""
     return ["segment", FORMAT, number_, last, base, boot, now, listed, doubt]
--- a/madderbeam/journal/store.py
+++ b/madderbeam/journal/store.py
@@ -59,8 +59,16 @@
     `sync`: each group is synced to the disk, for installations where the machine's loss counts.
     """
 
-    def __init__(self, disk: Disk, clock: Clock, folder: str, limit_bytes: int, key_window_s: float = 0.0,
-                 later: Callable[[float, Callable[[], None]], Any] | None = None, sync: bool = False) -> None:
+    def __init__(
+        self,
+        disk: Disk,
+        clock: Clock,
+        folder: str,
+        limit_bytes: int,
+        key_window_s: float = 0.0,
+        later: Callable[[float, Callable[[], None]], Any] | None = None,
+        sync: bool = False,
+    ) -> None:
         self.disk, self.folder, self.limit, self.key_s = disk, folder, limit_bytes, key_window_s + KEYS_S
         self.wall = SteadyWall(clock, boot_id(disk))
         self.later, self.sync = later, sync
@@ -122,8 +130,9 @@
                 self._place(record, told)
         self.files.used += found.others
         # A damaged file is not written to, nor is one behind which another stands.
-        if found.damage and (not found.parts or found.parts[-1].name in damaged
-                             or found.parts[-1].told < found.highest):
+        if found.damage and (
+            not found.parts or found.parts[-1].name in damaged or found.parts[-1].told < found.highest
+        ):
             self.files.fresh(max(found.highest, self.files.newest))
         elif found.parts:
             self._torn_tail(found.parts[-1].end)
@@ -201,8 +210,15 @@
         self._not_before(newest)
         self._tell(found)
         self._careful(found, next((t for r in records if (t := self._time(r))), 0.0))
-        rows = [["known", self.last, {t: self.over.expires(t) for t in self.over.known},
-                 {t: self.keys.at(t) for t in self.keys.known}], *(m.record() for m in self.held.values())]
+        rows = [
+            [
+                "known",
+                self.last,
+                {t: self.over.expires(t) for t in self.over.known},
+                {t: self.keys.at(t) for t in self.keys.known},
+            ],
+            *(m.record() for m in self.held.values()),
+        ]
         path, fresh = self.files.path(1), f"{self.folder}/{FIRST}"
         data = frame(self._header(1)) + b"".join(map(frame, rows))
         file = self.disk.open(fresh, empty=True)
@@ -321,8 +337,9 @@
                 self.places.pop(number, None)
                 self._homeless(number)
 
-    def _stage(self, record: list[Any], done: Callable[[], None],
-               failed: Callable[[OSError], None] | None) -> None:
+    def _stage(
+        self, record: list[Any], done: Callable[[], None], failed: Callable[[OSError], None] | None
+    ) -> None:
         data = frame(record)
         self.staged_bytes += len(data)
         self.staged.append(Staged(record, data, done, failed))
@@ -342,8 +359,9 @@
 
     # Records
 
-    def take(self, m: Held, done: Callable[[], None] = _nothing,
-             failed: Callable[[OSError], None] | None = None) -> None:
+    def take(
+        self, m: Held, done: Callable[[], None] = _nothing, failed: Callable[[OSError], None] | None = None
+    ) -> None:
         """The message is taken on once `done` is called; until then it counts as held. JournalFull, at once
         or to `failed`, if there is no room for it to come to its end."""
         if not self._room(m):
@@ -358,14 +376,20 @@
             if failed is None:
                 raise error
             failed(error)
+
         self._stage(record, done, undone)
 
     def known(self, ident: str, told: Callable[[], None], lost: Callable[[], None]) -> None:
         """One with this id is held or was: call `told` once that is sure, `lost` if it never will be."""
         told()
 
-    def attempt(self, numbers: list[int], at: float, done: Callable[[], None] = _nothing,
-                failed: Callable[[OSError], None] | None = None) -> None:
+    def attempt(
+        self,
+        numbers: list[int],
+        at: float,
+        done: Callable[[], None] = _nothing,
+        failed: Callable[[OSError], None] | None = None,
+    ) -> None:
         """An attempt of these is about to be written, once `done` is called. The first one has room; for
         another one JournalFull, to `failed` or at once, if it would take room that ends may need."""
         record: list[Any] = ["try", numbers, at]
@@ -384,6 +408,7 @@
         def written() -> None:
             self._effect(record, self.files.newest)
             done()
+
         self._stage(record, written, failed or _raise)
 
     def _further(self, m: Held, at: float) -> None:
@@ -417,14 +442,21 @@
             ids = {m.id: m.until + OVER_S for m in held}
             self._note(["over", [m.number for m in held], self.wall(), ids])
 
-    def final(self, number: int, status: str, again_ms: int, done: Callable[[], None] = _nothing,
-              failed: Callable[[OSError], None] | None = None) -> None:
+    def final(
+        self,
+        number: int,
+        status: str,
+        again_ms: int,
+        done: Callable[[], None] = _nothing,
+        failed: Callable[[OSError], None] | None = None,
+    ) -> None:
         """A notice is owed; it may be sent once `done` is called."""
         record = ["final", number, status, again_ms]
 
         def written() -> None:
             self._effect(record, self.files.newest)
             done()
+
         self._stage(record, written, failed or _raise)
 
     def _note(self, record: list[Any]) -> None:
@@ -665,9 +697,11 @@
     def _choose(self) -> Segment | None:
         # A damaged one stays to be looked at for as long as there is room.
         short = plan.crowded(self.limit, self.files.used, self.needed)
-        views = [plan.View(s.number, s.size - s.fixed, s.live, any(v in self.files.all for v in s.voids))
-                 for s in self.files.all.values()
-                 if s.number != self.files.newest and (short or not s.damaged)]
+        views = [
+            plan.View(s.number, s.size - s.fixed, s.live, any(v in self.files.all for v in s.voids))
+            for s in self.files.all.values()
+            if s.number != self.files.newest and (short or not s.damaged)
+        ]
         most = plan.copyable(self.limit, self.files.used, self.files.head)
         view = plan.victim(views, plan.bound(self.limit, self.files.used, self.needed), most)
         return self.files.all[view.number] if view else None
--- a/madderbeam/membership/machine.py
+++ b/madderbeam/membership/machine.py
@@ -65,12 +65,22 @@
         self.farewells = 0  # periods in which it still says that it leaves
         self.farewell_us: int | None = None
         self._events: dict[type, Callable[[int, Any], None]] = {
-            Arrived: self._arrived, StateCame: self._state_came, Spread: self._spread, Draining: self._drain,
-            Leaving: self._leave, Unwritten: self._unwritten, Due: self._due, ExchangeFailed: self._failed,
+            Arrived: self._arrived,
+            StateCame: self._state_came,
+            Spread: self._spread,
+            Draining: self._drain,
+            Leaving: self._leave,
+            Unwritten: self._unwritten,
+            Due: self._due,
+            ExchangeFailed: self._failed,
         }
         self._messages: dict[type, Callable[[int, Any], None]] = {
-            Ping: self._ping, Ack: self._ack, PingReq: self._ping_req, IndirectAck: self._indirect_ack,
-            Nack: self._nack, Way: self._way,
+            Ping: self._ping,
+            Ack: self._ack,
+            PingReq: self._ping_req,
+            IndirectAck: self._indirect_ack,
+            Nack: self._nack,
+            Way: self._way,
         }
 
     # what others ask
--- a/madderbeam/membership/messages.py
+++ b/madderbeam/membership/messages.py
@@ -240,7 +240,10 @@
 def _rumour(row: Any) -> Rumour:
     f = _Fields(row, "rumour")
     rumour = Rumour(
-        f.member("owner"), f.text("key", KEY_MOST), f.number("version"), f.data("body", RUMOUR_MOST),
+        f.member("owner"),
+        f.text("key", KEY_MOST),
+        f.number("version"),
+        f.data("body", RUMOUR_MOST),
         f.number("keep_us"),
     )
     f.end()
--- a/madderbeam/membership/rumours.py
+++ b/madderbeam/membership/rumours.py
@@ -51,7 +51,7 @@
         return True
 
     def why_not(self, rumour: Rumour) -> str:
-        """"" if it is within the bounds of one rumour."""
+        """ "" if it is within the bounds of one rumour."""
         if not 1 <= len(rumour.key) <= KEY_MOST:
             return f"its key has {len(rumour.key)} characters: allowed are 1 to {KEY_MOST}"
         if len(rumour.body) > RUMOUR_MOST:
--- a/madderbeam/policy/health.py
+++ b/madderbeam/policy/health.py
@@ -234,7 +234,8 @@
                 self.actions.append(Log(f"endpoint {ep.id} answers again: slow start"))
             ep.c.gap, ep.c.bad = 0, min(ep.c.bad, STRUCK * 0.8)
         elif 0 <= ep.c.ramp_from <= now - self.s.cold_us or (
-                lane.circuit and self.warm(ep.c) >= 1 and not lane.dest.queue):
+            lane.circuit and self.warm(ep.c) >= 1 and not lane.dest.queue
+        ):
             ep.c.ramp_from = -1
 
     def failed(self, lane: Lane, call: Call, weight: int) -> None:
@@ -319,7 +320,7 @@
 
     def apart(self, ep: Endpoint) -> int:
         """Time between a courier's trials at which those of the fleet are what an endpoint bears, in us."""
-        return int((1 - self.share ** 2) / self.pace(ep) * 1e6)
+        return int((1 - self.share**2) / self.pace(ep) * 1e6)
 
     def pace(self, ep: Endpoint) -> float:
         """Calls a second that an endpoint may get from this courier as it returns: its part of all."""
--- a/madderbeam/policy/interface.py
+++ b/madderbeam/policy/interface.py
@@ -276,8 +276,17 @@
     data: bytes
 
 
-Event = (EndpointsListed | MessageArrived | AttemptAnswering | AttemptEnded | ProbeEnded | MessageGone
-         | TimerDue | Closing | PeerNote)
+Event = (
+    EndpointsListed
+    | MessageArrived
+    | AttemptAnswering
+    | AttemptEnded
+    | ProbeEnded
+    | MessageGone
+    | TimerDue
+    | Closing
+    | PeerNote
+)
 
 
 class Preference(Protocol):
@@ -287,8 +296,9 @@
     def knows(self, destination: int) -> bool:
         """Whether it has anything to say there; else the courier chooses among all."""
 
-    def tiers(self, destination: int, message: int, affinity: str, tried: Iterable[int],
-              now_us: int) -> Iterable[tuple[bool, Iterable[int]]]:
+    def tiers(
+        self, destination: int, message: int, affinity: str, tried: Iterable[int], now_us: int
+    ) -> Iterable[tuple[bool, Iterable[int]]]:
         """Tiers of endpoints; the next one opens only where none of this can be used. True: the first that
         can be used is waited for."""
 
@@ -392,5 +402,4 @@
     """Ask for the whole list once."""
 
 
-Action = (Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | SendNote | Log | Subscribe
-          | FetchList)
+Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | SendNote | Log | Subscribe | FetchList
--- a/madderbeam/policy/messages.py
+++ b/madderbeam/policy/messages.py
@@ -15,9 +15,29 @@
 
 from madderbeam.policy.health import LEAST, SPELL_US, Health
 from madderbeam.policy.interface import (
-    Action, AttemptAnswering, AttemptEnded, CloseIdle, Closing, Effect, EndpointsListed, EndpointState, Event,
-    Fail, ListEntry, ListForm, Log, MessageArrived, MessageGone, Preference, Refuse, Result, Send, SetTimer,
-    Settings, Subscribe)
+    Action,
+    AttemptAnswering,
+    AttemptEnded,
+    CloseIdle,
+    Closing,
+    Effect,
+    EndpointsListed,
+    EndpointState,
+    Event,
+    Fail,
+    ListEntry,
+    ListForm,
+    Log,
+    MessageArrived,
+    MessageGone,
+    Preference,
+    Refuse,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+    Subscribe,
+)
 from madderbeam.policy.state import Call, Circuit, Destination, Endpoint, Lane, Message
 
 # The design's own figures.
@@ -393,8 +413,7 @@
                     return False
                 if m.cls.key_scope == "zone" and ep.zone != m.ran_zone:
                     return False
-        if m.key and (self.keys[m.key][0] is not m
-                      or m.tries == 0 and now < self.rests.get(m.key, 0)):
+        if m.key and (self.keys[m.key][0] is not m or m.tries == 0 and now < self.rests.get(m.key, 0)):
             if m.tries == 0 and self.rests.get(m.key, 0) > now:
                 self._wake(self.rests[m.key])
             return False
--- a/madderbeam/quota/credits.py
+++ b/madderbeam/quota/credits.py
@@ -17,8 +17,21 @@
 class Credit:
     """`asked`, `asked_bytes`: what was handed in since they were read last, refused or not."""
 
-    __slots__ = ("node", "left", "bytes", "until", "plan", "size", "most", "again", "mean", "last", "asked",
-                 "asked_bytes", "largest")
+    __slots__ = (
+        "node",
+        "left",
+        "bytes",
+        "until",
+        "plan",
+        "size",
+        "most",
+        "again",
+        "mean",
+        "last",
+        "asked",
+        "asked_bytes",
+        "largest",
+    )
 
     def __init__(self, node: Node) -> None:
         self.node = node
--- a/madderbeam/quota/gate.py
+++ b/madderbeam/quota/gate.py
@@ -67,8 +67,9 @@
 class Gate:
     """Counts what is handed in. Times are a monotonic clock's microseconds."""
 
-    def __init__(self, raw: Mapping[str, Any], now: int, chance: random.Random, places: int,
-                 leased: bool = False) -> None:
+    def __init__(
+        self, raw: Mapping[str, Any], now: int, chance: random.Random, places: int, leased: bool = False
+    ) -> None:
         """QuotaError for a tree that can't be. `places`: messages that may be held. `leased`: limits are by
         leases, in place of equal parts."""
         self.random, self.places = chance, places
@@ -197,8 +198,11 @@
             while node is not None and self.leased is not None:
                 if node.name in self.leased.lots:
                     messages, size, largest = found.get(node.name, (0, 0, 0))
-                    found[node.name] = (messages + credit.asked, size + credit.asked_bytes,
-                                        max(largest, credit.largest))
+                    found[node.name] = (
+                        messages + credit.asked,
+                        size + credit.asked_bytes,
+                        max(largest, credit.largest),
+                    )
                 node = node.parent
             credit.asked = credit.asked_bytes = credit.largest = 0
         return found
@@ -275,8 +279,9 @@
     split._enter(part)
 
 
-def _restore_part(split: Split, part: Part, row: Sequence[Any], elapsed_us: int, now: int,
-                  most_debt: int) -> None:
+def _restore_part(
+    split: Split, part: Part, row: Sequence[Any], elapsed_us: int, now: int, most_debt: int
+) -> None:
     time = split.settle(now)
     gone = (part.holds + part.reserved.holds) // SAVED_PART
     earned, owed = part.rate * elapsed_us, int(row[4])
--- a/madderbeam/quota/split.py
+++ b/madderbeam/quota/split.py
@@ -58,8 +58,21 @@
 class Part:
     """One child's part in a split."""
 
-    __slots__ = ("reserved", "rate", "holds", "level", "debt", "since", "state", "pending", "most_debt",
-                 "borrowed", "repaid", "shared", "mark")
+    __slots__ = (
+        "reserved",
+        "rate",
+        "holds",
+        "level",
+        "debt",
+        "since",
+        "state",
+        "pending",
+        "most_debt",
+        "borrowed",
+        "repaid",
+        "shared",
+        "mark",
+    )
 
     def __init__(self, reserved: Bucket, rate: int, holds: int, repay_us: int, now: int) -> None:
         """`rate`, `holds`: of the share beside its reserved part."""
@@ -87,8 +100,20 @@
 class Split:
     """A limit and its parts."""
 
-    __slots__ = ("rate", "holds", "per", "free", "pool", "pool_holds", "flowing", "since", "due", "parts",
-                 "count", "mark")
+    __slots__ = (
+        "rate",
+        "holds",
+        "per",
+        "free",
+        "pool",
+        "pool_holds",
+        "flowing",
+        "since",
+        "due",
+        "parts",
+        "count",
+        "mark",
+    )
 
     def __init__(self, amount: int, per: str, burst: int, now: int) -> None:
         self.rate, self.holds, self.per = rate_of(amount, per), burst_of(amount, per, burst), per
@@ -216,8 +241,9 @@
                 self._enter(part)
         self.pool_holds -= pool
 
-    def unlock(self, part: Part | None, locked: tuple[int, int, int], back: tuple[int, int, int],
-               now: int) -> None:
+    def unlock(
+        self, part: Part | None, locked: tuple[int, int, int], back: tuple[int, int, int], now: int
+    ) -> None:
         """What was locked is over; `back` of it was not used. `now`: what settle gave."""
         if part is not None:
             if locked[0]:
--- a/madderbeam/quota/tree.py
+++ b/madderbeam/quota/tree.py
@@ -131,8 +131,9 @@
                 node.splits[at] = Split(limit.amount, per, limit.at_once, now)
         return node
 
-    def add(self, parent: Node, name: str, shares: Limits = NONE, limits: Limits = NONE,
-            now: int = 0) -> Node:
+    def add(
+        self, parent: Node, name: str, shares: Limits = NONE, limits: Limits = NONE, now: int = 0
+    ) -> Node:
         """A child with its shares of the parent's limits and limits of its own. ValueError, in one line that
         names node and dimension, if the shares of all children are more than the limit, or what they have
         reserved is more than the parent has."""
@@ -182,8 +183,9 @@
                 borrowed |= bool(lent) and part.shared
         return _BORROWED if borrowed else _PASSED
 
-    def _plan(self, node: Node, messages: int, size: int, now: int, lend: bool,
-              spare: int = 0) -> Plan | None:
+    def _plan(
+        self, node: Node, messages: int, size: int, now: int, lend: bool, spare: int = 0
+    ) -> Plan | None:
         """What is taken where, in units; None if there is no room. `spare`: so many times as much has to
         stay."""
         plan: Plan = []
@@ -295,5 +297,10 @@
                     assert split is not None
                     time = split.settle(now)
                     room = max(0, part.reserved.at(time) + part.own(time) + split.lends(part, time))
-                    yield Use(node.path, " a ".join(DIMENSIONS[at]), room // UNIT, part.borrowed // UNIT,
-                              part.owes(time) // UNIT)
+                    yield Use(
+                        node.path,
+                        " a ".join(DIMENSIONS[at]),
+                        room // UNIT,
+                        part.borrowed // UNIT,
+                        part.owes(time) // UNIT,
+                    )
--- a/madderbeam/relay/custody.py
+++ b/madderbeam/relay/custody.py
@@ -12,7 +12,16 @@
 from typing import Any
 
 from madderbeam.membership.values import (
-    Draining, Due, FromLink, Life, LinkDown, LinkUp, MemberId, Note, ToLink, Unwritten,
+    Draining,
+    Due,
+    FromLink,
+    Life,
+    LinkDown,
+    LinkUp,
+    MemberId,
+    Note,
+    ToLink,
+    Unwritten,
 )
 from madderbeam.relay.inbound import Inbound, share
 from madderbeam.relay.kept import Kept
@@ -21,7 +30,16 @@
 from madderbeam.relay.records import CUSTODY, Record
 from madderbeam.relay.telling import CustodySettings, Telling
 from madderbeam.relay.values import (
-    Credit, Effect, Ended, Expand, NotTaken, Publication, Resting, Result, Settled, Taken,
+    Credit,
+    Effect,
+    Ended,
+    Expand,
+    NotTaken,
+    Publication,
+    Resting,
+    Result,
+    Settled,
+    Taken,
 )
 
 TIMER = "custody"
@@ -155,8 +173,15 @@
         until_ms = self.wall_ms(publication.until_us)
         wanted = (publication.dest,) if single else dests
         record = Record(
-            publication.name, publication.origin, single, publication.effect, until_ms, len(wanted),
-            set(wanted), copy=copy, told_us=self.out.now,
+            publication.name,
+            publication.origin,
+            single,
+            publication.effect,
+            until_ms,
+            len(wanted),
+            set(wanted),
+            copy=copy,
+            told_us=self.out.now,
         )
         self.kept.add(record)
         if not dests:
--- a/madderbeam/relay/grouping.py
+++ b/madderbeam/relay/grouping.py
@@ -38,9 +38,7 @@
     return Group((publication.dest,), ()) if owner == site else Group((), (owner,))
 
 
-def expand(
-    publication: Publication, site: str, owners: Owners, subscribers: Subscribers
-) -> tuple[int, ...]:
+def expand(publication: Publication, site: str, owners: Owners, subscribers: Subscribers) -> tuple[int, ...]:
     """The destinations that this site owns by the table that the entry names (`owners` is that table's)."""
     wanted = (publication.dest,) if publication.dest >= 0 else subscribers(publication.topic)
     return tuple(sorted({dest for dest in wanted if owners.get(dest) == site}))
--- a/madderbeam/relay/messages.py
+++ b/madderbeam/relay/messages.py
@@ -88,8 +88,24 @@
     """As lists, numbers and strings."""
     if isinstance(message, Entry):
         p = message.publication
-        return ["e", message.stream, message.seq, p.id, p.origin.site, p.origin.name, p.topic, p.dest, p.cls,
-                p.effect.value, p.tenant, p.key, p.order, p.body, message.left_us, p.table]
+        return [
+            "e",
+            message.stream,
+            message.seq,
+            p.id,
+            p.origin.site,
+            p.origin.name,
+            p.topic,
+            p.dest,
+            p.cls,
+            p.effect.value,
+            p.tenant,
+            p.key,
+            p.order,
+            p.body,
+            message.left_us,
+            p.table,
+        ]
     if isinstance(message, Ack):
         return ["a", message.stream, message.seq, message.entries, message.bytes]
     if isinstance(message, Nak):
@@ -180,7 +196,10 @@
 
 def _nak(f: _Fields) -> Nak:
     found = Nak(
-        f.number("stream", least=1), f.number("seq", least=1), f.number("after_us"), f.text("why"),
+        f.number("stream", least=1),
+        f.number("seq", least=1),
+        f.number("after_us"),
+        f.text("why"),
         bool(f.number("keep_out", 1)),
     )
     f.done()
@@ -221,5 +240,9 @@
 
 
 _READERS: dict[str, Callable[[_Fields], Message]] = {
-    "e": _entry, "a": _ack, "n": _nak, "d": _ends, "k": _ends_ack,
+    "e": _entry,
+    "a": _ack,
+    "n": _nak,
+    "d": _ends,
+    "k": _ends_ack,
 }
--- a/madderbeam/relay/origin.py
+++ b/madderbeam/relay/origin.py
@@ -12,7 +12,15 @@
 
 from madderbeam.federation.errors import FederationError, PublicationTooLarge
 from madderbeam.membership.values import (
-    Due, FromLink, Life, LinkDown, LinkUp, MemberChanged, MemberId, ToLink, Unwritten,
+    Due,
+    FromLink,
+    Life,
+    LinkDown,
+    LinkUp,
+    MemberChanged,
+    MemberId,
+    ToLink,
+    Unwritten,
 )
 from madderbeam.relay.door import Use, why_not
 from madderbeam.relay.legs import Leg, Site, Stage
@@ -21,7 +29,15 @@
 from madderbeam.relay.sending import Sending, StreamSettings
 from madderbeam.relay.sent import SENT, Sent
 from madderbeam.relay.values import (
-    DeliveryEnd, Effect, LocalEnded, Publication, PublicationEnded, Published, Result, SiteEnded, Withdrawn,
+    DeliveryEnd,
+    Effect,
+    LocalEnded,
+    Publication,
+    PublicationEnded,
+    Published,
+    Result,
+    SiteEnded,
+    Withdrawn,
 )
 
 TIMER = "streams"
@@ -194,9 +210,7 @@
         if leg is not None and leg.stage is Stage.LOCAL:
             self._end(leg, event.delivered, event.ends, "", not event.ends)
 
-    def _end(
-        self, leg: Leg, delivered: int, ends: tuple[DeliveryEnd, ...], why: str, whole: bool
-    ) -> None:
+    def _end(self, leg: Leg, delivered: int, ends: tuple[DeliveryEnd, ...], why: str, whole: bool) -> None:
         """A site's part is over; told once."""
         held = self.held[leg.publication.name]
         self.out.free.append(SiteEnded(leg.publication.name, leg.site, delivered, ends, why))
--- a/madderbeam/relay/sending.py
+++ b/madderbeam/relay/sending.py
@@ -224,8 +224,13 @@
         self.number += 1
         settings = self.settings
         self.links[event.member] = Outbound(
-            event.member, event.rtt_us, self.number, settings.first_entries, settings.first_bytes,
-            settings.stall_us, self.out.now,
+            event.member,
+            event.rtt_us,
+            self.number,
+            settings.first_entries,
+            settings.first_bytes,
+            settings.stall_us,
+            self.out.now,
         )
         if event.member.site in self.sites:
             self._choose(self.sites[event.member.site])
--- a/madderbeam/relay/subscriptions.py
+++ b/madderbeam/relay/subscriptions.py
@@ -14,7 +14,17 @@
 from typing import Any
 
 from madderbeam.membership.values import (
-    RUMOUR_MOST, Due, Heard, Life, LifeRaised, MemberChanged, MemberId, MemberView, Note, SetTimer, Spread,
+    RUMOUR_MOST,
+    Due,
+    Heard,
+    Life,
+    LifeRaised,
+    MemberChanged,
+    MemberId,
+    MemberView,
+    Note,
+    SetTimer,
+    Spread,
     State,
 )
 from madderbeam.relay.messages import DESTS_MOST
@@ -168,16 +178,20 @@
     def _warnings(self) -> list[Any]:
         found: list[Any] = []
         if len(self.topics) > TOPICS_MOST:
-            found.append(Note(
-                f"{len(self.topics)} topics at {self.own.site}, filters are made for {TOPICS_MOST}: other "
-                "sites send more publications here that no one subscribed to"
-            ))
+            found.append(
+                Note(
+                    f"{len(self.topics)} topics at {self.own.site}, filters are made for {TOPICS_MOST}: other "
+                    "sites send more publications here that no one subscribed to"
+                )
+            )
         for topic, dests in self.topics.items():
             if len(dests) > DESTS_MOST:
-                found.append(Note(
-                    f"topic {topic} has {len(dests)} subscribers at {self.own.site}, at most {DESTS_MOST} "
-                    "can be reached: its publications are turned away here"
-                ))
+                found.append(
+                    Note(
+                        f"topic {topic} has {len(dests)} subscribers at {self.own.site}, at most {DESTS_MOST} "
+                        "can be reached: its publications are turned away here"
+                    )
+                )
         return found[:8]
 
     def _heard(self, now_us: int, event: Heard) -> list[Any]:
--- a/madderbeam/replication/commands.py
+++ b/madderbeam/replication/commands.py
@@ -19,12 +19,16 @@
     top = commands.add_parser("standby", help="keep another courier's journal, and take over")
     parts = top.add_subparsers(dest="part", required=True)
     for name, text, action in (
-            ("run", "be a standby until it is promoted, then the courier", _run),
-            ("status", "who is owner, how far the copy is, who is fenced; of either side", _status),
-            ("promote", "the standby takes over: its owner ends in order, or its lease is waited for",
-             _promote),
-            ("set-aside", "put the folders of a courier that was taken over aside, so that it can be a "
-             "standby; it must not run", _set_aside)):
+        ("run", "be a standby until it is promoted, then the courier", _run),
+        ("status", "who is owner, how far the copy is, who is fenced; of either side", _status),
+        ("promote", "the standby takes over: its owner ends in order, or its lease is waited for", _promote),
+        (
+            "set-aside",
+            "put the folders of a courier that was taken over aside, so that it can be a "
+            "standby; it must not run",
+            _set_aside,
+        ),
+    ):
         part = parts.add_parser(name, help=text)
         part.add_argument("--config", metavar="FILE", required=True, help="its rendered file")
         part.set_defaults(action=action)
@@ -34,14 +38,17 @@
     """The courier's configuration; None, with one line told, if it has no standby."""
     from madderbeam.config.platform import ConfigError, load_sidecar
     from madderbeam.ports.real import RealDisk
+
     try:
         config = load_sidecar(path, RealDisk())
     except ConfigError as error:
         print(f"madderbeam standby: {error}", file=sys.stderr)
         return None
     if config.standby is None:
-        print(f"madderbeam standby: {path}: standby: lacks; write [application.standby] and render it",
-              file=sys.stderr)
+        print(
+            f"madderbeam standby: {path}: standby: lacks; write [application.standby] and render it",
+            file=sys.stderr,
+        )
         return None
     return config
 
@@ -51,10 +58,13 @@
     if config is None:
         return 2
     if config.standby is None or config.standby.listen is None:
-        print(f"madderbeam standby: {args.config}: standby.listen: lacks: this courier is no standby",
-              file=sys.stderr)
+        print(
+            f"madderbeam standby: {args.config}: standby.listen: lacks: this courier is no standby",
+            file=sys.stderr,
+        )
         return 2
     from madderbeam.host.sidecar import main
+
     return main(args.config)
 
 
@@ -66,6 +76,7 @@
     if config.control is None:
         return 0, f"{args.config}: control: lacks: it has no second address"
     import http.client
+
     host, port = config.control
     try:
         connection = http.client.HTTPConnection(host, port, timeout=CALL_S)
@@ -88,8 +99,10 @@
 
 def _promote(args: argparse.Namespace) -> int:
     status, text = _call(args, "PUT", "/standby/promote")
-    print(text if status == 200 else f"madderbeam standby: {text}",
-          file=sys.stdout if status == 200 else sys.stderr)
+    print(
+        text if status == 200 else f"madderbeam standby: {text}",
+        file=sys.stdout if status == 200 else sys.stderr,
+    )
     return 0 if status == 200 else 1 if status else 2
 
 
@@ -98,6 +111,7 @@
     if config is None:
         return 2
     from madderbeam.ports.real import RealDisk
+
     state = Path(config.state)
     if not state.is_dir():
         print(f"{state}: is not there: nothing to set aside")
--- a/madderbeam/replication/errors.py
+++ b/madderbeam/replication/errors.py
@@ -46,8 +46,10 @@
     """The standby holds records that the owner lacks."""
 
     code = "ahead"
-    advice = ("the owner's folder has lost what it wrote: promote the standby, or, to go on from the "
-              "owner's, set the standby's folder aside")
+    advice = (
+        "the owner's folder has lost what it wrote: promote the standby, or, to go on from the "
+        "owner's, set the standby's folder aside"
+    )
 
 
 class Diverged(StandbyError):
--- a/madderbeam/replication/keys.py
+++ b/madderbeam/replication/keys.py
@@ -43,12 +43,14 @@
     return hmac.digest(key, msgpack.packb([whose, challenge, nonce, channel, row]), "sha256")
 
 
-def proven(keys: Keys, name: object, whose: str, challenge: bytes, nonce: bytes, channel: str, row: Row,
-           told: object) -> None:
+def proven(
+    keys: Keys, name: object, whose: str, challenge: bytes, nonce: bytes, channel: str, row: Row, told: object
+) -> None:
     """NotProven unless `told` is the proof by the key of this name."""
     key = keys.get(name) if isinstance(name, str) else None
     if key is None:
         raise NotProven(f"no key {name!r:.80} here")
     if not isinstance(told, bytes) or not hmac.compare_digest(
-            told, proof(key, whose, challenge, nonce, channel, row)):
+        told, proof(key, whose, challenge, nonce, channel, row)
+    ):
         raise NotProven(f"the proof by key {name!r:.80} is wrong")
--- a/madderbeam/replication/messages.py
+++ b/madderbeam/replication/messages.py
@@ -1,18 +1,18 @@
 """What owner and standby say to each other, and the check of what comes: `Odd` for all that is not in form.
 
-    hello    owner    [fence, form, strict, silent_us, limit, name]
-    welcome  standby  [[[segment, size, digest], ...], whole]
-    fenced   standby  [fence]          the standby was promoted
-    refused  standby  [code, why]
-    block    owner    [segment, at, data, digest behind it, position, bytes sent, stamp, fence]
-    drop     owner    [segment, position, bytes sent, stamp, fence]
-    midway   owner    []               what follows is no earlier state of the owner's until `whole`
-    whole    owner    [position, bytes sent, stamp]
-    beat     owner    [stamp]
-    ack      standby  [position, bytes, stamp]
-    full     standby  []               its disk does not take it
-    yield    standby  []               a person moves the courier: end in order
-    released owner    []               it has ended, and will write nothing more
+hello    owner    [fence, form, strict, silent_us, limit, name]
+welcome  standby  [[[segment, size, digest], ...], whole]
+fenced   standby  [fence]          the standby was promoted
+refused  standby  [code, why]
+block    owner    [segment, at, data, digest behind it, position, bytes sent, stamp, fence]
+drop     owner    [segment, position, bytes sent, stamp, fence]
+midway   owner    []               what follows is no earlier state of the owner's until `whole`
+whole    owner    [position, bytes sent, stamp]
+beat     owner    [stamp]
+ack      standby  [position, bytes, stamp]
+full     standby  []               its disk does not take it
+yield    standby  []               a person moves the courier: end in order
+released owner    []               it has ended, and will write nothing more
 """
 
 from __future__ import annotations
@@ -26,9 +26,20 @@
 MOST = (1 << 63) - 1
 _N, _B, _T, _F, _L = "number", "bytes", "text", "flag", "list"
 FORMS: dict[str, tuple[str, ...]] = {
-    "hello": (_N, _T, _F, _N, _N, _T), "welcome": (_L, _F), "fenced": (_N,), "refused": (_T, _T),
-    "block": (_N, _N, _B, _N, _N, _N, _N, _N), "drop": (_N, _N, _N, _N, _N), "midway": (),
-    "whole": (_N, _N, _N), "beat": (_N,), "ack": (_N, _N, _N), "full": (), "yield": (), "released": ()}
+    "hello": (_N, _T, _F, _N, _N, _T),
+    "welcome": (_L, _F),
+    "fenced": (_N,),
+    "refused": (_T, _T),
+    "block": (_N, _N, _B, _N, _N, _N, _N, _N),
+    "drop": (_N, _N, _N, _N, _N),
+    "midway": (),
+    "whole": (_N, _N, _N),
+    "beat": (_N,),
+    "ack": (_N, _N, _N),
+    "full": (),
+    "yield": (),
+    "released": (),
+}
 SEGMENTS_MOST = 1 << 16
 
 
--- a/madderbeam/replication/owner.py
+++ b/madderbeam/replication/owner.py
@@ -14,8 +14,27 @@
 from madderbeam.replication import errors, messages
 from madderbeam.replication.cursor import Cursor, ahead
 from madderbeam.replication.values import (
-    CHUNK, WINDOW, Appended, Block, Check, Checked, Close, Deny, Down, Dropped, Ended, Go, Got, Read,
-    Released, Say, Settings, Sort, Stop, Wait)
+    CHUNK,
+    WINDOW,
+    Appended,
+    Block,
+    Check,
+    Checked,
+    Close,
+    Deny,
+    Down,
+    Dropped,
+    Ended,
+    Go,
+    Got,
+    Read,
+    Released,
+    Say,
+    Settings,
+    Sort,
+    Stop,
+    Wait,
+)
 from madderbeam.replication.waiting import Waiter, Waiting
 
 BEATS = 4  # in the time after which the other side counts as silent
@@ -29,8 +48,9 @@
     no earlier state of this folder), fenced.
     """
 
-    def __init__(self, settings: Settings, name: str, sizes: Mapping[int, int],
-                 kept: Mapping[tuple[str, str], Any]) -> None:
+    def __init__(
+        self, settings: Settings, name: str, sizes: Mapping[int, int], kept: Mapping[tuple[str, str], Any]
+    ) -> None:
         self.s, self.name = settings, name
         self.sizes = dict(sizes)
         self.fence: int = kept.get(("fence", ""), 1)
@@ -149,9 +169,16 @@
             self.state = "stream"  # it is read from the file when there is room
             return self._pump(now)
         last = len(e.data) - 1
-        return [self._say_block(now, e.segment, e.at + n, e.data[n:n + CHUNK],
-                                self.position if n + CHUNK > last else self.position - 1)
-                for n in range(0, len(e.data), CHUNK)]
+        return [
+            self._say_block(
+                now,
+                e.segment,
+                e.at + n,
+                e.data[n : n + CHUNK],
+                self.position if n + CHUNK > last else self.position - 1,
+            )
+            for n in range(0, len(e.data), CHUNK)
+        ]
 
     def _dropped(self, now: int, segment: int) -> list[Any]:
         self.sizes.pop(segment, None)
--- a/madderbeam/replication/standby.py
+++ b/madderbeam/replication/standby.py
@@ -14,7 +14,19 @@
 from madderbeam.membership.values import Due, Note, Persist, Row, SetTimer, Unwritten
 from madderbeam.replication import errors, messages
 from madderbeam.replication.values import (
-    Close, Down, Got, Hello, Promote, Remove, Removed, Say, Settings, TakeOver, Write, Wrote)
+    Close,
+    Down,
+    Got,
+    Hello,
+    Promote,
+    Remove,
+    Removed,
+    Say,
+    Settings,
+    TakeOver,
+    Write,
+    Wrote,
+)
 
 YIELD_US = 8_000_000  # an owner that is asked to end in order is confirmed for so long at most
 LOOK_US = 200_000  # a lease's end is looked for so often
@@ -29,8 +41,13 @@
     have. `whole`: the copy had all that the owner held, once.
     """
 
-    def __init__(self, settings: Settings, sizes: Mapping[int, int], digests: Mapping[int, int],
-                 kept: Mapping[tuple[str, str], Any]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        sizes: Mapping[int, int],
+        digests: Mapping[int, int],
+        kept: Mapping[tuple[str, str], Any],
+    ) -> None:
         self.s = settings
         self.sizes, self.digests = dict(sizes), dict(digests)
         self.fence: int = kept.get(("fence", ""), 0)
@@ -113,8 +130,11 @@
         if self.promoting and not self.yielded:
             return [Close(link)]  # its lease runs out
         if form != self.s.form or limit > self.s.limit:
-            what = "the settings of classes, tenants or partners differ" if form != self.s.form else (
-                f"the owner's folder may take {limit} bytes, here it is {self.s.limit}")
+            what = (
+                "the settings of classes, tenants or partners differ"
+                if form != self.s.form
+                else (f"the owner's folder may take {limit} bytes, here it is {self.s.limit}")
+            )
             self.trouble = errors.Unlike(what)
             return [Note("", self.trouble), Say("refused", [errors.Unlike.code, what], link)]
         if now < self.full_until:
@@ -128,8 +148,11 @@
         # One that may go on alone has perhaps done so: what it did is not known here.
         self.sure = self.sure and strict and self.strict
         self.strict, self.lease_us, self.fence = strict, max(lease_us, 1), fence
-        rows = [Persist("sure", "", self.sure), Persist("owner", "", [strict, self.lease_us]),
-                Persist("fence", "", fence)]
+        rows = [
+            Persist("sure", "", self.sure),
+            Persist("owner", "", [strict, self.lease_us]),
+            Persist("fence", "", fence),
+        ]
         copy = [[n, size, self.digests.get(n, 0)] for n, size in sorted(self.sizes.items())]
         again = [Say("yield", [], link)] if self.yielded else []
         return [*([Close(before)] if before else []), *rows, Say("welcome", [copy, self.whole], link), *again]
@@ -168,8 +191,9 @@
         self.position, self.got = max(self.position, position), max(self.got, out)
         self.stamp = max(self.stamp, stamp)
 
-    def _block(self, segment: int, at: int, data: bytes, digest: int, position: int, out: int, stamp: int,
-               fence: int) -> list[Any]:
+    def _block(
+        self, segment: int, at: int, data: bytes, digest: int, position: int, out: int, stamp: int, fence: int
+    ) -> list[Any]:
         have = self.sizes.get(segment, 0)
         if at != have or fence != self.fence or segment < 1:
             return self._gap(f"byte {at} of segment {segment} came, and {have} bytes are here")
@@ -207,8 +231,12 @@
     def _made_whole(self, now: int, position: int, out: int, stamp: int) -> list[Any]:
         self._told(position, out, stamp)
         self.whole, self.midway, self.sure, self.trouble = True, False, self.strict, None
-        return [Persist("whole", "", True), Persist("midway", "", False), Persist("sure", "", self.sure),
-                *self._confirm(now)]
+        return [
+            Persist("whole", "", True),
+            Persist("midway", "", False),
+            Persist("sure", "", self.sure),
+            *self._confirm(now),
+        ]
 
     def _confirm(self, now: int) -> list[Any]:
         """All that came is on the disk. While it takes over nothing is granted, but to one that ends."""
@@ -252,7 +280,13 @@
         self.over, link, self.link = doubt, self.link, 0
         self.fence += 1
         close = [Close(link)] if link else []
-        return [Persist("over", "", doubt), Persist("fence", "", self.fence), *close,
-                Note(f"this courier takes over with fence {self.fence}"
-                     + ("; what may have run is taken for having run" if doubt else "")),
-                TakeOver(self.fence, doubt, not self.midway)]
+        return [
+            Persist("over", "", doubt),
+            Persist("fence", "", self.fence),
+            *close,
+            Note(
+                f"this courier takes over with fence {self.fence}"
+                + ("; what may have run is taken for having run" if doubt else "")
+            ),
+            TakeOver(self.fence, doubt, not self.midway),
+        ]
--- a/madderbeam/routing/hashing.py
+++ b/madderbeam/routing/hashing.py
@@ -65,8 +65,11 @@
         gone = {number for number, _, _ in had - self.servers}
         kept = old.points if old else array("Q")
         points = [point for point in kept if point & NUMBER not in gone] if gone else list(kept)
-        points += [point << SLOT | number for number, name, weight in self.servers - had
-                   for point in _points(name, weight)]
+        points += [
+            point << SLOT | number
+            for number, name, weight in self.servers - had
+            for point in _points(name, weight)
+        ]
         points.sort()  # two runs of which the first is sorted
         self.points: array[int] = array("Q", points)
 
--- a/madderbeam/routing/routes.py
+++ b/madderbeam/routing/routes.py
@@ -67,8 +67,10 @@
                 continue
             table = self.exact if route.match is Match.EXACT else self.prefixes
             if route.text in table:
-                raise RouteError(f"route {route.text!r}: text: stands twice, for the pools "
-                                 f"{table[route.text].pool!r} and {route.pool!r}")
+                raise RouteError(
+                    f"route {route.text!r}: text: stands twice, for the pools "
+                    f"{table[route.text].pool!r} and {route.pool!r}"
+                )
             table[route.text] = route
         self.lengths = sorted({len(text) for text in self.prefixes}, reverse=True)
 
@@ -103,5 +105,7 @@
         return re2.compile(route.text, options)
     except re2.error as error:
         why = error.args[0].decode() if isinstance(error.args[0], bytes) else str(error)
-        raise RouteError(f"route {route.text!r}: text: must be an expression of RE2 (no look-around, no "
-                         f"references back): {why}") from None
+        raise RouteError(
+            f"route {route.text!r}: text: must be an expression of RE2 (no look-around, no "
+            f"references back): {why}"
+        ) from None
--- a/madderbeam/shared/lease_messages.py
+++ b/madderbeam/shared/lease_messages.py
@@ -190,9 +190,14 @@
 
 def _holdings(field: str, value: Any) -> tuple[Holding, ...]:
     return tuple(
-        Holding(name(f"{field}.resource", r), amount(f"{field}.need", n), amount(f"{field}.worth", w),
-             amount(f"{field}.held", h), whole(SPAN_MOST_US)(f"{field}.left_us", left),
-             amount(f"{field}.used", u))
+        Holding(
+            name(f"{field}.resource", r),
+            amount(f"{field}.need", n),
+            amount(f"{field}.worth", w),
+            amount(f"{field}.held", h),
+            whole(SPAN_MOST_US)(f"{field}.left_us", left),
+            amount(f"{field}.used", u),
+        )
         for r, n, w, h, left, u in _rows(field, value, 6)
     )
 
--- a/madderbeam/shared/news.py
+++ b/madderbeam/shared/news.py
@@ -14,14 +14,29 @@
 
 from madderbeam.federation.errors import NewsRefused
 from madderbeam.membership.values import (
-    Due, Heard, Life, LifeRaised, MemberChanged, MemberId, Note, SetTimer, Spread, State)
+    Due,
+    Heard,
+    Life,
+    LifeRaised,
+    MemberChanged,
+    MemberId,
+    Note,
+    SetTimer,
+    Spread,
+    State,
+)
 from madderbeam.shared.values import Heed, Kind, Lapsed, Learnt, News, Site
 
 TIMER = "news"
 PREFIX = "news/"
 LONGEST_US = 3_600_000_000  # a span over this is cut to it
-LONGEST = {Kind.DOUBT: 5_000_000, Kind.OUTAGE: 60_000_000, Kind.BACK: 600_000_000, Kind.FULL: 10_000_000,
-           Kind.LIMIT: 60_000_000}  # or over this, where such a thing never holds so long
+LONGEST = {
+    Kind.DOUBT: 5_000_000,
+    Kind.OUTAGE: 60_000_000,
+    Kind.BACK: 600_000_000,
+    Kind.FULL: 10_000_000,
+    Kind.LIMIT: 60_000_000,
+}  # or over this, where such a thing never holds so long
 EACH_MOST = 512  # subjects of one member
 UID_MOST = 96  # bytes
 FORM = struct.Struct(">BQd")
@@ -64,8 +79,12 @@
         self.gone: frozenset[MemberId] = frozenset()
         self.cut = self.refused = 0
         self._events: dict[type, Callable[[int, Any], list[Any]]] = {
-            Learnt: self._learnt, Site: self._site, Heard: self._heard, MemberChanged: self._member,
-            LifeRaised: self._raised}
+            Learnt: self._learnt,
+            Site: self._site,
+            Heard: self._heard,
+            MemberChanged: self._member,
+            LifeRaised: self._raised,
+        }
 
     # What others ask
 
@@ -76,9 +95,14 @@
     def counting(self, kind: Kind, dest: int, now_us: int) -> dict[MemberId, Told]:
         """Living members that say this of a destination now, and have since it last answered here."""
         since_us, subject = self.answered_us.get(dest, -1), (kind, dest, "")
-        return {owner: told for owner, news in self.owners.items()
-                if owner not in self.gone and (told := news.told.get(subject)) is not None
-                and told.until_us > now_us and told.since_us > since_us}
+        return {
+            owner: told
+            for owner, news in self.owners.items()
+            if owner not in self.gone
+            and (told := news.told.get(subject)) is not None
+            and told.until_us > now_us
+            and told.since_us > since_us
+        }
 
     def named(self, kinds: frozenset[Kind]) -> set[int]:
         """The destinations that somebody says one of these of."""
@@ -91,11 +115,20 @@
 
     def status(self, now_us: int) -> list[dict[str, Any]]:
         """For GET /federation: what is shared, by whom, how old."""
-        return [{"kind": kind.value, "dest": dest, "uid": uid, "by": str(owner),
-                 "for_ms": (now_us - told.since_us) // 1000, "left_ms": (told.until_us - now_us) // 1000,
-                 **({"value": told.value} if told.value else {})}
-                for owner, news in sorted(self.owners.items())
-                for (kind, dest, uid), told in news.told.items() if told.until_us > now_us]
+        return [
+            {
+                "kind": kind.value,
+                "dest": dest,
+                "uid": uid,
+                "by": str(owner),
+                "for_ms": (now_us - told.since_us) // 1000,
+                "left_ms": (told.until_us - now_us) // 1000,
+                **({"value": told.value} if told.value else {}),
+            }
+            for owner, news in sorted(self.owners.items())
+            for (kind, dest, uid), told in news.told.items()
+            if told.until_us > now_us
+        ]
 
     def revalued(self, now_us: int, kind: Kind, dest: int, value: float) -> list[Any]:
         """What this member says of it has another value, for as long as it was said."""
@@ -161,9 +194,15 @@
     def _needed(self, now_us: int, subject: Subject, until_us: int, again: bool) -> bool:
         """What enough others say already has time until the next probes: the first say it at once, and of
         those that say it again the first in their order."""
-        others = [o for o, n in self.owners.items()
-                  if o != self.me and (t := n.told.get(subject)) is not None and t.until_us > now_us
-                  and (t.until_us >= until_us or subject[0] in WITNESSED) and not (again and o > self.me)]
+        others = [
+            o
+            for o, n in self.owners.items()
+            if o != self.me
+            and (t := n.told.get(subject)) is not None
+            and t.until_us > now_us
+            and (t.until_us >= until_us or subject[0] in WITNESSED)
+            and not (again and o > self.me)
+        ]
         return len(others) < WITNESSES
 
     def _spread(self, subject: Subject, left_us: int, value: float, at_once: bool) -> Spread:
@@ -190,9 +229,15 @@
         notes: list[Any] = []
         if left_us > (longest := _longest(kind)):
             self.cut += 1
-            notes.append(Note("news are cut", NewsRefused(
-                f"{rumour.owner} tells a {kind.value} of {left_us // 1_000_000} s for destination {dest}; "
-                f"{longest // 1_000_000} s at most count")))
+            notes.append(
+                Note(
+                    "news are cut",
+                    NewsRefused(
+                        f"{rumour.owner} tells a {kind.value} of {left_us // 1_000_000} s for destination {dest}; "
+                        f"{longest // 1_000_000} s at most count"
+                    ),
+                )
+            )
         before = told.get(subject)
         since_us = before.since_us if before is not None and before.until_us > now_us else now_us
         told[subject] = Told(now_us + min(left_us, longest), value, since_us)
@@ -249,7 +294,7 @@
 def _read(key: str, body: bytes) -> tuple[Kind, int, str, int, float]:
     parts = key.removeprefix(PREFIX).split("/")
     size, left_us, value = FORM.unpack_from(body)
-    uid = body[FORM.size:].decode()
+    uid = body[FORM.size :].decode()
     if not 2 <= len(parts) <= 3 or not parts[1].isdecimal() or len(parts[1]) > 12:
         raise ValueError("key: must be news/KIND/DEST")
     if len(body) != FORM.size + size or size > UID_MOST:
@@ -260,4 +305,3 @@
     if kind is Kind.LIMIT and left_us and not value:
         raise ValueError("value: a limit of nought is none")
     return kind, int(parts[1]), uid, left_us, value
-
--- a/madderbeam/shared/returning.py
+++ b/madderbeam/shared/returning.py
@@ -82,10 +82,14 @@
 
     def status(self, now_us: int) -> dict[str, Any]:
         """For GET /federation."""
-        return {"news": self.board.status(now_us), "tries": sorted(self.trying),
-                "doubted": [{"dest": dest, "holds": m.began_us >= 0,
-                             "rest_ms": max(0, m.rest_until_us - now_us) // 1000}
-                            for dest, m in sorted(self.moments.items())]}
+        return {
+            "news": self.board.status(now_us),
+            "tries": sorted(self.trying),
+            "doubted": [
+                {"dest": dest, "holds": m.began_us >= 0, "rest_ms": max(0, m.rest_until_us - now_us) // 1000}
+                for dest, m in sorted(self.moments.items())
+            ],
+        }
 
     def trier(self, now_us: int, dest: int) -> MemberId | None:
         """Who tries now; None if nobody says that it is out."""
@@ -119,7 +123,7 @@
         said = {**self.board.counting(Kind.DOUBT, dest, now_us), **out} if named else {}
         confirmed, doubted = len(out) >= WITNESSES, len(out) < WITNESSES <= len(said)
         order = _in_turn(dest, out if confirmed else said)
-        mine = self.me in order[:1 if confirmed else WITNESSES]
+        mine = self.me in order[: 1 if confirmed else WITNESSES]
         actions = self._tries(now_us, dest, mine and confirmed)
         actions += self._alone(now_us, dest, said)
         moment = self.moments.setdefault(dest, Moment()) if doubted else self.moments.get(dest)
@@ -175,4 +179,5 @@
     def rank(member: MemberId) -> tuple[bool, float, int, MemberId]:
         value = said[member].value
         return value % 1 != TRIES, value // 1, -score(place, member), member
+
     return sorted(said, key=rank)
--- a/madderbeam/shared/slot.py
+++ b/madderbeam/shared/slot.py
@@ -125,8 +125,16 @@
         followed = self.holder.answers(now_us, self.slot, member, message.regime, message.ask)
         earlier_us = min(max(0, voter.earlier_us - now_us), SPAN_TOLD_MOST_US)
         holdings = self.holder.holdings(now_us, self.resources)
-        told = Told(self.slot, message.regime, message.ask, votes, earlier_us, followed.seq,
-                    self.seating.seats(now_us), holdings)
+        told = Told(
+            self.slot,
+            message.regime,
+            message.ask,
+            votes,
+            earlier_us,
+            followed.seq,
+            self.seating.seats(now_us),
+            holdings,
+        )
         self.out.send(member, told)
 
     def _refused(self, message: Refused) -> None:
--- a/madderbeam/sidecar/up.py
+++ b/madderbeam/sidecar/up.py
@@ -106,7 +106,8 @@
                 sys.executable,
                 "-m",
                 "madderbeam.host.sidecar",
-                str(self.out / f"{name}.json"), FOLLOW,
+                str(self.out / f"{name}.json"),
+                FOLLOW,
                 stderr=asyncio.subprocess.PIPE,
                 stdin=asyncio.subprocess.PIPE,
                 start_new_session=True,
@@ -173,8 +174,10 @@
         try:
             _try(listen)
         except OSError as error:
-            found.append(f"{content['name']}: listen: {listen} can't be had: {error.strerror or error}; "
-                         "allowed: an address that nobody else has")
+            found.append(
+                f"{content['name']}: listen: {listen} can't be had: {error.strerror or error}; "
+                "allowed: an address that nobody else has"
+            )
     return found
 
 
--- a/madderbeam/simhost.py
+++ b/madderbeam/simhost.py
@@ -41,8 +41,15 @@
         return (entry.destination, entry.endpoint if apart else -1)
 
 
-def answer(sequence: int, now_us: int, body: bytes, count: int, couriers: dict[int, Courier],
-           pages: dict[int, Any], lists: dict[int, List]) -> bytes:
+def answer(
+    sequence: int,
+    now_us: int,
+    body: bytes,
+    count: int,
+    couriers: dict[int, Courier],
+    pages: dict[int, Any],
+    lists: dict[int, List],
+) -> bytes:
     """The reply to one batch."""
     inbox: dict[int, list[Any]] = {}
     for instance, event in wire.read_events(body, count, pages):
--- a/madderbeam/simulation/agent.py
+++ b/madderbeam/simulation/agent.py
@@ -172,8 +172,9 @@
                 self._odd(f"a notice that can't be read: {text!r}")
                 continue
             self.kernel.note(self.life.courier, "notice", id=ident, status=status)
-            notice = self.kernel.checker.notice(self.life, ident, status, request.first_us,
-                                                 int(line.get("again_ms", 0)))
+            notice = self.kernel.checker.notice(
+                self.life, ident, status, request.first_us, int(line.get("again_ms", 0))
+            )
             if notice is not None:
                 notices.append((notice, ident, line.get("again_ms", 0)))
         return notices
@@ -229,14 +230,23 @@
         rev = agent.rev
         if agent.back and agent.chance.random() < agent.back:
             rev = max(1, rev - agent.chance.randrange(1, 4))
-        line = json.dumps({"rev": rev, "all": whole, "targets": entries},
-                          indent=1 if agent.indented else None).encode() + b"\n"
+        line = (
+            json.dumps(
+                {"rev": rev, "all": whole, "targets": entries}, indent=1 if agent.indented else None
+            ).encode()
+            + b"\n"
+        )
         if agent.spoilt and agent.chance.random() < agent.spoilt:
-            self.chunk(line[:len(line) // 2] + b"\n")
+            self.chunk(line[: len(line) // 2] + b"\n")
             self.spoilt = True
             return
-        self.kernel.note(agent.courier, "list", rev=agent.rev, whole=whole,
-                        states=[[e["uid"], e["state"]] for e in entries])
+        self.kernel.note(
+            agent.courier,
+            "list",
+            rev=agent.rev,
+            whole=whole,
+            states=[[e["uid"], e["state"]] for e in entries],
+        )
         self.chunk(line)
         if agent.repeats and agent.chance.random() < agent.repeats:
             self.chunk(line)
--- a/madderbeam/simulation/books.py
+++ b/madderbeam/simulation/books.py
@@ -47,15 +47,24 @@
     """What is left of messages though the times of all are up and nothing goes on."""
     c, j = host.courier, host.journal
     if any(m.until > c.now - REST_US for m in c.messages.values()) or any(
-            m.until > j.wall() - REST_US / 1e6 for m, _ in host.admission.arrived.values()):
+        m.until > j.wall() - REST_US / 1e6 for m, _ in host.admission.arrived.values()
+    ):
         return ""  # one was handed in again late, perhaps so late that its turn is still to come
     kept: dict[str, Any] = {
-        "messages": c.messages, "calls": c.calls, "orders": c.keys, "slots": c.out,
-        "queues": [d.number for d in c.dests.values() if d.queue], "open in the journal": j.open,
-        "numbers of attempts": host.attempts.numbers, "guards": host.ends.guards, "calls out": host.calls.out,
-        "arrivals": host.admission.arrived, "ids that arrive": host.admission.arriving,
+        "messages": c.messages,
+        "calls": c.calls,
+        "orders": c.keys,
+        "slots": c.out,
+        "queues": [d.number for d in c.dests.values() if d.queue],
+        "open in the journal": j.open,
+        "numbers of attempts": host.attempts.numbers,
+        "guards": host.ends.guards,
+        "calls out": host.calls.out,
+        "arrivals": host.admission.arrived,
+        "ids that arrive": host.admission.arriving,
         "keys that arrive": host.admission.arriving_keys,
-        "staged records": j.staged}
+        "staged records": j.staged,
+    }
     for name, value in kept.items():
         if value:
             return f"{name} are left at the end: {str(value)[:80]}"
@@ -265,8 +274,11 @@
     """The list as the rooms, the decision module and those who run it see it."""
     listing, c = host.listing, host.courier
     if not host.events:
-        kept = {n: (ep.lane.dest.number, ep.state) for n, ep in c.endpoints.items()
-                if ep.state is not EndpointState.GONE}
+        kept = {
+            n: (ep.lane.dest.number, ep.state)
+            for n, ep in c.endpoints.items()
+            if ep.state is not EndpointState.GONE
+        }
         wanted = {n: (entry.destination, entry.state) for n, entry in listing.entries.items()}
         yield from _same("endpoints of the decision module", kept, wanted)
     for number, entry in listing.entries.items():
@@ -305,8 +317,7 @@
     lines += [line for pool in h.calls.pools.values() for line in pool.idle]
     owned = {id(line.sock) for line in lines if line is not None}
     owned |= {id(link.sock) for line in lines for link in getattr(line, "links", {}).values()}
-    owned |= {id(client.sock) for front in h.fronts
-              for client in (*front.clients, *front.leaving)}
+    owned |= {id(client.sock) for front in h.fronts for client in (*front.clients, *front.leaving)}
     owned |= {id(x.sock) for x in h.control.callers}
     if lost := [sock for sock in open_ if id(sock) not in owned]:
         yield f"{len(lost)} sockets are nobody's, the first to {lost[0].address}"
@@ -322,8 +333,12 @@
         return
 
     def rows(j: Journal) -> dict[str, Any]:
-        return {m.id: (n, m.status, m.tries, m.may_have_run_at, m.until, m.key, len(m.body))
-                for n, m in j.held.items() if n not in host.ends.unsettled}
+        return {
+            m.id: (n, m.status, m.tries, m.may_have_run_at, m.until, m.key, len(m.body))
+            for n, m in j.held.items()
+            if n not in host.ends.unsettled
+        }
+
     found, known = rows(read), rows(live)
     differ = sorted(ident for ident in {*found, *known} if found.get(ident) != known.get(ident))
     if differ:
--- a/madderbeam/simulation/campaign.py
+++ b/madderbeam/simulation/campaign.py
@@ -25,16 +25,19 @@
 
 def play_federation(seed: int, trace: bool = False) -> Report:
     from madderbeam.simulation.federation import play as played
+
     return played(seed, trace=trace)
 
 
 def play_sharing(seed: int, trace: bool = False) -> Report:
     from madderbeam.simulation.sharing import play as played
+
     return played(seed, trace)
 
 
 def play_changes(seed: int, trace: bool = False) -> Report:
     from madderbeam.simulation.changes import play as played
+
     return played(seed, trace=trace)[0]
 
 
@@ -83,15 +86,18 @@
 
     def line(self, seconds: float) -> str:
         kinds = sum(self.faults.values()) / max(1, self.seeds)
-        return (f"{self.seeds} seeds in {seconds:.1f} s ({self.seeds / seconds:.1f} a second), "
-                f"{self.virtual_s / seconds:.0f} virtual seconds a second, {self.messages} messages "
-                f"(at least {self.least_messages} a whole seed), {self.calls} calls, "
-                f"{self.delivered} delivered, {self.kills} kills, {kinds:.1f} kinds of fault a "
-                f"seed, {sum(self.rules.values())} broken")
-
-
-def shrink(script: Script, rule: str, told: Callable[[Script], None] = lambda s: None,
-           runs: int = 400) -> Script:
+        return (
+            f"{self.seeds} seeds in {seconds:.1f} s ({self.seeds / seconds:.1f} a second), "
+            f"{self.virtual_s / seconds:.0f} virtual seconds a second, {self.messages} messages "
+            f"(at least {self.least_messages} a whole seed), {self.calls} calls, "
+            f"{self.delivered} delivered, {self.kills} kills, {kinds:.1f} kinds of fault a "
+            f"seed, {sum(self.rules.values())} broken"
+        )
+
+
+def shrink(
+    script: Script, rule: str, told: Callable[[Script], None] = lambda s: None, runs: int = 400
+) -> Script:
     """A smaller script that breaks the same rule, within so many runs.
 
     Faults go one at a time, last first, until none can go; then the traffic is cut short, thinned, spread
--- a/madderbeam/simulation/changes.py
+++ b/madderbeam/simulation/changes.py
@@ -47,6 +47,7 @@
             host = sidecar(ports)
             self._attach(host)
             return host
+
         machine._sidecar = attached  # type: ignore[method-assign]
         world.after(300_000, self._step)
 
@@ -74,6 +75,7 @@
         def applied(action: Apply) -> None:
             self._apply(room, action)
             apply(action)
+
         room.applying.apply = applied  # type: ignore[method-assign]
 
         def writes(endpoint: int) -> bool:
@@ -82,6 +84,7 @@
                 self._hold(host, "a write")
                 self._written(host, endpoint)
             return may
+
         host.calls.hooks.may_write = writes
         host.admission.taken_up.append(lambda m: self._hold(host, "an admission"))
 
@@ -189,8 +192,13 @@
 
     @staticmethod
     def _row(ep: Endpoint) -> dict[str, Any]:
-        return {"uid": ep.uid, "dest": ep.dest.number, "address": "{}:{}".format(*ep.address),
-                "kind": ep.dest.kind, "per_s": ep.dest.rate}
+        return {
+            "uid": ep.uid,
+            "dest": ep.dest.number,
+            "address": "{}:{}".format(*ep.address),
+            "kind": ep.dest.kind,
+            "per_s": ep.dest.rate,
+        }
 
     def endpoint(self, uid: str) -> Endpoint:
         return next(ep for ep in self.world.endpoints if ep.uid == uid)
@@ -239,8 +247,13 @@
     chance = e.chance
     parts["limits"] = {"max_held": chance.randrange(30, 60), "retry_base_ms": chance.choice((50, 100, 200))}
     parts["tenants"] = {f"ensemble-{chance.randrange(3)}": {"per_s": chance.choice((20, 40))}}
-    parts["classes"] = {f"extra-{chance.randrange(4)}": {
-        "wanted_ms": 100, "deadline_ms": chance.randrange(200, 5000), "repeat": "safe"}}
+    parts["classes"] = {
+        f"extra-{chance.randrange(4)}": {
+            "wanted_ms": 100,
+            "deadline_ms": chance.randrange(200, 5000),
+            "repeat": "safe",
+        }
+    }
 
 
 PARTS = (_add, _drain, _remove, _move, _back, _settings)
@@ -281,8 +294,12 @@
 
 
 def _differing(one: Snapshot, other: Snapshot) -> set[Key]:
-    return {(s, name) for s in one.sections if s != "fixed"
-            for name in one.sections[s].differing(other.sections[s])}
+    return {
+        (s, name)
+        for s in one.sections
+        if s != "fixed"
+        for name in one.sections[s].differing(other.sections[s])
+    }
 
 
 def _same(one: Snapshot, other: Snapshot) -> bool:
--- a/madderbeam/simulation/checker.py
+++ b/madderbeam/simulation/checker.py
@@ -89,8 +89,13 @@
     def over(self, at: int) -> bool:
         """Whether it no longer was out then: answered, or its connection ended."""
         stream = self.call.stream
-        return (0 <= self.call.answered_us <= at or 0 <= stream.closed_us <= at or stream.gone
-                or bool(stream.error) or self.call.life.died_us >= 0)
+        return (
+            0 <= self.call.answered_us <= at
+            or 0 <= stream.closed_us <= at
+            or stream.gone
+            or bool(stream.error)
+            or self.call.life.died_us >= 0
+        )
 
     def ended_us(self) -> int:
         """When the courier stopped waiting for it at the latest, -1 if it still waits."""
@@ -153,8 +158,9 @@
 class Checker:
     """Keeps what crossed the wires and calls `broken` for each broken rule."""
 
-    def __init__(self, scheduler: Scheduler, settings: Settings, disk_bytes: int,
-                 broken: Callable[[Violation], None]) -> None:
+    def __init__(
+        self, scheduler: Scheduler, settings: Settings, disk_bytes: int, broken: Callable[[Violation], None]
+    ) -> None:
         self.scheduler, self.s, self.disk_bytes, self._broken = scheduler, settings, disk_bytes, broken
         self.handed: dict[str, Handed] = {}
         self.by_key: dict[tuple[str, str], list[Attempt]] = {}  # of one courier
@@ -214,8 +220,9 @@
         """A refusal with no time to come back: one is owed where the message has some life left."""
         left = m.until_us - self.scheduler.now_us - SLACK - (QUEUED if m.first else 0)
         if 0 < self.s.max_retry_after_us < left:
-            self.broken("design", f"{m.id} is {what} with no time to come back, and lives until "
-                                  f"{m.until_us} us")
+            self.broken(
+                "design", f"{m.id} is {what} with no time to come back, and lives until {m.until_us} us"
+            )
 
     def heard(self, m: Handed, kind: str) -> None:
         """The client has read the answer on an open connection."""
@@ -247,8 +254,11 @@
         elif life.number > m.life.number and now < life.ready_us + READY_AFTER:
             self.scheduler.at(life.ready_us + READY_AFTER, self._due, m)
         else:
-            self.broken("lost", f"{m.id} ({self.cls(m).name}), taken on at {m.taken_us} us by "
-                                f"{m.life.courier}, has no end; {len(m.attempts)} attempts")
+            self.broken(
+                "lost",
+                f"{m.id} ({self.cls(m).name}), taken on at {m.taken_us} us by "
+                f"{m.life.courier}, has no end; {len(m.attempts)} attempts",
+            )
 
     # Calls
 
@@ -257,12 +267,16 @@
         self.calls += 1
         told = self.drained.get((call.life.courier, uid), -1)
         if 0 <= told < call.first_us - self.s.drain_grace_us - SLACK:
-            self.broken("drain", f"{call.path} to {uid}, of which {call.life.courier} was told at {told} us "
-                                 "that it drains or is gone")
+            self.broken(
+                "drain",
+                f"{call.path} to {uid}, of which {call.life.courier} was told at {told} us "
+                "that it drains or is gone",
+            )
         out = self.by_hand.get((call.life.courier, uid), -1)
         if 0 <= out < call.first_us - self.s.drain_grace_us - SLACK:
-            self.broken("drain", f"{call.path} to {uid}, which is out by hand at {call.life.courier} since "
-                                 f"{out} us")
+            self.broken(
+                "drain", f"{call.path} to {uid}, which is out by hand at {call.life.courier} since {out} us"
+            )
         self._place(call, uid)
         if idents:
             self._window(call, dest)
@@ -286,8 +300,10 @@
         courier, here = call.life.courier, "{}:{}".format(*call.stream.address)
         left = self.left.get((courier, here), self.scheduler.now_us)
         if left < call.first_us - self.s.drain_grace_us - SLACK and here not in self.places[courier].values():
-            self.broken("drain", f"{call.path} to {uid} at {here}; {courier} was told at {left} us that it "
-                                 "is there no more")
+            self.broken(
+                "drain",
+                f"{call.path} to {uid} at {here}; {courier} was told at {left} us that it is there no more",
+            )
 
     def _window(self, call: Call, dest: int) -> None:
         """Calls out to one destination at once."""
@@ -295,26 +311,37 @@
         out = [c for c in self.out.get(key, ()) if any(not a.over(call.first_us) for a in c.items)]
         self.out[key] = [*out, call]
         if len(out) >= self.cap:
-            self.broken("design", f"{len(out) + 1} calls of {call.life.courier} are out to destination "
-                                  f"{dest}, {self.cap} at most")
+            self.broken(
+                "design",
+                f"{len(out) + 1} calls of {call.life.courier} are out to destination "
+                f"{dest}, {self.cap} at most",
+            )
 
     def _attempt(self, m: Handed, new: Attempt) -> None:
         first, effect = new.call.first_us, self.cls(m).effect
         for old in m.attempts:
             if old.call is not new.call and not old.over(first):
-                self.broken("overlap", f"{m.id}: sent at {first} us while the attempt of "
-                                       f"{old.call.first_us} us was out")
+                self.broken(
+                    "overlap",
+                    f"{m.id}: sent at {first} us while the attempt of {old.call.first_us} us was out",
+                )
             if effect is Effect.UNSAFE and not old.sure:
-                self.broken("repeat", f"{m.id} is unsafe, went out at {old.call.first_us} us, "
-                                      f"may have run, and went out again at {first} us")
+                self.broken(
+                    "repeat",
+                    f"{m.id} is unsafe, went out at {old.call.first_us} us, "
+                    f"may have run, and went out again at {first} us",
+                )
         if len(m.attempts) >= self.tries:
             self.broken("design", f"{m.id}: more than {self.tries} attempts")
         if effect is Effect.KEYED and m.key:
             same = self.by_key.setdefault((new.call.life.courier, m.key), [])
             may = min((a.call.first_us for a in same if not a.sure), default=first)
             if first > may + self.cls(m).key_window_us + SLACK:
-                self.broken("repeat", f"{m.id}: its key may have run at {may} us; it went out again at "
-                                      f"{first} us, past its window")
+                self.broken(
+                    "repeat",
+                    f"{m.id}: its key may have run at {may} us; it went out again at "
+                    f"{first} us, past its window",
+                )
             same.append(new)
         self._ended_before(m, new, effect)
         if m.attempts and 0 <= m.attempts[-1].known_us <= first:
@@ -326,19 +353,28 @@
     def _ended_before(self, m: Handed, new: Attempt, effect: Effect) -> None:
         first, life = new.call.first_us, new.call.life
         if m.said in ("busy", "error"):
-            self.broken("refusal" if m.said == "busy" else "ends",
-                        f"{m.id} was answered {m.said} at {m.said_us} us and went out at {first} us")
+            self.broken(
+                "refusal" if m.said == "busy" else "ends",
+                f"{m.id} was answered {m.said} at {m.said_us} us and went out at {first} us",
+            )
         forgiven = effect is not Effect.UNSAFE and life.courier in self.troubled
         for notice in m.notices:
             if notice.written_us < first and notice.status == "deferred" and effect is Effect.UNSAFE:
                 self.broken("refusal", f"{m.id} was handed back at {notice.written_us} us and went out again")
-            elif notice.written_us < first and not forgiven and (
-                    notice.life is life or 0 <= notice.told_us < notice.life.died_us):
+            elif (
+                notice.written_us < first
+                and not forgiven
+                and (notice.life is life or 0 <= notice.told_us < notice.life.died_us)
+            ):
                 self.broken("ends", f"{m.id} ended at {notice.written_us} us and went out again")
         for old in m.attempts:
             known = old.known_us
-            if old.outcome == "done" and 0 <= known < first and not forgiven and (
-                    old.call.life is life or known < old.call.life.died_us):
+            if (
+                old.outcome == "done"
+                and 0 <= known < first
+                and not forgiven
+                and (old.call.life is life or known < old.call.life.died_us)
+            ):
                 self.broken("ends", f"{m.id} was delivered, and went out again")
 
     def _order(self, m: Handed, first: int, life: Life) -> None:
@@ -349,16 +385,20 @@
             ended += [n.written_us for n in old.notices]
             if not any(at <= first for at in ended):
                 if old.taken_us >= 0 and not 0 <= old.final_us <= first:
-                    self.broken("order", f"{m.id} went out while {old.id}, taken on before it, "
-                                         "was unfinished")
+                    self.broken(
+                        "order", f"{m.id} went out while {old.id}, taken on before it, was unfinished"
+                    )
                 continue
             last = max(old.attempts, key=lambda a: a.call.first_us, default=None)
             if last is None or last.call.answered_us >= 0:
                 continue
             rest = last.ended_us() + self.s.key_rest_us
             if last.ended_us() < 0 or first < rest - SLACK:
-                self.broken("order", f"{m.id} went out at {first} us; {old.id}'s last attempt may run on "
-                                     f"and its key rests until {rest} us")
+                self.broken(
+                    "order",
+                    f"{m.id} went out at {first} us; {old.id}'s last attempt may run on "
+                    f"and its key rests until {rest} us",
+                )
 
     def arrived(self, call: Call) -> None:
         """The call's last byte has come to its endpoint."""
@@ -367,8 +407,11 @@
         for told, came, until, stream in self.waits.get(key, ()):
             heard = not 0 <= stream.closed_us < came
             if heard and call.first_us > came and told + THROUGH + SLACK < now < until:
-                self.broken("wait", f"{call.path} came to {ep.uid}; {call.life.courier} was told at "
-                                    f"{told} us to wait until {until} us")
+                self.broken(
+                    "wait",
+                    f"{call.path} came to {ep.uid}; {call.life.courier} was told at "
+                    f"{told} us to wait until {until} us",
+                )
         cold = ep.dest
         if cold.cold_from >= 0:
             self._cold(cold, call.life, now)
@@ -388,14 +431,22 @@
         middle = ((since + now) / 2 - dest.cold_from) / self.s.cold_us
         budget = self.s.fall_multiple * dest.rate * (share + (1 - share) * middle) * span / 1e6
         if now - dest.cold_from < span:  # what its whole first window bears, so that one call is no flood
-            budget = self.s.fall_multiple * dest.rate * (share + (1 - share) * span / 2 / self.s.cold_us) \
-                * span / 1e6
-        if len(load) <= budget + COLD_SLACK * budget ** 0.5 + COLD_SLACK:
+            budget = (
+                self.s.fall_multiple
+                * dest.rate
+                * (share + (1 - share) * span / 2 / self.s.cold_us)
+                * span
+                / 1e6
+            )
+        if len(load) <= budget + COLD_SLACK * budget**0.5 + COLD_SLACK:
             return
         saw = sum((x.courier, x.number) in dest.saw for _, x in load)
         if 3 * saw > 2 * len(load):
-            self.broken("pushed", f"destination {dest.number}, cold since {dest.cold_from} us, got "
-                                  f"{len(load)} calls in {span} us, and bears {budget:.1f}")
+            self.broken(
+                "pushed",
+                f"destination {dest.number}, cold since {dest.cold_from} us, got "
+                f"{len(load)} calls in {span} us, and bears {budget:.1f}",
+            )
         dest.cold_from = -1  # it has fallen: only the first time counts
         self.loads.pop(dest.number, None)
 
@@ -453,8 +504,11 @@
                 self.broken("ends", f"{m.id}: its notice was accepted at {old.told_us} us and came again")
         for a in m.attempts:
             before = min(written, m.final_us) if m.final_us >= 0 else written
-            if a.outcome == "done" and 0 <= a.known_us < before and (
-                    a.call.life is life or a.known_us < a.call.life.died_us):
+            if (
+                a.outcome == "done"
+                and 0 <= a.known_us < before
+                and (a.call.life is life or a.known_us < a.call.life.died_us)
+            ):
                 self.broken("ends", f"{m.id} was delivered at {a.known_us} us and ended by a notice")
 
     def recorded(self, ident: str) -> None:
--- a/madderbeam/simulation/claims.py
+++ b/madderbeam/simulation/claims.py
@@ -21,8 +21,19 @@
 
 def scripts() -> list[Script]:
     """Calm days on which a third of the calls fails."""
-    return [Script(seed=n, couriers=1, dests=4, rate_per_s=25.0, seconds=10.0, service_ms=10.0, tight=20.0,
-                   faults=(Fault("errors", 0, 12_000, 0, 0.52),)) for n in range(RUNS)]
+    return [
+        Script(
+            seed=n,
+            couriers=1,
+            dests=4,
+            rate_per_s=25.0,
+            seconds=10.0,
+            service_ms=10.0,
+            tight=20.0,
+            faults=(Fault("errors", 0, 12_000, 0, 0.52),),
+        )
+        for n in range(RUNS)
+    ]
 
 
 def broken(found: Iterable[tuple[int, int]], base_us: int) -> list[str]:
@@ -37,11 +48,15 @@
         return [f"backoff: {len(first)} first and {len(second)} second waits are too few to judge"]
     lines = []
     if statistics.mean(second) < GROWS * statistics.mean(first):
-        lines.append(f"backoff: waits do not grow, {statistics.mean(first):.0f} us on average, then "
-                     f"{statistics.mean(second):.0f}")
+        lines.append(
+            f"backoff: waits do not grow, {statistics.mean(first):.0f} us on average, then "
+            f"{statistics.mean(second):.0f}"
+        )
     if statistics.pstdev(first) < VARIES * statistics.mean(first):
-        lines.append(f"jitter: first waits of {statistics.mean(first):.0f} us vary by "
-                     f"{statistics.pstdev(first):.0f} us")
+        lines.append(
+            f"jitter: first waits of {statistics.mean(first):.0f} us vary by "
+            f"{statistics.pstdev(first):.0f} us"
+        )
     if statistics.mean(first) < base_us / 5:
         lines.append(f"backoff: first waits are {statistics.mean(first):.0f} us on average")
     return lines
--- a/madderbeam/simulation/clients.py
+++ b/madderbeam/simulation/clients.py
@@ -85,8 +85,11 @@
 
     def together(self, wishes: list[Wish], half: bool) -> None:
         """A program hands several in at once, on a connection of its own; half: it ends its sending then."""
-        alive = [m for m in self.machines if self.dead.get(m.name, -1) <= self.kernel.now_us
-                 and m.name not in self.left_alone]
+        alive = [
+            m
+            for m in self.machines
+            if self.dead.get(m.name, -1) <= self.kernel.now_us and m.name not in self.left_alone
+        ]
         if not alive:
             for wish in wishes:
                 self.hand_in(wish)
@@ -94,12 +97,13 @@
         machine = self._one(alive)
         Program(self, machine, [self._request(wish, machine, False, False, True) for wish in wishes], half)
 
-    def _request(self, wish: Wish, machine: Machine, again: bool, marked: bool,
-                 usual: bool = False) -> tuple[Handed, bytes]:
+    def _request(
+        self, wish: Wish, machine: Machine, again: bool, marked: bool, usual: bool = False
+    ) -> tuple[Handed, bytes]:
         """The message under a new id, as it is handed in at this courier; `usual`: over RESP2."""
         kernel, now = self.kernel, self.kernel.now_us
         self.count += 1
-        ident = f"{kernel.script.seed & 0xffff:04x}{wish.number:06x}{self.count:06x}"
+        ident = f"{kernel.script.seed & 0xFFFF:04x}{wish.number:06x}{self.count:06x}"
         life = machine.life
         handed = Handed(ident, wish.cls, wish.dest, wish.key, wish.order, life, now, wish.until_us)
         kernel.checker.put(handed)
@@ -111,8 +115,9 @@
         text = command(b"MSG.PUT", order, ident.encode(), fields.encode(), b"x" * wish.size)
         if self.otherwise is not None and not usual and self.habit.random() < 0.5:
             text = self.otherwise(handed, wish, marked)
-        kernel.note("client", "put", id=ident, to=machine.name, wish=wish.number, cls=cls.name,
-                    dest=wish.dest)
+        kernel.note(
+            "client", "put", id=ident, to=machine.name, wish=wish.number, cls=cls.name, dest=wish.dest
+        )
         return handed, text
 
     def send(self, machine: Machine, handed: Handed, text: bytes, fresh: bool = False) -> None:
@@ -158,7 +163,7 @@
         if wish.tries >= TRIES:
             return
         wish.tries += 1
-        backoff = int(self.chance.uniform(400_000, 1_300_000) * 1.5 ** wish.tries)
+        backoff = int(self.chance.uniform(400_000, 1_300_000) * 1.5**wish.tries)
         wait = max(wait_ms * 1000, backoff) if self.chance.random() < 0.7 else backoff
         self.kernel.after(1_000 if self.hasty else wait, self.hand_in, wish, False, True)
 
@@ -328,8 +333,9 @@
 class Program(Peer):
     """A program that sends several requests at once and reads the answers in their order."""
 
-    def __init__(self, clients: Clients, machine: Machine, requests: list[tuple[Handed, bytes]],
-                 half: bool) -> None:
+    def __init__(
+        self, clients: Clients, machine: Machine, requests: list[tuple[Handed, bytes]], half: bool
+    ) -> None:
         self.clients, self.machine, self.kernel = clients, machine, clients.kernel
         self.life, self.half = machine.life, half
         self.requests = requests
@@ -426,12 +432,23 @@
 
 def garbage(chance: random.Random) -> bytes:
     """Something that is no request."""
-    return chance.choice((
-        b"\x00\xff" * 30, b"GET / HTTP/1.1\r\n\r\n", b"*-3\r\n", b"*99999999\r\n", b"*2\r\n$-7\r\n",
-        b"*1\r\n$700000000\r\n", b"*5\r\n$7\r\nMSG.P", b"$5\r\nhello\r\n", b"a" * 3000,
-        command(b"MSG.PUT", b"0", b"id"), command(b"NOSUCH", b"x"),
-        command(b"MSG.PUT", b"0", b"bad0", b"c=nosuch,t=t,d=5,dest=1", b"x"),
-        command(b"MSG.PUT", b"0", b"bad1", b"c=status-notice,t=ensemble-0,d=soon,dest=1", b"x"),
-        command(b"MSG.PUT", b"0", b"bad2", b"c=status-notice,t=ensemble-0,d=900,dest=999", b"x"),
-        command(b"MSG.PUT", b"0", b"", b"c=status-notice,t=ensemble-0,d=900,dest=1", b"x"),
-        command(b"NOSUCH") * 200))
+    return chance.choice(
+        (
+            b"\x00\xff" * 30,
+            b"GET / HTTP/1.1\r\n\r\n",
+            b"*-3\r\n",
+            b"*99999999\r\n",
+            b"*2\r\n$-7\r\n",
+            b"*1\r\n$700000000\r\n",
+            b"*5\r\n$7\r\nMSG.P",
+            b"$5\r\nhello\r\n",
+            b"a" * 3000,
+            command(b"MSG.PUT", b"0", b"id"),
+            command(b"NOSUCH", b"x"),
+            command(b"MSG.PUT", b"0", b"bad0", b"c=nosuch,t=t,d=5,dest=1", b"x"),
+            command(b"MSG.PUT", b"0", b"bad1", b"c=status-notice,t=ensemble-0,d=soon,dest=1", b"x"),
+            command(b"MSG.PUT", b"0", b"bad2", b"c=status-notice,t=ensemble-0,d=900,dest=999", b"x"),
+            command(b"MSG.PUT", b"0", b"", b"c=status-notice,t=ensemble-0,d=900,dest=1", b"x"),
+            command(b"NOSUCH") * 200,
+        )
+    )
--- a/madderbeam/simulation/commands.py
+++ b/madderbeam/simulation/commands.py
@@ -28,17 +28,33 @@
     what.add_argument("--seeds", type=seed_range, metavar="A:B", help="the seeds from A to under B")
     what.add_argument("--script", type=Path, metavar="FILE", help="a script that was saved or written")
     what.add_argument("--faults", action="store_true", help="list the kinds of fault and end")
-    simulate.add_argument("--federation", action="store_true", help="with --seed or --seeds: several sites "
-                          "of couriers that switch tables and relay streams, in place of one courier's days")
-    simulate.add_argument("--sharing", action="store_true", help="with --seed or --seeds: one site of 2 to "
-                          "50 couriers that share news of partners and leases on their rates")
-    simulate.add_argument("--changes", action="store_true", help="with --seed or --seeds: couriers whose "
-                          "configuration changes all the time")
+    simulate.add_argument(
+        "--federation",
+        action="store_true",
+        help="with --seed or --seeds: several sites "
+        "of couriers that switch tables and relay streams, in place of one courier's days",
+    )
+    simulate.add_argument(
+        "--sharing",
+        action="store_true",
+        help="with --seed or --seeds: one site of 2 to "
+        "50 couriers that share news of partners and leases on their rates",
+    )
+    simulate.add_argument(
+        "--changes",
+        action="store_true",
+        help="with --seed or --seeds: couriers whose configuration changes all the time",
+    )
     simulate.add_argument("--trace", type=Path, metavar="FILE", help="write what crossed the wires (-: here)")
     simulate.add_argument("--save", type=Path, metavar="FILE", help="write the script (-: here)")
     simulate.add_argument("--jobs", type=int, default=0, metavar="J", help="processes (default: one a core)")
-    simulate.add_argument("--compare", default="", metavar="REV", help="with --seeds: how well these days "
-                          "are served here and by the courier of that revision (needs the extra lab)")
+    simulate.add_argument(
+        "--compare",
+        default="",
+        metavar="REV",
+        help="with --seeds: how well these days "
+        "are served here and by the courier of that revision (needs the extra lab)",
+    )
     simulate.set_defaults(action=_simulate)
     smaller = commands.add_parser("shrink", help="a smaller script that breaks the same rule")
     start = smaller.add_mutually_exclusive_group(required=True)
@@ -49,8 +65,12 @@
     smaller.set_defaults(action=_shrink)
     explore = commands.add_parser("explore", help="look for scripts that reach what seeds do not")
     explore.add_argument("--seconds", type=float, default=60.0, metavar="S", help="search for so long (60)")
-    explore.add_argument("--corpus", type=Path, metavar="DIR", help="begin with these scripts, and keep what "
-                         "was found there: few that reach all of it")
+    explore.add_argument(
+        "--corpus",
+        type=Path,
+        metavar="DIR",
+        help="begin with these scripts, and keep what was found there: few that reach all of it",
+    )
     explore.add_argument("--broken", type=Path, metavar="DIR", help="write scripts that break a rule here")
     explore.add_argument("--plain", action="store_true", help="plain seeds alone, for comparison")
     explore.add_argument("--seed", type=int, default=0, metavar="N", help="of the search (0)")
@@ -79,8 +99,10 @@
     from madderbeam.simulation import explore, mutation
 
     if unknown := sorted(set(args.files) - set(mutation.sources())):
-        print(f"madderbeam: FILE: must be one of {', '.join(mutation.sources())}, not {unknown[0]!r}",
-              file=sys.stderr)
+        print(
+            f"madderbeam: FILE: must be one of {', '.join(mutation.sources())}, not {unknown[0]!r}",
+            file=sys.stderr,
+        )
         return 2
     try:
         wanted = mutation.chosen(args.files, args.since, args.sample)
@@ -103,8 +125,10 @@
     if args.missed:
         for row in here:
             if row["verdict"] not in mutation.FOUND:
-                print(f"{row['path']}:{row['line']} {row['name']} {row['rule']}: {row['before']} -> "
-                      f"{row['after']} ({row['verdict']})")
+                print(
+                    f"{row['path']}:{row['line']} {row['name']} {row['rule']}: {row['before']} -> "
+                    f"{row['after']} ({row['verdict']})"
+                )
     print(mutation.table(here))
     return 0
 
@@ -125,11 +149,14 @@
             print(found.report.line, flush=True)
             if args.broken:
                 explore.write(args.broken, [r.script for r in search.broken])
+
     explore.explore(search, scripts, args.seconds, args.jobs, told)
     branches = sum(f[0] != "pair" for f in search.features)
     chosen = explore.smallest(search.kept)
-    print(f"{search.runs} runs reached {branches} branches and {len(search.features) - branches} pairs of "
-          f"events; {len(search.kept)} reached something new, {len(chosen)} reach all of it")
+    print(
+        f"{search.runs} runs reached {branches} branches and {len(search.features) - branches} pairs of "
+        f"events; {len(search.kept)} reached something new, {len(chosen)} reach all of it"
+    )
     if args.corpus:
         explore.write(args.corpus, [r.script for r in chosen])
     return 1 if search.broken else 0
@@ -193,9 +220,11 @@
 
 
 def _well(r: Report) -> str:
-    return (f"seed {r.seed}: no rule broken in {r.virtual_s:.1f} virtual seconds, {r.steps} steps; "
-            f"{r.messages} messages, {r.calls} calls, {r.delivered} delivered, {r.kills} kills; "
-            f"faults: {', '.join(r.kinds) or 'none'}")
+    return (
+        f"seed {r.seed}: no rule broken in {r.virtual_s:.1f} virtual seconds, {r.steps} steps; "
+        f"{r.messages} messages, {r.calls} calls, {r.delivered} delivered, {r.kills} kills; "
+        f"faults: {', '.join(r.kinds) or 'none'}"
+    )
 
 
 def _campaign(seeds: Iterable[int], jobs: int, clock: Clock | None = None, days: str = "") -> int:
@@ -245,8 +274,12 @@
         return 2
 
     def told(smaller: Script) -> None:
-        print(f"{len(smaller.faults)} faults, {smaller.seconds:.2f} s, {smaller.rate_per_s:.1f} messages a "
-              f"second, {smaller.couriers} couriers", file=sys.stderr)
+        print(
+            f"{len(smaller.faults)} faults, {smaller.seconds:.2f} s, {smaller.rate_per_s:.1f} messages a "
+            f"second, {smaller.couriers} couriers",
+            file=sys.stderr,
+        )
+
     script = shrink(script, found.rule, told, args.runs)
     _write(args.out, script.text())
     print(play(script).line, file=sys.stderr)
--- a/madderbeam/simulation/compare.py
+++ b/madderbeam/simulation/compare.py
@@ -58,8 +58,11 @@
 def rows_of(seeds: range, jobs: int) -> Iterator[dict[str, Any]]:
     """One row a seed: its quality, or the rule that it breaks."""
     for report in campaign(seeds, jobs, audited=False):
-        yield {"seed": report.seed, "broken": report.line,
-               "quality": asdict(report.quality) if report.quality else None}
+        yield {
+            "seed": report.seed,
+            "broken": report.line,
+            "quality": asdict(report.quality) if report.quality else None,
+        }
 
 
 @contextmanager
@@ -81,10 +84,17 @@
 def there(revision: str, seeds: range, jobs: int) -> dict[int, dict[str, Any]]:
     """The other checkout's rows, by seed."""
     with other(revision) as folder:
-        command = [sys.executable, "-m", "madderbeam.simulation.compare", str(seeds.start), str(seeds.stop),
-                   str(jobs)]
-        done = subprocess.run(command, cwd=folder, capture_output=True, text=True,
-                              env={**os.environ, "PYTHONPATH": str(folder)})
+        command = [
+            sys.executable,
+            "-m",
+            "madderbeam.simulation.compare",
+            str(seeds.start),
+            str(seeds.stop),
+            str(jobs),
+        ]
+        done = subprocess.run(
+            command, cwd=folder, capture_output=True, text=True, env={**os.environ, "PYTHONPATH": str(folder)}
+        )
     if done.returncode:
         last = (done.stderr.strip().splitlines() or ["it said nothing"])[-1]
         raise CompareError(f"compare: {revision} can't be played in this world: {last}")
@@ -114,13 +124,25 @@
 
 def table(rows: list[Row]) -> str:
     """A line a measure; a star where the interval leaves no difference out."""
-    lines = ["measure".ljust(24) + "here".rjust(10) + "there".rjust(10) + "difference".rjust(12)
-             + f"{SURE:.0%} interval".rjust(24) + "seeds".rjust(7)]
+    lines = [
+        "measure".ljust(24)
+        + "here".rjust(10)
+        + "there".rjust(10)
+        + "difference".rjust(12)
+        + f"{SURE:.0%} interval".rjust(24)
+        + "seeds".rjust(7)
+    ]
     for r in rows:
         span = f"{r.low:+.4f} to {r.high:+.4f}"
-        lines.append(r.name.ljust(24) + f"{r.here:.4f}".rjust(10) + f"{r.there:.4f}".rjust(10)
-                     + f"{r.difference:+.4f}".rjust(12) + span.rjust(24) + str(r.seeds).rjust(7)
-                     + (" *" if r.differs else ""))
+        lines.append(
+            r.name.ljust(24)
+            + f"{r.here:.4f}".rjust(10)
+            + f"{r.there:.4f}".rjust(10)
+            + f"{r.difference:+.4f}".rjust(12)
+            + span.rjust(24)
+            + str(r.seeds).rjust(7)
+            + (" *" if r.differs else "")
+        )
     return "\n".join(lines)
 
 
--- a/madderbeam/simulation/couriers.py
+++ b/madderbeam/simulation/couriers.py
@@ -91,38 +91,68 @@
         self.loop: ProcessLoop
 
     def env(self) -> dict[str, str]:
-        return {"LB_NAME": self.name, "LB_LISTEN": f"{self.address[0]}:{self.address[1]}",
-                "LB_DISCOVERY": "{}:{}".format(*self.agent.address), "LB_STATE": "/state",
-                "LB_CONFIG": CONFIG}
+        return {
+            "LB_NAME": self.name,
+            "LB_LISTEN": f"{self.address[0]}:{self.address[1]}",
+            "LB_DISCOVERY": "{}:{}".format(*self.agent.address),
+            "LB_STATE": "/state",
+            "LB_CONFIG": CONFIG,
+        }
 
     def config(self) -> dict[str, Any]:
         script = self.kernel.script
         settings = {**self.kernel.raw_settings, "me": self.index}
         served = {"control": "{}:{}".format(*self.control)} if self.kernel.served else {}
-        return {**served, "name": self.name, "seed": f"{self.chance.getrandbits(64):x}",
-                "discovery": "{}:{}".format(*self.agent.address),
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": script.descriptors,
-                           "disk_mb": script.disk_mb},
-                "known": self.agent.known(), "settings": settings}
+        return {
+            **served,
+            "name": self.name,
+            "seed": f"{self.chance.getrandbits(64):x}",
+            "discovery": "{}:{}".format(*self.agent.address),
+            "limits": {
+                "cores": 1.0,
+                "memory_mb": 192,
+                "sockets": script.descriptors,
+                "disk_mb": script.disk_mb,
+            },
+            "known": self.agent.known(),
+            "settings": settings,
+        }
 
     def write_config(self) -> None:
         if self.feed is None:
             self.disk.files[CONFIG] = bytearray(json.dumps(self.config()).encode())
             return
         script = self.kernel.script
-        file = {"form": 1, "name": self.name, "listen": "{}:{}".format(*self.address),
-                "settings": {**self.kernel.raw_settings, "me": self.index},
-                "limits": {"sockets": script.descriptors, "clients": script.descriptors // 2,
-                           "client_idle_ms": 60_000, "disk_mb": script.disk_mb},
-                "sidecar": {"state": "/state", "partners": local.LIST.rpartition("/")[2],
-                            "finals": local.FEED, "feed_mb": local.FEED_MB}}
+        file = {
+            "form": 1,
+            "name": self.name,
+            "listen": "{}:{}".format(*self.address),
+            "settings": {**self.kernel.raw_settings, "me": self.index},
+            "limits": {
+                "sockets": script.descriptors,
+                "clients": script.descriptors // 2,
+                "client_idle_ms": 60_000,
+                "disk_mb": script.disk_mb,
+            },
+            "sidecar": {
+                "state": "/state",
+                "partners": local.LIST.rpartition("/")[2],
+                "finals": local.FEED,
+                "feed_mb": local.FEED_MB,
+            },
+        }
         if self.kernel.quota:
             file["quota"] = self.kernel.quota
         if self.kernel.changes:
             file["changes"] = self.kernel.changes
         if script.kafka:
-            file["kafka"] = {"listen": "{}:{}".format(*self.kafka), "advertised": None, "users": {},
-                             "partitions": 1, "finals": "finals"}
+            file["kafka"] = {
+                "listen": "{}:{}".format(*self.kafka),
+                "advertised": None,
+                "users": {},
+                "partitions": 1,
+                "finals": "finals",
+            }
         self.disk.files[local.CONFIG] = bytearray(json.dumps(seal(file)).encode())
 
     def _was_read(self, path: str, data: bytes) -> None:
@@ -142,8 +172,9 @@
         self.life = Life(self.name, self.life.number + 1)
         kernel.checker.started(self.life)
         self.loop = process_loop(kernel.scheduler)
-        self.network = SimNetwork(self.loop, kernel.services, self.link, self.chance, self._operation,
-                                  self.descriptors)
+        self.network = SimNetwork(
+            self.loop, kernel.services, self.link, self.chance, self._operation, self.descriptors
+        )
         kernel.lives[self.network] = self.life
         self.operations = 0
         kernel.note(self.name, "starts")
@@ -152,8 +183,11 @@
     def _main(self) -> None:
         ports = Ports(self.clock, self.network, self.disk)
         try:
-            self.host = self._sidecar(ports) if self.feed else \
-                process.start(self.loop, ports, self.env(), load(self.env(), self.disk))
+            self.host = (
+                self._sidecar(ports)
+                if self.feed
+                else process.start(self.loop, ports, self.env(), load(self.env(), self.disk))
+            )
         except ConfigError as error:
             if isinstance(self.agent, ListKeeper) and self.agent.half:  # whoever keeps it starts it again
                 self.die()
@@ -288,14 +322,16 @@
     def _pass(self, old: Host, how: str) -> None:
         message, socks = handover.snapshot(old, "" if how == "form" else handover.form())
         message = msgpack.unpackb(msgpack.packb(message), strict_map_key=False)
-        self.kernel.note(self.name, "is upgraded", how=how, clients=len(message["clients"]),
-                        calls=len(message["calls"]))
+        self.kernel.note(
+            self.name, "is upgraded", how=how, clients=len(message["clients"]), calls=len(message["calls"])
+        )
         passed = handover.Passed(message, socks, old.s, old.config.seed)
         if how == "before":
             return
         before, self.loop = self.loop, process_loop(self.kernel.scheduler)
-        network = SimNetwork(self.loop, self.kernel.services, self.link, self.chance, self._operation,
-                             self.network.descriptors)
+        network = SimNetwork(
+            self.loop, self.kernel.services, self.link, self.chance, self._operation, self.network.descriptors
+        )
         network.most = self.network.most
         for sock in socks:
             self.network.pass_on(sock, network)
@@ -331,7 +367,7 @@
         self.kernel.services[self.agent.address] = self.kernel.services.pop(old)
         if self.chance.random() < 0.3:  # the file is half written at first
             text = json.dumps(self.config()).encode()
-            self.disk.files[CONFIG] = bytearray(text[:len(text) // 2])
+            self.disk.files[CONFIG] = bytearray(text[: len(text) // 2])
             self.life.moved_us = self.kernel.now_us + 150_000
             self.kernel.after(150_000, self.write_config)
         else:
--- a/madderbeam/simulation/disk.py
+++ b/madderbeam/simulation/disk.py
@@ -41,8 +41,9 @@
         self.most = 0  # bytes in whole blocks, the most ever under /state
 
     def used(self) -> int:
-        return sum(-(-len(data) // BLOCK) * BLOCK for path, data in self.files.items()
-                   if path.startswith("/state/"))
+        return sum(
+            -(-len(data) // BLOCK) * BLOCK for path, data in self.files.items() if path.startswith("/state/")
+        )
 
     def call(self, name: str, path: str = "") -> None:
         if self.operation(name):
@@ -80,7 +81,7 @@
         self.files.pop(path, None)
 
     def names(self, path: str) -> list[str]:
-        inside = [p[len(path) + 1:] for p in self.files if p.startswith(path + "/")]
+        inside = [p[len(path) + 1 :] for p in self.files if p.startswith(path + "/")]
         return [name for name in inside if "/" not in name]
 
     def is_folder(self, path: str) -> bool:
@@ -109,7 +110,7 @@
     def append(self, data: bytes) -> int:
         disk, faults = self.disk, self.disk.faults
         if disk.operation("append"):
-            self.data += data[:disk.chance.randrange(len(data) + 1)]  # a torn record
+            self.data += data[: disk.chance.randrange(len(data) + 1)]  # a torn record
             raise Killed
         spared = self.path in disk.spared
         if faults.eio and not spared and disk.chance.random() < faults.eio:
@@ -117,7 +118,7 @@
         if faults.full and not spared:
             raise fail(errno.ENOSPC)
         if faults.short and len(data) > 1 and disk.chance.random() < faults.short:
-            data = data[:disk.chance.randrange(1, len(data))]
+            data = data[: disk.chance.randrange(1, len(data))]
         self.data += data
         disk.most = max(disk.most, disk.used())
         disk.wrote(self.path, data)
--- a/madderbeam/simulation/endpoints.py
+++ b/madderbeam/simulation/endpoints.py
@@ -91,9 +91,16 @@
         return Line(endpoint, stream)
 
     def entry(self) -> dict[str, Any]:
-        return {"uid": self.uid, "endpoint": f"{self.address[0]}:{self.address[1]}", "az": "here",
-                "model": self.dest.kind, "pod_group": self.dest.number, "state": self.state,
-                "capacity_hint": self.dest.rate, "boot_ms": self.boot_ms}
+        return {
+            "uid": self.uid,
+            "endpoint": f"{self.address[0]}:{self.address[1]}",
+            "az": "here",
+            "model": self.dest.kind,
+            "pod_group": self.dest.number,
+            "state": self.state,
+            "capacity_hint": self.dest.rate,
+            "boot_ms": self.boot_ms,
+        }
 
     def accept(self, stream: Stream) -> str | Peer:
         line = self.line(self, stream)
@@ -205,8 +212,13 @@
         if self.endpoint.mood.outage and (waited or not self.stream.up):
             self.saw()
         if waited and newest is not None:
-            self.kernel.note(self.life.courier, "left", at=self.stream.closed_us, uid=self.endpoint.uid,
-                             ids=[a.handed.id for a in newest.items])
+            self.kernel.note(
+                self.life.courier,
+                "left",
+                at=self.stream.closed_us,
+                uid=self.endpoint.uid,
+                ids=[a.handed.id for a in newest.items],
+            )
         self.endpoint.streams.pop(self.stream, None)
 
     # What the courier writes
@@ -227,8 +239,14 @@
             checker.broken("form", f"a request for {request.path}")
         if len(idents) > max(1, ep.batch):
             checker.broken("form", f"{len(idents)} messages in a call, {ep.batch} at most")
-        self.kernel.note(self.life.courier, "call", uid=ep.uid, path=request.path,
-                        ids=[i for i, _ in idents], first=request.first_us)
+        self.kernel.note(
+            self.life.courier,
+            "call",
+            uid=ep.uid,
+            path=request.path,
+            ids=[i for i, _ in idents],
+            first=request.first_us,
+        )
         checker.call(call, idents, ep.dest.number, ep.uid)
         self.kernel.report.probes += not idents
         self.newest = call
@@ -340,8 +358,9 @@
         if close:
             head.append("Connection: close")
         text = "\r\n".join(head).encode() + b"\r\n\r\n" + body
-        self.kernel.note(self.endpoint.uid, "answer", status=status, wait=wait_us,
-                        ids=[a.handed.id for a in call.items])
+        self.kernel.note(
+            self.endpoint.uid, "answer", status=status, wait=wait_us, ids=[a.handed.id for a in call.items]
+        )
         if self.strayed:  # it stands behind half a line
             stream.write(text)
             self.kernel.checker.answered(call, {})
@@ -353,7 +372,7 @@
             self._spoil(call, status, bundle, text)
             return
         if call.items and mood.half and chance.random() < mood.half:
-            self._broken_off(call, status, bundle, text[:chance.randrange(STATUS, len(text))])
+            self._broken_off(call, status, bundle, text[: chance.randrange(STATUS, len(text))])
             stream.finish()
             return
         ahead = b""
--- a/madderbeam/simulation/explore.py
+++ b/madderbeam/simulation/explore.py
@@ -22,8 +22,20 @@
 
 FIRST = 32  # plain seeds that a search begins with
 MOST_FAULTS = 24
-SETTINGS = ("grid_us", "aligned", "service_ms", "latency_us", "jitter_us", "descriptors", "disk_mb", "tight",
-            "grace_ms", "sidecar", "rate_per_s", "dests")
+SETTINGS = (
+    "grid_us",
+    "aligned",
+    "service_ms",
+    "latency_us",
+    "jitter_us",
+    "descriptors",
+    "disk_mb",
+    "tight",
+    "grace_ms",
+    "sidecar",
+    "rate_per_s",
+    "dests",
+)
 
 
 @dataclass
@@ -84,7 +96,7 @@
     new = KINDS[old.kind].draw(chance, script)
     part = chance.choice(("at_ms", "for_ms", "target", "value"))
     made: Fault = replace(old, **{part: getattr(new, part)})
-    return replace(script, faults=(*script.faults[:at], made, *script.faults[at + 1:]))
+    return replace(script, faults=(*script.faults[:at], made, *script.faults[at + 1 :]))
 
 
 def _setting(chance: random.Random, script: Script, other: Script) -> Script:
@@ -102,7 +114,14 @@
 
 
 STEPS: tuple[Callable[[random.Random, Script, Script], Script], ...] = (
-    _coincide, _more, _less, _spliced, _changed, _setting, _reseeded)
+    _coincide,
+    _more,
+    _less,
+    _spliced,
+    _changed,
+    _setting,
+    _reseeded,
+)
 
 
 def changed(chance: random.Random, script: Script, other: Script) -> Script:
@@ -140,8 +159,13 @@
         yield changed(chance, parent.script, chance.choice(kept).script)
 
 
-def explore(search: Search, scripts: Iterator[Script], seconds: float, jobs: int = 0,
-            told: Callable[[Search, Reached], None] = lambda search, found: None) -> None:
+def explore(
+    search: Search,
+    scripts: Iterator[Script],
+    seconds: float,
+    jobs: int = 0,
+    told: Callable[[Search, Reached], None] = lambda search, found: None,
+) -> None:
     """Play these scripts for so long, on several processes; `told` is called with each that is kept."""
     jobs = jobs or os.cpu_count() or 1
     until = time.monotonic() + seconds
--- a/madderbeam/simulation/faults.py
+++ b/madderbeam/simulation/faults.py
@@ -36,19 +36,27 @@
     def draw(self, chance: random.Random, script: Script) -> Fault:
         last = int(script.seconds * 1000)
         lasts = chance.randrange(self.shortest_ms, self.longest_ms)
-        return Fault(self.name, chance.randrange(0, last), lasts, chance.randrange(1 << 16),
-                     round(chance.random(), 3))
+        return Fault(
+            self.name, chance.randrange(0, last), lasts, chance.randrange(1 << 16), round(chance.random(), 3)
+        )
 
 
 KINDS: dict[str, Kind] = {}
 
 
-def kind(longest_ms: int = 3000, weight: float = 1.0, shortest_ms: int = 100,
-         service: bool = False, standing: bool = False) -> Callable[[Any], Any]:
+def kind(
+    longest_ms: int = 3000,
+    weight: float = 1.0,
+    shortest_ms: int = 100,
+    service: bool = False,
+    standing: bool = False,
+) -> Callable[[Any], Any]:
     def add(begin: Callable[[World, Fault], End]) -> Any:
-        KINDS[begin.__name__] = Kind(begin.__name__, begin, shortest_ms, longest_ms, weight, service,
-                                    standing)
+        KINDS[begin.__name__] = Kind(
+            begin.__name__, begin, shortest_ms, longest_ms, weight, service, standing
+        )
         return begin
+
     return add
 
 
@@ -127,6 +135,7 @@
             if stream.tap is not None and stream.address in world.services:
                 stream.abort()
         world.after(50_000 + int(f.value * 400_000), tear)
+
     tear()
     return on.clear
 
@@ -158,6 +167,7 @@
         if f.for_ms >= COLD_AFTER_MS:
             dest.cold_from = world.now_us
             world.checker.loads.pop(dest.number, None)
+
     return end
 
 
@@ -216,21 +226,23 @@
         chosen = world.live() if f.value > 0.5 else _dest(world, f).endpoints
         ends = [_set(ep.mood, name, most * f.value) for ep in chosen]
         return lambda: [end() for end in ends]
+
     return begin
 
 
 def _shares() -> None:
     for name, attribute, most, text in (
-            ("errors", "errors", 0.8, "A share of the calls is answered 500, and may have run."),
-            ("resets", "reset", 0.4, "A share of the calls ends by a reset, and may have run."),
-            ("spoilt", "spoilt", 0.5, "A share of the answers can't be read."),
-            ("half", "half", 0.5, "A share of the answers breaks off."),
-            ("extra", "extra", 0.5, "A share of the answers has a copy or noise behind it."),
-            ("interim", "interim", 0.8, "A share of the answers has a 100 ahead."),
-            ("closing", "close", 0.8, "A share of the answers ends its connection."),
-            ("no_slot", "no_slot", 0.5, "A share of the calls finds no slot (Slots-Taken)."),
-            ("gaps", "gaps", 0.9, "A share of the bundles' answers leaves one out, or names one too many."),
-            ("mute", "mute", 0.4, "A share of the calls is answered by a 100 or half a line alone.")):
+        ("errors", "errors", 0.8, "A share of the calls is answered 500, and may have run."),
+        ("resets", "reset", 0.4, "A share of the calls ends by a reset, and may have run."),
+        ("spoilt", "spoilt", 0.5, "A share of the answers can't be read."),
+        ("half", "half", 0.5, "A share of the answers breaks off."),
+        ("extra", "extra", 0.5, "A share of the answers has a copy or noise behind it."),
+        ("interim", "interim", 0.8, "A share of the answers has a 100 ahead."),
+        ("closing", "close", 0.8, "A share of the answers ends its connection."),
+        ("no_slot", "no_slot", 0.5, "A share of the calls finds no slot (Slots-Taken)."),
+        ("gaps", "gaps", 0.9, "A share of the bundles' answers leaves one out, or names one too many."),
+        ("mute", "mute", 0.4, "A share of the calls is answered by a 100 or half a line alone."),
+    ):
         begin = _share(attribute, most)
         begin.__name__, begin.__doc__ = name, text
         kind()(begin)
@@ -272,15 +284,16 @@
 @kind(weight=1.5)
 def drain(world: World, f: Fault) -> End:
     """An endpoint drains and goes; sometimes another comes in its place, at its address too."""
-    world.drain(_endpoint(world, f), max(2_100_000, f.for_ms * 1000), replaced=f.value < 0.7,
-                same=f.value < 0.3)
+    world.drain(
+        _endpoint(world, f), max(2_100_000, f.for_ms * 1000), replaced=f.value < 0.7, same=f.value < 0.3
+    )
     return None
 
 
 @kind(weight=1.5)
 def mass_drain(world: World, f: Fault) -> End:
     """Half of all endpoints drain at once and are replaced."""
-    for ep in world.live()[f.target % 2::2]:
+    for ep in world.live()[f.target % 2 :: 2]:
         world.drain(ep, 2_100_000 + int(f.value * 2_000_000), replaced=True, same=False)
     return None
 
@@ -368,6 +381,7 @@
             wishes = [world.meant() for _ in range(2 + int(f.value * 5))]
             world.clients.together(wishes, half=world.chance.random() < f.value)
             world.after(150_000, more)
+
     more()
     return on.clear
 
@@ -399,6 +413,7 @@
         if on:
             world.wish(None, tenant=f.target % 3)
             world.after(15_000 + int(30_000 * f.value), more)
+
     more()
     return on.clear
 
@@ -448,6 +463,7 @@
         if on:
             machine.kill()
             world.after(BACK_US + 2_000 + int(f.value * 400_000), again)
+
     again()
     return on.clear
 
@@ -466,11 +482,13 @@
             world.checker.troubled.add(machine.name)
             world.after(400_000, _set(machine.disk.faults, "full", True))
         return nth[0] == 0 and f.value < 0.5
+
     machine.ambush = ambush
 
     def end() -> None:
         if machine.ambush is ambush:
             machine.ambush = None
+
     return end
 
 
@@ -498,6 +516,7 @@
         if on:
             machine.clock.step_us += int((f.value - 0.5) * 10_000)
             world.after(50_000, on_and_on)
+
     on_and_on()
     return on.clear
 
@@ -538,6 +557,7 @@
         machine.upgrade(how)
         for end in ends:
             end()
+
     world.after(60_000, go)
     return None
 
@@ -583,7 +603,7 @@
 @kind(6000, standing=True)
 def idle_closed(world: World, f: Fault) -> End:
     """Endpoints close connections that stand idle for up to 400 ms."""
-    ends = [_set(ep.mood, "idle_us", 1 + int(400_000 * f.value ** 2)) for ep in world.live()]
+    ends = [_set(ep.mood, "idle_us", 1 + int(400_000 * f.value**2)) for ep in world.live()]
     return lambda: [end() for end in ends]
 
 
@@ -628,6 +648,7 @@
     def ambush(name: str) -> bool:
         m = checker.newest
         return name == "sent" and m is not None and m.life is machine.life and m.said_us == world.now_us
+
     machine.ambush = ambush
     return None
 
@@ -653,9 +674,11 @@
         machine.agent.quiet(True)
         if f.value < 0.7:
             world.after(int(f.for_ms * 500 * f.value), machine.kill)
+
     def end() -> None:
         for machine in world.machines:
             machine.agent.quiet(False)
+
     return end
 
 
@@ -684,5 +707,6 @@
         if machine.life is life and life.died_us < 0:
             world.clients.crowd_in(machine, world.meant)
             world.after(20_000, more)
+
     more()
     return None
--- a/madderbeam/simulation/federation.py
+++ b/madderbeam/simulation/federation.py
@@ -96,8 +96,16 @@
         self.life += 1
         self.loop = process_loop(world.scheduler)
         self.loop.pace = self.clock.pace
-        self.network = SimNetwork(self.loop, world.services, self.link, self.chance, self._operation, 512,
-                                  self.host_name, world.fabric)
+        self.network = SimNetwork(
+            self.loop,
+            world.services,
+            self.link,
+            self.chance,
+            self._operation,
+            512,
+            self.host_name,
+            world.fabric,
+        )
         world.members_by_loop[self.loop] = self
         self.up, self.ready_us, self.kill_at = True, -1, 0
         world.note(self.name, f"starts life {self.life}")
@@ -128,6 +136,7 @@
             if sent:
                 self.world.judge.sent(self, member, channel, row)
             return sent
+
         self.room.mesh.send = tapped  # type: ignore[method-assign]
         self.ready_us = self.asked_us = self.world.now_us
         self.world.judge.started(self)
@@ -193,9 +202,11 @@
 
     def ask(self, method: str, path: str, document: Any = None) -> None:
         """A call of the operator's at the second address, in the member's own time."""
+
         def act() -> None:
             answer = self.host.service.act(method, path, json.dumps(document).encode())
             self.world.note(self.name, f"{path} is answered {answer.status} {answer.text.strip()}")
+
         if self.up and self.ready_us >= 0:
             self.world.scheduler.soon(act, loop=self.loop)
 
@@ -222,8 +233,15 @@
     def _written(self, request: Request) -> Call:
         world, headers = self.partner.world, request.headers
         member = world.by_host[self.stream.network.host]
-        call = Call(self.partner.number, member, member.life, headers.get("idempotency-key", ""),
-                    bytes(request.body), world.now_us, self.stream)
+        call = Call(
+            self.partner.number,
+            member,
+            member.life,
+            headers.get("idempotency-key", ""),
+            bytes(request.body),
+            world.now_us,
+            self.stream,
+        )
         world.judge.call(call)
         return call
 
@@ -337,21 +355,33 @@
 
     def _sites(self) -> None:
         chance = self.chance
-        names = ("athens", "macon", "rome", "savannah")[:chance.choice((2, 2, 3, 3, 4))]
-        self.members = [Member(self, site, f"m{n + 1}", 10 * k + n) for k, site in enumerate(names)
-                        for n in range(chance.choice((1, 2, 2, 3)))]
+        names = ("athens", "macon", "rome", "savannah")[: chance.choice((2, 2, 3, 3, 4))]
+        self.members = [
+            Member(self, site, f"m{n + 1}", 10 * k + n)
+            for k, site in enumerate(names)
+            for n in range(chance.choice((1, 2, 2, 3)))
+        ]
         self.by_host = {m.host_name: m for m in self.members}
         self.sites = {s: [m for m in self.members if m.site == s] for s in names}
         self.partners: Sequence[Partner] = [
             Partner(self, n + 1, tuple(t for t in TOPICS if chance.random() < 0.7))
-            for n in range(chance.randint(2, 5))]
+            for n in range(chance.randint(2, 5))
+        ]
         self.services.update({p.address: p for p in self.partners})
-        voters = {m.name for ms in self.sites.values() for n, m in enumerate(ms)
-                  if not n or chance.random() < 0.6}
-        rows = {s: {m.id.name: {"address": "{}:{}".format(*m.mesh), "votes": m.name in voters} for m in ms}
-                for s, ms in self.sites.items()}
-        self.table = tables.read({"number": 1, "sites": rows,
-                                  "owners": {str(p.number): chance.choice(names) for p in self.partners}})
+        voters = {
+            m.name for ms in self.sites.values() for n, m in enumerate(ms) if not n or chance.random() < 0.6
+        }
+        rows = {
+            s: {m.id.name: {"address": "{}:{}".format(*m.mesh), "votes": m.name in voters} for m in ms}
+            for s, ms in self.sites.items()
+        }
+        self.table = tables.read(
+            {
+                "number": 1,
+                "sites": rows,
+                "owners": {str(p.number): chance.choice(names) for p in self.partners},
+            }
+        )
         base = chance.choice((300, 3_000, 15_000))
         for a in self.by_host:
             for b in self.by_host:
@@ -362,32 +392,63 @@
     # Files
 
     def partner_list(self, member: Member) -> dict[str, Any]:
-        return {"form": 1, "all": True, "targets": [
-            {"uid": f"p{p.number}", "endpoint": "{}:{}".format(*p.address), "az": "here", "model": "k",
-             "pod_group": p.number, "state": "in_service", "capacity_hint": 200.0, "boot_ms": 0,
-             "topics": list(p.topics)} for p in self.partners]}
+        return {
+            "form": 1,
+            "all": True,
+            "targets": [
+                {
+                    "uid": f"p{p.number}",
+                    "endpoint": "{}:{}".format(*p.address),
+                    "az": "here",
+                    "model": "k",
+                    "pod_group": p.number,
+                    "state": "in_service",
+                    "capacity_hint": 200.0,
+                    "boot_ms": 0,
+                    "topics": list(p.topics),
+                }
+                for p in self.partners
+            ],
+        }
 
     def config(self, member: Member) -> dict[str, Any]:
         raw = settings(Script(self.seed, couriers=len(self.sites[member.site])))
         raw["classes"] = [
-            {"name": name, "goalTimeUs": S, "deadlineUs": LIFE_MS * 1000, "worth": 1.0, "lateShare": 0.5,
-             "idempotency": effect, "keyScope": "all", "keyTtlUs": self.key_us}
-            for name, effect in CLASSES.items()]
+            {
+                "name": name,
+                "goalTimeUs": S,
+                "deadlineUs": LIFE_MS * 1000,
+                "worth": 1.0,
+                "lateShare": 0.5,
+                "idempotency": effect,
+                "keyScope": "all",
+                "keyTtlUs": self.key_us,
+            }
+            for name, effect in CLASSES.items()
+        ]
         raw["tenants"] = [{"name": "t", "fraction": 1.0, "quotaPerS": 500.0}]
         raw["shapes"], raw["familyInfo"] = ["k"], {"maxCalls": 12, "kindApart": [False], "kindBatch": [1]}
         raw["me"] = self.sites[member.site].index(member)
-        return {"form": 1, "name": member.name.replace("/", "-"), "listen": "{}:{}".format(*member.listen),
-                "settings": raw,
-                "limits": {"sockets": 512, "clients": 128, "client_idle_ms": 60_000, "disk_mb": 3},
-                "sidecar": {"state": "/state", "partners": LIST.rpartition("/")[2], "finals": FEED,
-                            "feed_mb": 1},
-                "federation": {
-                    "name": "choirs", "site": member.site, "member": member.id.name,
-                    "listen": "{}:{}".format(*member.mesh),
-                    "seeds": [[m.name, "{}:{}".format(*m.mesh)] for m in self.members if m is not member],
-                    "table": self.table.document(), "lease_ms": self.lease_ms, "agree_within_ms": 5000,
-                    "wait_told_ms": 300,
-                    "times": {"probe_period_ms": 200, "probe_timeout_ms": 90, "exchange_period_ms": 3000}}}
+        return {
+            "form": 1,
+            "name": member.name.replace("/", "-"),
+            "listen": "{}:{}".format(*member.listen),
+            "settings": raw,
+            "limits": {"sockets": 512, "clients": 128, "client_idle_ms": 60_000, "disk_mb": 3},
+            "sidecar": {"state": "/state", "partners": LIST.rpartition("/")[2], "finals": FEED, "feed_mb": 1},
+            "federation": {
+                "name": "choirs",
+                "site": member.site,
+                "member": member.id.name,
+                "listen": "{}:{}".format(*member.mesh),
+                "seeds": [[m.name, "{}:{}".format(*m.mesh)] for m in self.members if m is not member],
+                "table": self.table.document(),
+                "lease_ms": self.lease_ms,
+                "agree_within_ms": 5000,
+                "wait_told_ms": 300,
+                "times": {"probe_period_ms": 200, "probe_timeout_ms": 90, "exchange_period_ms": 3000},
+            },
+        }
 
     # What happens
 
@@ -396,12 +457,25 @@
         chance, n = self.chance, len(self.messages)
         cls = chance.choice(tuple(CLASSES))
         topic = "" if dest or chance.random() < 0.4 else chance.choice(TOPICS)
-        dests = [p.number for p in self.partners if topic in p.topics] if topic else [
-            dest or chance.choice(self.partners).number]
+        dests = (
+            [p.number for p in self.partners if topic in p.topics]
+            if topic
+            else [dest or chance.choice(self.partners).number]
+        )
         life_ms = LIFE_MS if dest else chance.randrange(1500, LIFE_MS)
         key = f"key{n}" if cls == "keyed" else ""
-        msg = Msg(f"{self.seed & 0xffff:04x}{n:012x}", member, member.life, cls, topic, frozenset(dests), key,
-                  b"body %d" % n, self.now_us, self.now_us + life_ms * 1000)
+        msg = Msg(
+            f"{self.seed & 0xFFFF:04x}{n:012x}",
+            member,
+            member.life,
+            cls,
+            topic,
+            frozenset(dests),
+            key,
+            b"body %d" % n,
+            self.now_us,
+            self.now_us + life_ms * 1000,
+        )
         self.messages.append(msg)
         self.judge.given(msg)
         fields = f"c={cls},t=t,d={life_ms}" + (f",topic={topic}" if topic else f",dest={dests[0]}")
@@ -468,8 +542,7 @@
 
     def _phases(self) -> tuple[tuple[int, Callable[[], None]], ...]:
         """What happens in every seed, and when."""
-        return ((self.heal_us, self._heal), (TABLE_US, self._last_table),
-                (self.last_us, self._last_messages))
+        return ((self.heal_us, self._heal), (TABLE_US, self._last_table), (self.last_us, self._last_messages))
 
     def play(self) -> Report:
         """Run to the end or to the first broken rule."""
--- a/madderbeam/simulation/fedfaults.py
+++ b/madderbeam/simulation/fedfaults.py
@@ -11,7 +11,10 @@
 S = 1_000_000
 FIRST_US, LAST_US = 3 * S, 11 * S  # faults begin between these
 WRONG: tuple[dict[str, Any], ...] = (
-    {"number": 99}, {"owners": {"1": "nowhere"}}, {"owners": {"77": "athens"}})
+    {"number": 99},
+    {"owners": {"1": "nowhere"}},
+    {"owners": {"77": "athens"}},
+)
 
 
 class Faults:
@@ -164,11 +167,30 @@
 
 
 KINDS: dict[str, Callable[[Faults], None]] = {
-    "loss": _loss, "double": _double, "late": _late, "cut_one_way": _cut_one_way, "deaf": _deaf,
-    "partition": _partition, "kill": _kill, "kill_at": _kill_at, "kill_all": _kill_all, "wipe": _wipe,
-    "pause": _pause, "terminate": _terminate, "propose": _propose, "propose_two": _propose_two,
-    "propose_wrong": _propose_wrong, "back_and_forth": _back_and_forth, "waits": _waits, "fails": _fails,
-    "full": _full, "resets": _resets, "hangs": _hangs, "disk_full": _disk_full, "disk_errors": _disk_errors}
+    "loss": _loss,
+    "double": _double,
+    "late": _late,
+    "cut_one_way": _cut_one_way,
+    "deaf": _deaf,
+    "partition": _partition,
+    "kill": _kill,
+    "kill_at": _kill_at,
+    "kill_all": _kill_all,
+    "wipe": _wipe,
+    "pause": _pause,
+    "terminate": _terminate,
+    "propose": _propose,
+    "propose_two": _propose_two,
+    "propose_wrong": _propose_wrong,
+    "back_and_forth": _back_and_forth,
+    "waits": _waits,
+    "fails": _fails,
+    "full": _full,
+    "resets": _resets,
+    "hangs": _hangs,
+    "disk_full": _disk_full,
+    "disk_errors": _disk_errors,
+}
 
 
 def draw(world: Federation) -> tuple[str, ...]:
--- a/madderbeam/simulation/fedjudge.py
+++ b/madderbeam/simulation/fedjudge.py
@@ -140,8 +140,11 @@
         before = msg.calls[dest]
         if msg.cls == "unsafe" and not all(c.never_ran for c in before):
             last = before[-1]
-            self.broken("F3", f"{member.name} calls {dest} with the unsafe {msg.ident}, as "
-                              f"{last.member.name} did at {last.begun_us}")
+            self.broken(
+                "F3",
+                f"{member.name} calls {dest} with the unsafe {msg.ident}, as "
+                f"{last.member.name} did at {last.begun_us}",
+            )
         if msg.cls == "keyed":
             if not call.key or any(c.key != call.key for c in before):
                 self.broken("F4", f"{member.name} calls {dest} with {msg.ident} under another key")
@@ -157,17 +160,31 @@
         member, dest, table = call.member, call.dest, call.member.room.table
         if table.owners.get(dest) != member.site:
             self.broken("F1", f"{member.name} calls {dest}, which is {table.owners.get(dest)}'s by its table")
-        since = max((n for n in self.tables if n <= table.number and (n - 1 not in self.tables or self.tables[
-            n - 1].owners.get(dest) != self.tables[n].owners.get(dest))), default=0)
+        since = max(
+            (
+                n
+                for n in self.tables
+                if n <= table.number
+                and (
+                    n - 1 not in self.tables
+                    or self.tables[n - 1].owners.get(dest) != self.tables[n].owners.get(dest)
+                )
+            ),
+            default=0,
+        )
         if since < self.tenure.get(dest, 0):
-            self.broken("F1", f"{member.name} calls {dest} by table {table.number}; since table "
-                              f"{self.tenure[dest]} others do")
+            self.broken(
+                "F1",
+                f"{member.name} calls {dest} by table {table.number}; since table "
+                f"{self.tenure[dest]} others do",
+            )
         self.tenure[dest] = since
         self.calls[dest] = [c for c in self.calls[dest] if c.out]
         for other in self.calls[dest]:
             if other.member.site != member.site and other.member.loop.behind is None:
-                self.broken("F1", f"{member.name} calls {dest} while {other.member.name} does since "
-                                  f"{other.begun_us}")
+                self.broken(
+                    "F1", f"{member.name} calls {dest} while {other.member.name} does since {other.begun_us}"
+                )
         self.calls[dest].append(call)
 
     def _waits(self, call: Call) -> None:
@@ -175,11 +192,16 @@
         self.waits[call.dest] = [t for t in self.waits[call.dest] if t.until_us > now]
         for told in self.waits[call.dest]:
             same = told.member is call.member and told.life == call.life
-            passed = told.member.site != call.member.site and self.released.get(
-                (told.member, call.dest), -1) > told.at_us
+            passed = (
+                told.member.site != call.member.site
+                and self.released.get((told.member, call.dest), -1) > told.at_us
+            )
             if (same or passed) and told.at_us < now < told.until_us - 1_000:
-                self.broken("F3", f"{call.member.name} calls {call.dest}; {told.member.name} was told at "
-                                  f"{told.at_us} to wait until {told.until_us}")
+                self.broken(
+                    "F3",
+                    f"{call.member.name} calls {call.dest}; {told.member.name} was told at "
+                    f"{told.at_us} to wait until {told.until_us}",
+                )
 
     def runs(self, call: Call, whole: bool) -> None:
         if whole:
@@ -224,6 +246,7 @@
 
     def _finals(self, member: Member) -> None:
         import json
+
         *lines, self.feeds[member] = self.feeds[member].split(b"\n")
         for line in lines:
             try:
@@ -260,8 +283,11 @@
             vote = kept.get(("vote", ""))
             if vote is None or _vote(vote) < (message.slot, message.ballot):
                 self.broken("F2", f"{member.name} gives a {type(message).__name__} that it has not written")
-        elif isinstance(message, words.Answer) and message.word.staged and (
-                (member.site, message.digest) not in self.staged or ("staged", "") not in kept):
+        elif (
+            isinstance(message, words.Answer)
+            and message.word.staged
+            and ((member.site, message.digest) not in self.staged or ("staged", "") not in kept)
+        ):
             self.broken("F2", f"{member.name} says that it staged {message.digest}, which it has not written")
 
     def _stream(self, member: Member, to: Member, message: Any) -> None:
@@ -297,9 +323,15 @@
 
     def _acked(self, member: Member, publication: Any) -> None:
         record = self.kept[member].get(("custody", publication.name))
-        missing = [] if record is None else [
-            d for d in record["pending"]
-            if held_id(publication.name, d, bool(record["single"])) not in self.takes[member]]
+        missing = (
+            []
+            if record is None
+            else [
+                d
+                for d in record["pending"]
+                if held_id(publication.name, d, bool(record["single"])) not in self.takes[member]
+            ]
+        )
         if record is None or missing:
             self.broken("F4", f"{member.name} acks {publication.name}, not written: {missing or 'custody'}")
 
@@ -409,8 +441,11 @@
         if len(set(numbers.values())) > 1:
             self.broken("F2", f"tables in force differ though all is whole: {numbers}")
         if self.last and numbers[members[0].name] < self.last["number"]:
-            self.broken("F2", f"table {self.last['number']} is not in force though all is whole: {numbers}, "
-                              f"{members[0].room.calls.outcomes}")
+            self.broken(
+                "F2",
+                f"table {self.last['number']} is not in force though all is whole: {numbers}, "
+                f"{members[0].room.calls.outcomes}",
+            )
         for member in members:
             if member.room.serving.hold.on:
                 why = member.room.serving.hold.why
@@ -425,8 +460,11 @@
         self.world.report.delivered = sum(m.dests <= m.ran for m in self.by_id.values())
         for msg in self.must:
             if msg.dests - msg.ran:
-                self.broken("F5", f"{msg.ident} of {msg.member.name} to {sorted(msg.dests)} did not arrive "
-                                  f"though all is whole: {msg.answer!r}, {msg.ends}")
+                self.broken(
+                    "F5",
+                    f"{msg.ident} of {msg.member.name} to {sorted(msg.dests)} did not arrive "
+                    f"though all is whole: {msg.answer!r}, {msg.ends}",
+                )
         for member in self.world.members:
             if member.up:
                 self._bounds(member)
@@ -434,11 +472,16 @@
     def _bounds(self, member: Member) -> None:
         room = member.room
         left: dict[str, Any] = {
-                "publications held": room.streams.held, "streams open": room.streams.sent.found,
-                "records of custody": room.custodian.kept.all, "deliveries": room.custody.deliveries,
-                "unsettled": room.custody.unsettled, "numbers": room.publications.numbers,
-                "journal": room.host.journal.held, "leaving": room.serving.leaving,
-                "on disk": [k for k in self.kept[member] if k[0] in ("custody", "sent")]}
+            "publications held": room.streams.held,
+            "streams open": room.streams.sent.found,
+            "records of custody": room.custodian.kept.all,
+            "deliveries": room.custody.deliveries,
+            "unsettled": room.custody.unsettled,
+            "numbers": room.publications.numbers,
+            "journal": room.host.journal.held,
+            "leaving": room.serving.leaving,
+            "on disk": [k for k in self.kept[member] if k[0] in ("custody", "sent")],
+        }
         for what, found in left.items():
             if found:
                 self.broken("F7", f"{member.name} keeps {what} after all is over: {list(found)[:3]}")
--- a/madderbeam/simulation/http_tap.py
+++ b/madderbeam/simulation/http_tap.py
@@ -28,8 +28,13 @@
     """A stream's tap: `written` is called for each request when its last byte is written, `arrived` when that
     byte has come to the other end. What can't be read as a request is handed to `odd`."""
 
-    def __init__(self, stream: Stream, written: Callable[[Request], Any], arrived: Callable[[Request], None],
-                 odd: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        stream: Stream,
+        written: Callable[[Request], Any],
+        arrived: Callable[[Request], None],
+        odd: Callable[[str], None],
+    ) -> None:
         self.stream, self.written, self.came, self.odd = stream, written, arrived, odd
         self.buffer, self.total, self.here, self.first_us = b"", 0, 0, -1
         self.head: tuple[str, str, dict[str, str]] | None = None
@@ -69,7 +74,7 @@
             return False
         method, path, headers = self.head
         head = self.buffer.find(b"\r\n\r\n") + 4
-        body, self.buffer = self.buffer[head:self.need], self.buffer[self.need:]
+        body, self.buffer = self.buffer[head : self.need], self.buffer[self.need :]
         request = Request(method, path, headers, body, self.first_us, now, self.total - len(self.buffer))
         self.head = None
         request.note = self.written(request)
--- a/madderbeam/simulation/kafka.py
+++ b/madderbeam/simulation/kafka.py
@@ -66,8 +66,11 @@
         row = values["topics"][0]["partitions"][0]
         given = [dict(record.headers) for record in read_batches(row["records"])[0].records]
         rows = [{"id": (h["id"] or b"").decode(), "key": (h.get("key") or b"").decode()} for h in given]
-        headers |= {"partition": str(row["index"]), "x-request-id": rows[0]["id"],
-                    "idempotency-key": rows[0]["key"]}
+        headers |= {
+            "partition": str(row["index"]),
+            "x-request-id": rows[0]["id"],
+            "idempotency-key": rows[0]["key"],
+        }
         return "/events/bundle" if len(rows) > 1 else "/events", headers, json.dumps(rows).encode()
 
 
@@ -99,13 +102,33 @@
 
     def _metadata(self) -> dict[str, Any]:
         dest, chance = self.endpoint.dest, self.endpoint.chance
-        nodes = dest.endpoints if chance.random() < OLD else [
-            e for e in dest.endpoints if e.state == "in_service"] or dest.endpoints
+        nodes = (
+            dest.endpoints
+            if chance.random() < OLD
+            else [e for e in dest.endpoints if e.state == "in_service"] or dest.endpoints
+        )
         brokers = [{"node_id": n, "host": e.address[0], "port": e.address[1]} for n, e in enumerate(nodes)]
-        return {"brokers": brokers, "cluster_id": "c", "controller_id": 0, "topics": [
-            {"error_code": 0, "name": TOPIC, "partitions": [
-                {"error_code": 0, "index": n, "leader_id": n % len(nodes), "replicas": [0], "isr": [0]}
-                for n in range(PARTITIONS)]}]}
+        return {
+            "brokers": brokers,
+            "cluster_id": "c",
+            "controller_id": 0,
+            "topics": [
+                {
+                    "error_code": 0,
+                    "name": TOPIC,
+                    "partitions": [
+                        {
+                            "error_code": 0,
+                            "index": n,
+                            "leader_id": n % len(nodes),
+                            "replicas": [0],
+                            "isr": [0],
+                        }
+                        for n in range(PARTITIONS)
+                    ],
+                }
+            ],
+        }
 
     def _frame(self, request: Request, values: dict[str, Any]) -> bytes:
         api, version = schemas.APIS[int(request.headers["api"])], int(request.headers["version"])
@@ -125,11 +148,27 @@
         code = 19 if slots_taken else CODES[status]
         moved = status == 503 and not slots_taken and self.endpoint.state != "in_service"
         wait_ms = wait_us // 1000
-        text = self._frame(request, {"throttle_time_ms": wait_ms, "topics": [{"name": TOPIC, "partitions": [
-            {"index": int(request.headers["partition"]), "error_code": 6 if moved else code,
-             "base_offset": 0}]}]})
-        self.kernel.note(self.endpoint.uid, "answer", status=status, wait=wait_us,
-                         ids=[a.handed.id for a in call.items])
+        text = self._frame(
+            request,
+            {
+                "throttle_time_ms": wait_ms,
+                "topics": [
+                    {
+                        "name": TOPIC,
+                        "partitions": [
+                            {
+                                "index": int(request.headers["partition"]),
+                                "error_code": 6 if moved else code,
+                                "base_offset": 0,
+                            }
+                        ],
+                    }
+                ],
+            },
+        )
+        self.kernel.note(
+            self.endpoint.uid, "answer", status=status, wait=wait_us, ids=[a.handed.id for a in call.items]
+        )
         if mood.mute and chance.random() < mood.mute:
             return
         if mood.spoilt and chance.random() < mood.spoilt:
@@ -153,6 +192,7 @@
 
 def produced(settings: Settings) -> Callable[[Handed, Wish, bool], bytes]:
     """How a program hands a message in: one record on its class's topic, with an id of its own."""
+
     def text(handed: Handed, wish: Wish, marked: bool) -> bytes:
         cls = settings.classes[wish.cls]
         life = (wish.until_us - handed.sent_us) // 1000
@@ -164,10 +204,23 @@
         head = Writer()
         for kind, value in (("int16", 0), ("int16", VERSION), ("int32", 1), ("int16", -1)):
             head.fixed(kind, value)
-        body = head.bytes() + encode(schemas.PRODUCE.request, {"acks": -1, "timeout_ms": 400, "topics": [
-            {"name": f"{cls.name}.{wish.dest}", "partitions": [
-                {"index": 0, "records": write_batch([record])}]}]}, VERSION, False)
+        body = head.bytes() + encode(
+            schemas.PRODUCE.request,
+            {
+                "acks": -1,
+                "timeout_ms": 400,
+                "topics": [
+                    {
+                        "name": f"{cls.name}.{wish.dest}",
+                        "partitions": [{"index": 0, "records": write_batch([record])}],
+                    }
+                ],
+            },
+            VERSION,
+            False,
+        )
         return struct.pack(">i", len(body)) + body
+
     return text
 
 
--- a/madderbeam/simulation/local.py
+++ b/madderbeam/simulation/local.py
@@ -60,7 +60,7 @@
         """The file holds what is known now."""
         if self.spoilt and self.chance.random() < self.spoilt:
             data = self.content()
-            self.files[LIST] = bytearray(data[:len(data) // 2])
+            self.files[LIST] = bytearray(data[: len(data) // 2])
             self.half = True
             self.kernel.after(HALF_US, self._whole)
         else:
@@ -104,7 +104,7 @@
             return
         if file is not self.file:  # the one before was read to its end as it was written
             self.file, self.at, self.tail = file, 0, b""
-        whole, newline, self.tail = (self.tail + bytes(file[self.at:])).rpartition(b"\n")
+        whole, newline, self.tail = (self.tail + bytes(file[self.at :])).rpartition(b"\n")
         self.at = len(file)
         for text in (whole + newline).splitlines():
             try:
@@ -116,8 +116,9 @@
     def _final(self, line: dict[str, Any], known: bool) -> None:
         kernel, life = self.kernel, self.life()
         kernel.note(life.courier, "notice", id=line["id"], status=line["status"])
-        notice = kernel.checker.notice(life, line["id"], line["status"], kernel.now_us,
-                                       line.get("again_ms", 0))
+        notice = kernel.checker.notice(
+            life, line["id"], line["status"], kernel.now_us, line.get("again_ms", 0)
+        )
         if notice is not None:
             notice.arrived_us = kernel.now_us
             if known:
--- a/madderbeam/simulation/loop.py
+++ b/madderbeam/simulation/loop.py
@@ -25,8 +25,9 @@
 
     __slots__ = ("when_us", "action", "args", "loop")
 
-    def __init__(self, when_us: int, action: Callable[..., Any] | None, args: tuple[Any, ...],
-                 loop: ProcessLoop | None) -> None:
+    def __init__(
+        self, when_us: int, action: Callable[..., Any] | None, args: tuple[Any, ...], loop: ProcessLoop | None
+    ) -> None:
         self.when_us, self.action, self.args, self.loop = when_us, action, args, loop
 
     def cancel(self) -> None:
@@ -58,16 +59,18 @@
         self.count = 0
         self.failed: Callable[[ProcessLoop, BaseException], None] | None = None
 
-    def at(self, when_us: int, action: Callable[..., Any], *args: Any,
-           loop: ProcessLoop | None = None) -> Event:
+    def at(
+        self, when_us: int, action: Callable[..., Any], *args: Any, loop: ProcessLoop | None = None
+    ) -> Event:
         """Call at that time, not before now."""
         event = Event(max(when_us, self.now_us), action, args, loop)
         self.count += 1
         heapq.heappush(self.heap, (event.when_us, self.chance(), self.count, event))
         return event
 
-    def after(self, delay_us: float, action: Callable[..., Any], *args: Any,
-              loop: ProcessLoop | None = None) -> Event:
+    def after(
+        self, delay_us: float, action: Callable[..., Any], *args: Any, loop: ProcessLoop | None = None
+    ) -> Event:
         return self.at(self.now_us + int(delay_us), action, *args, loop=loop)
 
     def soon(self, action: Callable[..., Any], *args: Any, loop: ProcessLoop | None = None) -> Event:
@@ -75,8 +78,9 @@
         self.ready.append(event)
         return event
 
-    def timer(self, when_us: int, action: Callable[..., Any], args: tuple[Any, ...],
-              loop: ProcessLoop) -> Event:
+    def timer(
+        self, when_us: int, action: Callable[..., Any], args: tuple[Any, ...], loop: ProcessLoop
+    ) -> Event:
         """A process's timer: never early, on the grid."""
         return self.at(-(-when_us // self.grid_us) * self.grid_us, action, *args, loop=loop)
 
--- a/madderbeam/simulation/mutants.py
+++ b/madderbeam/simulation/mutants.py
@@ -21,13 +21,36 @@
 PACKAGES = ("policy", "host", "transport", "journal")
 ROOT = Path(__file__).parent.parent
 # Never run in the simulation: the process, its files of settings, tools that only look.
-LEFT_OUT = frozenset({"host/process.py", "host/sidecar.py", "host/upgrade.py", "journal/commands.py",
-                      "journal/inspect.py", "transport/passing.py"})
+LEFT_OUT = frozenset(
+    {
+        "host/process.py",
+        "host/sidecar.py",
+        "host/upgrade.py",
+        "journal/commands.py",
+        "journal/inspect.py",
+        "transport/passing.py",
+    }
+)
 EXEMPT = frozenset({"journal/records.py:parse", "journal/records.py:_at"})
-COMPARE = {ast.Lt: ast.LtE, ast.LtE: ast.Lt, ast.Gt: ast.GtE, ast.GtE: ast.Gt, ast.Eq: ast.NotEq,
-           ast.NotEq: ast.Eq, ast.In: ast.NotIn, ast.NotIn: ast.In, ast.Is: ast.IsNot, ast.IsNot: ast.Is}
-ARITHMETIC = {ast.Add: ast.Sub, ast.Sub: ast.Add, ast.Mult: ast.Div, ast.Div: ast.Mult,
-              ast.FloorDiv: ast.Mult}
+COMPARE = {
+    ast.Lt: ast.LtE,
+    ast.LtE: ast.Lt,
+    ast.Gt: ast.GtE,
+    ast.GtE: ast.Gt,
+    ast.Eq: ast.NotEq,
+    ast.NotEq: ast.Eq,
+    ast.In: ast.NotIn,
+    ast.NotIn: ast.In,
+    ast.Is: ast.IsNot,
+    ast.IsNot: ast.Is,
+}
+ARITHMETIC = {
+    ast.Add: ast.Sub,
+    ast.Sub: ast.Add,
+    ast.Mult: ast.Div,
+    ast.Div: ast.Mult,
+    ast.FloorDiv: ast.Mult,
+}
 ASIDE = frozenset({"decorator_list", "returns", "annotation", "args"})
 OTHER_NAME = {"min": "max", "max": "min", "any": "all", "all": "any"}
 
@@ -70,7 +93,7 @@
         yield "and-or", _changed(node, "op", ast.Or() if isinstance(node.op, ast.And) else ast.And())
         if len(node.values) > 1:
             for at in range(len(node.values)):
-                rest = node.values[:at] + node.values[at + 1:]
+                rest = node.values[:at] + node.values[at + 1 :]
                 yield "condition", rest[0] if len(rest) == 1 else _changed(node, "values", rest)
     elif isinstance(node, ast.UnaryOp) and isinstance(node.op, ast.Not):
         yield "negate", node.operand
@@ -106,15 +129,21 @@
     elif isinstance(node, ast.Continue | ast.Break):
         yield "left out", None
     elif isinstance(node, ast.Try) and node.handlers:
-        yield "unguarded", _changed(node, "handlers", [
-            _changed(h, "body", [ast.Raise(None, None)]) for h in node.handlers])
+        yield (
+            "unguarded",
+            _changed(node, "handlers", [_changed(h, "body", [ast.Raise(None, None)]) for h in node.handlers]),
+        )
 
 
 def _logs(node: ast.AST) -> bool:
     """What only logs changes nothing that anybody is owed."""
     call = node.value if isinstance(node, ast.Expr) else node
-    return (isinstance(call, ast.Call) and isinstance(call.func, ast.Attribute)
-            and isinstance(call.func.value, ast.Name) and call.func.value.id == "log")
+    return (
+        isinstance(call, ast.Call)
+        and isinstance(call.func, ast.Attribute)
+        and isinstance(call.func.value, ast.Name)
+        and call.func.value.id == "log"
+    )
 
 
 class _Walk:
@@ -181,7 +210,7 @@
     for name, node in _functions(tree):
         if f"{path}:{name}" in EXEMPT:
             continue
-        text = "\n".join(lines[node.lineno - 1:node.end_lineno])  # type: ignore[attr-defined]
+        text = "\n".join(lines[node.lineno - 1 : node.end_lineno])  # type: ignore[attr-defined]
         digest = hashlib.blake2b(text.encode(), digest_size=4).hexdigest()
         walk = _Walk()
         if isinstance(node, ast.FunctionDef):
@@ -217,7 +246,7 @@
     if at is None:
         setattr(owner, field, value)
     elif two:
-        getattr(owner, field)[at:at + 2] = [value]
+        getattr(owner, field)[at : at + 2] = [value]
     else:
         getattr(owner, field)[at] = value
     ast.fix_missing_locations(tree)
@@ -248,8 +277,11 @@
 
 def _constant(module: types.ModuleType, name: str, tree: ast.Module) -> None:
     """A constant changes wherever it was imported to."""
-    node = next(n for n in tree.body if isinstance(n, ast.Assign) and isinstance(n.targets[0], ast.Name)
-                and n.targets[0].id == name)
+    node = next(
+        n
+        for n in tree.body
+        if isinstance(n, ast.Assign) and isinstance(n.targets[0], ast.Name) and n.targets[0].id == name
+    )
     old = vars(module)[name]
     new = eval(compile(ast.Expression(node.value), module.__name__, "eval"), vars(module))
     for other in list(sys.modules.values()):
--- a/madderbeam/simulation/mutation.py
+++ b/madderbeam/simulation/mutation.py
@@ -55,9 +55,18 @@
     detail: str = ""  # the rule, or the exception
 
     def row(self) -> dict[str, Any]:
-        return {"id": self.mutant.id, "path": self.mutant.path, "name": self.mutant.name,
-                "line": self.mutant.line, "rule": self.mutant.rule, "before": self.mutant.before,
-                "after": self.mutant.after, "verdict": self.verdict, "seed": self.seed, "detail": self.detail}
+        return {
+            "id": self.mutant.id,
+            "path": self.mutant.path,
+            "name": self.mutant.name,
+            "line": self.mutant.line,
+            "rule": self.mutant.rule,
+            "before": self.mutant.before,
+            "after": self.mutant.after,
+            "verdict": self.verdict,
+            "seed": self.seed,
+            "detail": self.detail,
+        }
 
 
 def _alarm(*_: Any) -> None:
@@ -94,8 +103,15 @@
 
 def outcome(report: Report) -> tuple[Any, ...]:
     """What two runs alike have in common: every step of one that differs moves these."""
-    return (report.steps, report.messages, report.calls, report.delivered, report.refused, report.kills,
-            report.quality)
+    return (
+        report.steps,
+        report.messages,
+        report.calls,
+        report.delivered,
+        report.refused,
+        report.kills,
+        report.quality,
+    )
 
 
 def judge(mutant: Mutant, days: Sequence[Day]) -> Verdict:
@@ -147,8 +163,11 @@
     report = found.report
     if report.violation is not None:
         return script, found.lines, None
-    return script, found.lines, Day(script, measures(report) if report.quality else None, outcome(report),
-                                    found.cost)
+    return (
+        script,
+        found.lines,
+        Day(script, measures(report) if report.quality else None, outcome(report), found.cost),
+    )
 
 
 def chosen(paths: Iterable[str] = (), since: str = "", sample: int = 0, seed: int = 0) -> list[Mutant]:
@@ -173,8 +192,13 @@
     return frozenset(found)
 
 
-def score(wanted: list[Mutant], jobs: int = 0, known: Callable[[str], bool] = lambda ident: False,
-          scripts: Iterable[Script] = (), reach: int = REACH) -> Iterator[Verdict]:
+def score(
+    wanted: list[Mutant],
+    jobs: int = 0,
+    known: Callable[[str], bool] = lambda ident: False,
+    scripts: Iterable[Script] = (),
+    reach: int = REACH,
+) -> Iterator[Verdict]:
     """Verdicts as they come, but for those that are known by id. Played are these scripts and so many plain
     seeds, as far as they reach a mutant's statement."""
     todo = [m for m in wanted if not known(m.id)]
@@ -237,6 +261,10 @@
     for path in sorted(counts, key=lambda p: (p == "all", p)):
         c = counts[path]
         found, every = sum(c[v] for v in FOUND), sum(c.values())
-        lines.append(path.ljust(28) + str(every).rjust(13) + "".join(str(c[v]).rjust(13) for v in VERDICTS)
-                     + f"{found / every:.0%}".rjust(13))
+        lines.append(
+            path.ljust(28)
+            + str(every).rjust(13)
+            + "".join(str(c[v]).rjust(13) for v in VERDICTS)
+            + f"{found / every:.0%}".rjust(13)
+        )
     return "\n".join(lines)
--- a/madderbeam/simulation/network.py
+++ b/madderbeam/simulation/network.py
@@ -207,7 +207,7 @@
 
     def recv_into(self, buffer: bytearray) -> int:
         data = self.recv(len(buffer))
-        buffer[:len(data)] = data
+        buffer[: len(data)] = data
         return len(data)
 
     def send(self, data: Any) -> int:
@@ -378,9 +378,17 @@
     """The network as one process sees it: the port, and the world's way in. `host`: its own, as others
     reach it by `between`."""
 
-    def __init__(self, loop: ProcessLoop, world: dict[Address, Service], link: Link, chance: random.Random,
-                 operation: Callable[[str], bool], descriptors: int, host: str = "",
-                 between: Between | None = None) -> None:
+    def __init__(
+        self,
+        loop: ProcessLoop,
+        world: dict[Address, Service],
+        link: Link,
+        chance: random.Random,
+        operation: Callable[[str], bool],
+        descriptors: int,
+        host: str = "",
+        between: Between | None = None,
+    ) -> None:
         self.host, self.between = host, between
         if between is not None:
             between.join(host, self)
@@ -557,5 +565,3 @@
             self.between.leave(self)
         self._readers.clear()
         self._writers.clear()
-
-
--- a/madderbeam/simulation/operator.py
+++ b/madderbeam/simulation/operator.py
@@ -21,12 +21,23 @@
 class ControlCall(Peer):
     """One call; `done` is told the status, 0 if there was no answer."""
 
-    def __init__(self, kernel: Kernel, machine: Machine, method: str, path: str, body: bytes,
-                 done: Callable[[int], None]) -> None:
+    def __init__(
+        self,
+        kernel: Kernel,
+        machine: Machine,
+        method: str,
+        path: str,
+        body: bytes,
+        done: Callable[[int], None],
+    ) -> None:
         self.kernel, self.machine, self.done = kernel, machine, done
         self.path, self.life = path, machine.life
         self.text = b"%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s" % (
-            method.encode(), path.encode(), len(body), body)
+            method.encode(),
+            path.encode(),
+            len(body),
+            body,
+        )
         self.buffer, self.over = b"", False
         self.stream: Stream = machine.network.dial(machine.control, self)
         kernel.after(ANSWER_US + SLACK, self._late)
@@ -53,8 +64,14 @@
 
     def _late(self) -> None:
         life = self.machine.life
-        if not self.over and life is self.life and life.died_us < 0 and life.closing_us < 0 \
-                and life.ready_us >= 0 and self.machine.kept(self.stream):
+        if (
+            not self.over
+            and life is self.life
+            and life.died_us < 0
+            and life.closing_us < 0
+            and life.ready_us >= 0
+            and self.machine.kept(self.stream)
+        ):
             self.kernel.checker.broken("control", f"{self.path} at {life.courier} is not answered")
         self._finish(0)
 
@@ -68,17 +85,23 @@
 
     def _ask(self, path: str, body: bytes, wanted: bool, yes: Callable[[], None]) -> None:
         """Call until the answer is yes, as long as that is what is wanted."""
+
         def done(status: int) -> None:
             if 200 <= status < 300:
                 yes()
             elif self.wanted is wanted:
                 self.kernel.after(AGAIN_US, self._ask, path, body, wanted, yes)
+
         if self.wanted is wanted:
             ControlCall(self.kernel, self.machine, "PUT", path, body, done)
 
     def disable(self, uid: str) -> None:
-        self._ask("/endpoints/disable", json.dumps({"member": uid}).encode(), True,
-                  lambda: self.checker.out_by_hand(self.machine.name, uid))
+        self._ask(
+            "/endpoints/disable",
+            json.dumps({"member": uid}).encode(),
+            True,
+            lambda: self.checker.out_by_hand(self.machine.name, uid),
+        )
 
     def enable(self, uid: str) -> None:
         self.wanted = False
@@ -101,8 +124,11 @@
         if not self.wanted or self.machine.life is not life or life.closing_us >= 0 or life.died_us >= 0:
             return
         since = self.kernel.now_us - LET_GO_US
-        held = [s for s in self.machine.network.open if s.address == self.machine.address
-                and 0 <= s.accepted_us < since and s.up and not s.gone]
+        held = [
+            s
+            for s in self.machine.network.open
+            if s.address == self.machine.address and 0 <= s.accepted_us < since and s.up and not s.gone
+        ]
         if held:
             self.checker.broken("control", f"{life.courier} drains and holds {len(held)} clients")
 
@@ -117,8 +143,12 @@
 
     def _is_back(self, life: Life) -> None:
         self.clients.drains.discard(self.machine.name)
-        Ping(self.kernel, self.machine, False,
-             lambda: self.machine.life is life and self.machine.name not in self.clients.drains)
+        Ping(
+            self.kernel,
+            self.machine,
+            False,
+            lambda: self.machine.life is life and self.machine.name not in self.clients.drains,
+        )
 
 
 class Ping(Peer):
--- a/madderbeam/simulation/pools.py
+++ b/madderbeam/simulation/pools.py
@@ -23,12 +23,18 @@
         if chance.random() < 0.25:
             continue
         method = chance.choice(METHODS)
-        pool = pools.setdefault(str(dest), {
-            "method": method, "hash_on": chance.choice(("tenant", "key", "id")),
-            "subset": chance.choice((0, 0, 2)),
-            "fails_on": chance.choice((["error", "timeout", "invalid_header"],
-                                       ["error", "timeout", "http_500", "overload"])),
-            "servers": []})
+        pool = pools.setdefault(
+            str(dest),
+            {
+                "method": method,
+                "hash_on": chance.choice(("tenant", "key", "id")),
+                "subset": chance.choice((0, 0, 2)),
+                "fails_on": chance.choice(
+                    (["error", "timeout", "invalid_header"], ["error", "timeout", "http_500", "overload"])
+                ),
+                "servers": [],
+            },
+        )
         pool["servers"].append({"address": target["endpoint"], **_server(target["uid"], seed)})
     return {"form": 1, "pools": pools, "names": {}, "routes": []}
 
@@ -37,8 +43,11 @@
     chance = random.Random(f"server {seed} {uid}")
     found: dict[str, Any] = {"weight": chance.randint(1, 4), "backup": chance.random() < 0.25}
     if chance.random() < 0.5:
-        found |= {"max_fails": chance.randint(1, 3), "fail_timeout_us": chance.choice((200_000, 2_000_000)),
-                  "slow_start_us": chance.choice((0, 1_000_000))}
+        found |= {
+            "max_fails": chance.randint(1, 3),
+            "fail_timeout_us": chance.choice((200_000, 2_000_000)),
+            "slow_start_us": chance.choice((0, 1_000_000)),
+        }
     if chance.random() < 0.2:
         found["max_conns"] = chance.randint(1, 3)
     return found
--- a/madderbeam/simulation/quality.py
+++ b/madderbeam/simulation/quality.py
@@ -33,8 +33,13 @@
     return 1 - (1 - cls.late_share) * (age_us - cls.aim_us) / (cls.deadline_us - cls.aim_us)
 
 
-def measured(classes: tuple[MessageClass, ...], wishes: list[Wish], handed: Iterable[Handed],
-             holders: dict[str, Wish], outages: list[tuple[int, int]]) -> Quality:
+def measured(
+    classes: tuple[MessageClass, ...],
+    wishes: list[Wish],
+    handed: Iterable[Handed],
+    holders: dict[str, Wish],
+    outages: list[tuple[int, int]],
+) -> Quality:
     """The quality of a run; `outages`: (destination, when its outage ended in us)."""
     done: dict[int, int] = {}  # by wish: when it was delivered first
     ends: dict[int, list[int]] = {}  # deliveries by destination
@@ -55,13 +60,17 @@
         row = sums.setdefault(cls.name, [0.0, 0.0])
         row[0] += cls.worth * worth(cls, age)
         row[1] += cls.worth
-    firsts = [(since, min((at for at in ends.get(dest, ()) if at >= since), default=-1))
-              for dest, since in outages]
+    firsts = [
+        (since, min((at for at in ends.get(dest, ()) if at >= since), default=-1)) for dest, since in outages
+    ]
     back = [at - since for since, at in firsts if at >= 0]
     asked, count = sum(r[1] for r in sums.values()), max(1, len(wishes))
     return Quality(
         worth=sum(r[0] for r in sums.values()) / asked if asked else 1.0,
-        in_time=in_time / count, delivered=len(done) / count,
+        in_time=in_time / count,
+        delivered=len(done) / count,
         by_class={name: r[0] / r[1] for name, r in sorted(sums.items())},
-        attempts=attempts / max(1, len(done)), refused=refusals / count,
-        recovery_ms=statistics.mean(back) / 1e3 if back else None)
+        attempts=attempts / max(1, len(done)),
+        refused=refusals / count,
+        recovery_ms=statistics.mean(back) / 1e3 if back else None,
+    )
