--- a/madderbeam/simulation/runs.py
+++ b/madderbeam/simulation/runs.py
@@ -38,14 +38,25 @@
     """The script of a seed, swarm style: each kind of fault is on or off as a whole, then several at once."""
     chance = random.Random(f"script {seed}")
     base = Script(
-        seed=seed, couriers=chance.choice((2, 2, 2, 3)), dests=chance.randint(3, 7),
-        rate_per_s=chance.uniform(32, 40), seconds=8.0, grid_us=chance.choice((1, 1, 1000, 5000, 20_000)),
+        seed=seed,
+        couriers=chance.choice((2, 2, 2, 3)),
+        dests=chance.randint(3, 7),
+        rate_per_s=chance.uniform(32, 40),
+        seconds=8.0,
+        grid_us=chance.choice((1, 1, 1000, 5000, 20_000)),
         aligned=chance.random() < 0.3,
-        service_ms=chance.choice((15.0, 60.0, 150.0)), latency_us=chance.choice((50, 800, 3000)),
-        jitter_us=chance.choice((0, 1500, 8000)), descriptors=chance.choice((96, 256, 256)),
-        disk_mb=chance.choice((0.09, 0.15, 1.0, 3.0)), tight=chance.choice((1.1, 1.6, 3.0)),
-        grace_ms=chance.choice((100, 2000)), sidecar=seed % 5 == 4, pools=seed % 10 == 9,
-        kafka=seed % 20 == 4, quota=seed % 20 == 14)
+        service_ms=chance.choice((15.0, 60.0, 150.0)),
+        latency_us=chance.choice((50, 800, 3000)),
+        jitter_us=chance.choice((0, 1500, 8000)),
+        descriptors=chance.choice((96, 256, 256)),
+        disk_mb=chance.choice((0.09, 0.15, 1.0, 3.0)),
+        tight=chance.choice((1.1, 1.6, 3.0)),
+        grace_ms=chance.choice((100, 2000)),
+        sidecar=seed % 5 == 4,
+        pools=seed % 10 == 9,
+        kafka=seed % 20 == 4,
+        quota=seed % 20 == 14,
+    )
     if seed % LARGE == 7:
         base = replace(base, couriers=FLEET, dests=FLEET_DESTS)
     share = chance.choice((0.08, 0.15, 0.25))
--- a/madderbeam/simulation/script.py
+++ b/madderbeam/simulation/script.py
@@ -25,8 +25,13 @@
     value: float = 0.5
 
     def row(self) -> dict[str, Any]:
-        return {"kind": self.kind, "at_ms": self.at_ms, "for_ms": self.for_ms, "target": self.target,
-                "value": self.value}
+        return {
+            "kind": self.kind,
+            "at_ms": self.at_ms,
+            "for_ms": self.for_ms,
+            "target": self.target,
+            "value": self.value,
+        }
 
 
 @dataclass(frozen=True)
@@ -58,13 +63,24 @@
     faults: tuple[Fault, ...] = ()
 
     def __post_init__(self) -> None:
-        for name, least, most in (("couriers", 1, 256), ("dests", 1, 64), ("rate_per_s", 0, 2000),
-                                  ("seconds", 0.1, 3600), ("grid_us", 1, 1_000_000), ("disk_mb", 0.01, 1000),
-                                  ("latency_us", 1, 10_000_000), ("jitter_us", 0, 10_000_000),
-                                  ("descriptors", 24, 1 << 20), ("service_ms", 0.1, 60_000),
-                                  ("slots", 1, 256), ("cold_ms", 1, 60_000),
-                                  ("tight", 0.1, 100), ("grace_ms", 0, 60_000), ("uneven", 1, 9),
-                                  ("customer", 0, 1 << 30)):
+        for name, least, most in (
+            ("couriers", 1, 256),
+            ("dests", 1, 64),
+            ("rate_per_s", 0, 2000),
+            ("seconds", 0.1, 3600),
+            ("grid_us", 1, 1_000_000),
+            ("disk_mb", 0.01, 1000),
+            ("latency_us", 1, 10_000_000),
+            ("jitter_us", 0, 10_000_000),
+            ("descriptors", 24, 1 << 20),
+            ("service_ms", 0.1, 60_000),
+            ("slots", 1, 256),
+            ("cold_ms", 1, 60_000),
+            ("tight", 0.1, 100),
+            ("grace_ms", 0, 60_000),
+            ("uneven", 1, 9),
+            ("customer", 0, 1 << 30),
+        ):
             value = getattr(self, name)
             if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value <= most:
                 raise ScriptError(f"{name}: must be a number from {least} to {most}, not {value!r}")
@@ -76,8 +92,15 @@
         """The script as JSON, one fault a line."""
         head = {k: v for k, v in asdict(self).items() if k != "faults"}
         # They came later: the names of older scripts stay.
-        for later, default in (("uneven", 1.0), ("customer", 0), ("slots", 12), ("cold_ms", 4000),
-                               ("pools", False), ("kafka", False), ("quota", False)):
+        for later, default in (
+            ("uneven", 1.0),
+            ("customer", 0),
+            ("slots", 12),
+            ("cold_ms", 4000),
+            ("pools", False),
+            ("kafka", False),
+            ("quota", False),
+        ):
             if head[later] == default:
                 del head[later]
         lines = ",\n".join("  " + json.dumps(f.row()) for f in self.faults)
@@ -105,7 +128,7 @@
 
     def without(self, index: int) -> Script:
         """The same with one fault less."""
-        return replace(self, faults=self.faults[:index] + self.faults[index + 1:])
+        return replace(self, faults=self.faults[:index] + self.faults[index + 1 :])
 
 
 def _fault(number: int, row: Any) -> Fault:
--- a/madderbeam/simulation/sharefaults.py
+++ b/madderbeam/simulation/sharefaults.py
@@ -68,7 +68,7 @@
     site = list(f.site())
     tenth = max(1, len(site) // 10)
     for n in range(0, len(site), tenth):
-        f.world.after(n // tenth * S, _terminate, site[n:n + tenth])
+        f.world.after(n // tenth * S, _terminate, site[n : n + tenth])
 
 
 def _terminate(part: list[Member]) -> None:
@@ -107,6 +107,7 @@
             partner.refuses.add(tried[-1][1])
             world.note(f"partner {partner.number}", f"refuses {tried[-1][1].name}")
             world.after(20 * S, partner.refuses.clear)
+
     world.after(span - 1, refuse)
 
 
@@ -118,11 +119,13 @@
         return
     first = f.chance.choice(f.site())
     for member in f.site():
+
         def hear(member: Member = member) -> None:
             world.states[member][uid] = "terminating"
             world.look(member)
             if member is first and member.works:
                 partner.drained.setdefault(uid, world.now_us)
+
         world.after(0 if member is first else f.chance.randrange(5 * S), hear)
 
     def back() -> None:
@@ -132,6 +135,7 @@
         partner.uids = list(partner.places.values())
         for member in f.site():
             world.after(f.chance.randrange(S), world.look, member)
+
     world.after(7 * S, back)
 
 
@@ -141,14 +145,20 @@
     if not (member.up and member.ready_us >= 0):
         return
     uid = f.chance.choice((b"", b"p9a"))
-    told = [(f"news/wait/{odd}", FORM.pack(len(uid), YEAR_US, 0.0) + uid),
-            (f"news/outage/{odd}", FORM.pack(0, YEAR_US, 0.0)), (f"news/limit/{odd}", FORM.pack(0, S, 0.0)),
-            (f"news/drain/{odd}", FORM.pack(3, YEAR_US, 0.0) + b"p9b"),
-            (f"news/back/{odd}", FORM.pack(0, YEAR_US, 0.0)),
-            (f"news/wait/{odd}/x", FORM.pack(200, S, 0.0)), (f"news/wait/{10 ** 14}", FORM.pack(0, S, 0.0)),
-            ("news/what/1", FORM.pack(0, S, 0.0)), ("news/wait", b""), (f"news/full/{odd}", b"\xff" * 17),
-            (f"news/limit/{odd}", FORM.pack(0, S, float("nan"))),
-            (f"news/wait/{odd}/y", FORM.pack(1, S, 0.0) + b"\xff")]
+    told = [
+        (f"news/wait/{odd}", FORM.pack(len(uid), YEAR_US, 0.0) + uid),
+        (f"news/outage/{odd}", FORM.pack(0, YEAR_US, 0.0)),
+        (f"news/limit/{odd}", FORM.pack(0, S, 0.0)),
+        (f"news/drain/{odd}", FORM.pack(3, YEAR_US, 0.0) + b"p9b"),
+        (f"news/back/{odd}", FORM.pack(0, YEAR_US, 0.0)),
+        (f"news/wait/{odd}/x", FORM.pack(200, S, 0.0)),
+        (f"news/wait/{10**14}", FORM.pack(0, S, 0.0)),
+        ("news/what/1", FORM.pack(0, S, 0.0)),
+        ("news/wait", b""),
+        (f"news/full/{odd}", b"\xff" * 17),
+        (f"news/limit/{odd}", FORM.pack(0, S, float("nan"))),
+        (f"news/wait/{odd}/y", FORM.pack(1, S, 0.0) + b"\xff"),
+    ]
     f.world.note(member.name, "tells nonsense")
     for n, (key, body) in enumerate(told):
         member.room.members.tell(Spread(key, (1 << 50) + f.world.scheduler.steps + n, body, 5 * S))
@@ -166,6 +176,7 @@
             partner.moods.clear()
         elif world.now_us < until_us:
             world.after(5_000, enough)
+
     if f.chance.random() < 0.5:
         enough()
 
@@ -173,12 +184,16 @@
         told = [t for t in world.judge.waits[partner.number] if t.until_us > world.now_us + 4 * S]
         if told and len(f.site()) > 2:
             told[0].member.die(back=False)
+
     world.after(S + world.news_us, die)
 
 
 def _granters(f: Troubles) -> list[Member]:
-    return [m for m in f.site() if m.works and m.ready_us >= 0 and any(
-        slot.granting.runs() for slot in m.room.shared.leases.slots)]
+    return [
+        m
+        for m in f.site()
+        if m.works and m.ready_us >= 0 and any(slot.granting.runs() for slot in m.room.shared.leases.slots)
+    ]
 
 
 def _granter_dies(f: Troubles) -> None:
@@ -198,14 +213,39 @@
 
 
 KINDS: dict[str, Callable[[Any], None]] = {
-    "kill_half": _kill_half, "rolling": _rolling, "outage": _outage,
-    "outage_and_partition": _outage_and_partition, "refuses_one": _refuses_one,
-    "returns_not_to_all": _returns_not_to_all, "drain": _drain, "nonsense": _nonsense, "waits": _waits,
-    "told_and_gone": _told_and_gone, "granter_dies": _granter_dies, "granter_deaf": _granter_deaf,
+    "kill_half": _kill_half,
+    "rolling": _rolling,
+    "outage": _outage,
+    "outage_and_partition": _outage_and_partition,
+    "refuses_one": _refuses_one,
+    "returns_not_to_all": _returns_not_to_all,
+    "drain": _drain,
+    "nonsense": _nonsense,
+    "waits": _waits,
+    "told_and_gone": _told_and_gone,
+    "granter_dies": _granter_dies,
+    "granter_deaf": _granter_deaf,
     "partition": _partition,
-    **{name: fedfaults.KINDS[name] for name in (
-        "loss", "double", "late", "cut_one_way", "deaf", "kill", "kill_at", "kill_all", "pause", "terminate",
-        "fails", "full", "resets", "hangs")}}
+    **{
+        name: fedfaults.KINDS[name]
+        for name in (
+            "loss",
+            "double",
+            "late",
+            "cut_one_way",
+            "deaf",
+            "kill",
+            "kill_at",
+            "kill_all",
+            "pause",
+            "terminate",
+            "fails",
+            "full",
+            "resets",
+            "hangs",
+        )
+    },
+}
 
 
 def draw(world: Sharing) -> tuple[str, ...]:
--- a/madderbeam/simulation/sharejudge.py
+++ b/madderbeam/simulation/sharejudge.py
@@ -89,8 +89,11 @@
 
     def _sum(self, resource: str, total: float) -> None:
         """What all may use just now, each by its own clock."""
-        parts = {m.name: m.room.shared.leases.amount(resource, m.clock.monotonic_us())
-                 for m in self.world.sites["macon"] if m.up and m.ready_us >= 0}
+        parts = {
+            m.name: m.room.shared.leases.amount(resource, m.clock.monotonic_us())
+            for m in self.world.sites["macon"]
+            if m.up and m.ready_us >= 0
+        }
         if sum(parts.values()) > total * (1 + 1e-6):
             self.broken("S1", f"{resource}: {sum(parts.values()):.3f} of {total:.3f} are in use: {parts}")
 
@@ -106,8 +109,11 @@
         listed = max((max(lane.listed, lane.rate) for lane in dest.lanes), default=0.0)
         since = self.since.get((member, resource), 0)
         if listed > max(amount, 1e-3) * (1 + 1e-6) and self.world.now_us - since > TURN_US:
-            self.broken("S1", f"{member.name} calls {call.dest} by {listed:.3f} messages a second, and may "
-                              f"use {amount:.3f} since {since}")
+            self.broken(
+                "S1",
+                f"{member.name} calls {call.dest} by {listed:.3f} messages a second, and may "
+                f"use {amount:.3f} since {since}",
+            )
 
     def _paced(self, call: Call, partner: Rated) -> None:
         """All calls together keep to the limit; each member's bucket holds 0.8 s of its part, or one call."""
@@ -116,9 +122,10 @@
         while load[0] < now - PACED_US:
             load.popleft()
         most = partner.rate * (PACED_US / S + 1) + 2 * len(self.world.members)
-        if len(load) > most + SLACK * most ** 0.5:
-            self.broken("S1", f"{partner.number} gets {len(load)} calls in {PACED_US} us, of {partner.rate} "
-                              "a second")
+        if len(load) > most + SLACK * most**0.5:
+            self.broken(
+                "S1", f"{partner.number} gets {len(load)} calls in {PACED_US} us, of {partner.rate} a second"
+            )
 
     def _idle(self, member: Member) -> None:
         """The decision module goes by all of the lease, but a tenth of which it is not told."""
@@ -130,8 +137,11 @@
                 continue
             for lane in dest.lanes:
                 if lane.listed < 0.85 * amount:
-                    self.broken("S2", f"{member.name} goes by {lane.listed:.3f} messages a second to "
-                                      f"{partner.number}, and may use {amount:.3f}")
+                    self.broken(
+                        "S2",
+                        f"{member.name} goes by {lane.listed:.3f} messages a second to "
+                        f"{partner.number}, and may use {amount:.3f}",
+                    )
 
     def _unused(self) -> None:
         """A site whose members are there and whole gives out its limits."""
@@ -147,8 +157,11 @@
             resource = f"rate/{partner.number}"
             parts = [m.room.shared.leases.amount(resource, m.clock.monotonic_us()) for m in up]
             if sum(parts) < 0.9 * partner.rate:
-                self.broken("S2", f"{resource}: {sum(parts):.2f} of {partner.rate} are given out though "
-                                  f"nothing has happened since {quiet}: {parts}")
+                self.broken(
+                    "S2",
+                    f"{resource}: {sum(parts):.2f} of {partner.rate} are given out though "
+                    f"nothing has happened since {quiet}: {parts}",
+                )
 
     # News
 
@@ -179,8 +192,11 @@
             stood = other.up and not other.works or other.resumed_us >= told.at_us
             known = lived and not stood
             if other.site == member.site and known and since + bound < now < told.until_us - 1_000:
-                self.broken("S3", f"{member.name} calls {call.dest}; {other.name} was told at {told.at_us} "
-                                  f"to wait until {told.until_us}")
+                self.broken(
+                    "S3",
+                    f"{member.name} calls {call.dest}; {other.name} was told at {told.at_us} "
+                    f"to wait until {told.until_us}",
+                )
 
     def _drains(self, call: Call, partner: Rated) -> None:
         uid = partner.places[call.stream.address]
@@ -202,8 +218,9 @@
         quiet = max(partner.told_us, self.rest_us, self.changed_us)
         who = {m.name for _, m in tried}
         if len(who) > TRIERS and partner.told_us >= 0 and now > quiet + S + self.world.news_us:
-            self.broken("S4", f"{sorted(who)} try {number} within a second, which is out since "
-                              f"{partner.out_us}")
+            self.broken(
+                "S4", f"{sorted(who)} try {number} within a second, which is out since {partner.out_us}"
+            )
 
     def _outages(self) -> None:
         """Of a partner that is out it takes two to say so."""
@@ -231,11 +248,13 @@
                     continue
                 answered = now - self.served.get((member, partner.number), -S) < S
                 held = member.room.shared.partners.held.get(partner.number)  # doubts hold for a moment
-                if held is Kind.OUTAGE and (
-                        back or answered and now - partner.back_us > 5 * S):
-                    self.broken("S4", f"{member.name} holds back from {partner.number}, which would answer "
-                                      f"it, back since {partner.back_us}, and refuses "
-                                      f"{sorted(m.name for m in partner.refuses)}")
+                if held is Kind.OUTAGE and (back or answered and now - partner.back_us > 5 * S):
+                    self.broken(
+                        "S4",
+                        f"{member.name} holds back from {partner.number}, which would answer "
+                        f"it, back since {partner.back_us}, and refuses "
+                        f"{sorted(m.name for m in partner.refuses)}",
+                    )
 
     def could_know(self, partner: Rated) -> set[Member]:
         """Members that had been told of this outage, if two had seen it."""
@@ -260,11 +279,14 @@
         since = max(back, now - FALL_US)
         middle = (FALL_US if now - back < FALL_US else since + now - 2 * back) / 2 / cold_us
         bears = FALL * partner.rate * (COLD_SHARE + (1 - COLD_SHARE) * middle) * FALL_US / S
-        if len(load) > bears + SLACK * bears ** 0.5 + SLACK:
+        if len(load) > bears + SLACK * bears**0.5 + SLACK:
             told = sum(m in partner.saw for _, m in load)
             if 3 * told > 2 * len(load):
-                self.broken("S5", f"{partner.number}, cold since {back}, gets {len(load)} calls in "
-                                  f"{FALL_US} us and bears {bears:.1f}: {sorted({m.name for _, m in load})}")
+                self.broken(
+                    "S5",
+                    f"{partner.number}, cold since {back}, gets {len(load)} calls in "
+                    f"{FALL_US} us and bears {bears:.1f}: {sorted({m.name for _, m in load})}",
+                )
 
     # Now and then, at the end
 
@@ -291,15 +313,27 @@
         odd = self.world.odd.number
         board = shared.partners.board
         news = [row for row in board.status(now) if row["dest"] != odd]
-        kept = [subject for owner in board.owners.values() for subject, told in owner.told.items()
-                if subject[1] != odd and told.until_us < now - 2 * S]
-        left = {"news": news, "news that are over": kept, "held": shared.held - {odd},
-                "tries": shared.partners.trying.keys() - {odd}}
+        kept = [
+            subject
+            for owner in board.owners.values()
+            for subject, told in owner.told.items()
+            if subject[1] != odd and told.until_us < now - 2 * S
+        ]
+        left = {
+            "news": news,
+            "news that are over": kept,
+            "held": shared.held - {odd},
+            "tries": shared.partners.trying.keys() - {odd},
+        }
         for what, found in left.items():
             if found:
                 self.broken("S6", f"{member.name} keeps {what} after all is over: {found}")
         shut = [row for row in board.status(now) if row["left_ms"] > LONGEST_US // 1000]
-        lane_shut = [lane.wait_until for d in member.host.courier.dests.values() for lane in d.lanes
-                     if lane.wait_until > now + LONGEST_US]
+        lane_shut = [
+            lane.wait_until
+            for d in member.host.courier.dests.values()
+            for lane in d.lanes
+            if lane.wait_until > now + LONGEST_US
+        ]
         if shut or lane_shut:
             self.broken("S6", f"{member.name} keeps what lasts over an hour: {shut}, {lane_shut}")
--- a/madderbeam/simulation/sharing.py
+++ b/madderbeam/simulation/sharing.py
@@ -85,8 +85,14 @@
     judge: SharingJudge
     partners: list[Rated]
 
-    def __init__(self, seed: int, trace: bool = False, faults: bool = True, members: int = 0,
-                 kinds: tuple[str, ...] = ()) -> None:
+    def __init__(
+        self,
+        seed: int,
+        trace: bool = False,
+        faults: bool = True,
+        members: int = 0,
+        kinds: tuple[str, ...] = (),
+    ) -> None:
         self.count, self.kinds = members, kinds
         super().__init__(seed, trace, faults)
 
@@ -122,10 +128,17 @@
         for partner in (*self.partners, self.odd):
             self.services.update(dict.fromkeys(partner.places, partner))
         voters = {m.name for ms in self.sites.values() for m in ms[:5]}
-        rows = {s: {m.id.name: {"address": "{}:{}".format(*m.mesh), "votes": m.name in voters} for m in ms}
-                for s, ms in self.sites.items()}
-        self.table = tables.read({"number": 1, "sites": rows, "owners": {
-            str(p.number): "macon" for p in (*self.partners, self.odd)}})
+        rows = {
+            s: {m.id.name: {"address": "{}:{}".format(*m.mesh), "votes": m.name in voters} for m in ms}
+            for s, ms in self.sites.items()
+        }
+        self.table = tables.read(
+            {
+                "number": 1,
+                "sites": rows,
+                "owners": {str(p.number): "macon" for p in (*self.partners, self.odd)},
+            }
+        )
         base = chance.choice((300, 3_000, 15_000))
         for a in self.by_host:
             for b in self.by_host:
@@ -143,23 +156,44 @@
 
     def partner_list(self, member: Member) -> dict[str, Any]:
         states = self.states[member]
-        return {"form": 1, "all": True, "targets": [
-            {"uid": uid, "endpoint": "{}:{}".format(*address), "az": "here", "model": "k",
-             "pod_group": p.number, "state": states.get(uid, "in_service"), "capacity_hint": p.rate,
-             "boot_ms": 0}
-            for p in (*self.partners, self.odd) for address, uid in p.places.items()]}
+        return {
+            "form": 1,
+            "all": True,
+            "targets": [
+                {
+                    "uid": uid,
+                    "endpoint": "{}:{}".format(*address),
+                    "az": "here",
+                    "model": "k",
+                    "pod_group": p.number,
+                    "state": states.get(uid, "in_service"),
+                    "capacity_hint": p.rate,
+                    "boot_ms": 0,
+                }
+                for p in (*self.partners, self.odd)
+                for address, uid in p.places.items()
+            ],
+        }
 
     def config(self, member: Member) -> dict[str, Any]:
         file = super().config(member)
         settings, federation = file["settings"], file["federation"]
-        settings["contract"] |= {"coldUs": self.cold_us, "fallMultiple": FALL, "fallUs": FALL_US,
-                                 "coldShare": COLD_SHARE, "drainGraceUs": 2 * S}
+        settings["contract"] |= {
+            "coldUs": self.cold_us,
+            "fallMultiple": FALL,
+            "fallUs": FALL_US,
+            "coldShare": COLD_SHARE,
+            "drainGraceUs": 2 * S,
+        }
         settings["policyLimits"] |= {"maxRetryAfterUs": 10 * S}
         settings["familyInfo"]["maxCalls"] = 60
         federation["share"] = True
         if self.large:
-            federation["times"] = {"probe_period_ms": 500, "probe_timeout_ms": 200,
-                                   "exchange_period_ms": 5000}
+            federation["times"] = {
+                "probe_period_ms": 500,
+                "probe_timeout_ms": 200,
+                "exchange_period_ms": 5000,
+            }
         return file
 
     def look(self, member: Member) -> None:
@@ -196,7 +230,8 @@
                 self.judge.must.append(self.hand_in(member, partner.number))
 
 
-def play(seed: int, trace: bool = False, faults: bool = True, members: int = 0,
-         kinds: tuple[str, ...] = ()) -> Report:
+def play(
+    seed: int, trace: bool = False, faults: bool = True, members: int = 0, kinds: tuple[str, ...] = ()
+) -> Report:
     """Play a seed's site; the same seed always gives the same report and trace."""
     return Sharing(seed, trace, faults, members, kinds).play()
--- a/madderbeam/simulation/world.py
+++ b/madderbeam/simulation/world.py
@@ -31,8 +31,14 @@
 class World(Kernel):
     """Everything outside the couriers, and the machines on which they run."""
 
-    def __init__(self, script: Script, begin: Callable[[World, Fault], End] | None = None,
-                 served: bool = False, trace: bool = False, audited: bool = True) -> None:
+    def __init__(
+        self,
+        script: Script,
+        begin: Callable[[World, Fault], End] | None = None,
+        served: bool = False,
+        trace: bool = False,
+        audited: bool = True,
+    ) -> None:
         """`begin` begins a fault and gives what ends it; served: the couriers have a second address;
         audited: their books are looked at, which only those of this checkout are sure to keep."""
         super().__init__(script, served, trace)
@@ -45,10 +51,15 @@
         self.machines = [Machine(self, n) for n in range(script.couriers)]
         self.clients = Clients(self, self.machines)
         if self.script.quota:
-            self.quota = tree([t["name"] for t in self.raw_settings["tenants"]], self.script.couriers,
-                              self.script.rate_per_s / self.script.couriers / 2, self.script.seed)
-            self.checker.meter = Meter(self.quota, self.checker,
-                                       lambda m: self.clients.holders[m.id].tenant).taken
+            self.quota = tree(
+                [t["name"] for t in self.raw_settings["tenants"]],
+                self.script.couriers,
+                self.script.rate_per_s / self.script.couriers / 2,
+                self.script.seed,
+            )
+            self.checker.meter = Meter(
+                self.quota, self.checker, lambda m: self.clients.holders[m.id].tenant
+            ).taken
         if self.script.kafka:
             self.clients.makes, self.clients.otherwise = Producer, produced(self.settings)
         self.wishes = self.moves = 0
@@ -74,8 +85,13 @@
     def _endpoint(self, dest: Destination, address: Address | None = None) -> Endpoint:
         number = len(self.endpoints) + 1
         make = Node if self.script.kafka and dest.number % 2 else Endpoint
-        ep = make(self, f"s-{number:04x}", dest, address or (f"10.1.{number >> 8}.{number & 255}", 6379),
-                  5 if dest.kind == "venue-chains" else 1)
+        ep = make(
+            self,
+            f"s-{number:04x}",
+            dest,
+            address or (f"10.1.{number >> 8}.{number & 255}", 6379),
+            5 if dest.kind == "venue-chains" else 1,
+        )
         self.endpoints.append(ep)
         dest.endpoints.append(ep)
         self.services[ep.address] = ep
@@ -132,13 +148,15 @@
 
     # Messages
 
-    def wish(self, dest: int | None = None, tenant: int | None = None, cls: int | None = None,
-             size: int = -1) -> None:
+    def wish(
+        self, dest: int | None = None, tenant: int | None = None, cls: int | None = None, size: int = -1
+    ) -> None:
         """A client means to hand a message in."""
         self.clients.hand_in(self.meant(dest, tenant, cls, size))
 
-    def meant(self, dest: int | None = None, tenant: int | None = None, cls: int | None = None,
-              size: int = -1) -> Wish:
+    def meant(
+        self, dest: int | None = None, tenant: int | None = None, cls: int | None = None, size: int = -1
+    ) -> Wish:
         """A message that somebody means to hand in; what is not given is drawn."""
         chance = self.chance
         self.wishes += 1
@@ -148,15 +166,23 @@
             dest = chance.choices(range(len(self.dests)), self.popularity)[0]
         number = self.dests[dest].number
         usual = self.settings.classes[cls]
-        key = f"key-{self.script.seed & 0xffff:x}-{self.wishes:x}" if usual.effect is Effect.KEYED else ""
+        key = f"key-{self.script.seed & 0xFFFF:x}-{self.wishes:x}" if usual.effect is Effect.KEYED else ""
         order = f"group-{number}-{chance.randrange(2)}" if usual.ordered else ""
         if tenant is None:
             tenant = chance.randrange(ENSEMBLES)
         if size < 0:
             size = chance.choice((20, 60, 200)) if chance.random() < 0.98 else chance.randrange(20_000)
-        made = Wish(self.wishes, cls, number, f"ensemble-{tenant}", key, order,
-                    self.now_us + usual.deadline_us, size,
-                    self.now_us)
+        made = Wish(
+            self.wishes,
+            cls,
+            number,
+            f"ensemble-{tenant}",
+            key,
+            order,
+            self.now_us + usual.deadline_us,
+            size,
+            self.now_us,
+        )
         self.wished.append(made)
         return made
 
@@ -174,8 +200,7 @@
         times = self.effects.setdefault(key, [])
         now = self.now_us
         if times and cls.effect is Effect.UNSAFE:
-            self.checker.broken("repeat", f"{handed.id} took effect at {times[0]} us and again at "
-                                          f"{uid}")
+            self.checker.broken("repeat", f"{handed.id} took effect at {times[0]} us and again at {uid}")
         times.append(now)
 
     def ended(self, ident: str, status: str, again_ms: int) -> None:
@@ -249,8 +274,13 @@
         r.delivered, r.refused = checker.delivered, checker.refused
         r.kills = sum(m.kills for m in self.machines)
         if r.violation is None:
-            r.quality = measured(self.settings.classes, self.wished, checker.handed.values(),
-                                 self.clients.holders, self.outages)
+            r.quality = measured(
+                self.settings.classes,
+                self.wished,
+                checker.handed.values(),
+                self.clients.holders,
+                self.outages,
+            )
         return r
 
     @contextlib.contextmanager
--- a/madderbeam/transport/accepting.py
+++ b/madderbeam/transport/accepting.py
@@ -18,8 +18,14 @@
 class Accepting:
     """Hands each accepted socket to `took`. `make_room` gives a descriptor up, if it can."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, took: Callable[[Socket], None],
-                 make_room: Callable[[], bool], what: str) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        took: Callable[[Socket], None],
+        make_room: Callable[[], bool],
+        what: str,
+    ) -> None:
         """what: who is accepted, for the log."""
         self.loop, self.network, self.took, self.make_room = loop, network, took, make_room
         self.what = what
--- a/madderbeam/transport/calls.py
+++ b/madderbeam/transport/calls.py
@@ -25,8 +25,13 @@
 SLOW_S = 0.02  # from a call's choice to its first byte; a wait that was told binds 100 ms later
 MAX_WAIT_S = 120.0  # a told wait over this is none that a destination would tell
 ANSWERS = (200, 400, 410, 413, 429, 500, 503, 504)  # that PROTOCOL names
-STATES = {"done": Result.OK, "failed": Result.ERROR, "busy": Result.FULL, "void": Result.MOOT,
-          "used_up": Result.MOOT}
+STATES = {
+    "done": Result.OK,
+    "failed": Result.ERROR,
+    "busy": Result.FULL,
+    "void": Result.MOOT,
+    "used_up": Result.MOOT,
+}
 log = logging.getLogger(__name__)
 
 
@@ -304,8 +309,15 @@
 class Calls:
     """The calls out and the connections to all endpoints."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, hooks: Hooks, idle_us: int,
-                 connect_us: int, max_idle: int) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        hooks: Hooks,
+        idle_us: int,
+        connect_us: int,
+        max_idle: int,
+    ) -> None:
         self.loop, self.network, self.hooks = loop, network, hooks
         self.idle_s, self.connect_s, self.max_idle = idle_us * IDLE_SHARE / 1e6, connect_us / 1e6, max_idle
         self.pools: dict[int, Pool] = {}
@@ -478,8 +490,13 @@
             return Connection(self.loop, self.network, pool.address)
         from madderbeam.transport.kafka.partner import KafkaConnection  # loaded only where one is met
 
-        made: Any = KafkaConnection(self.loop, self.network, pool.address, pool.topic,
-                                    lambda address: self._is_node(pool.topic, address))
+        made: Any = KafkaConnection(
+            self.loop,
+            self.network,
+            pool.address,
+            pool.topic,
+            lambda address: self._is_node(pool.topic, address),
+        )
         return made
 
     def _is_node(self, topic: str, address: Address) -> bool:
@@ -489,8 +506,10 @@
 
     def _set_up(self, call: Call, connection: Connection) -> None:
         call.connection = connection
-        call.timer(call.started + self.connect_s - self.loop.time(),
-                   lambda: call.timed_out() if connection.exchange is None and not call.status else None)
+        call.timer(
+            call.started + self.connect_s - self.loop.time(),
+            lambda: call.timed_out() if connection.exchange is None and not call.status else None,
+        )
 
     # From one process to the next
 
@@ -502,14 +521,33 @@
     def state(self, call: Call) -> dict[str, Any]:
         """All that another process needs to go on with it."""
         assert call.connection is not None
-        items = [[n.number, n.attempt, n.id, n.key, n.body if not n.begun else b"", n.timeout_us,
-                  n.fresh_timeout_us, n.fresh, n.begun] for n in call.items if not n.ended]
-        return {"endpoint": call.endpoint, "items": items, "started": call.started,
-                "deadline": call.deadline, "address": list(call.connection.address),
-                "placed": self.pools.get(call.endpoint) is call.pool,
-                "bundle": len(call.items), "rest": call.connection.rest,
-                "connected": call.connection.connected,
-                "write_by": call.write_by if call.write_by < math.inf else None}
+        items = [
+            [
+                n.number,
+                n.attempt,
+                n.id,
+                n.key,
+                n.body if not n.begun else b"",
+                n.timeout_us,
+                n.fresh_timeout_us,
+                n.fresh,
+                n.begun,
+            ]
+            for n in call.items
+            if not n.ended
+        ]
+        return {
+            "endpoint": call.endpoint,
+            "items": items,
+            "started": call.started,
+            "deadline": call.deadline,
+            "address": list(call.connection.address),
+            "placed": self.pools.get(call.endpoint) is call.pool,
+            "bundle": len(call.items),
+            "rest": call.connection.rest,
+            "connected": call.connection.connected,
+            "write_by": call.write_by if call.write_by < math.inf else None,
+        }
 
     def adopt(self, sock: Socket, state: dict[str, Any]) -> None:
         """Go on with a call of another process."""
--- a/madderbeam/transport/clients.py
+++ b/madderbeam/transport/clients.py
@@ -105,9 +105,20 @@
     if "c" not in fields:
         raise BadRequest("c: lacks, must name a class")
     dest = _number(fields, "dest") if "dest" in fields else -1
-    return Put(ident.decode(), order_key(order), fields["c"], fields.get("t"), _number(fields, "d"), dest,
-               key, fields.get("r") == "1", body, fields.get("to", ""), fields.get("path", ""),
-               fields.get("topic", ""))
+    return Put(
+        ident.decode(),
+        order_key(order),
+        fields["c"],
+        fields.get("t"),
+        _number(fields, "d"),
+        dest,
+        key,
+        fields.get("r") == "1",
+        body,
+        fields.get("to", ""),
+        fields.get("path", ""),
+        fields.get("topic", ""),
+    )
 
 
 def _hello(args: list[bytes]) -> bytes:
@@ -136,11 +147,16 @@
 
 
 # What client libraries of Redis send as they connect.
-HELLO = (b"\r\n$6\r\nserver\r\n$10\r\nmadderbeam\r\n$7\r\nversion\r\n$5\r\n7.0.0\r\n$5\r\nproto\r\n:%d\r\n"
-         b"$2\r\nid\r\n:1\r\n$4\r\nmode\r\n$10\r\nstandalone\r\n$4\r\nrole\r\n$6\r\nmaster\r\n"
-         b"$7\r\nmodules\r\n*0\r\n")
+HELLO = (
+    b"\r\n$6\r\nserver\r\n$10\r\nmadderbeam\r\n$7\r\nversion\r\n$5\r\n7.0.0\r\n$5\r\nproto\r\n:%d\r\n"
+    b"$2\r\nid\r\n:1\r\n$4\r\nmode\r\n$10\r\nstandalone\r\n$4\r\nrole\r\n$6\r\nmaster\r\n"
+    b"$7\r\nmodules\r\n*0\r\n"
+)
 GREETINGS: dict[bytes, Callable[[list[bytes]], bytes]] = {
-    b"HELLO": _hello, b"CLIENT": _client, b"SELECT": _select}
+    b"HELLO": _hello,
+    b"CLIENT": _client,
+    b"SELECT": _select,
+}
 
 
 class Reply:
@@ -263,8 +279,13 @@
 
     def _takes(self) -> bool:
         """Whether a request may be taken now. What comes is held back while many wait, or answers do."""
-        return (self.phase is Phase.OPEN and self.pause is None and not self.unsent
-                and len(self.pending) < self.server.places.pipeline and self.held <= UNSENT)
+        return (
+            self.phase is Phase.OPEN
+            and self.pause is None
+            and not self.unsent
+            and len(self.pending) < self.server.places.pipeline
+            and self.held <= UNSENT
+        )
 
     def _requests(self) -> bool:
         """Handle what is whole, a few in one go: the others' turns come in between. Whether any was."""
@@ -474,9 +495,15 @@
 
     def state(self) -> dict[str, Any]:
         """All that another process needs to go on with it; for one that waits for no answer."""
-        return {"reader": self.reader.state(), "unsent": self.unsent, "useful": self.useful,
-                "strikes": self.strikes, "since": self.since, "due": self.due,
-                "closing": self.phase is Phase.ENDING}
+        return {
+            "reader": self.reader.state(),
+            "unsent": self.unsent,
+            "useful": self.useful,
+            "strikes": self.strikes,
+            "since": self.since,
+            "due": self.due,
+            "closing": self.phase is Phase.ENDING,
+        }
 
     def restore(self, state: dict[str, Any]) -> None:
         """Go on from what `state` gave in another process."""
@@ -513,8 +540,14 @@
     anything can be closed, and rests for a second when descriptors run out.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network,
-                 put: Callable[[Put, Answer], None], places: Places, make: type[Client] = Client) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        put: Callable[[Put, Answer], None],
+        places: Places,
+        make: type[Client] = Client,
+    ) -> None:
         """`make`: the connections of the front's protocol."""
         self.loop, self.network, self.put, self.places, self.make = loop, network, put, places, make
         self.idle_most = int(places.most * places.idle_share)
@@ -660,9 +693,8 @@
             client.close()
         for client in [c for c in self.clients if c.due <= now]:
             client.overdue(now)
-        silent = [c for c in self.clients
-                  if not c.useful and c.between_requests and now - c.since > SILENT_S]
-        for client in silent[:max(0, len(silent) - self.idle_most)]:
+        silent = [c for c in self.clients if not c.useful and c.between_requests and now - c.since > SILENT_S]
+        for client in silent[: max(0, len(silent) - self.idle_most)]:
             client.finish()
         self.timers["sweep"] = self.loop.call_later(SWEEP_S, self._sweep)
 
--- a/madderbeam/transport/control.py
+++ b/madderbeam/transport/control.py
@@ -33,8 +33,10 @@
 
     def encode(self) -> bytes:
         body = self.text.encode()
-        head = (f"HTTP/1.1 {self.status} {HTTPStatus(self.status).phrase}\r\nContent-Type: text/plain\r\n"
-                f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n")
+        head = (
+            f"HTTP/1.1 {self.status} {HTTPStatus(self.status).phrase}\r\nContent-Type: text/plain\r\n"
+            f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
+        )
         return head.encode() + body
 
 
@@ -103,7 +105,7 @@
 
     def _write(self) -> None:
         try:
-            self.unsent = self.unsent[self.sock.send(self.unsent):]
+            self.unsent = self.unsent[self.sock.send(self.unsent) :]
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
@@ -126,8 +128,12 @@
 class ControlServer:
     """Takes calls; `act(method, path, body)` gives each its answer, at once."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network,
-                 act: Callable[[str, str, bytes], Answer] = lambda method, path, body: NOT_YET) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        act: Callable[[str, str, bytes], Answer] = lambda method, path, body: NOT_YET,
+    ) -> None:
         self.loop, self.network, self.act = loop, network, act
         self.callers: dict[Caller, None] = {}  # the oldest first
         self.most = MAX_CALL
--- a/madderbeam/transport/dialing.py
+++ b/madderbeam/transport/dialing.py
@@ -18,8 +18,9 @@
 class Dialed:
     """What connections of each protocol share. Once it is up `_readable` is called as bytes come."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, address: Address,
-                 sock: Socket | None = None) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, network: Network, address: Address, sock: Socket | None = None
+    ) -> None:
         """`sock`: one that is connected, or about to be, in place of a new one. OSError if there is none."""
         self.loop, self.network, self.address = loop, network, address
         self.closed = self.connected = False
--- a/madderbeam/transport/discovery.py
+++ b/madderbeam/transport/discovery.py
@@ -63,8 +63,9 @@
 class Link:
     """A connection to discovery that is opened anew when it is lost."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, address: Address,
-                 chance: random.Random) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, network: Network, address: Address, chance: random.Random
+    ) -> None:
         self.loop, self.network, self.address = loop, network, address
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -129,8 +130,15 @@
     and once that is over the time at which the next call has to begin.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, address: Address,
-                 chance: random.Random, rev: int, told: Callable[[dict[str, Any]], object]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        address: Address,
+        chance: random.Random,
+        rev: int,
+        told: Callable[[dict[str, Any]], object],
+    ) -> None:
         """`told` is called with each change; False: a part of it can't be used, all should be told anew."""
         super().__init__(loop, network, address, chance)
         self.rev, self.told = rev, told
@@ -233,8 +241,14 @@
 class Notices(Link, Exchange):
     """Sends finals in batches, again and again until each batch is answered 204."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, address: Address,
-                 chance: random.Random, accepted: Callable[[list[int]], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        address: Address,
+        chance: random.Random,
+        accepted: Callable[[list[int]], None],
+    ) -> None:
         super().__init__(loop, network, address, chance)
         self.backoff = Backoff(chance, NOTICE_AGAIN_S)
         self.patience = NOTICE_S[0]
@@ -284,7 +298,7 @@
 
     def ready(self) -> None:
         assert self.connection is not None
-        self.sent = list(self.waiting)[:self.most]
+        self.sent = list(self.waiting)[: self.most]
         body = b"".join(self.waiting[n] for n in self.sent)
         self.status = 0
         self.after(self.patience, self.open)
--- a/madderbeam/transport/http.py
+++ b/madderbeam/transport/http.py
@@ -134,7 +134,7 @@
         text, at = b"" if self.status else bytes(data), 0
         while not self.status and at < len(text):
             end = text.find(b"\n", at) + 1
-            self.parser.feed_data(text[at:end or len(text)])
+            self.parser.feed_data(text[at : end or len(text)])
             at = end or len(text)
             status = self.parser.get_status_code()
             if end and status >= 200:
@@ -153,8 +153,9 @@
     """Carries one exchange at a time. One that is closed refers to nothing that refers to it: a courier that
     runs for days must not wait for the collector, and the request that it carried is let go with it."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, address: Address,
-                 sock: Socket | None = None) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, network: Network, address: Address, sock: Socket | None = None
+    ) -> None:
         """`sock`: one that is connected, or about to be, in place of a new one."""
         super().__init__(loop, network, address, sock)  # OSError: see LOCAL_ERRORS
         self.answer: Answer | None = None
@@ -179,7 +180,7 @@
     @property
     def rest(self) -> bytes:
         """What is still to be written of the request."""
-        return self._out[self._sent:]
+        return self._out[self._sent :]
 
     def resume(self, rest: bytes, exchange: Exchange) -> None:
         """Go on with a request that another process began; nothing of its answer had been read."""
@@ -193,8 +194,11 @@
         """Send one; what comes from clients into its headers was checked to be printable when it came."""
         self.answer = Answer(exchange)
         self.answer.early = self.unasked
-        lines = [f"{method} {target} HTTP/1.1", f"Host: {self.address[0]}:{self.address[1]}",
-                 *(f"{name}: {value}" for name, value in headers)]
+        lines = [
+            f"{method} {target} HTTP/1.1",
+            f"Host: {self.address[0]}:{self.address[1]}",
+            *(f"{name}: {value}" for name, value in headers),
+        ]
         if method == "POST":
             lines.append(f"Content-Length: {len(body)}")
         self._out, self._sent = "\r\n".join([*lines, "", ""]).encode("latin-1") + body, 0
@@ -207,7 +211,7 @@
 
     def _write(self) -> None:
         try:
-            self._sent += self.sock.send(memoryview(self._out)[self._sent:])
+            self._sent += self.sock.send(memoryview(self._out)[self._sent :])
         except BlockingIOError:
             pass
         except OSError:
--- a/madderbeam/transport/kafka/outcomes.py
+++ b/madderbeam/transport/kafka/outcomes.py
@@ -62,5 +62,9 @@
 def page() -> str:
     """The table of the operators' page."""
     rows = [f"| {code} | `{name}` | {f.text} |" for code, (name, f) in FATES.items()]
-    return "\n".join(["| code | name | the message |", "| --- | --- | --- |", *rows,
-                      "| any other | | may have run |"]) + "\n"
+    return (
+        "\n".join(
+            ["| code | name | the message |", "| --- | --- | --- |", *rows, "| any other | | may have run |"]
+        )
+        + "\n"
+    )
--- a/madderbeam/transport/kafka/partner.py
+++ b/madderbeam/transport/kafka/partner.py
@@ -42,8 +42,14 @@
         self.waiting: tuple[int, Api, int, Callable[[dict[str, Any]], None]] | None = None
         self.written: Callable[[], None] = nothing
 
-    def ask(self, api: Api, version: int, values: dict[str, Any], told: Callable[[dict[str, Any]], None],
-            written: Callable[[], None] = nothing) -> None:
+    def ask(
+        self,
+        api: Api,
+        version: int,
+        values: dict[str, Any],
+        told: Callable[[dict[str, Any]], None],
+        written: Callable[[], None] = nothing,
+    ) -> None:
         """Send one request; `told` gets its answer."""
         self.number += 1
         head = Writer()
@@ -60,7 +66,7 @@
 
     def _write(self) -> None:
         try:
-            self.out = self.out[self.sock.send(self.out):]
+            self.out = self.out[self.sock.send(self.out) :]
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
@@ -127,8 +133,9 @@
 class KafkaConnection:
     """Carries one exchange at a time, to whichever node leads the message's partition."""
 
-    def __init__(self, loop: Any, network: Network, address: Address, topic: str,
-                 may_write: Callable[[Address], bool]) -> None:
+    def __init__(
+        self, loop: Any, network: Network, address: Address, topic: str, may_write: Callable[[Address], bool]
+    ) -> None:
         """`may_write`: whether a node may be sent to now; the list's word counts, not the metadata's."""
         self.loop, self.network, self.address, self.topic = loop, network, address, topic
         self.may_write = may_write
@@ -152,6 +159,7 @@
 
     def connect(self, done: Callable[[OSError | None], None]) -> None:
         """Call `done` once, from the loop, with what stood in the way."""
+
         def connected(error: OSError | None) -> None:
             if error is not None:
                 self.close()
@@ -167,19 +175,28 @@
                 if self.versions[api.key] < max(least, api.least):
                     self._refuse(done, f"{api.name}: no version in common")
                     return
-            self.main.ask(schemas.METADATA, self.versions[schemas.METADATA.key],
-                          {"topics": [{"name": self.topic}], "allow_auto_topic_creation": False}, metadata)
+            self.main.ask(
+                schemas.METADATA,
+                self.versions[schemas.METADATA.key],
+                {"topics": [{"name": self.topic}], "allow_auto_topic_creation": False},
+                metadata,
+            )
 
         def metadata(values: dict[str, Any]) -> None:
             nodes = {row["node_id"]: (row["host"], row["port"]) for row in values["brokers"]}
-            rows = {p["index"]: p["leader_id"] for t in values["topics"] if t["name"] == self.topic
-                    for p in t["partitions"]}
+            rows = {
+                p["index"]: p["leader_id"]
+                for t in values["topics"]
+                if t["name"] == self.topic
+                for p in t["partitions"]
+            }
             if not rows or len(rows) > MOST_PARTITIONS or sorted(rows) != list(range(len(rows))):
                 self._refuse(done, f"topic {self.topic}: no partitions")
                 return
             self.leaders = [nodes.get(rows[n], ("", 0)) for n in range(len(rows))]
             self.connected = True
             done(None)
+
         self.main.connect(connected)
         self._failed: Callable[[], None] | None = lambda: done(OSError(errno.ECONNRESET, "connect"))
 
@@ -193,8 +210,13 @@
         """Produce what a call of PROTOCOL holds, on the node that leads its partition."""
         self.exchange, self.written = exchange, False
         given = {name.lower(): value for name, value in headers}
-        rows = json.loads(body) if target == "/events/bundle" else [
-            {"id": given.get("x-request-id", ""), "key": given.get("idempotency-key", ""), "body": None}]
+        rows = (
+            json.loads(body)
+            if target == "/events/bundle"
+            else [
+                {"id": given.get("x-request-id", ""), "key": given.get("idempotency-key", ""), "body": None}
+            ]
+        )
         records = [_record(row, body) for row in rows]
         partition = self._partition(records[0].key)
         leader = self.leaders[partition]
@@ -215,10 +237,19 @@
                 self._skip(exchange)
                 return
             self.carrier = link
-            link.ask(schemas.PRODUCE, self.versions[schemas.PRODUCE.key], {
-                "transactional_id": None, "acks": -1, "timeout_ms": timeout,
-                "topics": [{"name": self.topic, "partitions": [{"index": partition, "records": batch}]}]},
-                lambda values: self._produced(values, rows), self._whole)
+            link.ask(
+                schemas.PRODUCE,
+                self.versions[schemas.PRODUCE.key],
+                {
+                    "transactional_id": None,
+                    "acks": -1,
+                    "timeout_ms": timeout,
+                    "topics": [{"name": self.topic, "partitions": [{"index": partition, "records": batch}]}],
+                },
+                lambda values: self._produced(values, rows),
+                self._whole,
+            )
+
         if link is not None and link.connected and not link.closed:
             produce()
             return
@@ -227,7 +258,8 @@
             return
         try:
             made = link = self.carrier = self.links[leader] = Link(
-                self.loop, self.network, leader, lambda: self._gone(made))
+                self.loop, self.network, leader, lambda: self._gone(made)
+            )
             link.connect(produce)
         except OSError:
             self._lose()
--- a/madderbeam/transport/local.py
+++ b/madderbeam/transport/local.py
@@ -21,8 +21,9 @@
 class ListFile:
     """Follows a partner list that is replaced as a whole; one that can't be used leaves the old in force."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, disk: Disk, path: str,
-                 told: Callable[[dict[str, Any]], object]) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, disk: Disk, path: str, told: Callable[[dict[str, Any]], object]
+    ) -> None:
         self.loop, self.disk, self.path, self.told = loop, disk, path, told
         self.stamp: tuple[int, ...] = ()
         self.digest = ""
@@ -71,8 +72,15 @@
     before, and a new one is begun: a reader that keeps the old one open reads it to its end.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, disk: Disk, path: str, limit: int,
-                 chance: random.Random, accepted: Callable[[list[int]], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        disk: Disk,
+        path: str,
+        limit: int,
+        chance: random.Random,
+        accepted: Callable[[list[int]], None],
+    ) -> None:
         self.loop, self.disk, self.path, self.limit, self.accepted = loop, disk, path, limit, accepted
         self.backoff = Backoff(chance, 0.2)
         self.waiting: dict[int, bytes] = {}
--- a/madderbeam/transport/mesh/connection.py
+++ b/madderbeam/transport/mesh/connection.py
@@ -21,8 +21,15 @@
     """`got` is called with each frame, `lost` once, with why, if the connection ends otherwise than by
     `close` or `finish`. Neither is called from within a method, always from the loop."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, address: Address, counts: Counts,
-                 unsent_most: int, sock: Socket | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        address: Address,
+        counts: Counts,
+        unsent_most: int,
+        sock: Socket | None = None,
+    ) -> None:
         """OSError if there is no socket to be had. `sock`: one that was accepted; it is read from now on."""
         super().__init__(loop, network, address, sock)
         self.counts, self.unsent_most = counts, unsent_most
--- a/madderbeam/transport/mesh/datagrams.py
+++ b/madderbeam/transport/mesh/datagrams.py
@@ -16,8 +16,9 @@
 class Datagrams:
     """One socket. `came` gets each frame of the federation's, and where it came from."""
 
-    def __init__(self, network: Network, federation: str, counts: Counts,
-                 came: Callable[[frames.Frame, Address], None]) -> None:
+    def __init__(
+        self, network: Network, federation: str, counts: Counts, came: Callable[[frames.Frame, Address], None]
+    ) -> None:
         self.network, self.federation, self.counts, self.came = network, federation, counts, came
         self.sock: Socket | None = None
 
--- a/madderbeam/transport/mesh/exchanges.py
+++ b/madderbeam/transport/mesh/exchanges.py
@@ -20,8 +20,9 @@
 class Asking:
     """An exchange that was begun here; `over` is called when it has ended, before its event."""
 
-    def __init__(self, here: Here, to: Address, channel: str, row: Row,
-                 over: Callable[[Asking], None]) -> None:
+    def __init__(
+        self, here: Here, to: Address, channel: str, row: Row, over: Callable[[Asking], None]
+    ) -> None:
         """OSError or Strange if it can't be begun."""
         self.here, self.to, self.channel, self.over = here, to, channel, over
         first = here.first(ASK, [channel, row])
--- a/madderbeam/transport/mesh/frames.py
+++ b/madderbeam/transport/mesh/frames.py
@@ -53,8 +53,10 @@
 def pack(federation: str, frame: Frame, most: int = DATAGRAM_MOST) -> bytes:
     """The bytes of a whole frame. Strange("large") where they are more than `most`."""
     sender, life = frame.sender, frame.life
-    return _pack([VERSION, federation, sender.site, sender.name, life.start, life.nonce, frame.channel,
-                  frame.row], most)
+    return _pack(
+        [VERSION, federation, sender.site, sender.name, life.start, life.nonce, frame.channel, frame.row],
+        most,
+    )
 
 
 def unpack(federation: str, data: bytes | bytearray | memoryview, most: int = DATAGRAM_MOST) -> Frame:
@@ -85,8 +87,11 @@
     value = _unpack(data, STREAM_MOST)
     if not isinstance(value, list) or len(value) != 3:
         raise Strange("broken", "not a list of channel, row and stamp")
-    return (_text(value[0], "channel", CHANNEL_MOST, least=0), _row(value[1]),
-            _number(value[2], "stamp", STAMP_MOST))
+    return (
+        _text(value[0], "channel", CHANNEL_MOST, least=0),
+        _row(value[1]),
+        _number(value[2], "stamp", STAMP_MOST),
+    )
 
 
 def lengthy(data: bytes) -> bytes:
@@ -108,13 +113,13 @@
         at = 0
         try:
             while len(self.kept) - at >= HEAD:
-                size = int.from_bytes(self.kept[at:at + HEAD], "big")
+                size = int.from_bytes(self.kept[at : at + HEAD], "big")
                 if size > self.most:
                     raise Strange("large", f"a frame of {size} bytes, {self.most} at most are allowed")
                 end = at + HEAD + size
                 if len(self.kept) < end:
                     return
-                frame = bytes(self.kept[at + HEAD:end])
+                frame = bytes(self.kept[at + HEAD : end])
                 at = end
                 yield frame
         finally:
@@ -133,8 +138,16 @@
         raise Strange("large", f"a frame of {len(data)} bytes, {most} at most are allowed")
     try:
         value = msgpack.unpackb(
-            data, raw=False, strict_map_key=True, use_list=True, max_str_len=most, max_bin_len=most,
-            max_array_len=ITEMS_MOST, max_map_len=ITEMS_MOST, max_ext_len=0)
+            data,
+            raw=False,
+            strict_map_key=True,
+            use_list=True,
+            max_str_len=most,
+            max_bin_len=most,
+            max_array_len=ITEMS_MOST,
+            max_map_len=ITEMS_MOST,
+            max_ext_len=0,
+        )
     except (ValueError, TypeError, msgpack.UnpackException, RecursionError) as error:
         raise Strange("broken", f"not msgpack within bounds: {error!r:.80}") from None
     if _deep(value):
@@ -145,8 +158,12 @@
 def _deep(value: Any) -> bool:
     level = [value]
     for _ in range(DEPTH_MOST + 1):
-        level = [inner for outer in level if isinstance(outer, (list, dict))
-                 for inner in (outer.values() if isinstance(outer, dict) else outer)]
+        level = [
+            inner
+            for outer in level
+            if isinstance(outer, (list, dict))
+            for inner in (outer.values() if isinstance(outer, dict) else outer)
+        ]
         if not level:
             return False
     return True
--- a/madderbeam/transport/mesh/links.py
+++ b/madderbeam/transport/mesh/links.py
@@ -140,8 +140,12 @@
         self._heard()
         connection.got, connection.lost = self._pong, self._broken
         self._beat()
-        log.info("mesh: link to %s at %s is up, round trip %.1f ms", self.member, connection.shown,
-                 self.rtt_us / 1e3)
+        log.info(
+            "mesh: link to %s at %s is up, round trip %.1f ms",
+            self.member,
+            connection.shown,
+            self.rtt_us / 1e3,
+        )
         self.here.told(ALL, LinkUp(self.member, self.rtt_us))
 
     def _refused(self, frame: frames.Frame) -> None:
@@ -235,8 +239,14 @@
 class Incoming:
     """A member's link to here: its messages in their order, and the answers to its pings."""
 
-    def __init__(self, here: Here, connection: Connection, frame: frames.Frame, number: int,
-                 over: Callable[[Incoming], None]) -> None:
+    def __init__(
+        self,
+        here: Here,
+        connection: Connection,
+        frame: frames.Frame,
+        number: int,
+        over: Callable[[Incoming], None],
+    ) -> None:
         """frame: its hello, found good. number: which of its connections this is. over: called once the link
         has ended by itself."""
         self.here, self.connection, self.over = here, connection, over
--- a/madderbeam/transport/mesh/mesh.py
+++ b/madderbeam/transport/mesh/mesh.py
@@ -31,16 +31,38 @@
     were sent last before a LinkDown may or may not have. After LinkUp none arrives that was sent before.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, me: MemberId, life: Life,
-                 federation: str, address: Address, told: Told, *, channels: Iterable[str] = CHANNELS,
-                 settings: MeshSettings | None = None, chance: random.Random | None = None,
-                 make_room: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        me: MemberId,
+        life: Life,
+        federation: str,
+        address: Address,
+        told: Told,
+        *,
+        channels: Iterable[str] = CHANNELS,
+        settings: MeshSettings | None = None,
+        chance: random.Random | None = None,
+        make_room: Callable[[], bool] = lambda: False,
+    ) -> None:
         """address: where it listens, for datagrams and connections. make_room: gives a descriptor up."""
         settings, counts = settings or MeshSettings(), Counts(loop)
         self.address, self._told, self._closed = address, told, False
         self._make_room = make_room
-        self.here = Here(loop, network, federation, me, life, settings, chance or random.Random(), counts,
-                         Lives(settings.members, self._newer), self._tell, frozenset(channels))
+        self.here = Here(
+            loop,
+            network,
+            federation,
+            me,
+            life,
+            settings,
+            chance or random.Random(),
+            counts,
+            Lives(settings.members, self._newer),
+            self._tell,
+            frozenset(channels),
+        )
         self.here.lives.saw(me, life)
         self.datagrams = Datagrams(network, federation, counts, self._came)
         self.exchanges = Exchanges(self.here)
@@ -130,9 +152,14 @@
         """All counts by name, and what stands now."""
         up = [link for link in self.links.values() if link.up]
         unsent = sum(len(link.connection.unsent) for link in up if link.connection is not None)
-        return {**dict(self.here.counts.values), "links_wanted": len(self.links), "links_up": len(up),
-                "links_in": len(self.arrivals.links), "unsent_bytes": unsent,
-                "exchanges_open": len(self.exchanges.asking) + len(self.exchanges.asked)}
+        return {
+            **dict(self.here.counts.values),
+            "links_wanted": len(self.links),
+            "links_up": len(up),
+            "links_in": len(self.arrivals.links),
+            "unsent_bytes": unsent,
+            "exchanges_open": len(self.exchanges.asking) + len(self.exchanges.asked),
+        }
 
     def close(self) -> None:
         """Nothing is told any more."""
--- a/madderbeam/transport/passing.py
+++ b/madderbeam/transport/passing.py
@@ -69,7 +69,7 @@
     try:
         sock.sendall(LENGTH.pack(len(data), len(socks)) + data)
         for at in range(0, len(socks), EACH):
-            socket.send_fds(sock, [b"+"], [s.fileno() for s in socks[at:at + EACH]])
+            socket.send_fds(sock, [b"+"], [s.fileno() for s in socks[at : at + EACH]])
     except OSError as error:
         raise Broken(f"the other side does not take it: {error}") from None
 
--- a/madderbeam/transport/reading.py
+++ b/madderbeam/transport/reading.py
@@ -19,4 +19,4 @@
 
     The view holds until the next read of any socket: what is to be kept has to be copied.
     """
-    return _VIEW[:sock.recv_into(_BUFFER)]
+    return _VIEW[: sock.recv_into(_BUFFER)]
--- a/madderbeam/transport/replication.py
+++ b/madderbeam/transport/replication.py
@@ -54,9 +54,17 @@
     """Kept up for good. `hello` gives the row to say; `got(channel, row)` takes what comes, `down()` is
     called once the connection is over."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, address: Address, silent_s: float,
-                 read: Read, hello: Callable[[], Row], got: Callable[[str, Row], None],
-                 down: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        address: Address,
+        silent_s: float,
+        read: Read,
+        hello: Callable[[], Row],
+        got: Callable[[str, Row], None],
+        down: Callable[[], None],
+    ) -> None:
         """silent_s: without a byte for so long the connection is given up."""
         self.loop, self.network, self.address, self.silent_s = loop, network, address, silent_s
         self.read, self.hello, self.got, self.down = read, hello, got, down
@@ -200,8 +208,9 @@
             known = self.port.read()
             keys.proven(known, name, OWNER, self.challenge, nonce, channel, row, told)
         except (Strange, KeyUnfit, NotProven, OSError) as error:
-            self.port.counts.odd("refused", error.line() if isinstance(error, (KeyUnfit, NotProven))
-                                 else str(error))
+            self.port.counts.odd(
+                "refused", error.line() if isinstance(error, (KeyUnfit, NotProven)) else str(error)
+            )
             self._lost("")
             return
         self.nonce, self.key, self.proven = nonce, (name, known[name]), True
@@ -251,9 +260,16 @@
     """Listens. `hello(link, row)` tells of an owner that has proven a key, `got(link, channel, row)` what it
     says, `down(link)` that its connection is over."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, network: Network, silent_s: float, read: Read,
-                 hello: Callable[[int, Row], None], got: Callable[[int, str, Row], None],
-                 down: Callable[[int], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        silent_s: float,
+        read: Read,
+        hello: Callable[[int, Row], None],
+        got: Callable[[int, str, Row], None],
+        down: Callable[[int], None],
+    ) -> None:
         self.loop, self.network, self.silent_s = loop, network, silent_s
         self.read, self.hello, self.got, self.down = read, hello, got, down
         self.counts = Counts(loop)
--- a/madderbeam/transport/resp.py
+++ b/madderbeam/transport/resp.py
@@ -31,7 +31,7 @@
 
     def state(self) -> list[Any]:
         """All of it, as plain data."""
-        return [bytes(self.buffer[self.at:]), self.items, self.missing, self.size, self.total]
+        return [bytes(self.buffer[self.at :]), self.items, self.missing, self.size, self.total]
 
     def restore(self, state: list[Any]) -> None:
         """Go on from what `state` gave."""
@@ -47,7 +47,7 @@
         if self.at == len(self.buffer):
             self.buffer = bytearray(data)
         else:
-            del self.buffer[:self.at]
+            del self.buffer[: self.at]
             self.buffer += data
         self.at = 0
 
@@ -77,9 +77,9 @@
         end = self.at + self.size
         if len(self.buffer) < end + 2:
             return False
-        if self.buffer[end:end + 2] != b"\r\n":
+        if self.buffer[end : end + 2] != b"\r\n":
             raise FramingError("an item is not as long as it says")
-        self.items.append(bytes(self.buffer[self.at:end]))
+        self.items.append(bytes(self.buffer[self.at : end]))
         self.at, self.size, self.missing = end + 2, -1, self.missing - 1
         return True
 
@@ -95,7 +95,7 @@
             if len(buffer) - at >= MAX_LINE:
                 raise FramingError("a length without end")
             return -1
-        digits = bytes(buffer[at + 1:end])
+        digits = bytes(buffer[at + 1 : end])
         if not digits.isdigit():
             raise FramingError("invalid length")
         if int(digits) > most:
--- a/madderbeam/transport/values.py
+++ b/madderbeam/transport/values.py
@@ -34,7 +34,7 @@
         while rest:
             if not self.part:
                 inner = rest.lstrip(BLANK)
-                if b"\n" in rest[:len(rest) - len(inner)]:
+                if b"\n" in rest[: len(rest) - len(inner)]:
                     yield None
                 if not inner:
                     return
--- a/madderbeam/wire.py
+++ b/madderbeam/wire.py
@@ -17,8 +17,16 @@
 ALL_PEERS = 0xFFFFFFFF
 MAX_U32 = 0xFFFFFFFF
 
-RESULTS = {200: i.Result.OK, 502: i.Result.ERROR, 429: i.Result.FULL, 408: i.Result.TIMEOUT,
-           521: i.Result.CONNECT_FAILED, 520: i.Result.RESET, 444: i.Result.CANCELLED, 409: i.Result.MOOT}
+RESULTS = {
+    200: i.Result.OK,
+    502: i.Result.ERROR,
+    429: i.Result.FULL,
+    408: i.Result.TIMEOUT,
+    521: i.Result.CONNECT_FAILED,
+    520: i.Result.RESET,
+    444: i.Result.CANCELLED,
+    409: i.Result.MOOT,
+}
 FORMS = (i.ListForm.DELTA, i.ListForm.FULL, i.ListForm.CACHED, i.ListForm.FAILED)
 STATES = (i.EndpointState.GONE, i.EndpointState.READY, i.EndpointState.DRAINING)
 RATE = "x1"  # of a load report: the calls a second that a destination takes from all couriers together
@@ -77,7 +85,7 @@
 def _slice(tail: memoryview, offset: int, size: int, what: str) -> memoryview:
     if offset + size > len(tail):
         raise Malformed(f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}")
-    return tail[offset:offset + size]
+    return tail[offset : offset + size]
 
 
 def read_settings(text: bytes | memoryview | str) -> i.Settings:
@@ -104,47 +112,74 @@
     design = raw.get("design", {})  # set by the configuration tool; the platform has no such object
     classes = tuple(
         i.MessageClass(
-            name=c.get("name", str(k)), aim_us=int(c["goalTimeUs"]), deadline_us=int(c["deadlineUs"]),
+            name=c.get("name", str(k)),
+            aim_us=int(c["goalTimeUs"]),
+            deadline_us=int(c["deadlineUs"]),
             effect=_choice(EFFECTS, c["idempotency"], "classes.idempotency"),
-            worth=float(c.get("worth", 1.0)), late_share=float(c.get("lateShare", 0.0)),
+            worth=float(c.get("worth", 1.0)),
+            late_share=float(c.get("lateShare", 0.0)),
             key_scope=c.get("keyScope", "all"),
-            key_window_us=int(c.get("keyTtlUs", 0)), ordered=bool(c.get("sequential", False)))
-        for k, c in enumerate(raw["classes"]))
+            key_window_us=int(c.get("keyTtlUs", 0)),
+            ordered=bool(c.get("sequential", False)),
+        )
+        for k, c in enumerate(raw["classes"])
+    )
     names = raw.get("shapes") or ["any"]
     apart, batch = family.get("kindApart", []), family.get("kindBatch", [])
     kinds = tuple(
         i.Kind(n, bool(apart[k]) if k < len(apart) else False, int(batch[k]) if k < len(batch) else 1)
-        for k, n in enumerate(names))
+        for k, n in enumerate(names)
+    )
     tenants = tuple(
         i.Tenant(t.get("name", ""), float(t.get("fraction", 0.0)), float(t.get("quotaPerS", 0.0)))
-        for t in raw.get("tenants", []))
+        for t in raw.get("tenants", [])
+    )
     return i.Settings(
-        classes=classes, kinds=kinds, tenants=tenants, slots=int(family["maxCalls"]),
-        tries=int(design.get("tries", 3)), backoff_base_us=int(design.get("baseUs", 100_000)),
-        backoff_cap_us=int(design.get("capUs", 3_000_000)), window=int(design.get("window", 0)),
-        max_held=int(limits["maxOpen"]), couriers=int(raw.get("groupSize", 1)), me=int(raw.get("me", 0)),
-        max_attempts=int(limits["attemptsCap"]), second_copies=bool(limits.get("secondCopies", False)),
-        may_probe=bool(limits.get("probing", False)), may_cancel=bool(limits.get("mayCancel", False)),
-        peer_notes=bool(limits.get("peers", False)), tick_us=int(raw.get("stepUs", 1000)),
+        classes=classes,
+        kinds=kinds,
+        tenants=tenants,
+        slots=int(family["maxCalls"]),
+        tries=int(design.get("tries", 3)),
+        backoff_base_us=int(design.get("baseUs", 100_000)),
+        backoff_cap_us=int(design.get("capUs", 3_000_000)),
+        window=int(design.get("window", 0)),
+        max_held=int(limits["maxOpen"]),
+        couriers=int(raw.get("groupSize", 1)),
+        me=int(raw.get("me", 0)),
+        max_attempts=int(limits["attemptsCap"]),
+        second_copies=bool(limits.get("secondCopies", False)),
+        may_probe=bool(limits.get("probing", False)),
+        may_cancel=bool(limits.get("mayCancel", False)),
+        peer_notes=bool(limits.get("peers", False)),
+        tick_us=int(raw.get("stepUs", 1000)),
         max_retry_after_us=int(limits.get("maxRetryAfterUs", 0)) if limits.get("retryAfter", False) else 0,
-        connection_idle_us=int(limits["connIdleUs"]), connect_timeout_us=int(limits["connectTimeoutUs"]),
-        drain_grace_us=int(contract["drainGraceUs"]), cold_share=float(contract["coldShare"]),
-        cold_us=int(contract["coldUs"]), fall_multiple=float(contract["fallMultiple"]),
-        fall_us=int(contract["fallUs"]), key_rest_us=int(contract.get("keyRestUs", 0)),
+        connection_idle_us=int(limits["connIdleUs"]),
+        connect_timeout_us=int(limits["connectTimeoutUs"]),
+        drain_grace_us=int(contract["drainGraceUs"]),
+        cold_share=float(contract["coldShare"]),
+        cold_us=int(contract["coldUs"]),
+        fall_multiple=float(contract["fallMultiple"]),
+        fall_us=int(contract["fallUs"]),
+        key_rest_us=int(contract.get("keyRestUs", 0)),
         answer_slack_us=int(contract.get("answerSlackUs", 0)),
         list_on_request=raw.get("membershipMode") == "on_request",
-        rates_listed=listed or bool(report), report=report,
-        over_share_worth=float(raw.get("overShareWorth", 1.0)), late_halves=family.get("late") == "halves",
+        rates_listed=listed or bool(report),
+        report=report,
+        over_share_worth=float(raw.get("overShareWorth", 1.0)),
+        late_halves=family.get("late") == "halves",
         clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
         refused_price=float(family.get("refusedPrice", 0.0)),
-        zone_fees=tuple(float(f) for f in family.get("carriage", [])))
+        zone_fees=tuple(float(f) for f in family.get("carriage", [])),
+    )
 
 
 def read_entries(data: memoryview) -> tuple[i.ListEntry, ...]:
     return tuple(
-        i.ListEntry(endpoint_id(address, port), dest, _choice(STATES, state, "endpoint condition"), rate,
-                    kind, zone)
-        for address, port, dest, state, rate, _, kind, zone in _ENTRY.iter_unpack(data))
+        i.ListEntry(
+            endpoint_id(address, port), dest, _choice(STATES, state, "endpoint condition"), rate, kind, zone
+        )
+        for address, port, dest, state, rate, _, kind, zone in _ENTRY.iter_unpack(data)
+    )
 
 
 def split_header(header: bytes) -> tuple[int, int, int, int]:
@@ -154,13 +189,14 @@
     return BATCH_HEADER.unpack(header)
 
 
-def read_events(body: bytes, count: int,
-                pages: dict[int, tuple[i.ListEntry, ...]]) -> Iterator[tuple[int, Any]]:
+def read_events(
+    body: bytes, count: int, pages: dict[int, tuple[i.ListEntry, ...]]
+) -> Iterator[tuple[int, Any]]:
     """(instance, event) for each record in order; numbered lists are kept in `pages` across batches."""
     if count * EVENT_SIZE > len(body):
         raise Malformed(f"{count} records do not fit a body of {len(body)} bytes")
     view = memoryview(body)
-    tail, instance = view[count * EVENT_SIZE:], None
+    tail, instance = view[count * EVENT_SIZE :], None
     for at in range(0, count * EVENT_SIZE, EVENT_SIZE):
         code = view[at]
         if code == 1:
@@ -244,8 +280,9 @@
 
     def action(self, a: i.Action) -> None:
         if isinstance(a, i.Send):
-            self._add("BIIHI", 1, a.message, a.endpoint >> 16, a.endpoint & 0xFFFF,
-                      min(a.timeout_us, MAX_U32))
+            self._add(
+                "BIIHI", 1, a.message, a.endpoint >> 16, a.endpoint & 0xFFFF, min(a.timeout_us, MAX_U32)
+            )
         elif isinstance(a, i.SetTimer):
             self._add("BIQ", 5, min(a.delay_us, MAX_U32), a.token)
         elif isinstance(a, i.Refuse):
--- a/tests/changes/estates_changes.py
+++ b/tests/changes/estates_changes.py
@@ -46,8 +46,9 @@
 class Estate:
     """`partners`: endpoints by destination, each by name."""
 
-    def __init__(self, folder, partners, more="", listen="127.0.0.1:7101", control="127.0.0.1:7102",
-                 **bounds):
+    def __init__(
+        self, folder, partners, more="", listen="127.0.0.1:7101", control="127.0.0.1:7102", **bounds
+    ):
         self.folder, self.partners, self.more = folder, partners, more
         self.listen, self.control, self.bounds = listen, control, {**BOUNDS, **bounds}
         self.states = {}
@@ -64,10 +65,12 @@
         (self.folder / "estate.toml").write_text(text)
         rows = []
         for number, addresses in self.partners.items():
-            ends = ", ".join(f'{{ address = "{a}", state = "{self.states.get(a, "in_service")}" }}'
-                             for a in addresses)
-            rows.append(f'[[partner]]\nname = "p{number}"\nnumber = {number}\nper_s = 1000\n'
-                        f"endpoints = [{ends}]\n")
+            ends = ", ".join(
+                f'{{ address = "{a}", state = "{self.states.get(a, "in_service")}" }}' for a in addresses
+            )
+            rows.append(
+                f'[[partner]]\nname = "p{number}"\nnumber = {number}\nper_s = 1000\nendpoints = [{ends}]\n'
+            )
         (self.folder / "partners.toml").write_text("\n".join(rows))
         report = check(self.folder / "estate.toml")
         assert report.loaded is not None, [str(p) for p in report.problems]
@@ -111,9 +114,11 @@
 
     async def until(self, so, limit=15.0):
         """Until this holds; the machine tells nobody when it changes."""
+
         async def inner():
             while not so():
                 await asyncio.sleep(0.01)
+
         await asyncio.wait_for(inner(), limit)
 
     async def until_ended(self, ident, limit=15.0):
--- a/tests/changes/pure.py
+++ b/tests/changes/pure.py
@@ -11,10 +11,26 @@
 from madderbeam.changes.values import DRAINING, Endpoint, Facts, Settings, blank
 from madderbeam.membership.values import Due, Persist, SetTimer, Unwritten
 
-LIMITS = {"max_held": 200, "attempts": 3, "retry_base_ms": 100, "retry_cap_ms": 3000, "max_wait_ms": 2000,
-          "window": 8}
-CLASS = {"wanted_ms": 1000, "deadline_ms": 6000, "repeat": "safe", "key_window_ms": 0, "key_scope": "all",
-         "worth": 1.0, "late_share": 0.0, "ordered": False, "number": 0, "retired": False}
+LIMITS = {
+    "max_held": 200,
+    "attempts": 3,
+    "retry_base_ms": 100,
+    "retry_cap_ms": 3000,
+    "max_wait_ms": 2000,
+    "window": 8,
+}
+CLASS = {
+    "wanted_ms": 1000,
+    "deadline_ms": 6000,
+    "repeat": "safe",
+    "key_window_ms": 0,
+    "key_scope": "all",
+    "worth": 1.0,
+    "late_share": 0.0,
+    "ordered": False,
+    "number": 0,
+    "retired": False,
+}
 
 
 def endpoint(uid, dest=1, port=None, **more):
@@ -47,8 +63,9 @@
         self.settings = settings or Settings(trial_ms=10_000)
         fixed = {k: first().get(k) for k in (("fixed", "slots"), ("fixed", "disk_bytes"))}
         self.machine = Changes(self.settings, restored, lambda now: now // 1000, fixed)
-        self.shown = {uid: self._state(row.state, uid, restored) for uid, row in
-                      in_force(restored).endpoints.items()}
+        self.shown = {
+            uid: self._state(row.state, uid, restored) for uid, row in in_force(restored).endpoints.items()
+        }
         self.version, self.cold, self.settled = self.machine.version, [], {}
         self.timers, self.facts, self.applied = {}, Facts(max_held=200), []
         self.carry_out(self.machine.start(now_us))
@@ -106,8 +123,9 @@
     def _apply(self, action):
         self.version = action.after.version
         self.applied.append(action)
-        self.shown = {uid: DRAINING if uid in action.held else row.state
-                      for uid, row in action.after.endpoints.items()}
+        self.shown = {
+            uid: DRAINING if uid in action.held else row.state for uid, row in action.after.endpoints.items()
+        }
         self.cold += [(self.now_us, uid) for uid in action.cold]
 
     def passes(self, seconds):
@@ -130,8 +148,9 @@
 
     def again(self, now_us=None):
         """Another process, from what the disk has."""
-        return Bench(settings=self.settings, kept=dict(self.kept),
-                     now_us=self.now_us if now_us is None else now_us)
+        return Bench(
+            settings=self.settings, kept=dict(self.kept), now_us=self.now_us if now_us is None else now_us
+        )
 
 
 def add(uid, dest=1, **more):
--- a/tests/changes/test_changes_hard_cases.py
+++ b/tests/changes/test_changes_hard_cases.py
@@ -19,15 +19,18 @@
     def run(tmp_path):
         async def inner():
             ends = {n: await endpoints(count) for n, count in enumerate(partners, 1)}
-            made = Estate(tmp_path, {n: [address(e) for e in es] for n, es in ends.items()},
-                          **settings).write()
+            made = Estate(
+                tmp_path, {n: [address(e) for e in es] for n, es in ends.items()}, **settings
+            ).write()
             try:
                 async with Courier(made) as courier:
                     await test(courier, *ends.values())
             finally:
                 for end in (e for es in ends.values() for e in es):
                     await end.stop()
+
         asyncio.run(inner())
+
     return run
 
 
@@ -60,8 +63,9 @@
     await courier.until(lambda: state(courier, uid(1, a)) is EndpointState.READY)
     assert courier.host.clock() - heard >= 2_000_000
     # It comes back as a returning one: its slow start has begun.
-    await courier.until(lambda: courier.host.courier.endpoints[courier.host.listing.uids[uid(1, a)]]
-                        .c.ramp_from >= 0)
+    await courier.until(
+        lambda: courier.host.courier.endpoints[courier.host.listing.uids[uid(1, a)]].c.ramp_from >= 0
+    )
 
 
 @estate(partners=(1,))
@@ -137,8 +141,11 @@
     # The same where both were staged before either came into force.
     courier.do("POST", "/changes/undo", name="one")
     for n, name in enumerate(("three", "four")):
-        change = {"name": name, "base": courier.machine.current.version, "tenants": [{"y": {"share": 0.08}},
-                                                                                 {"z": {"share": 0.08}}][n]}
+        change = {
+            "name": name,
+            "base": courier.machine.current.version,
+            "tenants": [{"y": {"share": 0.08}}, {"z": {"share": 0.08}}][n],
+        }
         assert courier.do("POST", "/changes", do="stage", change=change)[0] == 202
     assert courier.do("POST", "/changes", do="go", name="three")[0] == 202
     status, text = courier.do("POST", "/changes", do="go", name="four")
@@ -156,6 +163,7 @@
         while True:
             taken += await courier.client.put(f"m{taken}", dest=1, life=6000) == "+OK"
             await asyncio.sleep(0.002)
+
     loading = asyncio.ensure_future(load())
     await courier.until(lambda: taken > 100)
     olds = [uid(1, e) for e in ones[:7]]
@@ -165,9 +173,13 @@
     await courier.until(lambda: taken > at + 200, 60)
     courier.do("POST", "/changes/undo", name="swap")
     numbers = courier.host.listing.uids
-    await courier.until(lambda: all(  # back, and as returning ones
-        state(courier, name) is EndpointState.READY
-        and courier.host.courier.endpoints[numbers[name]].c.ramp_from >= 0 for name in olds))
+    await courier.until(
+        lambda: all(  # back, and as returning ones
+            state(courier, name) is EndpointState.READY
+            and courier.host.courier.endpoints[numbers[name]].c.ramp_from >= 0
+            for name in olds
+        )
+    )
     await courier.until(lambda: taken > at + 400, 60)
     loading.cancel()
     await courier.until(lambda: not courier.host.journal.held)
@@ -254,6 +266,7 @@
 @pytest.mark.parametrize("how", ("removed", "shortened"))
 def test_9_a_class_is_removed_or_its_deadline_shortened_while_messages_of_it_are_held(tmp_path, how):
     """What was taken on keeps its terms, also over a restart, and its number is nobody else's."""
+
     async def inner():
         [a] = await endpoints(1, "hold", *["hold"] * 9)
         made = Estate(tmp_path, {1: [address(a)]}).write()
@@ -261,14 +274,19 @@
             assert await courier.client.put("m0", dest=1, life=5000) == "+OK"
             await a.call()
             if how == "removed":
-                change = {"without": {"classes": ["safe"]},
-                          "classes": {"other": {"wanted_ms": 10, "deadline_ms": 20}}}
+                change = {
+                    "without": {"classes": ["safe"]},
+                    "classes": {"other": {"wanted_ms": 10, "deadline_ms": 20}},
+                }
             else:
                 change = {"classes": {"safe": {"wanted_ms": 1, "deadline_ms": 2}}}
             assert courier.apply(name="less", trial_ms=60_000, **change)[0] == 202
             told = await courier.client.put("m1", dest=1, life=3000)
-            assert told == ("-ERR c: no such class, must be one of other, unsafe" if how == "removed"
-                            else "-ERR d: must be at most 20, by the deadline of the class")
+            assert told == (
+                "-ERR c: no such class, must be one of other, unsafe"
+                if how == "removed"
+                else "-ERR d: must be at most 20, by the deadline of the class"
+            )
             assert courier.host.journal.held and courier.room.calls.state()["messages_by_version"] == {"1": 1}
         a.release.set()
         async with Courier(made) as courier:
@@ -280,4 +298,5 @@
             feed = made.folder / "finals.jsonl"
             assert not feed.exists() or not feed.read_text()
         await a.stop()
+
     asyncio.run(inner())
--- a/tests/changes/test_room.py
+++ b/tests/changes/test_room.py
@@ -21,6 +21,7 @@
 
 def run(test):
     """Runs a test with two endpoints of one partner and its estate."""
+
     def inside(tmp_path):
         async def inner():
             ends = await endpoints(2)
@@ -30,7 +31,9 @@
             finally:
                 for end in ends:
                     await end.stop()
+
         asyncio.run(inner())
+
     return inside
 
 
@@ -59,8 +62,11 @@
     estate.partners = {1: [address(a), address(b)]}
     estate.write()
     async with Courier(estate) as courier:
-        courier.apply(name="edit", trial_ms=60_000, edit=[{"uid": uid(1, a), "zone": "z"},
-                                                          {"uid": uid(1, b), "zone": "z"}])
+        courier.apply(
+            name="edit",
+            trial_ms=60_000,
+            edit=[{"uid": uid(1, a), "zone": "z"}, {"uid": uid(1, b), "zone": "z"}],
+        )
         estate.states[address(a)] = "terminating"
         estate.write()
         courier.host.look()
@@ -110,11 +116,17 @@
         unknown = "-ERR c: no such class, must be one of safe, unsafe"
         assert await courier.client.put("m0", kind="new", dest=1) == unknown
         courier.apply(
-            name="one", classes={"new": {"wanted_ms": 500, "deadline_ms": 5000, "repeat": "safe"}},
-            kinds={"chain": {"bundle": 5}}, limits={"max_held": 100, "attempts": 2, "window": 3},
+            name="one",
+            classes={"new": {"wanted_ms": 500, "deadline_ms": 5000, "repeat": "safe"}},
+            kinds={"chain": {"bundle": 5}},
+            limits={"max_held": 100, "attempts": 2, "window": 3},
             add=[added("b", 2, b, kind="chain", zone="far")],
-            quota={"form": 1, "couriers": 1, "nodes": [
-                {"name": "n", "tenants": ["t"], "limit": {"messages_per_s": 1}}]})
+            quota={
+                "form": 1,
+                "couriers": 1,
+                "nodes": [{"name": "n", "tenants": ["t"], "limit": {"messages_per_s": 1}}],
+            },
+        )
         assert await courier.client.put("m1", kind="new", dest=2) == "+OK"
         assert (await courier.client.put("m2", kind="new", dest=1)).startswith("-BUSY")  # over its quota
         assert courier.host.courier.cap == 3 and courier.host.courier.tries == 2
@@ -152,16 +164,19 @@
     raw = load_sidecar(str(estate.rendered), RealDisk())
     loop = asyncio.get_running_loop()
     from dataclasses import replace
-    plain = replace(raw, changes=None, listen=("127.0.0.1", 0), control=None,
-                    state=str(estate.folder / "other"))
+
+    plain = replace(
+        raw, changes=None, listen=("127.0.0.1", 0), control=None, state=str(estate.folder / "other")
+    )
     os.mkdir(plain.state)
     host = assemble(loop, real_ports(loop), plain)
     assert not host.rooms and not host.admission.taken_up and "/changes" not in str(host.service.calls)
     assert host.watch.told == host.listed
     host.close()
     code = "import sys, madderbeam.host.process; print([m for m in sys.modules if '.changes' in m])"
-    child = await asyncio.create_subprocess_exec(sys.executable, "-c", code, cwd=ROOT,
-                                                 stdout=asyncio.subprocess.PIPE)
+    child = await asyncio.create_subprocess_exec(
+        sys.executable, "-c", code, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+    )
     out, _ = await child.communicate()
     assert out.decode().strip() == "[]"
 
@@ -177,8 +192,15 @@
 
     async def start(self):
         self.child = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "madderbeam", "run", "--config", str(self.estate.rendered), cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "madderbeam",
+            "run",
+            "--config",
+            str(self.estate.rendered),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+        )
 
         async def ready():
             while True:
@@ -186,6 +208,7 @@
                 assert line, "the courier ended"
                 if "is ready on port" in line:
                     return
+
         await asyncio.wait_for(ready(), 60)
         self.reading = asyncio.ensure_future(self.child.stderr.read())
         return self
@@ -206,6 +229,7 @@
             while not so(state := await self.state()):
                 await asyncio.sleep(0.05)
             return state
+
         return await asyncio.wait_for(inner(), 30)
 
     async def post(self, **body):
@@ -222,8 +246,13 @@
             ends, started = await endpoints(3), []
             for n in range(count):
                 port, control = free_port("127.0.0.1"), free_port("127.0.0.1")
-                estate = Estate(tmp_path / f"c{n}", {1: [address(ends[0]), address(ends[1])]},
-                                listen=f"127.0.0.1:{port}", control=f"127.0.0.1:{control}", **bounds).write()
+                estate = Estate(
+                    tmp_path / f"c{n}",
+                    {1: [address(ends[0]), address(ends[1])]},
+                    listen=f"127.0.0.1:{port}",
+                    control=f"127.0.0.1:{control}",
+                    **bounds,
+                ).write()
                 started.append(Process(estate, port, control))
             try:
                 await asyncio.gather(*(p.start() for p in started))
@@ -234,7 +263,9 @@
                         await process.end()
                 for end in ends:
                     await end.stop()
+
         asyncio.run(inner())
+
     return inside
 
 
@@ -258,6 +289,7 @@
         await killed.end()
         await killed.start()
         clients[killed] = await Client().open(killed.port)
+
     staged = {"name": "staged", "base": 1, "drain": [uid(1, b)]}
     on_trial = {"name": "trial", "base": 1, "add": [added("c", 1, c)]}
     for p in couriers:
@@ -289,6 +321,7 @@
         while bodies < sum(map(len, taken.values())):
             bodies = sum(e.calls.qsize() for e in ends)
             await asyncio.sleep(0.02)
+
     await asyncio.wait_for(ended(), 20)
     for client in clients.values():
         client.writer.close()
@@ -298,11 +331,19 @@
 async def test_two_operators_at_once_on_one_courier(couriers, ends):
     [courier], (a, b, c) = couriers, ends
     answers = await asyncio.gather(
-        courier.post(do="apply", change={"name": "one", "base": 1, "edit": [
-            {"uid": uid(1, a), "zone": "x"}, {"uid": uid(1, b), "zone": "x"}]}),
-        courier.post(do="apply", change={"name": "two", "base": 1, "edit": [
-            {"uid": uid(1, a), "zone": "y"}]}),
-        courier.post(do="apply", change={"name": "three", "base": 1, "add": [added("c", 1, c)]}))
+        courier.post(
+            do="apply",
+            change={
+                "name": "one",
+                "base": 1,
+                "edit": [{"uid": uid(1, a), "zone": "x"}, {"uid": uid(1, b), "zone": "x"}],
+            },
+        ),
+        courier.post(
+            do="apply", change={"name": "two", "base": 1, "edit": [{"uid": uid(1, a), "zone": "y"}]}
+        ),
+        courier.post(do="apply", change={"name": "three", "base": 1, "add": [added("c", 1, c)]}),
+    )
     state = await courier.state()
     assert sorted(status for status, _ in answers) == [202, 202, 409]
     assert "three" in [t["name"] for t in state["on_trial"]] and len(state["on_trial"]) == 2
@@ -317,10 +358,19 @@
 
     async def command(*words):
         child = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "madderbeam", "change", *words, *at, cwd=ROOT,
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "madderbeam",
+            "change",
+            *words,
+            *at,
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         out, err = await asyncio.wait_for(child.communicate(), 30)
         return child.returncode, out.decode() + err.decode()
+
     file.write_text(f'name = "x"\nbase = 1\ndrain = ["{uid(1, a)}", "nobody"]\n')
     code, text = await command("check", str(file))
     assert code == 1 and "endpoint nobody: is not there" in text
--- a/tests/changes/test_stages.py
+++ b/tests/changes/test_stages.py
@@ -101,8 +101,13 @@
 
 def test_an_undo_restores_all_rows_of_a_kept_change_if_nothing_was_built_on_them():
     bench = Bench()
-    bench.offer("one", add=[add("d", 3)], remove=["b"], classes={"new": {"wanted_ms": 5, "deadline_ms": 9}},
-                limits={"attempts": 5})
+    bench.offer(
+        "one",
+        add=[add("d", 3)],
+        remove=["b"],
+        classes={"new": {"wanted_ms": 5, "deadline_ms": 9}},
+        limits={"attempts": 5},
+    )
     bench.passes(11)
     bench.offer("two", edit=[{"uid": "d", "per_s": 7}])
     bench.passes(11)
@@ -125,9 +130,12 @@
     chance, snapshot = random.Random(seed), first()
     for _ in range(20):
         uids = list(snapshot.endpoints)
-        rows = {("endpoint", u): None if chance.random() < 0.5 else dataclasses.replace(
-            snapshot.endpoints.get(u), per_s=float(chance.randrange(1, 99))) for u in chance.sample(
-                uids, min(2, len(uids)))}
+        rows = {
+            ("endpoint", u): None
+            if chance.random() < 0.5
+            else dataclasses.replace(snapshot.endpoints.get(u), per_s=float(chance.randrange(1, 99)))
+            for u in chance.sample(uids, min(2, len(uids)))
+        }
         rows["endpoint", f"n{chance.randrange(99)}"] = endpoint("n", chance.randrange(4))
         after = snapshot.with_rows(rows, snapshot.version + 1)
         back = made(after, inverse(snapshot, after).ops, 0).snapshot
@@ -139,13 +147,25 @@
 
 
 BREAKS = [  # parts of a change, code, path, what is allowed
-    ({"add": [{"uid": "d", "dest": 1, "address": "10.0.0.1", "per_s": 1}]}, "unreadable", "add[0].address",
-     "HOST:PORT"),
-    ({"add": [{"uid": "d", "dest": -1, "address": "10.0.0.1:1", "per_s": 1}]}, "unreadable", "add[0].dest",
-     "from 0 to 4294967295"),
+    (
+        {"add": [{"uid": "d", "dest": 1, "address": "10.0.0.1", "per_s": 1}]},
+        "unreadable",
+        "add[0].address",
+        "HOST:PORT",
+    ),
+    (
+        {"add": [{"uid": "d", "dest": -1, "address": "10.0.0.1:1", "per_s": 1}]},
+        "unreadable",
+        "add[0].dest",
+        "from 0 to 4294967295",
+    ),
     ({"add": [{"uid": "d", "dest": 1, "address": "10.0.0.1:1"}]}, "unreadable", "add[0].per_s", "above 0"),
-    ({"add": [{"uid": "d", "dest": 1, "address": "h:1", "per_s": 1, "adress": 1}]}, "unreadable",
-     "add[0].adress", "address"),
+    (
+        {"add": [{"uid": "d", "dest": 1, "address": "h:1", "per_s": 1, "adress": 1}]},
+        "unreadable",
+        "add[0].adress",
+        "address",
+    ),
     ({"add": [add("a")]}, "exists", "endpoint a", "uid of its own"),
     ({"drain": ["nobody"]}, "unknown", "endpoint nobody", "a, b, c"),
     ({"drain": ["a"], "remove": ["a"]}, "unreadable", "remove[0]", "each once"),
@@ -162,8 +182,12 @@
     ({"limits": {"window": 13}}, "broken-rule", "limits.window", "from 1 to 12"),
     ({"limits": {"retry_cap_ms": 5}}, "broken-rule", "limits.retry_cap_ms", "at least retry_base_ms"),
     ({"limits": {"max_held": 900_000}}, "broken-rule", "limits.max_held", "at most 14285"),
-    ({"quota": {"form": 1, "nodes": [{"name": "n", "tenants": ["nobody"]}]}}, "unknown",
-     "quota.nodes[0].tenants", "t"),
+    (
+        {"quota": {"form": 1, "nodes": [{"name": "n", "tenants": ["nobody"]}]}},
+        "unknown",
+        "quota.nodes[0].tenants",
+        "t",
+    ),
     ({"quota": {"form": 2, "nodes": []}}, "broken-rule", "quota", "adds up"),
     ({"pools": {"1": {"method": "odd"}}}, "broken-rule", "routing.pools.1.method", "see the page"),
     ({"names": {"p": 77}}, "broken-rule", "names.p", "1, 2"),
@@ -189,21 +213,26 @@
 
 def test_all_mistakes_are_told_at_once():
     bench = Bench()
-    what, why = bench.offer("x", add=[add("a"), add("d", 9, kind="odd")], drain=["nobody"],
-                            limits={"window": 13})
+    what, why = bench.offer(
+        "x", add=[add("a"), add("d", 9, kind="odd")], drain=["nobody"], limits={"window": 13}
+    )
     assert what == "refused" and len(why.splitlines()) == 4
 
 
 def test_bounds_are_those_of_the_estates_model():
     """A courier does not import the model; what both have must be the same."""
+
     def bounds(field):
         found = {}
         for mark in field.metadata:
             found |= {n: getattr(mark, n) for n in ("ge", "gt", "le") if getattr(mark, n, None) is not None}
         return found.get("ge", found.get("gt")), found.get("le")
 
-    for table, has in ((model.MessageClass, fields.CLASS), (model.Tenant, fields.TENANT),
-                       (model.Kind, fields.KIND)):
+    for table, has in (
+        (model.MessageClass, fields.CLASS),
+        (model.Tenant, fields.TENANT),
+        (model.Kind, fields.KIND),
+    ):
         assert set(table.model_fields) == set(has)
         for name, field in has.items():
             told = table.model_fields[name]
@@ -413,6 +442,7 @@
         rows["attempts"] = action.after.get(("limit", "attempts"))
         rows["classes"] = tuple(action.after.names("class"))
         seen.append(rows)
+
     bench._apply = noted
     seen.append({**dict(first().endpoints.items()), "attempts": 3, "classes": ("safe",)})
     _story(bench)
@@ -431,8 +461,9 @@
             assert not {s.change.id for s in after.machine.staged} & (on_trial | over), step
             after.passes(30)
             assert not after.machine.trials, step
-            names = [number for number in (r["number"] for r in after.machine.current.sections[
-                "class"].values())]
+            names = [
+                number for number in (r["number"] for r in after.machine.current.sections["class"].values())
+            ]
             assert len(names) == len(set(names)), step
             steps += 1
         else:
--- a/tests/changes/test_thousand.py
+++ b/tests/changes/test_thousand.py
@@ -46,6 +46,7 @@
     def one_by_one(self, action, rows):
         for row in rows:
             self.host.later(0.002, lambda row=row: whole(self, action, [row]))
+
     patch.setattr(Applying, "_list", one_by_one)
 
 
@@ -65,6 +66,7 @@
             if uid in self.heard:
                 self.heard[uid] = now_us - self.hold_us
         return changed(self, now_us, before, after, uids)
+
     patch.setattr(Drains, "changed", anew)
 
 
@@ -79,20 +81,29 @@
     def stale(self, now_us, facts, staged, after):
         old = kept.get(staged.change.id, after)
         begin(self, now_us, facts, staged, old.with_rows({}, after.version))
+
     patch.setattr(Changes, "_offered", noted)
     patch.setattr(Changes, "_begin", stale)
 
 
 @bug
 def forgets_a_trial_over_a_restart(patch):
-    patch.setattr(records, "_rest", lambda kept, r, over, rest=records._rest: (
-        rest(kept, r, over), r.trials.clear(), setattr(r, "version", r.snapshot.version)))
+    patch.setattr(
+        records,
+        "_rest",
+        lambda kept, r, over, rest=records._rest: (
+            rest(kept, r, over),
+            r.trials.clear(),
+            setattr(r, "version", r.snapshot.version),
+        ),
+    )
 
 
 @bug
 def forgets_drains_over_a_restart(patch):
-    patch.setattr(records, "_rest", lambda kept, r, over, rest=records._rest: (
-        rest(kept, r, over), r.drains.clear()))
+    patch.setattr(
+        records, "_rest", lambda kept, r, over, rest=records._rest: (rest(kept, r, over), r.drains.clear())
+    )
 
 
 @bug
@@ -103,8 +114,9 @@
 @bug
 def settings_come_a_turn_later(patch):
     settings = Applying._settings
-    patch.setattr(Applying, "_settings",
-                  lambda self, snapshot: self.host.later(0.003, lambda: settings(self, snapshot)))
+    patch.setattr(
+        Applying, "_settings", lambda self, snapshot: self.host.later(0.003, lambda: settings(self, snapshot))
+    )
 
 
 @pytest.mark.parametrize("name", BUGS)
--- a/tests/federation/faulty_links.py
+++ b/tests/federation/faulty_links.py
@@ -84,7 +84,8 @@
             self.address = self.server.sockets[0].getsockname()
             try:
                 self.transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-                    lambda: Datagrams(self), local_addr=self.address)
+                    lambda: Datagrams(self), local_addr=self.address
+                )
                 return
             except OSError:
                 self.server.close()
@@ -138,8 +139,10 @@
             return
         writers = (writer, far_writer)
         self.pairs.add(writers)
-        ways = [asyncio.create_task(self._pump(reader, far_writer)),
-                asyncio.create_task(self.back._pump(far_reader, writer))]
+        ways = [
+            asyncio.create_task(self._pump(reader, far_writer)),
+            asyncio.create_task(self.back._pump(far_reader, writer)),
+        ]
         try:
             await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -164,7 +167,7 @@
                     data = data[last:]
                     await self.whole.wait()
                 if self.left is not None and len(data) > self.left:
-                    writer.write(data[:self.left])
+                    writer.write(data[: self.left])
                     self.left = None
                     await writer.drain()
                     return True
@@ -179,7 +182,6 @@
             await self.whole.wait()
             return True
 
-
     def _last(self, frames, data):
         """How much of it passes where a frame in it is the last one that the source sends; else None."""
         at = -len(frames.kept)
--- a/tests/federation/harness.py
+++ b/tests/federation/harness.py
@@ -111,6 +111,7 @@
             while not so(told := await asyncio.gather(*(self[n].federation() for n in names))):
                 await asyncio.sleep(0.05)
             return told
+
         try:
             return await asyncio.wait_for(inner(), limit)
         except TimeoutError:
@@ -118,14 +119,17 @@
 
     async def until_in_force(self, number, limit, names=None):
         """Until this table is in force at these members, or all."""
-        await self.until_told(names or list(self.members),
-                              lambda told: all(t["table"]["number"] == number for t in told), limit)
+        await self.until_told(
+            names or list(self.members), lambda told: all(t["table"]["number"] == number for t in told), limit
+        )
 
     async def until_ended(self, limit):
         """Until all that was handed in has an end."""
+
         async def inner():
             while judge.ends(self.calls(), self.publications, self.finals(), float("inf")):
                 await asyncio.sleep(0.05)
+
         try:
             await asyncio.wait_for(inner(), limit)
         except TimeoutError:
@@ -143,24 +147,36 @@
         write(render(report.loaded), member.folder / "rendered")
 
     def _estate(self, member):
-        rows = {f'"{other}"': _quoted("{}:{}".format(*self.links.address(member.name, other)))
-                for other in self.members if other != member.name}
+        rows = {
+            f'"{other}"': _quoted("{}:{}".format(*self.links.address(member.name, other)))
+            for other in self.members
+            if other != member.name
+        }
         place = [m.name for m in self.site(member.site)].index(member.name)
-        app = {"name": member.short, "listen": f"{member.host}:{member.listen}", "state": "state",
-               "control": f"{member.host}:{member.control}", "classes": ["safe", "keyed", "unsafe"],
-               "finals": "finals.jsonl", "couriers": self.sites[member.site], "courier": place,
-               **self.settings}
+        app = {
+            "name": member.short,
+            "listen": f"{member.host}:{member.listen}",
+            "state": "state",
+            "control": f"{member.host}:{member.control}",
+            "classes": ["safe", "keyed", "unsafe"],
+            "finals": "finals.jsonl",
+            "couriers": self.sites[member.site],
+            "courier": place,
+            **self.settings,
+        }
         via = ", ".join(f"{name} = {address}" for name, address in rows.items())
         sites = "".join(f'[[site]]\nname = "{s}"\nmember = [{self._rows(s)}]\n\n' for s in self.sites)
         federation = _table({"name": "choirs", "site": member.site, **self.told})
-        return (f"{CLASSES}[federation]\n{federation}\n{sites}[[application]]\n{_table(app)}"
-                f"via = {{ {via} }}\n")
+        return (
+            f"{CLASSES}[federation]\n{federation}\n{sites}[[application]]\n{_table(app)}via = {{ {via} }}\n"
+        )
 
     def _rows(self, site):
         return ", ".join(
             f'{{ name = "{m.short}", address = "{m.host}:{m.mesh}", '
-            f'votes = {"true" if self.votes is None or m.name in self.votes else "false"} }}'
-            for m in self.site(site))
+            f"votes = {'true' if self.votes is None or m.name in self.votes else 'false'} }}"
+            for m in self.site(site)
+        )
 
     def _partners(self, member):
         rows = []
@@ -171,8 +187,10 @@
             endpoint = f'{{ address = "{partner.address(member.name)}", state = "{partner.state}" }}'
             if state := partner.door_states.get(member.name):
                 endpoint = f'{{ address = "{partner.door}", state = "{state}" }}'
-            rows.append(f'[[partner]]\nname = "p{number}"\nnumber = {number}\nper_s = {self.per_s}\n'
-                        f'endpoints = [{endpoint}]\nsite = "{site}"\ntopics = {json.dumps(list(topics))}\n')
+            rows.append(
+                f'[[partner]]\nname = "p{number}"\nnumber = {number}\nper_s = {self.per_s}\n'
+                f'endpoints = [{endpoint}]\nsite = "{site}"\ntopics = {json.dumps(list(topics))}\n'
+            )
         return "\n".join(rows)
 
     def drain(self, number, state="terminating"):
@@ -189,12 +207,24 @@
 
     def table(self, number, owners=None, off=()):
         """A table's document: as the first, with other owners and members that are off."""
-        sites = {s: {m.short: {"address": f"{m.host}:{m.mesh}", "votes": self.votes is None
-                               or m.name in self.votes} for m in self.site(s)} for s in self.sites}
+        sites = {
+            s: {
+                m.short: {
+                    "address": f"{m.host}:{m.mesh}",
+                    "votes": self.votes is None or m.name in self.votes,
+                }
+                for m in self.site(s)
+            }
+            for s in self.sites
+        }
         all_owners = {str(n): site for n, (site, _) in self.served.items()}
         all_owners.update({str(n): site for n, site in (owners or {}).items()})
-        return {"number": number, "sites": sites, "owners": all_owners,
-                **({"off": sorted(off)} if off else {})}
+        return {
+            "number": number,
+            "sites": sites,
+            "owners": all_owners,
+            **({"off": sorted(off)} if off else {}),
+        }
 
     # What is handed in, and what came of it
 
@@ -215,7 +245,8 @@
         told = await client.put(ident, kind=kind, dest=dest, life=life, body=body, key=key)
         if told == "+OK":
             self.publications.append(
-                Publication(ident, member.name, kind, frozenset([dest]), body, now(), life / 1e3))
+                Publication(ident, member.name, kind, frozenset([dest]), body, now(), life / 1e3)
+            )
         return told
 
     async def taken_on(self, client, member, ident, way, **more):
@@ -227,6 +258,7 @@
             while (told := await hand_in(client, member, ident, way, **more)) != "+OK":
                 assert told.startswith("-BUSY"), told
                 await asyncio.sleep(0.05)
+
         await asyncio.wait_for(inner(), TAKEN_S)
 
     def calls(self):
--- a/tests/federation/judge.py
+++ b/tests/federation/judge.py
@@ -32,10 +32,12 @@
     wrong = []
     for dest, of in _by(calls, lambda c: c.dest).items():
         for n, call in enumerate(of):
-            for later in of[n + 1:]:
+            for later in of[n + 1 :]:
                 if later.begun < call.ended and later.site != call.site:
-                    wrong.append(f"F1: {later.member} calls {dest} at {later.begun:.3f} while "
-                                 f"{call.member} does, from {call.begun:.3f} to {call.ended:.3f}")
+                    wrong.append(
+                        f"F1: {later.member} calls {dest} at {later.begun:.3f} while "
+                        f"{call.member} does, from {call.begun:.3f} to {call.ended:.3f}"
+                    )
         if tables:
             wrong += _follows(dest, of, sorted(tables, key=lambda t: t["number"]), offered or {})
     return wrong
@@ -48,13 +50,17 @@
         first = next(of)
         turn = next((n for n in range(at, len(owners)) if owners[n][1] == site), None)
         if turn is None:
-            wrong.append(f"F1: {first.member} calls {dest} at {first.begun:.3f}: no table from "
-                         f"{owners[at][0]} on gives it to {site}")
+            wrong.append(
+                f"F1: {first.member} calls {dest} at {first.begun:.3f}: no table from "
+                f"{owners[at][0]} on gives it to {site}"
+            )
             continue
         at = turn
         if first.begun < offered.get(owners[at][0], first.begun):
-            wrong.append(f"F2: {first.member} calls {dest} at {first.begun:.3f} by table {owners[at][0]}, "
-                         f"which was offered at {offered[owners[at][0]]:.3f}")
+            wrong.append(
+                f"F2: {first.member} calls {dest} at {first.begun:.3f} by table {owners[at][0]}, "
+                f"which was offered at {offered[owners[at][0]]:.3f}"
+            )
     return wrong
 
 
@@ -69,8 +75,10 @@
             continue
         ran = [c for c in of if c.effect != NEVER_RAN]
         if given.kind == "unsafe" and len(ran) > 1:
-            wrong.append(f"F3: the unsafe {given.ident} may have run {len(ran)} times at {dest}: "
-                         f"{[(c.member, round(c.begun, 3)) for c in ran]}")
+            wrong.append(
+                f"F3: the unsafe {given.ident} may have run {len(ran)} times at {dest}: "
+                f"{[(c.member, round(c.begun, 3)) for c in ran]}"
+            )
         keys = {c.key for c in of}
         if given.kind == "keyed" and (len(keys) > 1 or "" in keys):
             wrong.append(f"F4: the keyed {given.ident} came to {dest} under the keys {sorted(keys)}")
@@ -90,9 +98,12 @@
         for told in (c for c in of if c.wait_s):
             for call in of:
                 if told.ended < call.begun < told.ended + told.wait_s and (
-                        call.member == told.member or call.site != told.site):
-                    wrong.append(f"F3: {call.member} calls {dest} at {call.begun:.3f}; {told.member} was "
-                                 f"told at {told.ended:.3f} to wait {told.wait_s} s")
+                    call.member == told.member or call.site != told.site
+                ):
+                    wrong.append(
+                        f"F3: {call.member} calls {dest} at {call.begun:.3f}; {told.member} was "
+                        f"told at {told.ended:.3f} to wait {told.wait_s} s"
+                    )
     return wrong
 
 
@@ -119,9 +130,14 @@
 def judged(estate, tables=(), offered=None):
     """All of it for an estate, from its notes as they are now."""
     from noting_partners import now
+
     calls = estate.calls()
-    return [*one_owner(calls, tables, offered), *effects(calls, estate.publications), *waits(calls),
-            *ends(calls, estate.publications, estate.finals(), now())]
+    return [
+        *one_owner(calls, tables, offered),
+        *effects(calls, estate.publications),
+        *waits(calls),
+        *ends(calls, estate.publications, estate.finals(), now()),
+    ]
 
 
 def _by(calls, key):
--- a/tests/federation/member_processes.py
+++ b/tests/federation/member_processes.py
@@ -66,8 +66,15 @@
         a majority of the voters; not `served`: before it knows that."""
         self.life = len(self.lines)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "madderbeam", "run", "--config", str(self.rendered), cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "madderbeam",
+            "run",
+            "--config",
+            str(self.rendered),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+        )
         self.reading = asyncio.create_task(self._read(self.process.stderr))
         await self.until("is ready on port", START_S)
         if served:
@@ -97,8 +104,9 @@
                     at += 1
                     if found.search(self.lines[at - 1]):
                         return self.lines[at - 1]
-                assert not ended, f"{self.name} ended: {self.lines[self.life:][-5:]}"
+                assert not ended, f"{self.name} ended: {self.lines[self.life :][-5:]}"
                 await self.said.wait()
+
         return await asyncio.wait_for(inner(), limit)
 
     # What happens to it
@@ -164,6 +172,7 @@
             while not so(told := await self.federation()):
                 await asyncio.sleep(0.05)  # nobody is told when it changes
             return told
+
         try:
             return await asyncio.wait_for(inner(), limit)
         except TimeoutError:
@@ -182,10 +191,12 @@
 
     async def until_ended(self, ident, limit):
         """The status with which it told the end of this message; TimeoutError if it does not in time."""
+
         async def inner():
             while not (found := [status for i, status in self.finals() if i == ident]):
                 await asyncio.sleep(0.02)  # a file tells nobody that it has grown
             return found[0]
+
         return await asyncio.wait_for(inner(), limit)
 
     def finals(self):
--- a/tests/federation/noting_partners.py
+++ b/tests/federation/noting_partners.py
@@ -65,8 +65,14 @@
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
                 while True:
                     _, _, headers, body = await read_request(reader)
-                    call = Call(self.number, member, headers.get("x-request-id", ""),
-                                headers.get("idempotency-key", ""), body, now())
+                    call = Call(
+                        self.number,
+                        member,
+                        headers.get("x-request-id", ""),
+                        headers.get("idempotency-key", ""),
+                        body,
+                        now(),
+                    )
                     (self.calls if member else self.door_calls).append(call)
                     self._tell()
                     try:
@@ -104,10 +110,12 @@
 
     async def until(self, so, limit):
         """Wait until this holds of the calls; TimeoutError if it does not in time."""
+
         async def inner():
             while not so(self.calls):
                 self.changed.clear()
                 await self.changed.wait()
+
         await asyncio.wait_for(inner(), limit)
 
     def stop(self):
--- a/tests/federation/test_all_killed.py
+++ b/tests/federation/test_all_killed.py
@@ -15,15 +15,20 @@
 LIMIT = 90.0
 
 
-@pytest.mark.parametrize(("order", "restarts"), [
-    (["macon/m1", *OTHERS], 0),  # as old as the copy by its starts: its votes give it away
-    ([*reversed(OTHERS), "macon/m1"], 2),
-], ids=["first", "last"])
+@pytest.mark.parametrize(
+    ("order", "restarts"),
+    [
+        (["macon/m1", *OTHERS], 0),  # as old as the copy by its starts: its votes give it away
+        ([*reversed(OTHERS), "macon/m1"], 2),
+    ],
+    ids=["first", "last"],
+)
 def test_a_folder_from_a_copy_is_found_out_and_takes_no_part_in_votes(tmp_path, order, restarts):
     async def inner():
         async with Estate(tmp_path, SITES, PARTNERS, {"agree_within_ms": 10_000}, VOTERS) as estate:
             await estate.start()
             await _restored(estate, order, restarts)
+
     asyncio.run(inner())
 
 
@@ -48,7 +53,8 @@
             await macon.start()
         await offer(3, {1: "savannah", 2: "athens"})
         await estate.until_told(
-            estate.members, lambda told: not any(t["switch"]["moving"] for t in told), LIMIT)
+            estate.members, lambda told: not any(t["switch"]["moving"] for t in told), LIMIT
+        )
         await traffic.until_taken(6, LIMIT)
     await asyncio.gather(*(m.kill() for m in estate.members.values()))
     macon.restore()
--- a/tests/federation/test_coordinator_dies.py
+++ b/tests/federation/test_coordinator_dies.py
@@ -25,13 +25,17 @@
     return channel == "t" and row[0] == "accept" and row[5]
 
 
-@pytest.mark.parametrize(("last", "count", "slot", "agree_within_ms"), [
-    (kind("prepare"), 1, PREPARED, 20_000),  # a voter knows of a ballot, none of the table
-    (kind("accept"), 1, TURNED_DOWN, 2_000),  # a voter has the claim: nobody has the document
-    (kind("offer"), 2, TURNED_DOWN, 2_000),  # sites are asked, with the document
-    (words, 1, AGREED, 20_000),  # a voter has words
-    (kind("decided"), 1, AGREED, 20_000),  # one member knows that it is agreed
-], ids=["prepare", "claim", "asked", "words", "decided"])
+@pytest.mark.parametrize(
+    ("last", "count", "slot", "agree_within_ms"),
+    [
+        (kind("prepare"), 1, PREPARED, 20_000),  # a voter knows of a ballot, none of the table
+        (kind("accept"), 1, TURNED_DOWN, 2_000),  # a voter has the claim: nobody has the document
+        (kind("offer"), 2, TURNED_DOWN, 2_000),  # sites are asked, with the document
+        (words, 1, AGREED, 20_000),  # a voter has words
+        (kind("decided"), 1, AGREED, 20_000),  # one member knows that it is agreed
+    ],
+    ids=["prepare", "claim", "asked", "words", "decided"],
+)
 def test_the_others_finish_it_or_it_is_turned_down(tmp_path, last, count, slot, agree_within_ms):
     async def inner():
         told = {"agree_within_ms": agree_within_ms}
@@ -39,6 +43,7 @@
         async with Estate(tmp_path, SITES, PARTNERS, told, voters) as estate:
             await estate.start()
             await _dies(estate, last, count, slot)
+
     asyncio.run(inner())
 
 
@@ -56,7 +61,8 @@
         after, owner = now(), "athens" if agreed else "savannah"
         # As long as it changes hands nothing is taken on for it: the traffic goes on until it is served.
         await estate.partners[2].until(
-            lambda calls: any(c.begun > after and c.site == owner for c in calls), LIMIT)
+            lambda calls: any(c.begun > after and c.site == owner for c in calls), LIMIT
+        )
     await estate.start(OFFERS)  # it is told, or offers again what nobody was asked to take
     final = 1 if slot == TURNED_DOWN else 2
     await estate.until_in_force(final, LIMIT)
--- a/tests/federation/test_frames.py
+++ b/tests/federation/test_frames.py
@@ -28,35 +28,72 @@
 FRAME = Frame(MemberId("macon", "m1"), Life(3, 1 << 63), "m", ["p", 7, b"\x00\xff", None, ["x", 1.5]])
 names = st.text(min_size=1, max_size=64)
 values = st.recursive(
-    st.none() | st.booleans() | st.integers(-(1 << 63), (1 << 64) - 1) | st.text(max_size=20)
-    | st.binary(max_size=20), lambda inner: st.lists(inner, max_size=4), max_leaves=12)
+    st.none()
+    | st.booleans()
+    | st.integers(-(1 << 63), (1 << 64) - 1)
+    | st.text(max_size=20)
+    | st.binary(max_size=20),
+    lambda inner: st.lists(inner, max_size=4),
+    max_leaves=12,
+)
 ODD = [[], 1, "x", {}, None, [2], [1], ["1"], [True, "choirs", "a", "b", 1, 1, "m", []]]
 
 
 def fields(**changes):
-    row = {"version": 2, "federation": "choirs", "site": "macon", "name": "m1", "start": 3, "nonce": 9,
-           "channel": "m", "row": [1], **changes}
+    row = {
+        "version": 2,
+        "federation": "choirs",
+        "site": "macon",
+        "name": "m1",
+        "start": 3,
+        "nonce": 9,
+        "channel": "m",
+        "row": [1],
+        **changes,
+    }
     return msgpack.packb(list(row.values()))
 
 
-@given(names, names, st.integers(0, (1 << 63) - 1), st.integers(0, (1 << 64) - 1), st.text(max_size=8),
-       st.lists(values, max_size=4))
+@given(
+    names,
+    names,
+    st.integers(0, (1 << 63) - 1),
+    st.integers(0, (1 << 64) - 1),
+    st.text(max_size=8),
+    st.lists(values, max_size=4),
+)
 def test_a_frame_comes_back_as_it_was(site, name, start, nonce, channel, row):
     frame = Frame(MemberId(site, name), Life(start, nonce), channel, row)
     assert unpack("choirs", pack("choirs", frame, STREAM_MOST), STREAM_MOST) == frame
     assert list(Splitter().feed(pack_short(channel, row, 7)))[0] == msgpack.packb([channel, row, 7])
 
 
-@pytest.mark.parametrize(("kind", "changes"), [
-    ("version", {"version": 1}), ("version", {"version": True}), ("version", {"version": "1"}),
-    ("federation", {"federation": "bands"}), ("broken", {"federation": ""}), ("broken", {"site": ""}),
-    ("broken", {"site": "s" * 65}), ("broken", {"name": b"m1"}), ("broken", {"name": 1}),
-    ("broken", {"start": -1}), ("broken", {"start": 1 << 63}), ("broken", {"start": True}),
-    ("broken", {"nonce": 1.0}), ("broken", {"nonce": None}), ("broken", {"channel": "c" * 9}),
-    ("broken", {"row": "x"}), ("broken", {"row": {}}), ("broken", {"more": 1}),
-    ("broken", {"row": [msgpack.ExtType(1, b"x")]}), ("broken", {"row": [{1: 2}]}),
-    ("large", {"row": [b"x" * DATAGRAM_MOST]}),
-])
+@pytest.mark.parametrize(
+    ("kind", "changes"),
+    [
+        ("version", {"version": 1}),
+        ("version", {"version": True}),
+        ("version", {"version": "1"}),
+        ("federation", {"federation": "bands"}),
+        ("broken", {"federation": ""}),
+        ("broken", {"site": ""}),
+        ("broken", {"site": "s" * 65}),
+        ("broken", {"name": b"m1"}),
+        ("broken", {"name": 1}),
+        ("broken", {"start": -1}),
+        ("broken", {"start": 1 << 63}),
+        ("broken", {"start": True}),
+        ("broken", {"nonce": 1.0}),
+        ("broken", {"nonce": None}),
+        ("broken", {"channel": "c" * 9}),
+        ("broken", {"row": "x"}),
+        ("broken", {"row": {}}),
+        ("broken", {"more": 1}),
+        ("broken", {"row": [msgpack.ExtType(1, b"x")]}),
+        ("broken", {"row": [{1: 2}]}),
+        ("large", {"row": [b"x" * DATAGRAM_MOST]}),
+    ],
+)
 def test_each_field_has_bounds_and_what_is_outside_is_counted_as_its_kind(kind, changes):
     assert unpack("choirs", fields()).row == [1]
     with pytest.raises(Strange) as error:
@@ -89,8 +126,11 @@
 
 
 def only_strange(data):
-    for read in (lambda: unpack("choirs", data), lambda: unpack("choirs", data, STREAM_MOST),
-                 lambda: unpack_short(data)):
+    for read in (
+        lambda: unpack("choirs", data),
+        lambda: unpack("choirs", data, STREAM_MOST),
+        lambda: unpack_short(data),
+    ):
         try:
             read()
         except Strange as error:
@@ -113,7 +153,7 @@
             if how == 0:
                 data[at] = chance.randrange(256)
             elif how == 1:
-                del data[at:at + chance.randrange(1, 9)]
+                del data[at : at + chance.randrange(1, 9)]
             else:
                 data[at:at] = chance.randbytes(chance.randrange(1, 9))
             if not data:
--- a/tests/federation/test_handed_in_twice.py
+++ b/tests/federation/test_handed_in_twice.py
@@ -26,4 +26,5 @@
             while {told[:2] for told in estate.finals()} != wanted:
                 await asyncio.sleep(0.05)
             assert len({status for _, _, status in estate.finals()}) == 1
+
     asyncio.run(asyncio.wait_for(inner(), 2 * LIMIT))
--- a/tests/federation/test_harness.py
+++ b/tests/federation/test_harness.py
@@ -17,7 +17,9 @@
         async def inner():
             async with Estate(tmp_path, {"macon": 1, "savannah": 1}, PARTNERS) as estate:
                 await test(estate)
+
         asyncio.run(inner())
+
     return run
 
 
@@ -72,6 +74,7 @@
             await macon.start(served=False)
             await macon.until("start 2 of macon/m1", LIMIT)
             await macon.until_told(lambda told: told["agreement"]["distrusted"], LIMIT)
+
     asyncio.run(inner())
 
 
@@ -81,17 +84,20 @@
         async with Estate(tmp_path, sites, PARTNERS, votes={"macon/m1", "athens/m2"}) as estate:
             from madderbeam.config.platform import load_sidecar
             from madderbeam.ports.real import RealDisk
+
             tables = set()
             for member in estate.members.values():
                 told = load_sidecar(str(member.rendered), RealDisk()).federation
                 assert str(told.id) == member.name and told.listen == (member.host, member.mesh)
                 assert {str(m): a for m, a in told.via.items()} == {
-                    n: estate.links.address(member.name, n) for n in estate.members if n != member.name}
+                    n: estate.links.address(member.name, n) for n in estate.members if n != member.name
+                }
                 tables.add(told.table.digest)
                 assert told.table.document() == estate.table(1)
             assert len(tables) == 1
             moved = estate.table(2, {2: "athens"}, off=["macon/m2"])
             assert moved["owners"] == {"1": "macon", "2": "athens"} and moved["off"] == ["macon/m2"]
+
     asyncio.run(inner())
 
 
@@ -107,15 +113,18 @@
 AT_1, B_AT_2, AT_3 = called(1, A, 1.0), called(1, B, 2.0), called(1, A, 3.0)
 
 
-@pytest.mark.parametrize(("calls", "agreed", "offered", "wrong"), [
-    ([AT_1, called(1, "macon/m2", 1.05), B_AT_2], (), None, ""),
-    ([called(1, A, 1.0, 3.0), B_AT_2], (), None, "F1: savannah/m1 calls 1 at 2.000 while macon/m1"),
-    ([AT_1, B_AT_2], tables("macon", "savannah"), None, ""),
-    ([AT_1, B_AT_2], tables("macon"), None, "no table from 1 on gives it to savannah"),
-    ([AT_1, B_AT_2, AT_3], tables("macon", "savannah"), None, "F1: macon/m1 calls 1 at 3.000: no table"),
-    ([AT_1, B_AT_2, AT_3], tables("macon", "savannah", "macon"), None, ""),
-    ([AT_1, B_AT_2], tables("macon", "savannah"), {2: 2.5}, "F2: savannah/m1"),
-])
+@pytest.mark.parametrize(
+    ("calls", "agreed", "offered", "wrong"),
+    [
+        ([AT_1, called(1, "macon/m2", 1.05), B_AT_2], (), None, ""),
+        ([called(1, A, 1.0, 3.0), B_AT_2], (), None, "F1: savannah/m1 calls 1 at 2.000 while macon/m1"),
+        ([AT_1, B_AT_2], tables("macon", "savannah"), None, ""),
+        ([AT_1, B_AT_2], tables("macon"), None, "no table from 1 on gives it to savannah"),
+        ([AT_1, B_AT_2, AT_3], tables("macon", "savannah"), None, "F1: macon/m1 calls 1 at 3.000: no table"),
+        ([AT_1, B_AT_2, AT_3], tables("macon", "savannah", "macon"), None, ""),
+        ([AT_1, B_AT_2], tables("macon", "savannah"), {2: 2.5}, "F2: savannah/m1"),
+    ],
+)
 def test_the_judge_finds_a_second_owner_and_an_early_one(calls, agreed, offered, wrong):
     found = judge.one_owner(calls, agreed, offered)
     assert (len(found) == 1 and wrong in found[0]) if wrong else found == []
@@ -125,16 +134,19 @@
     return [Publication("p", A, kind, frozenset(dests), b"b", taken, 5.0)]
 
 
-@pytest.mark.parametrize(("kind", "calls", "wrong"), [
-    ("safe", [called(1, A, 1.0), called(1, B, 2.0)], ""),
-    ("unsafe", [called(1, A, 1.0, effect=NEVER_RAN), called(1, B, 2.0)], ""),
-    ("unsafe", [called(1, A, 1.0, effect=MAY_HAVE_RUN), called(1, B, 2.0)], "may have run 2 times"),
-    ("keyed", [called(1, A, 1.0), called(1, B, 2.0)], ""),
-    ("keyed", [called(1, A, 1.0), called(1, B, 2.0, key="l")], "under the keys"),
-    ("keyed", [called(1, A, 1.0, key="")], "under the keys"),
-    ("safe", [called(2, A, 1.0)], "nobody handed in"),
-    ("safe", [called(1, A, 1.0, body=b"c")], "nobody handed in"),
-])
+@pytest.mark.parametrize(
+    ("kind", "calls", "wrong"),
+    [
+        ("safe", [called(1, A, 1.0), called(1, B, 2.0)], ""),
+        ("unsafe", [called(1, A, 1.0, effect=NEVER_RAN), called(1, B, 2.0)], ""),
+        ("unsafe", [called(1, A, 1.0, effect=MAY_HAVE_RUN), called(1, B, 2.0)], "may have run 2 times"),
+        ("keyed", [called(1, A, 1.0), called(1, B, 2.0)], ""),
+        ("keyed", [called(1, A, 1.0), called(1, B, 2.0, key="l")], "under the keys"),
+        ("keyed", [called(1, A, 1.0, key="")], "under the keys"),
+        ("safe", [called(2, A, 1.0)], "nobody handed in"),
+        ("safe", [called(1, A, 1.0, body=b"c")], "nobody handed in"),
+    ],
+)
 def test_the_judge_finds_effects_that_should_not_be(kind, calls, wrong):
     found = judge.effects(calls, given(kind))
     assert (len(found) == 1 and wrong in found[0]) if wrong else found == []
@@ -148,15 +160,18 @@
         assert "to wait 2.0 s" in judge.waits([told, call])[0]
 
 
-@pytest.mark.parametrize(("calls", "finals", "wrong"), [
-    ([called(1, A, 1.0), called(2, A, 1.0)], [], ""),
-    ([called(1, A, 1.0)], [(A, "p", "undeliverable")] * 2, ""),
-    ([called(1, A, 1.0)], [], "[2] did not get it"),
-    ([called(1, A, 1.0), called(2, A, 1.0, effect=MAY_HAVE_RUN)], [], "[2] did not get it"),
-    ([], [(A, "p", "undeliverable"), (A, "p", "expired")], "F5: p of macon/m1 ended as"),
-    ([], [(B, "p", "undeliverable")], "F5: p of macon/m1 ended as"),
-    ([called(1, A, 1.0), called(2, A, 1.0)], [(A, "q", "undeliverable")], "nobody handed it in"),
-])
+@pytest.mark.parametrize(
+    ("calls", "finals", "wrong"),
+    [
+        ([called(1, A, 1.0), called(2, A, 1.0)], [], ""),
+        ([called(1, A, 1.0)], [(A, "p", "undeliverable")] * 2, ""),
+        ([called(1, A, 1.0)], [], "[2] did not get it"),
+        ([called(1, A, 1.0), called(2, A, 1.0, effect=MAY_HAVE_RUN)], [], "[2] did not get it"),
+        ([], [(A, "p", "undeliverable"), (A, "p", "expired")], "F5: p of macon/m1 ended as"),
+        ([], [(B, "p", "undeliverable")], "F5: p of macon/m1 ended as"),
+        ([called(1, A, 1.0), called(2, A, 1.0)], [(A, "q", "undeliverable")], "nobody handed it in"),
+    ],
+)
 def test_the_judge_finds_an_end_that_lacks_or_is_told_twice(calls, finals, wrong):
     found = judge.ends(calls, given("safe", (1, 2)), finals, at=100.0)
     assert (len(found) == 1 and wrong in found[0]) if wrong else found == []
--- a/tests/federation/test_held_bytes.py
+++ b/tests/federation/test_held_bytes.py
@@ -17,11 +17,13 @@
 def heard_frames(chance, ahead_us, ppm):
     """Pings and messages over a link on which anything takes from 0.1 ms to 4 s: for each message when it was
     truly said, when the receiver has it said, and the least round trip so far. Clocks run `ppm` apart."""
+
     def here(us):
         return int(us * (1 + ppm / 1e6)) + ahead_us
 
     def way():
         return chance.choice((100, 5_000, 300_000, 4 * S)) + chance.randrange(100)
+
     sent, arrives, way_there = 0, way(), 0
     link, least = Ahead(DRIFT, here(arrives)), 1 << 60
     for _ in range(chance.randrange(2, 40)):
@@ -40,7 +42,7 @@
 def test_what_is_heard_is_never_taken_for_younger_than_it_is_nor_for_much_older(ppm):
     for seed in range(300):
         chance = random.Random(seed)
-        for true, told, least, at in heard_frames(chance, chance.randrange(-10**12, 10**12), ppm):
+        for true, told, least, at in heard_frames(chance, chance.randrange(-(10**12), 10**12), ppm):
             assert told <= true
             assert told >= true - least - 2 * DRIFT * at / 1e6 - 10  # by a round trip and the drift at most
 
@@ -77,4 +79,5 @@
             # It came behind the other.
             assert [c.body for c in estate.partners[2].calls][3:] == [b"after for 2"]
             assert judged(estate, [estate.table(1)]) == []
+
     asyncio.run(asyncio.wait_for(inner(), 3 * LIMIT))
--- a/tests/federation/test_limits.py
+++ b/tests/federation/test_limits.py
@@ -7,12 +7,12 @@
 from test_shared import LIMIT, MACON, PARTNERS, SITES, TOLD
 
 EACH = 4  # max_conns: of three couriers together 12
-QUOTA = '''
+QUOTA = """
 [[quota]]
 name = "school"
 limit = { messages_per_s = 60, bytes_per_s = 600000 }
 tenants = ["t"]
-'''
+"""
 
 
 class Limited(Estate):
@@ -30,11 +30,18 @@
         async def inner():
             async with Limited(tmp_path, SITES, PARTNERS, told=TOLD) as estate:
                 await estate.start()
-                await estate.until_told(MACON, lambda told: all(
-                    len(t["members"]) == 3 and runs(t, "places/1") and runs(t, "quota/school")
-                    for t in told), LIMIT)
+                await estate.until_told(
+                    MACON,
+                    lambda told: all(
+                        len(t["members"]) == 3 and runs(t, "places/1") and runs(t, "quota/school")
+                        for t in told
+                    ),
+                    LIMIT,
+                )
                 await test(estate)
+
         asyncio.run(inner())
+
     return run
 
 
@@ -79,6 +86,7 @@
             await estate.put(client, estate[first], f"n{count}", 1, life=20_000)
             count += 1
             await asyncio.sleep(0.005)
+
     task = asyncio.create_task(flood())
     told = await estate.until_told(MACON, lambda told: amounts(told, "quota/school")[0] > 0.8, LIMIT)
     assert sum(amounts(told, "quota/school")) <= 1.0 + 1e-9
@@ -86,5 +94,8 @@
     task.cancel()
     for name in rest:  # no majority is left: its lease ends, and what it has is its floor
         await estate[name].kill()
-    await estate.until_told([first], lambda told: not runs(told[0], "quota/school")
-                            and told[0]["shared"]["quota"]["school"] < 0.04, LIMIT)
+    await estate.until_told(
+        [first],
+        lambda told: not runs(told[0], "quota/school") and told[0]["shared"]["quota"]["school"] < 0.04,
+        LIMIT,
+    )
--- a/tests/federation/test_many_couriers.py
+++ b/tests/federation/test_many_couriers.py
@@ -25,8 +25,11 @@
                 async with estate, contextlib.AsyncExitStack() as feeds:
                     await estate.start()
                     await test(estate, Flood(estate, feeds))
+
             asyncio.run(inner())
+
         return run
+
     return decorate
 
 
@@ -58,15 +61,19 @@
 async def given_out(estate, names):
     """Nine tenths of the limit or more are with these members. What all of them had from one reading to the
     next they had at one moment in between: never over the limit."""
+
     async def inner():
         while True:
-            first, second = [[amount(t) for t in await asyncio.gather(
-                *(estate[n].federation() for n in names))] for _ in range(2)]
+            first, second = [
+                [amount(t) for t in await asyncio.gather(*(estate[n].federation() for n in names))]
+                for _ in range(2)
+            ]
             if first == second:
                 assert sum(first) <= PER_S * 1.0001, first
                 if sum(first) >= 0.9 * PER_S:
                     return
             await asyncio.sleep(0.1)
+
     await asyncio.wait_for(inner(), LIMIT)
 
 
@@ -78,9 +85,15 @@
 
 async def until_granted(estate, names, than):
     """One of these members grants to all of them, and it is another than this one."""
-    told = await estate.until_told(names, lambda told: len({granter(t) for t in told}) == 1 and granter(
-        told[0]) not in (None, than) and all(
-            t["shared"]["leases"]["leases"]["rate/1"]["left_ms"] for t in told), LIMIT)
+    told = await estate.until_told(
+        names,
+        lambda told: (
+            len({granter(t) for t in told}) == 1
+            and granter(told[0]) not in (None, than)
+            and all(t["shared"]["leases"]["leases"]["rate/1"]["left_ms"] for t in told)
+        ),
+        LIMIT,
+    )
     return granter(told[0])
 
 
@@ -158,7 +171,7 @@
             count = sum(at <= t < at + span for t in times)
             middle = (at + span / 2) / COLD_S
             bears = FALL * PER_S * min(1.0, COLD_SHARE + (1 - COLD_SHARE) * middle) * span
-            if count > bears + 3 * bears ** 0.5 + 3:
+            if count > bears + 3 * bears**0.5 + 3:
                 found.append((at, count, bears))
         return found
 
@@ -172,16 +185,23 @@
     partner.script += ["reset"] * 100_000
     await estate.until_told(names, lambda told: sum(1 in t["shared"]["held_back"] for t in told) == 4, LIMIT)
     estate.links.part(small, large)
-    await estate.until_told(names, lambda told: all(
-        {m["member"] for m in t["members"] if m["state"] == "dead"} == set(
-            large if t["member"] in small else small) for t in told), LIMIT)
+    await estate.until_told(
+        names,
+        lambda told: all(
+            {m["member"] for m in t["members"] if m["state"] == "dead"}
+            == set(large if t["member"] in small else small)
+            for t in told
+        ),
+        LIMIT,
+    )
     partner.script.clear()
     returning, at = Returning(partner), len(partner.calls)
     await partner.until(lambda calls: sum(c.effect == RAN for c in calls[at:]) >= 3, LIMIT)
     estate.links.heal()
     healed = len(partner.calls)
     await partner.until(
-        lambda calls: {c.member for c in calls[healed:] if c.effect == RAN} == set(names), LIMIT)
+        lambda calls: {c.member for c in calls[healed:] if c.effect == RAN} == set(names), LIMIT
+    )
     await given_out(estate, names)
     assert returning.pushed() == [] and broken(estate) == []
     flood.within_limit()
--- a/tests/federation/test_members_fail.py
+++ b/tests/federation/test_members_fail.py
@@ -22,12 +22,20 @@
             async def inner():
                 async with Estate(tmp_path, sites, partners, told=told, **more) as estate:
                     await estate.start()
-                    await estate.until_told(list(estate.members), lambda told: all(
-                        sum(m["state"] == "alive" for m in t["members"]) == len(estate.members) - 1
-                        for t in told), LIMIT)
+                    await estate.until_told(
+                        list(estate.members),
+                        lambda told: all(
+                            sum(m["state"] == "alive" for m in t["members"]) == len(estate.members) - 1
+                            for t in told
+                        ),
+                        LIMIT,
+                    )
                     await test(estate)
+
             asyncio.run(inner())
+
         return run
+
     return decorate
 
 
@@ -52,16 +60,18 @@
     estate[paused].pause()
     stood = now()
     macon = estate["macon/m1"]
-    await estate.until_told(["macon/m1", other, "athens/m1"],
-                            lambda told: all(state(t, paused) == "dead" for t in told), LIMIT)
+    await estate.until_told(
+        ["macon/m1", other, "athens/m1"], lambda told: all(state(t, paused) == "dead" for t in told), LIMIT
+    )
     for n, kind in enumerate(("safe", "keyed", "unsafe") * 3):  # the next relay takes them
         await estate.taken_on(client, macon, f"meanwhile-{n}", "season", kind=kind, life=60_000)
     offered = {2: now()}
     await macon.offer(estate.table(2, {2: "athens"}))
     await estate.until_in_force(2, LIMIT, ["macon/m1", other, "athens/m1"])
     # What the paused one served is not begun elsewhere: it has not released it.
-    await estate.until_told(["athens/m1"], lambda told: told[0]["switch"]["moving"]["2"]["not_released"] ==
-                            [paused], LIMIT)
+    await estate.until_told(
+        ["athens/m1"], lambda told: told[0]["switch"]["moving"]["2"]["not_released"] == [paused], LIMIT
+    )
     while now() < stood + 10.0:
         await asyncio.sleep(0.05)
     before = len(estate[paused].lines)
@@ -78,8 +88,11 @@
     assert judge.judged(estate, [estate.table(1), estate.table(2, {2: "athens"})], offered) == []
 
 
-@on_estate({"macon": 1, "savannah": 2, "athens": 2}, told={**PATIENT, "probe_period_ms": 400,
-                                                            "probe_timeout_ms": 200}, seed=7)
+@on_estate(
+    {"macon": 1, "savannah": 2, "athens": 2},
+    told={**PATIENT, "probe_period_ms": 400, "probe_timeout_ms": 200},
+    seed=7,
+)
 async def test_nobody_that_answers_is_declared_dead_by_all_over_one_sided_cuts_and_bad_links(estate):
     estate.links["macon/m1", "savannah/m1"].cut()  # savannah/m1 does not hear macon/m1, which hears it
     for pair in (("athens/m1", "savannah/m2"), ("savannah/m2", "athens/m1"), ("athens/m2", "macon/m1")):
@@ -88,16 +101,20 @@
     client = await estate["macon/m1"].client()
     for n in range(40):
         kind = ("safe", "keyed", "unsafe")[n % 3]
-        await estate.taken_on(client, estate["macon/m1"], f"cut-{n}", "season", kind=kind,
-                                    life=60_000)
+        await estate.taken_on(client, estate["macon/m1"], f"cut-{n}", "season", kind=kind, life=60_000)
         told = await asyncio.gather(*(m.federation() for m in estate.members.values()))
         for name in estate.members:
             thought = {state(t, name) for t in told if t["member"] != name}
             assert thought != {"dead"}, (name, thought)
         await asyncio.sleep(0.1)
     estate.links.heal()
-    await estate.until_told(list(estate.members), lambda told: all(
-        state(t, name) == "alive" for t in told for name in estate.members if t["member"] != name), LIMIT)
+    await estate.until_told(
+        list(estate.members),
+        lambda told: all(
+            state(t, name) == "alive" for t in told for name in estate.members if t["member"] != name
+        ),
+        LIMIT,
+    )
     await estate.until_ended(LIMIT)
     assert judge.judged(estate, [estate.table(1)]) == []
 
@@ -114,8 +131,9 @@
     await partner.until(lambda calls: len(calls) > begun, LIMIT)
     await estate[first].kill()
     # The next one takes what may be sent again; the first comes back with its folder while that one works.
-    await estate.until_told(["macon/m1"], lambda t: t[0]["streams"]["savannah"]["relay"] not in (None, first),
-                            LIMIT)
+    await estate.until_told(
+        ["macon/m1"], lambda t: t[0]["streams"]["savannah"]["relay"] not in (None, first), LIMIT
+    )
     estate.links.heal()
     await estate.start(first)
     await estate.until_ended(LIMIT)
@@ -144,21 +162,42 @@
 
 
 # Who stood still for a probe's time-out asks a majority before it serves, which the smaller side has not.
-CALM = {**QUICK, "probe_period_ms": 2000, "probe_timeout_ms": 1500, "suspicion_alpha": 1.0,
-        "suspicion_beta": 2.0}
+CALM = {
+    **QUICK,
+    "probe_period_ms": 2000,
+    "probe_timeout_ms": 1500,
+    "suspicion_alpha": 1.0,
+    "suspicion_beta": 2.0,
+}
 FIVE = {site: 1 for site in ("macon", "savannah", "athens", "augusta", "albany")}
 
 
-@on_estate(FIVE, {1: ("macon", ["season"]), 2: ("savannah", ["season"]), 3: ("athens", ["season"]),
-                  4: ("augusta", ["season"]), 5: ("albany", ["season"])}, told=CALM)
+@on_estate(
+    FIVE,
+    {
+        1: ("macon", ["season"]),
+        2: ("savannah", ["season"]),
+        3: ("athens", ["season"]),
+        4: ("augusta", ["season"]),
+        5: ("albany", ["season"]),
+    },
+    told=CALM,
+)
 async def test_both_sides_of_a_partition_serve_what_they_own_and_the_smaller_agrees_on_nothing(estate):
     small, large = ["macon/m1", "savannah/m1"], ["athens/m1", "augusta/m1", "albany/m1"]
     async with Traffic(estate, ["macon/m1", "athens/m1"], [1, 3], topic="season", every_s=0.03) as traffic:
         await traffic.until_taken(20, LIMIT)
         estate.links.part(small, large)
-        await estate.until_told(list(estate.members), lambda told: all(
-            state(t, name) == "dead" for t in told for name in estate.members
-            if t["member"] != name and (name in small) != (t["member"] in small)), LIMIT)
+        await estate.until_told(
+            list(estate.members),
+            lambda told: all(
+                state(t, name) == "dead"
+                for t in told
+                for name in estate.members
+                if t["member"] != name and (name in small) != (t["member"] in small)
+            ),
+            LIMIT,
+        )
         parted, own = now(), {1: 0, 3: 0}
         offered = estate.table(2, {5: "athens"})
         assert (await estate["macon/m1"].offer(offered))[0] == 202
@@ -169,12 +208,22 @@
         assert {t["table"]["number"] for t in told} == {1}, own
         estate.links.heal()
         healed = now()
-        await estate.until_told(list(estate.members), lambda told: all(
-            state(t, name) == "alive" for t in told for name in estate.members if t["member"] != name), LIMIT)
+        await estate.until_told(
+            list(estate.members),
+            lambda told: all(
+                state(t, name) == "alive" for t in told for name in estate.members if t["member"] != name
+            ),
+            LIMIT,
+        )
         # Of the two proposals one is agreed by now, or both are turned down: the same at all.
-        told = await estate.until_told(list(estate.members), lambda told: len(
-            {t["table"]["number"] for t in told}) == 1 and not any(
-            set(t["agreement"]["offered"]) - set(t["offered"]) for t in told), 2 * LIMIT)
+        told = await estate.until_told(
+            list(estate.members),
+            lambda told: (
+                len({t["table"]["number"] for t in told}) == 1
+                and not any(set(t["agreement"]["offered"]) - set(t["offered"]) for t in told)
+            ),
+            2 * LIMIT,
+        )
         print(f"healed in {now() - healed:.1f} s")
         await traffic.until_taken(20, LIMIT)
     await estate.until_ended(LIMIT)
--- a/tests/federation/test_mesh.py
+++ b/tests/federation/test_mesh.py
@@ -282,6 +282,7 @@
     def heard(node, channel, event):
         if isinstance(event, Asked):
             node.mesh.reply(event.reply, ["mine", event.row[1]])
+
     rig.heard = heard
     state = random.Random(1).randbytes(1_500_000)
     a.mesh.exchange(rig.address(A, B), ["yours", state])
@@ -364,6 +365,7 @@
         except ConnectionResetError:  # what was not read there resets it
             return True
         return got[-1] == b""
+
     rig.until(ended)
     return b"".join(got)
 
@@ -376,6 +378,7 @@
         writer.write(frames.lengthy(frames.pack("choirs", frames.Frame(C, LIFE, "welcome", []))))
         await reader.read()
         writer.close()
+
     server = real.loop.run_until_complete(asyncio.start_server(answers, "127.0.0.1", 0))
     a.mesh.want(B, server.sockets[0].getsockname())
     real.until(lambda: len(calls) >= 2)
--- a/tests/federation/test_release_missing.py
+++ b/tests/federation/test_release_missing.py
@@ -18,8 +18,11 @@
             async def inner():
                 async with Estate(tmp_path, SITES, PARTNERS, told, settings=settings) as estate:
                     await test(estate)
+
             asyncio.run(inner())
+
         return run
+
     return made
 
 
@@ -62,8 +65,11 @@
     athens = estate["athens/m1"]
 
     def missed(told):  # told as an error from 10 s on: nothing else will come of it
-        return any("release-missing" in line and "savannah/m1 has not released 2" in line
-                   for line in told["switch"]["errors"])
+        return any(
+            "release-missing" in line and "savannah/m1 has not released 2" in line
+            for line in told["switch"]["errors"]
+        )
+
     await athens.until_told(missed, LIMIT)
     assert len(estate.partners[2].calls) == 1
     off = now()
@@ -84,6 +90,7 @@
             granted.add(source)
             if len(granted) == 2:
                 both.set()  # a voter that never granted it one can't tell that its leases are over
+
     estate.links.notes.append(note)
     await estate.start()
     await asyncio.wait_for(both.wait(), LIMIT)
--- a/tests/federation/test_shared.py
+++ b/tests/federation/test_shared.py
@@ -20,10 +20,17 @@
         async def inner():
             async with Estate(tmp_path, SITES, PARTNERS, told=TOLD, **more) as estate:
                 await estate.start()
-                await estate.until_told(MACON, lambda told: all(
-                    len(t["members"]) == 3 and t["shared"]["leases"]["leases"] for t in told), LIMIT)
+                await estate.until_told(
+                    MACON,
+                    lambda told: all(
+                        len(t["members"]) == 3 and t["shared"]["leases"]["leases"] for t in told
+                    ),
+                    LIMIT,
+                )
                 await test(estate)
+
         asyncio.run(inner())
+
     return run
 
 
@@ -57,28 +64,32 @@
     partner = estate.partners[1]
 
     def settled(told):
-        return ([len(t["shared"]["tries"]) for t in told].count(1) == 1
-                and sum(1 in t["shared"]["held_back"] for t in told) == len(names) - 1)
+        return [len(t["shared"]["tries"]) for t in told].count(1) == 1 and sum(
+            1 in t["shared"]["held_back"] for t in told
+        ) == len(names) - 1
 
     async def alone():
         told = await estate.until_told(names, settled, LIMIT)
         tries, at = next(t["member"] for t in told if t["shared"]["tries"]), len(partner.calls)
         await partner.until(lambda calls: len(calls) >= at + 6, LIMIT)
         told = await asyncio.gather(*(estate[name].federation() for name in names))
-        return tries if settled(told) and {c.member for c in partner.calls[at + 2:]} == {tries} else None
+        return tries if settled(told) and {c.member for c in partner.calls[at + 2 :]} == {tries} else None
 
     async def inner():
         while not (found := await alone()):
             pass
         return found
+
     return await asyncio.wait_for(inner(), 2 * LIMIT)
 
 
 @on_estate
 async def test_one_courier_tries_a_partner_that_is_out_and_the_next_where_that_one_dies(estate):
     async with contextlib.AsyncExitStack() as feeds:
-        traffic = {name: await feeds.enter_async_context(Traffic(estate, [name], [1], every_s=0.05))
-                   for name in MACON}
+        traffic = {
+            name: await feeds.enter_async_context(Traffic(estate, [name], [1], every_s=0.05))
+            for name in MACON
+        }
         await asyncio.gather(*(t.until_taken(5, LIMIT) for t in traffic.values()))
         partner = estate.partners[1]
         partner.script += ["reset"] * 100_000
@@ -90,8 +101,9 @@
         at = now()
         partner.script.clear()
         await estate.until_told(rest, lambda told: not any(t["shared"]["held_back"] for t in told), LIMIT)
-        await partner.until(lambda calls: {c.member for c in calls if c.effect == RAN and c.begun > at}
-                            >= set(rest), LIMIT)
+        await partner.until(
+            lambda calls: {c.member for c in calls if c.effect == RAN and c.begun > at} >= set(rest), LIMIT
+        )
     assert [w for w in judge.judged(estate, [estate.table(1)]) if not w.startswith("F5")] == []
 
 
@@ -104,12 +116,15 @@
         if call.member == MACON[0]:
             partner.script.appendleft("reset")
         return await inner(call, reader, writer)
+
     partner._answer = answer
     async with Traffic(estate, MACON, [1], every_s=0.05) as traffic:
         await estate.until_told(MACON[:1], lambda told: told_of("outage")(told[0]), LIMIT)
         at = now()
-        await partner.until(lambda calls: sum(c.begun > at and c.effect == RAN and c.member != MACON[0]
-                                              for c in calls) > 30, LIMIT)
+        await partner.until(
+            lambda calls: sum(c.begun > at and c.effect == RAN and c.member != MACON[0] for c in calls) > 30,
+            LIMIT,
+        )
         told = await asyncio.gather(*(estate[name].federation() for name in MACON))
         assert not any(t["shared"]["held_back"] for t in told)
         await traffic.until_taken(1, LIMIT)
@@ -117,15 +132,25 @@
 
 @on_estate
 async def test_a_courier_that_was_paused_uses_no_lease_that_ended_meanwhile(estate):
-    await estate.until_told(MACON, lambda told: all(
-        t["shared"]["leases"]["leases"]["rate/1"]["left_ms"] for t in told) and sum(
-        t["shared"]["leases"]["leases"]["rate/1"]["amount"] for t in told) <= 1000.01, LIMIT)
+    await estate.until_told(
+        MACON,
+        lambda told: (
+            all(t["shared"]["leases"]["leases"]["rate/1"]["left_ms"] for t in told)
+            and sum(t["shared"]["leases"]["leases"]["rate/1"]["amount"] for t in told) <= 1000.01
+        ),
+        LIMIT,
+    )
     paused = estate[MACON[0]]
     paused.pause()
     stood = now()
     others = MACON[1:]
-    await estate.until_told(others, lambda told: all(any(
-        m["member"] == MACON[0] and m["state"] == "dead" for m in t["members"]) for t in told), LIMIT)
+    await estate.until_told(
+        others,
+        lambda told: all(
+            any(m["member"] == MACON[0] and m["state"] == "dead" for m in t["members"]) for t in told
+        ),
+        LIMIT,
+    )
     while now() < stood + 10.0:
         await asyncio.sleep(0.05)
     before = len(paused.lines)
@@ -135,6 +160,9 @@
     lease = told["shared"]["leases"]["leases"]["rate/1"]
     assert lease["left_ms"] is None or lease["left_ms"] <= 4000
     # They answer one after another: what one hands over between two answers counts twice.
-    await estate.until_told(MACON, lambda told: sum(
-        t["shared"]["leases"]["leases"]["rate/1"]["amount"] for t in told) <= 1000.01, LIMIT)
+    await estate.until_told(
+        MACON,
+        lambda told: sum(t["shared"]["leases"]["leases"]["rate/1"]["amount"] for t in told) <= 1000.01,
+        LIMIT,
+    )
     assert not [c for c in estate.calls() if c.effect == NEVER_RAN]
--- a/tests/federation/test_steady_traffic.py
+++ b/tests/federation/test_steady_traffic.py
@@ -10,8 +10,11 @@
 SITES = {"macon": 2, "savannah": 2, "athens": 2}
 PARTNERS = {1: ("macon", ["season"]), 2: ("savannah", ["season"]), 3: ("athens", ["season"])}
 LIMIT = 90.0
-OWNERS = [{1: "savannah", 2: "athens", 3: "macon"}, {1: "athens", 2: "savannah", 3: "macon"},
-          {1: "macon", 2: "savannah", 3: "athens"}]
+OWNERS = [
+    {1: "savannah", 2: "athens", 3: "macon"},
+    {1: "athens", 2: "savannah", 3: "macon"},
+    {1: "macon", 2: "savannah", 3: "athens"},
+]
 
 
 def test_tables_move_destinations_under_traffic_and_each_message_has_its_end(tmp_path):
@@ -28,11 +31,17 @@
                     assert status == 202, text
                     await estate.until_in_force(number, LIMIT)
                     await estate.until_told(
-                        estate.members, lambda told: not any(t["switch"]["moving"] for t in told), LIMIT)
+                        estate.members, lambda told: not any(t["switch"]["moving"] for t in told), LIMIT
+                    )
                     begun = now()
                     for dest, site in owners.items():  # each is served by all that are to serve it, in turn
-                        await estate.partners[dest].until(lambda calls, begun=begun, site=site: any(
-                            c.begun > begun and c.site == site for c in calls), LIMIT)
+                        await estate.partners[dest].until(
+                            lambda calls, begun=begun, site=site: any(
+                                c.begun > begun and c.site == site for c in calls
+                            ),
+                            LIMIT,
+                        )
             await estate.until_ended(LIMIT)
             assert judge.judged(estate, tables, offered) == []
+
     asyncio.run(inner())
--- a/tests/federation/test_turned_down.py
+++ b/tests/federation/test_turned_down.py
@@ -21,8 +21,11 @@
                 async with Estate(tmp_path, SITES, PARTNERS, told) as estate:
                     await estate.start()
                     await test(estate)
+
             asyncio.run(inner())
+
         return run
+
     return made
 
 
@@ -35,6 +38,7 @@
 
     def nothing_left(told):
         return all(t["agreement"]["slot"] != "2.0" and "staged" not in t["agreement"] for t in told)
+
     for other in await estate.until_told(others, nothing_left, LIMIT):
         assert other["table"] == estate.table(1) and not other["agreement"]["offered"]
         assert other["switch"]["moving"] == {} and not other["switch"]["letting_go"]
@@ -45,7 +49,8 @@
     """Until a site has begun another call at this partner."""
     at = now()
     await estate.partners[number].until(
-        lambda calls: any(c.begun > at and c.site == site for c in calls), LIMIT)
+        lambda calls: any(c.begun > at and c.site == site for c in calls), LIMIT
+    )
 
 
 async def agreed(estate, table):
--- a/tests/federation/test_waits_pass_on.py
+++ b/tests/federation/test_waits_pass_on.py
@@ -17,7 +17,9 @@
             settings = {"drain_grace_ms": 0}
             async with Estate(tmp_path, SITES, PARTNERS, settings=settings) as estate:
                 await test(estate)
+
         asyncio.run(inner())
+
     return run
 
 
@@ -29,7 +31,6 @@
     return tables, offered
 
 
-
 @on_estate
 async def test_a_told_wait_ends_before_the_new_owner_calls(estate):
     await estate.start()
--- a/tests/federation/traffic.py
+++ b/tests/federation/traffic.py
@@ -38,11 +38,13 @@
 
     async def until_taken(self, count, limit):
         """Until so many more were taken on."""
+
         async def inner():
             goal = self.taken + count
             while self.taken < goal:
                 self.more.clear()
                 await self.more.wait()
+
         await asyncio.wait_for(inner(), limit)
 
     async def _feed(self, name):
--- a/tests/federation/two_meshes.py
+++ b/tests/federation/two_meshes.py
@@ -30,8 +30,18 @@
         def told(channel, event):
             self.told.append((channel, event))
             heard(self, channel, event)
-        self.mesh = Mesh(loop, network, me, Life(start, 7 + start), federation, address, told,
-                         settings=settings, chance=random.Random(f"{me} {start}"))
+
+        self.mesh = Mesh(
+            loop,
+            network,
+            me,
+            Life(start, 7 + start),
+            federation,
+            address,
+            told,
+            settings=settings,
+            chance=random.Random(f"{me} {start}"),
+        )
         self.network, self.port = network, self.mesh.listen()
 
     def of(self, kind, channel=None):
@@ -80,6 +90,7 @@
         async def inner():
             network = RealNetwork(asyncio.get_running_loop())
             return Node(me, start, self.loop, network, (HOST, 0), self._heard, settings, federation)
+
         node = self.loop.run_until_complete(inner())
         self.links.lead(me, (HOST, node.port))
         return node
@@ -90,6 +101,7 @@
 
     def until(self, so):
         """Wait until this holds; AssertionError if it does not in time."""
+
         async def inner():
             while not so():
                 self.changed.clear()
@@ -97,6 +109,7 @@
                     await asyncio.wait_for(self.changed.wait(), 0.02)
                 except TimeoutError:
                     continue
+
         self.loop.run_until_complete(asyncio.wait_for(inner(), LIMIT_S))
 
     def address(self, a, b):
@@ -125,6 +138,7 @@
             for node in self.nodes.values():
                 node.mesh.close()
             await self.links.__aexit__()
+
         self.loop.run_until_complete(inner())
         self.loop.close()
         assert not self.errors, self.errors
@@ -143,8 +157,9 @@
         loop = process_loop(self.scheduler)
         link = Link()
         link.partial = link.split = 0.3
-        network = SimNetwork(loop, {}, link, random.Random(f"{me}"), lambda name: False, 200,
-                             self.hosts[me], self.fabric)
+        network = SimNetwork(
+            loop, {}, link, random.Random(f"{me}"), lambda name: False, 200, self.hosts[me], self.fabric
+        )
         return Node(me, start, loop, network, (self.hosts[me], 7946), self._heard, settings, federation)
 
     def _heard(self, node, channel, event):
--- a/tests/federation_config/test_mistakes.py
+++ b/tests/federation_config/test_mistakes.py
@@ -78,10 +78,34 @@
     assert "site[2].member[0].name" in paths and "site[2].member[1].address" in paths
 
 
-WORDS = ('"macon"', '"savannah"', '"m1"', "7201", "7301", '"a1"', '"season"', "1", "2", "safe", "member",
-         "address")
-VALUES = ('""', "[]", "{}", "-1", '"x"', "nan", '"m1"', '"0.0.0.0:1"', "true", "[{}]", '{ name = "q" }',
-          "7202")
+WORDS = (
+    '"macon"',
+    '"savannah"',
+    '"m1"',
+    "7201",
+    "7301",
+    '"a1"',
+    '"season"',
+    "1",
+    "2",
+    "safe",
+    "member",
+    "address",
+)
+VALUES = (
+    '""',
+    "[]",
+    "{}",
+    "-1",
+    '"x"',
+    "nan",
+    '"m1"',
+    '"0.0.0.0:1"',
+    "true",
+    "[{}]",
+    '{ name = "q" }',
+    "7202",
+)
 
 
 def spoilt(chance, text):
--- a/tests/federation_config/test_off.py
+++ b/tests/federation_config/test_off.py
@@ -14,8 +14,14 @@
 
 ROOT = Path(__file__).parent.parent.parent
 BEFORE = "e4ff4194867e7aba61cab94e1634a5df"  # taken before there was a federation
-NEW = ("madderbeam.membership", "madderbeam.relay", "madderbeam.federation", "madderbeam.transport.mesh",
-       "madderbeam.host.federation", "madderbeam.config.federation")
+NEW = (
+    "madderbeam.membership",
+    "madderbeam.relay",
+    "madderbeam.federation",
+    "madderbeam.transport.mesh",
+    "madderbeam.host.federation",
+    "madderbeam.config.federation",
+)
 ESTATE = """\
 [defaults]
 slots = 24
@@ -111,8 +117,13 @@
 
 def loaded_by(command, env):
     """The modules that a courier in a process of its own has loaded once it has said that it is ready."""
-    process = subprocess.Popen([sys.executable, "-X", "importtime", "-m", "madderbeam", *command], cwd=ROOT,
-                               env={**os.environ, **env}, stderr=subprocess.PIPE, text=True)
+    process = subprocess.Popen(
+        [sys.executable, "-X", "importtime", "-m", "madderbeam", *command],
+        cwd=ROOT,
+        env={**os.environ, **env},
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     limit = threading.Timer(30, process.kill)
     limit.start()
     lines = []
@@ -132,8 +143,11 @@
     render.write(render.platform(loaded, "127.0.0.1:1"), tmp_path / "platform")
     (tmp_path / "state/deposits").mkdir(parents=True)
     (tmp_path / "state/run").mkdir()
-    env = {"LB_CONFIG": str(tmp_path / "platform/notices.json"), "LB_STATE": str(tmp_path / "state/run"),
-           "LB_LISTEN": "127.0.0.1:0"}
+    env = {
+        "LB_CONFIG": str(tmp_path / "platform/notices.json"),
+        "LB_STATE": str(tmp_path / "state/run"),
+        "LB_LISTEN": "127.0.0.1:0",
+    }
     beside = loaded_by(["run", "--config", str(tmp_path / "out/deposits.json")], {})
     platform = loaded_by(["run"], env)
     for modules in (beside, platform):
--- a/tests/federation_config/test_page.py
+++ b/tests/federation_config/test_page.py
@@ -31,8 +31,14 @@
     command.chmod(0o755)
     path = f"{command.parent}{os.pathsep}{os.environ['PATH']}"
     here = {"PATH": path, "PYTHONPATH": str(Path(__file__).parents[2])}
-    done = subprocess.run(["sh", "-e", "-c", "\n".join(shell())], cwd=tmp_path, capture_output=True,
-                          env={**os.environ, **here}, text=True, timeout=60)
+    done = subprocess.run(
+        ["sh", "-e", "-c", "\n".join(shell())],
+        cwd=tmp_path,
+        capture_output=True,
+        env={**os.environ, **here},
+        text=True,
+        timeout=60,
+    )
     assert done.returncode == 0, done.stdout + done.stderr
     told = [line for line in done.stdout.splitlines() if line.startswith("federation ")]
     assert len(told) == 3 and len(set(told)) == 1 and "(3 sites, 3 members, 3 voters, 3 partners)" in told[0]
@@ -42,12 +48,19 @@
         told = config.federation
         assert told.id == MemberId(site, members[site]) and told.name == "georgia"
         assert told.listen == ("127.0.0.1", int(ADDRESSES[site][-4:]))
-        assert dict(told.seeds) == {MemberId(s, members[s]): ("127.0.0.1", int(ADDRESSES[s][-4:]))
-                                    for s in SITES if s != site}
-        assert told.table == Table(1, {s: (MemberRow(members[s], ("127.0.0.1", int(ADDRESSES[s][-4:]))),)
-                                       for s in sorted(SITES)}, {1: "macon", 2: "savannah", 3: "athens"})
+        assert dict(told.seeds) == {
+            MemberId(s, members[s]): ("127.0.0.1", int(ADDRESSES[s][-4:])) for s in SITES if s != site
+        }
+        assert told.table == Table(
+            1,
+            {s: (MemberRow(members[s], ("127.0.0.1", int(ADDRESSES[s][-4:]))),) for s in sorted(SITES)},
+            {1: "macon", 2: "savannah", 3: "athens"},
+        )
         assert {t["pod_group"]: t["topics"] for t in config.known["targets"]} == {
-            1: ["season"], 2: ["halls", "season"], 3: ["season"]}
+            1: ["season"],
+            2: ["halls", "season"],
+            3: ["season"],
+        }
 
 
 def test_estates_checked_together_have_to_say_the_same(tmp_path, capsys):
@@ -64,7 +77,8 @@
     assert out == [
         f'{files[1]}:1: classes.season-notice.repeat: is "unsafe", and "safe" {same}',
         f'{files[1]}:1: site.athens.a1.address: is "127.0.0.1:7409", and "127.0.0.1:7401" {same}',
-        f'{files[2]}:1: partner.site.harbor-brass: is "athens", and "savannah" {same}']
+        f'{files[2]}:1: partner.site.harbor-brass: is "athens", and "savannah" {same}',
+    ]
     assert main(["config", "check", files[0], files[0]]) == 1
     assert "macon/m1 is in" in capsys.readouterr().out
 
--- a/tests/federation_config/test_reading.py
+++ b/tests/federation_config/test_reading.py
@@ -60,7 +60,10 @@
 
 def test_all_that_is_set_is_read(tmp_path):
     made = estates(tmp_path)
-    edit(made, 'site = "macon"\n', """site = "macon"
+    edit(
+        made,
+        'site = "macon"\n',
+        """site = "macon"
 probe_period_ms = 200
 probe_timeout_ms = 90
 indirect_probes = 0
@@ -75,18 +78,35 @@
 backlog_mb = 0.5
 wait_told_ms = 600
 share = true
-""")
+""",
+    )
     edit(made, 'name = "m1"\n', 'name = "desk"\nmember = "m1"\nmesh_listen = "0.0.0.0:7299"\n')
-    edit(made, "[federation]",
-         '[defaults.via]\n"macon/m1" = "127.0.0.1:9201"\n"athens/a1" = "[::1]:9401"\n[federation]')
+    edit(
+        made,
+        "[federation]",
+        '[defaults.via]\n"macon/m1" = "127.0.0.1:9201"\n"athens/a1" = "[::1]:9401"\n[federation]',
+    )
     write(render(check(made).loaded), tmp_path / "out")
     told = load_sidecar(str(tmp_path / "out/desk.json"), RealDisk()).federation
     athens, savannah = MemberId("athens", "a1"), MemberId("savannah", "s1")
     assert told == Federation(
-        "georgia", "macon", "m1", ("0.0.0.0", 7299),
-        ((athens, ("127.0.0.1", 7401)), (savannah, ("127.0.0.1", 7301))), {athens: ("::1", 9401)}, told.table,
-        str(made.parent / "next.json"), 8000, 0, 7000, 11, 500_000, 600, Times(200, 90, 0, 3.0, 4.0, 5000),
-        True)
+        "georgia",
+        "macon",
+        "m1",
+        ("0.0.0.0", 7299),
+        ((athens, ("127.0.0.1", 7401)), (savannah, ("127.0.0.1", 7301))),
+        {athens: ("::1", 9401)},
+        told.table,
+        str(made.parent / "next.json"),
+        8000,
+        0,
+        7000,
+        11,
+        500_000,
+        600,
+        Times(200, 90, 0, 3.0, 4.0, 5000),
+        True,
+    )
     assert told.address(athens) == ("::1", 9401) and told.address(savannah) == ("127.0.0.1", 7301)
     assert told.address(told.id) is None
 
--- a/tests/federation_pure/agreement_net.py
+++ b/tests/federation_pure/agreement_net.py
@@ -53,9 +53,7 @@
 def table(number: int = 1, sites: int = 3, members: int = 1, mark: int = 0, **changed: Any) -> Table:
     """Sites s00, s01, ... with members m0, m1, ...; the first of each votes. `mark` makes tables differ."""
     named = {
-        f"s{i:02}": {
-            f"m{j}": {"address": f"10.{i}.{j}.1:7000", "votes": j == 0} for j in range(members)
-        }
+        f"s{i:02}": {f"m{j}": {"address": f"10.{i}.{j}.1:7000", "votes": j == 0} for j in range(members)}
         for i in range(sites)
     }
     owners = {str(d): f"s{(d + mark) % sites:02}" for d in range(1, 5)}
--- a/tests/federation_pure/agreement_schedules.py
+++ b/tests/federation_pure/agreement_schedules.py
@@ -62,9 +62,9 @@
     refuses = chance.choice([0, 0, 0.1])
     net.step = lambda member, action: net.chance.random() < dies
     net.fails = lambda member, record: net.chance.random() < unwritten
-    net.says = lambda member, offered: net.chance.choice(["", None, "no partner 7"]) if (
-        net.chance.random() < refuses
-    ) else ""
+    net.says = lambda member, offered: (
+        net.chance.choice(["", None, "no partner 7"]) if (net.chance.random() < refuses) else ""
+    )
 
 
 def _cut(net: Net, chance: random.Random, members: list[MemberId]) -> None:
--- a/tests/federation_switch/test_handed.py
+++ b/tests/federation_switch/test_handed.py
@@ -18,8 +18,10 @@
 
 def table(number: int, owners: dict[int, str], off: frozenset[MemberId] = frozenset(), **sites: str) -> Table:
     named = sites or {"a": "m1 m2", "b": "m1", "c": "m1"}
-    rows = {s: tuple(MemberRow(n, (f"10.0.0.{i}", 1), True) for n in names.split())
-            for i, (s, names) in enumerate(sorted(named.items()))}
+    rows = {
+        s: tuple(MemberRow(n, (f"10.0.0.{i}", 1), True) for n in names.split())
+        for i, (s, names) in enumerate(sorted(named.items()))
+    }
     return Table(number, rows, owners, off)
 
 
@@ -99,9 +101,20 @@
 T2 = table(2, {7: "b"})
 MESSAGES = [
     WhatIsInForce(5, 2, True),
-    InForceIs(5, 2, T2.digest, 2, False, (T2,), ledger.first(T2), (Pending(ProposalId(3, "ab"), None),
-              Pending(ProposalId(4, "cd"), frozenset({7}), frozenset({A1}))), ((7, A1, 2),), False,
-              ((A1, 2),), (release(Wait("x", 5)),)),
+    InForceIs(
+        5,
+        2,
+        T2.digest,
+        2,
+        False,
+        (T2,),
+        ledger.first(T2),
+        (Pending(ProposalId(3, "ab"), None), Pending(ProposalId(4, "cd"), frozenset({7}), frozenset({A1}))),
+        ((7, A1, 2),),
+        False,
+        ((A1, 2),),
+        (release(Wait("x", 5)),),
+    ),
     Renew(1, 2, 3),
     Renewed(1, False, 2, "older"),
     Vouch(((A1, 2),)),
--- a/tests/federation_switch/test_new_voters.py
+++ b/tests/federation_switch/test_new_voters.py
@@ -35,10 +35,13 @@
     return w.run(limit_us, lambda: any(7 in n.began for n in w.nodes.values() if n.me.site == "b"))
 
 
-@pytest.mark.parametrize("sites", [
-    {"a": "-m1", "b": "-m1 m2 m3", "c": "-m1 m2"},  # were members without a vote
-    {"a": "-m1", "b": "-m1 -m2 -m3 m4 m5", "c": "-m1 -m2 m3"},  # are new themselves
-])
+@pytest.mark.parametrize(
+    "sites",
+    [
+        {"a": "-m1", "b": "-m1 m2 m3", "c": "-m1 m2"},  # were members without a vote
+        {"a": "-m1", "b": "-m1 -m2 -m3 m4 m5", "c": "-m1 -m2 m3"},  # are new themselves
+    ],
+)
 def test_voters_of_the_next_table_that_never_granted_it_vouch_for_its_end(sites):
     w, a1 = begun(OLD)
     at_us = w.now_us
--- a/tests/federation_switch/test_switch_planted.py
+++ b/tests/federation_switch/test_switch_planted.py
@@ -65,9 +65,7 @@
 
 
 def a_wait_dropped_by_one_that_never_began(patch):
-    patch.setattr(
-        book.Book, "unbegun", lambda self, dest, number, now_us: fv.Release(dest, self.me, number)
-    )
+    patch.setattr(book.Book, "unbegun", lambda self, dest, number, now_us: fv.Release(dest, self.me, number))
 
 
 def the_chain_forgotten(patch):
--- a/tests/guard/sitecustomize.py
+++ b/tests/guard/sitecustomize.py
@@ -10,8 +10,17 @@
 import sys
 
 WRITES = os.O_WRONLY | os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
-STARTS = {"os.fork", "os.forkpty", "os.posix_spawn", "os.spawn", "os.exec", "os.system", "os.startfile",
-          "subprocess.Popen", "pty.spawn"}
+STARTS = {
+    "os.fork",
+    "os.forkpty",
+    "os.posix_spawn",
+    "os.spawn",
+    "os.exec",
+    "os.system",
+    "os.startfile",
+    "subprocess.Popen",
+    "pty.spawn",
+}
 CHANGES = {"os.remove", "os.rmdir", "os.mkdir", "os.truncate", "os.chmod", "os.chown", "shutil.rmtree"}
 PAIRS = {"os.rename", "os.link", "os.symlink"}
 KINDS = (socket.SOCK_STREAM, socket.SOCK_DGRAM, -1)
@@ -70,6 +79,7 @@
     def call(*args, **more):
         tell(f"calls {name}")
         raise OSError(38, name)
+
     return call
 
 
@@ -96,6 +106,7 @@
 def plant(name):
     """Do it in the first turn that has events, as a line of the courier's own would."""
     from madderbeam.policy.messages import Courier
+
     handle, left = Courier.handle, [1]
 
     def doing(self, now_us, events):
@@ -104,6 +115,7 @@
             with contextlib.suppress(OSError):
                 PLANTS[name]()
         return handle(self, now_us, events)
+
     Courier.handle = doing
 
 
--- a/tests/guard/test_guard.py
+++ b/tests/guard/test_guard.py
@@ -25,8 +25,11 @@
     assert not then or ignored == "trap '' HUP", "ahead of exec nothing but a word of the shell itself"
     assert words[0] == "exec" and words[1].endswith("/bin/python"), "run has to end in one process, by exec"
     assert words[2:] == ["-m", "madderbeam"], "and in nothing else"
-    return f"{ignored}; {shlex.join(['exec', sys.executable, *words[2:]])}" if then else shlex.join(
-        ["exec", sys.executable, *words[2:]])
+    return (
+        f"{ignored}; {shlex.join(['exec', sys.executable, *words[2:]])}"
+        if then
+        else shlex.join(["exec", sys.executable, *words[2:]])
+    )
 
 
 class Guarded:
@@ -38,14 +41,25 @@
         self.process, self.port, self.most = None, 0, {"threads": 0, "children": 0}
 
     async def start(self):
-        readable = [sys.prefix, sys.base_prefix, str(ROOT), str(self.fleet.folder / "config.json"),
-                    "/proc/sys/kernel/random/boot_id"]
-        env = {**os.environ, **self.fleet.env(), "PYTHONPATH": f"{HERE}{os.pathsep}{ROOT}",
-               "PYTHONDONTWRITEBYTECODE": "1",
-               "MADDERBEAM_GUARD": str(self.report), "MADDERBEAM_READABLE": os.pathsep.join(readable),
-               "MADDERBEAM_PLANT": self.plant}
+        readable = [
+            sys.prefix,
+            sys.base_prefix,
+            str(ROOT),
+            str(self.fleet.folder / "config.json"),
+            "/proc/sys/kernel/random/boot_id",
+        ]
+        env = {
+            **os.environ,
+            **self.fleet.env(),
+            "PYTHONPATH": f"{HERE}{os.pathsep}{ROOT}",
+            "PYTHONDONTWRITEBYTECODE": "1",
+            "MADDERBEAM_GUARD": str(self.report),
+            "MADDERBEAM_READABLE": os.pathsep.join(readable),
+            "MADDERBEAM_PLANT": self.plant,
+        }
         self.process = self.fleet.process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", command(), env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE)
+            "/bin/sh", "-c", command(), env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE
+        )
         while True:
             line = (await bounded(self.process.stderr.readline())).decode()
             assert line, "the courier ended"
@@ -59,8 +73,10 @@
         tasks = pathlib.Path(f"/proc/{self.process.pid}/task")
         found = list(tasks.iterdir())
         children = sum(len((t / "children").read_text().split()) for t in found)
-        self.most = {"threads": max(self.most["threads"], len(found)),
-                     "children": max(self.most["children"], children)}
+        self.most = {
+            "threads": max(self.most["threads"], len(found)),
+            "children": max(self.most["children"], children),
+        }
 
     async def end(self, sig):
         self.look()
@@ -87,6 +103,7 @@
             courier.look()
             await asyncio.sleep(0.002)
         talks.writer.close()
+
     await asyncio.gather(*(client(range(first + c, first + count, 4)) for c in range(4)))
     return taken
 
@@ -139,6 +156,7 @@
     async def inner():
         async with Fleet(folder) as fleet:
             return await day(fleet, plant)
+
     return asyncio.run(inner())
 
 
@@ -148,10 +166,19 @@
     assert courier.most == {"threads": 1, "children": 0}
 
 
-PLANTED = {"fork": "starts os.fork", "program": "starts os.system", "spawn": "starts os.posix_spawn",
-           "unix": "socket 1 ", "inet6": "socket 10 ", "raw": "socket 2 5", "pair": "socket ",
-           "reads": "reads /etc/hostname", "writes": "writes ", "renames": "os.rename ",
-           "sendfile": "calls sendfile"}
+PLANTED = {
+    "fork": "starts os.fork",
+    "program": "starts os.system",
+    "spawn": "starts os.posix_spawn",
+    "unix": "socket 1 ",
+    "inet6": "socket 10 ",
+    "raw": "socket 2 5",
+    "pair": "socket ",
+    "reads": "reads /etc/hostname",
+    "writes": "writes ",
+    "renames": "os.rename ",
+    "sendfile": "calls sendfile",
+}
 
 
 @pytest.mark.parametrize("plant", PLANTED)
--- a/tests/journal/damages.py
+++ b/tests/journal/damages.py
@@ -59,7 +59,7 @@
 def flips(files, step=1) -> Iterator[tuple[str, dict[str, bytes]]]:
     for file, data in files.items():
         for at in range(0, len(data), step):
-            for bits in (0x01, 0xff):
+            for bits in (0x01, 0xFF):
                 spoilt = bytearray(data)
                 spoilt[at] ^= bits
                 yield f"{file}: byte {at} xor {bits}", files | {file: bytes(spoilt)}
--- a/tests/journal/test_damage.py
+++ b/tests/journal/test_damage.py
@@ -70,6 +70,7 @@
 def test_noise_as_the_only_segment_is_no_whole_folder():
     # It was called whole, and a start went on as if nothing had been held.
     import random
+
     files = {"segment-00000001.journal": random.Random(1).randbytes(5000)}
     findings = inspect.verify(disk_of(files), FOLDER)
     assert [(f.kind, f.at, f.end) for f in findings] == [(Kind.HEAD, 0, 5000)]
@@ -108,6 +109,7 @@
 @pytest.mark.parametrize("planted", [silent_stop, silent_skip])
 def test_a_reader_that_keeps_silent_is_found(planted, monkeypatch):
     from madderbeam.journal import recovery
+
     monkeypatch.setattr(recovery, "scan", planted)
     if planted is silent_stop:  # what it leaves unread at the end looks torn to it
         monkeypatch.setattr(damage, "torn", lambda *args, **more: True)
--- a/tests/journal/test_store.py
+++ b/tests/journal/test_store.py
@@ -307,9 +307,15 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("limit, sizes, most, row", [
-    (30_000, [100, 300], 4, 8), (72_592, [100, 300, 3000, 16_000], 6, 25), (3_000_000, [60_000], 8, 8),
-    (3_000_000, [100, 300, 60_000], 12, 4)])
+@pytest.mark.parametrize(
+    "limit, sizes, most, row",
+    [
+        (30_000, [100, 300], 4, 8),
+        (72_592, [100, 300, 3000, 16_000], 6, 25),
+        (3_000_000, [60_000], 8, 8),
+        (3_000_000, [100, 300, 60_000], 12, 4),
+    ],
+)
 def test_beside_compaction_every_end_has_its_room_and_room_comes_back(limit, sizes, most, row, seed):
     # A copy that was begun and did not fit took the headroom: nothing could be recorded any more, not even
     # the word that a dead segment goes. Bodies of 64 KB made segments larger than the room that copies have.
@@ -449,11 +455,15 @@
         if broken:
             raise OSError(broken.pop(), "broken")
         append(data, spare)
+
     monkeypatch.setattr(journal.files, "append", once)
     journal.begin()
     # The first fills a segment: what follows of it in the group goes in another write.
-    journal.take(held(1, machine, size=journal.files.full), lambda: said.append("taken 1"),
-                 lambda error: said.append("not 1"))
+    journal.take(
+        held(1, machine, size=journal.files.full),
+        lambda: said.append("taken 1"),
+        lambda error: said.append("not 1"),
+    )
     journal.attempt([1], journal.wall(), lambda: said.append("sent 1"), lambda error: said.append("unsent 1"))
     journal.take(held(2, machine), lambda: said.append("taken 2"), lambda error: said.append("not 2"))
     journal.commit()
@@ -461,8 +471,11 @@
     broken.extend([errno.EIO] * 2)  # neither the part nor its first record by itself
     said.clear()
     journal.begin()
-    journal.take(held(3, machine, size=journal.files.full), lambda: said.append("taken 3"),
-                 lambda error: said.append("not 3"))
+    journal.take(
+        held(3, machine, size=journal.files.full),
+        lambda: said.append("taken 3"),
+        lambda error: said.append("not 3"),
+    )
     journal.attempt([3], journal.wall(), lambda: said.append("sent 3"), lambda error: said.append("unsent 3"))
     journal.take(held(4, machine), lambda: said.append("taken 4"), lambda error: said.append("not 4"))
     journal.commit()
@@ -481,6 +494,7 @@
         if broken:  # the group, and its first record by itself
             raise OSError(broken.pop(), "broken")
         append(data, spare)
+
     monkeypatch.setattr(journal.files, "append", twice)
     journal.begin()
     journal.missed(1)
@@ -545,6 +559,7 @@
     machine.disk.files[f"/state/{OLD}"] = bytearray(FORMAT1)
     operation = machine.disk.operation
     for fails in ("append", "rename", "unlink"):
+
         def eio(what, fails=fails):
             if what == fails:
                 raise OSError(errno.EIO, "no")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -27,20 +27,52 @@
     """Settings as on the wire; a change is given as group__name=value."""
     raw = {
         "classes": [
-            {"name": "safe", "goalTimeUs": 1_000_000, "deadlineUs": 6_000_000, "idempotency": "read_like",
-             "worth": 2.0},
-            {"name": "keyed", "goalTimeUs": 2_000_000, "deadlineUs": 9_000_000,
-             "idempotency": "idempotency_key", "keyScope": "all", "keyTtlUs": 8_000_000},
-            {"name": "unsafe", "goalTimeUs": 500_000, "deadlineUs": 9_000_000,
-             "idempotency": "non_idempotent"},
+            {
+                "name": "safe",
+                "goalTimeUs": 1_000_000,
+                "deadlineUs": 6_000_000,
+                "idempotency": "read_like",
+                "worth": 2.0,
+            },
+            {
+                "name": "keyed",
+                "goalTimeUs": 2_000_000,
+                "deadlineUs": 9_000_000,
+                "idempotency": "idempotency_key",
+                "keyScope": "all",
+                "keyTtlUs": 8_000_000,
+            },
+            {
+                "name": "unsafe",
+                "goalTimeUs": 500_000,
+                "deadlineUs": 9_000_000,
+                "idempotency": "non_idempotent",
+            },
         ],
-        "clients": {"marksRetry": True}, "groupSize": 2, "me": 0, "stepUs": 5000,
-        "contract": {"coldShare": 0.15, "coldUs": 1_000_000, "drainGraceUs": 2_000_000, "fallMultiple": 2.5,
-                     "fallUs": 2_000_000},
+        "clients": {"marksRetry": True},
+        "groupSize": 2,
+        "me": 0,
+        "stepUs": 5000,
+        "contract": {
+            "coldShare": 0.15,
+            "coldUs": 1_000_000,
+            "drainGraceUs": 2_000_000,
+            "fallMultiple": 2.5,
+            "fallUs": 2_000_000,
+        },
         "familyInfo": {"maxCalls": 12, "kindApart": [False, False], "kindBatch": [1, 5]},
-        "policyLimits": {"attemptsCap": 12, "connIdleUs": 10_000_000, "connectTimeoutUs": 1_000_000,
-                         "maxOpen": 40, "retryAfter": True, "maxRetryAfterUs": 2_000_000, "probing": True},
-        "localities": ["here"], "shapes": ["plain", "bundles"], "weightSource": "nominal",
+        "policyLimits": {
+            "attemptsCap": 12,
+            "connIdleUs": 10_000_000,
+            "connectTimeoutUs": 1_000_000,
+            "maxOpen": 40,
+            "retryAfter": True,
+            "maxRetryAfterUs": 2_000_000,
+            "probing": True,
+        },
+        "localities": ["here"],
+        "shapes": ["plain", "bundles"],
+        "weightSource": "nominal",
         "tenants": [{"name": "t", "fraction": 1.0, "quotaPerS": 1000.0}],
     }
     for name, value in changes.items():
@@ -144,8 +176,16 @@
         self.heard = []  # ids of notices, by connection: one with a late answer is told again, on a new one
 
     def target(self, uid, port, dest, kind="plain", state="in_service", rate=100.0):
-        self.targets[uid] = {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "here", "model": kind,
-                             "pod_group": dest, "state": state, "capacity_hint": rate, "boot_ms": 0}
+        self.targets[uid] = {
+            "uid": uid,
+            "endpoint": f"127.0.0.1:{port}",
+            "az": "here",
+            "model": kind,
+            "pod_group": dest,
+            "state": state,
+            "capacity_hint": rate,
+            "boot_ms": 0,
+        }
         return self.targets[uid]
 
     def whole(self):
@@ -230,8 +270,10 @@
 async def call(port, method, path, body=b"", host="127.0.0.1"):
     """One call at the second address: its status and text."""
     reader, writer = await bounded(asyncio.open_connection(host, port))
-    writer.write(b"%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s"
-                 % (method.encode(), path.encode(), len(body), body))
+    writer.write(
+        b"%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s"
+        % (method.encode(), path.encode(), len(body), body)
+    )
     text = (await bounded(reader.read())).decode()
     writer.close()
     return int(text.split()[1]), text.partition("\r\n\r\n")[2]
@@ -283,14 +325,24 @@
         return endpoint
 
     def env(self):
-        config = {"name": "n0", "seed": "8c1f30d27a5be964", "limits": self.limits,
-                  "known": self.discovery.whole(), "settings": self.raw}
+        config = {
+            "name": "n0",
+            "seed": "8c1f30d27a5be964",
+            "limits": self.limits,
+            "known": self.discovery.whole(),
+            "settings": self.raw,
+        }
         if self.controlled:
             config["control"] = "127.0.0.1:0"
         path = self.folder / "config.json"
         path.write_text(json.dumps(config))
-        return {"LB_NAME": "n0", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": str(path),
-                "LB_DISCOVERY": f"127.0.0.1:{self.discovery.port}", "LB_STATE": str(self.folder / "state")}
+        return {
+            "LB_NAME": "n0",
+            "LB_LISTEN": "127.0.0.1:0",
+            "LB_CONFIG": str(path),
+            "LB_DISCOVERY": f"127.0.0.1:{self.discovery.port}",
+            "LB_STATE": str(self.folder / "state"),
+        }
 
     async def inside(self):
         """Start the courier in this process; returns a client of it."""
@@ -307,12 +359,20 @@
 
     async def outside(self, files=0):
         """Start the courier in a process of its own; returns a client of it."""
+
         def limit():
             if files:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
+
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "madderbeam", env={**os.environ, **self.env()}, cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE, preexec_fn=limit)
+            sys.executable,
+            "-m",
+            "madderbeam",
+            env={**os.environ, **self.env()},
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            preexec_fn=limit,
+        )
         while True:
             line = (await bounded(self.process.stderr.readline())).decode()
             assert line, "the courier ended"
@@ -327,9 +387,12 @@
 
 def courier(test):
     """Runs a test with a fleet."""
+
     def run(tmp_path):
         async def inner():
             async with Fleet(tmp_path) as fleet:
                 await test(fleet)
+
         asyncio.run(inner())
+
     return run
--- a/tests/quota/test_credits.py
+++ b/tests/quota/test_credits.py
@@ -25,9 +25,13 @@
     kept = {"messages_per_s": messages // 8}
     both = {"burst_messages": burst, "burst_bytes": SIZES}
     parts = {"burst_messages": burst // 2, "burst_bytes": SIZES // 2}
-    return [node("school", limit={"messages_per_s": messages, "bytes_per_s": SIZES, **both}),
-            *(node(name, "school", [name], share={**share, **parts}, reserved=kept)
-              for name in ("choir", "band"))]
+    return [
+        node("school", limit={"messages_per_s": messages, "bytes_per_s": SIZES, **both}),
+        *(
+            node(name, "school", [name], share={**share, **parts}, reserved=kept)
+            for name in ("choir", "band")
+        ),
+    ]
 
 
 def gate(leased=False, now=0, couriers=1, nodes=None):
@@ -217,7 +221,7 @@
     assert made.admit("choir", "notice", 60_000, 0, 0).after_us > 0
     assert "can never pass" in made.admit("choir", "notice", 2 * SIZES, 0, 0).why
     lot = made.leased.lots["school"]
-    (_, _, largest), = made.asked().values()
+    ((_, _, largest),) = made.asked().values()
     assert made.leased.wanted(lot, 0.0, 0.0, largest) >= 0.6
 
 
@@ -245,8 +249,10 @@
 
 
 def test_a_debt_by_the_hour_outlasts_a_restart_before_the_first_lease():
-    hourly = [node("school", limit={"messages_per_h": 4_000}),
-              *(node(n, "school", [n], share={"messages_per_h": 2_000}) for n in ("choir", "band"))]
+    hourly = [
+        node("school", limit={"messages_per_h": 4_000}),
+        *(node(n, "school", [n], share={"messages_per_h": 2_000}) for n in ("choir", "band")),
+    ]
     made = gate(leased=True, nodes=hourly)
     made.allot("school", 1.0, 4_000 * S, 0.0, 0)
     while made.admit("choir", "notice", 0, 0, 3_600 * S).passed:
--- a/tests/quota/test_tree.py
+++ b/tests/quota/test_tree.py
@@ -52,8 +52,9 @@
     tree, a, b = two()
     flood(tree, a, 0, 5)
     assert passes(tree, b, 5 * S) >= 7
-    both = [isinstance(tree.admit(node, 0, at), Passed)
-            for at in range(5 * S, 10 * S, 1000) for node in (a, b)]
+    both = [
+        isinstance(tree.admit(node, 0, at), Passed) for at in range(5 * S, 10 * S, 1000) for node in (a, b)
+    ]
     assert sum(both[1::2]) >= 49  # b has its whole share
     assert sum(both) <= 5 * 20 + 20
 
@@ -150,11 +151,18 @@
 def test_no_limit_is_passed_and_no_debt_is_made_or_lost(events):
     limits = (Limit(20), Limit(400, 800), Limit(300), None)
     tree = Tree(limits)
-    school = tree.add(tree.root, "school", (Limit(12, reserved=3), Limit(240, 400, 40), Limit(200), None),
-                      (Limit(15), Limit(300, 600), Limit(200), None))
-    nodes = [tree.root, tree.add(tree.root, "other", (Limit(8, reserved=8), Limit(100), None, None)),
-             tree.add(school, "a", (Limit(4), Limit(100), Limit(50), None)),
-             tree.add(school, "b", (Limit(5, reserved=3), Limit(100, 200, 40), None, None))]
+    school = tree.add(
+        tree.root,
+        "school",
+        (Limit(12, reserved=3), Limit(240, 400, 40), Limit(200), None),
+        (Limit(15), Limit(300, 600), Limit(200), None),
+    )
+    nodes = [
+        tree.root,
+        tree.add(tree.root, "other", (Limit(8, reserved=8), Limit(100), None, None)),
+        tree.add(school, "a", (Limit(4), Limit(100), Limit(50), None)),
+        tree.add(school, "b", (Limit(5, reserved=3), Limit(100, 200, 40), None, None)),
+    ]
     now, done = 0, []
     for which, wait, size in events:
         now += wait
@@ -202,8 +210,9 @@
 def test_with_no_flood_borrowing_changes_nothing():
     for share in (10, 5):
         tree, a, b = two(share=share)
-        calm = [isinstance(tree.admit(node, 0, at), Passed)
-                for at in range(0, 10 * S, 200_000) for node in (a, b)]
+        calm = [
+            isinstance(tree.admit(node, 0, at), Passed) for at in range(0, 10 * S, 200_000) for node in (a, b)
+        ]
         assert all(calm) and a.parts[0].borrowed == b.parts[0].borrowed == 0
 
 
