--- a/tests/relay/relaynet.py
+++ b/tests/relay/relaynet.py
@@ -8,8 +8,20 @@
 import msgpack
 
 from madderbeam.membership.values import (
-    Draining, Due, FromLink, Life, LinkDown, LinkUp, MemberChanged, MemberId, MemberView, Persist,
-    SetTimer, State, ToLink, Unwritten,
+    Draining,
+    Due,
+    FromLink,
+    Life,
+    LinkDown,
+    LinkUp,
+    MemberChanged,
+    MemberId,
+    MemberView,
+    Persist,
+    SetTimer,
+    State,
+    ToLink,
+    Unwritten,
 )
 from madderbeam.relay import custody, derive, origin
 from madderbeam.relay.grouping import Tables, group
@@ -17,8 +29,20 @@
 from madderbeam.relay.sending import StreamSettings
 from madderbeam.relay.telling import CustodySettings
 from madderbeam.relay.values import (
-    Credit, Effect, Ended, Expand, NotTaken, Publication, PublicationEnded, Published, Resting, Result,
-    Settled, SiteEnded, Taken, Withdrawn,
+    Credit,
+    Effect,
+    Ended,
+    Expand,
+    NotTaken,
+    Publication,
+    PublicationEnded,
+    Published,
+    Resting,
+    Result,
+    Settled,
+    SiteEnded,
+    Taken,
+    Withdrawn,
 )
 
 MS, S = 1_000, 1_000_000
@@ -45,8 +69,11 @@
         self.subscribers = subscribers  # site -> destinations, all of one topic
         self.links = {}  # (a, b) -> epoch
         self.cut = set()
-        self.nodes = {m: Node(self, m) for site, names in sites.items() for m in
-                      (MemberId(site, name) for name in names)}
+        self.nodes = {
+            m: Node(self, m)
+            for site, names in sites.items()
+            for m in (MemberId(site, name) for name in names)
+        }
         for node in self.nodes.values():
             node.start()
 
@@ -311,8 +338,13 @@
             if entry is None:
                 self.index[publication.name, dest] = ident
                 self.journal[ident] = {
-                    "name": publication.name, "dest": dest, "key": key, "held": True, "tried": False,
-                    "effect": publication.effect, "result": None,
+                    "name": publication.name,
+                    "dest": dest,
+                    "key": key,
+                    "held": True,
+                    "tried": False,
+                    "effect": publication.effect,
+                    "result": None,
                 }
                 net.at(net.rng.randrange(1, self.speed), self.call, self.lives, ident)
             elif not entry["held"]:
@@ -402,7 +434,8 @@
         if len(ends) != 1:
             net.fail(f"{name} has {len(ends)} ends")
         elif ends[0][0] > publication.until_us + 6 * S or (
-            ends[0][0] > publication.until_us + 50 * MS and net.nodes[publication.origin].lives == 1
+            ends[0][0] > publication.until_us + 50 * MS
+            and net.nodes[publication.origin].lives == 1
             and not net.more.get("pauses")
         ):
             net.fail(f"{name} ended {(ends[0][0] - publication.until_us) / S} s late")
@@ -429,12 +462,16 @@
     """Nothing is left of what is over."""
     sending = node.streams.sending
     left = {
-        "publications": len(node.streams.held), "entries": sending.entries, "bytes": sending.bytes,
-        "legs": sum(len(s.legs) + len(s.queue) + len(s.pinned) + len(s.orders)
-                    for s in sending.sites.values()),
-        "custody": len(node.custodian.kept.all), "batches": len(node.custodian.telling.batches),
+        "publications": len(node.streams.held),
+        "entries": sending.entries,
+        "bytes": sending.bytes,
+        "legs": sum(
+            len(s.legs) + len(s.queue) + len(s.pinned) + len(s.orders) for s in sending.sites.values()
+        ),
+        "custody": len(node.custodian.kept.all),
+        "batches": len(node.custodian.telling.batches),
         "alarms": len(node.streams.out.alarms.at) + len(node.custodian.out.alarms.at),
         "records": len(node.records) if not node.net.more.get("disk") else 0,
     }
     if any(left.values()):
-        net.fail(f"{node.id} still has {({k: v for k, v in left.items() if v})}")
+        net.fail(f"{node.id} still has { ({k: v for k, v in left.items() if v}) }")
--- a/tests/relay/test_relay_cases.py
+++ b/tests/relay/test_relay_cases.py
@@ -11,7 +11,15 @@
 from madderbeam.relay.messages import Entry
 from madderbeam.relay.sending import StreamSettings
 from madderbeam.relay.values import (
-    Credit, DeliveryEnd, Effect, LocalEnded, Publication, PublicationEnded, Published, Result, Taken,
+    Credit,
+    DeliveryEnd,
+    Effect,
+    LocalEnded,
+    Publication,
+    PublicationEnded,
+    Published,
+    Result,
+    Taken,
 )
 
 PAIR = {"macon": ("a",), "savannah": ("s", "t")}
@@ -156,6 +164,7 @@
         a.publish(f"p{n}", EFFECTS[n % 3], 30 * S)
         alarms = len(a.streams.out.alarms.heap) - 200
         largest = max(largest, a.streams.sending.entries, len(a.records), alarms)
+
     for n in range(20_000):
         net.at(S + n * 180 * MS, publish, n)
     net.run(3_700 * S)
@@ -316,8 +325,15 @@
     node.records = {
         ("sent", "savannah/s:x|macon"): ["macon", "a", 1, past, None],
         ("custody", "macon/a:y"): {
-            "origin": ["macon", "a"], "single": 0, "effect": "unsafe", "until": past, "total": 1,
-            "pending": [1], "delivered": 0, "ends": [], "why": "",
+            "origin": ["macon", "a"],
+            "single": 0,
+            "effect": "unsafe",
+            "until": past,
+            "total": 1,
+            "pending": [1],
+            "delivered": 0,
+            "ends": [],
+            "why": "",
         },
     }
     node.kill(100 * MS)
--- a/tests/relay/test_relay_disk.py
+++ b/tests/relay/test_relay_disk.py
@@ -3,12 +3,30 @@
 from dataclasses import replace
 
 from madderbeam.membership.values import (
-    Due, FromLink, Life, LinkUp, MemberId, Persist, SetTimer, ToLink, Unwritten)
+    Due,
+    FromLink,
+    Life,
+    LinkUp,
+    MemberId,
+    Persist,
+    SetTimer,
+    ToLink,
+    Unwritten,
+)
 from madderbeam.relay.custody import Custodian
 from madderbeam.relay.messages import Ack, Entry
 from madderbeam.relay.telling import CustodySettings
 from madderbeam.relay.values import (
-    Credit, Effect, Ended, Expand, NotTaken, Publication, Result, Settled, Taken)
+    Credit,
+    Effect,
+    Ended,
+    Expand,
+    NotTaken,
+    Publication,
+    Result,
+    Settled,
+    Taken,
+)
 
 S = 1_000_000
 ORIGIN, RELAY = MemberId("macon", "m1"), MemberId("savannah", "m1")
--- a/tests/relay/test_relay_planted.py
+++ b/tests/relay/test_relay_planted.py
@@ -130,6 +130,7 @@
 
 def rest_is_delivered(patch):
     """After a start what is lost counts as delivered."""
+
     def hopeful(self, event):
         record = self.kept.get(event.name)
         for dest in sorted(record.pending - set(event.dests)) if record else ():
@@ -146,9 +147,21 @@
 
 
 PLANTED = (
-    ack_before_journal, unsafe_moves, unsafe_not_written, no_record_before_expansion, key_not_derived,
-    id_not_derived, end_told_twice, first_end_is_the_whole, time_not_reduced, copy_expanded_again,
-    record_dropped_once_acked, nothing_sent_again, gaps_not_seen, ends_not_sent_again, rest_is_delivered,
+    ack_before_journal,
+    unsafe_moves,
+    unsafe_not_written,
+    no_record_before_expansion,
+    key_not_derived,
+    id_not_derived,
+    end_told_twice,
+    first_end_is_the_whole,
+    time_not_reduced,
+    copy_expanded_again,
+    record_dropped_once_acked,
+    nothing_sent_again,
+    gaps_not_seen,
+    ends_not_sent_again,
+    rest_is_delivered,
     way_not_counted,
 )
 
--- a/tests/relay/test_relay_settling.py
+++ b/tests/relay/test_relay_settling.py
@@ -17,12 +17,15 @@
     told = []
     unsafe = SimpleNamespace(name="unsafe", effect=Effect.UNSAFE)
     host = SimpleNamespace(
-        s=SimpleNamespace(classes=[unsafe], tenants=[]), tell=lambda event: None,
-        journal=SimpleNamespace(wall=SimpleNamespace(monotonic=lambda wall: int(wall * 1e6))))
+        s=SimpleNamespace(classes=[unsafe], tenants=[]),
+        tell=lambda event: None,
+        journal=SimpleNamespace(wall=SimpleNamespace(monotonic=lambda wall: int(wall * 1e6))),
+    )
     streams = SimpleNamespace(sent=SimpleNamespace(sites=dict))
     table = SimpleNamespace(number=4, owners={1: "macon"})
-    publications = Publications(host, ME, None, streams, None, lambda: table, told.append, None, 0,
-                                settling=settling.__contains__)
+    publications = Publications(
+        host, ME, None, streams, None, lambda: table, told.append, None, 0, settling=settling.__contains__
+    )
     publications.passed_on(MESSAGE)
     return [event.sites for event in told if isinstance(event, Published)]
 
--- a/tests/relay/test_relay_subscriptions.py
+++ b/tests/relay/test_relay_subscriptions.py
@@ -1,7 +1,18 @@
 """Topics of each site: bounded rumours, changes, members that go."""
 
 from madderbeam.membership.values import (
-    Due, Heard, Life, LifeRaised, MemberChanged, MemberId, MemberView, Note, Rumour, SetTimer, Spread, State,
+    Due,
+    Heard,
+    Life,
+    LifeRaised,
+    MemberChanged,
+    MemberId,
+    MemberView,
+    Note,
+    Rumour,
+    SetTimer,
+    Spread,
+    State,
 )
 from madderbeam.relay.subscriptions import TIMER, Subscriptions
 from madderbeam.relay.values import Subscribed
--- a/tests/relay/test_relay_values.py
+++ b/tests/relay/test_relay_values.py
@@ -88,8 +88,11 @@
 
 
 MESSAGES = [
-    Entry(1, 2, PUB, 5_000), Entry(1, 2, replace(PUB, topic="", dest=7), 0), Ack(1, 0, 3, 4),
-    Nak(1, 2, 300, "full", True), EndsAck(4),
+    Entry(1, 2, PUB, 5_000),
+    Entry(1, 2, replace(PUB, topic="", dest=7), 0),
+    Ack(1, 0, 3, 4),
+    Nak(1, 2, 300, "full", True),
+    EndsAck(4),
     Ends(1, (EndRow("macon/a:x", 9, 3, 4, (DeliveryEnd(7, Result.UNKNOWN),), "w"), EndRow("n", 0, 0, 0))),
 ]
 
@@ -101,7 +104,7 @@
     for at in range(len(row)):
         for strange in (None, -2, 2**64, "x" * 70_000, b"x" * 70_000, 1.5, [[]] * 3_000, {}):
             with pytest.raises(ValueError, match="^[a-z_.]+: "):
-                from_row([*row[:at], strange, *row[at + 1:]])
+                from_row([*row[:at], strange, *row[at + 1 :]])
     for cut in range(len(row)):
         with pytest.raises(ValueError, match="^[a-z_.]+: "):
             from_row(row[:cut])
@@ -124,8 +127,20 @@
 
 def test_decisions_do_no_io():
     """The package imports the standard library without clock, sockets and files, and value types."""
-    allowed = {"madderbeam.membership.values", "madderbeam.federation.errors", "__future__", "typing", "enum",
-               "collections", "collections.abc", "dataclasses", "functools", "hashlib", "heapq", "bisect"}
+    allowed = {
+        "madderbeam.membership.values",
+        "madderbeam.federation.errors",
+        "__future__",
+        "typing",
+        "enum",
+        "collections",
+        "collections.abc",
+        "dataclasses",
+        "functools",
+        "hashlib",
+        "heapq",
+        "bisect",
+    }
     paths = list(pathlib.Path(relay.__file__).parent.glob("*.py"))
     assert len(paths) > 10
     for path in paths:
--- a/tests/relay/test_relay_window.py
+++ b/tests/relay/test_relay_window.py
@@ -1,7 +1,16 @@
 """A keyed entry that goes to the next relay is worth only what is left of its key's window."""
 
 from madderbeam.membership.values import (
-    FromLink, Life, LinkDown, LinkUp, MemberChanged, MemberId, MemberView, State, ToLink)
+    FromLink,
+    Life,
+    LinkDown,
+    LinkUp,
+    MemberChanged,
+    MemberId,
+    MemberView,
+    State,
+    ToLink,
+)
 from madderbeam.relay.messages import Ack, Entry
 from madderbeam.relay.origin import Streams
 from madderbeam.relay.sending import StreamSettings
@@ -28,7 +37,7 @@
         streams.handle(AT, seen(member, State.ALIVE))
         streams.handle(AT, LinkUp(member))
     p = Publication("p", ME, "", 7, "c", effect, "t", "k", "", b"", AT + 20 * S, 1)
-    first, = sent(streams.handle(AT, Published(p, ("savannah",))))
+    (first,) = sent(streams.handle(AT, Published(p, ("savannah",))))
     streams.handle(AT + 1, FromLink(first.member, Ack(first.message.stream, 1, 9, 1 << 20)))
     for event in (LinkDown(first.member), seen(first.member, State.DEAD)):
         actions += streams.handle(AT + after_us, event)
--- a/tests/routing/oracle.py
+++ b/tests/routing/oracle.py
@@ -154,14 +154,26 @@
     for n, names in enumerate(servers):
         if host in (name.lower() for name in names):
             return n
-    leading = [(len(name), n) for n, names in enumerate(servers) for name in map(str.lower, names)
-               if name.startswith("*.") and host.endswith(name[1:])]
-    leading += [(len(name), n) for n, names in enumerate(servers) for name in map(str.lower, names)
-                if name.startswith(".") and (host == name[1:] or host.endswith(name))]
+    leading = [
+        (len(name), n)
+        for n, names in enumerate(servers)
+        for name in map(str.lower, names)
+        if name.startswith("*.") and host.endswith(name[1:])
+    ]
+    leading += [
+        (len(name), n)
+        for n, names in enumerate(servers)
+        for name in map(str.lower, names)
+        if name.startswith(".") and (host == name[1:] or host.endswith(name))
+    ]
     if leading:
         return max(leading, key=lambda row: (row[0], -row[1]))[1]
-    trailing = [(len(name), n) for n, names in enumerate(servers) for name in map(str.lower, names)
-                if name.endswith(".*") and host.startswith(name[:-1])]
+    trailing = [
+        (len(name), n)
+        for n, names in enumerate(servers)
+        for name in map(str.lower, names)
+        if name.endswith(".*") and host.startswith(name[:-1])
+    ]
     if trailing:
         return max(trailing, key=lambda row: (row[0], -row[1]))[1]
     for n, names in enumerate(servers):
--- a/tests/routing/test_pool.py
+++ b/tests/routing/test_pool.py
@@ -120,9 +120,14 @@
 
 
 def test_what_fails_is_a_setting():
-    for result, names, out in ((Result.ERROR, {"http_500"}, True), (Result.ERROR, {"error"}, False),
-                               (Result.FULL, {"overload"}, True), (Result.FULL, {"error"}, False),
-                               (Result.TIMEOUT, {"timeout"}, True), (Result.MOOT, {"error"}, False)):
+    for result, names, out in (
+        (Result.ERROR, {"http_500"}, True),
+        (Result.ERROR, {"error"}, False),
+        (Result.FULL, {"overload"}, True),
+        (Result.FULL, {"error"}, False),
+        (Result.TIMEOUT, {"timeout"}, True),
+        (Result.MOOT, {"error"}, False),
+    ):
         p = pool(a(1, max_fails=1, weight=9), a(2), fails_on=frozenset(names))
         send(p, result=result)
         assert (first(p, 1) == 2) is out, (result, names)
@@ -147,13 +152,28 @@
     assert first(p, 22) == 4
 
 
-ROWS = st.lists(st.fixed_dictionaries({
-    "weight": st.integers(1, 5), "backup": st.booleans(),
-    "down": st.sampled_from([False, False, False, True]),
-    "max_conns": st.sampled_from([0, 0, 0, 1, 2]), "max_fails": st.integers(0, 3),
-    "fail_timeout": st.integers(1, 4)}), min_size=1, max_size=6)
-STEPS = st.lists(st.tuples(st.sampled_from(["ok", "fail", "hold", "end", "retry"]), st.integers(0, 1500),
-                           st.text("ab", max_size=2)), max_size=40)
+ROWS = st.lists(
+    st.fixed_dictionaries(
+        {
+            "weight": st.integers(1, 5),
+            "backup": st.booleans(),
+            "down": st.sampled_from([False, False, False, True]),
+            "max_conns": st.sampled_from([0, 0, 0, 1, 2]),
+            "max_fails": st.integers(0, 3),
+            "fail_timeout": st.integers(1, 4),
+        }
+    ),
+    min_size=1,
+    max_size=6,
+)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["ok", "fail", "hold", "end", "retry"]),
+        st.integers(0, 1500),
+        st.text("ab", max_size=2),
+    ),
+    max_size=40,
+)
 
 
 @settings(max_examples=400, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
@@ -161,10 +181,23 @@
 def test_choices_are_those_of_the_documented_model(rows, steps, method):
     if method == "hash":
         rows = [row | {"backup": False} for row in rows]
-    servers = [Server(n, f"s{n}", r["weight"], r["backup"], r["down"], r["max_conns"], r["max_fails"],
-                      r["fail_timeout"] * S) for n, r in enumerate(rows)]
-    model = oracle.Upstream([oracle.Peer(f"s{n}", **r | {"fail_timeout": r["fail_timeout"] * S})
-                             for n, r in enumerate(rows)], method)
+    servers = [
+        Server(
+            n,
+            f"s{n}",
+            r["weight"],
+            r["backup"],
+            r["down"],
+            r["max_conns"],
+            r["max_fails"],
+            r["fail_timeout"] * S,
+        )
+        for n, r in enumerate(rows)
+    ]
+    model = oracle.Upstream(
+        [oracle.Peer(f"s{n}", **r | {"fail_timeout": r["fail_timeout"] * S}) for n, r in enumerate(rows)],
+        method,
+    )
     mine = pool(*servers, method=METHODS[method])
     now, held = 0, []
     for n, (what, later, key) in enumerate(steps):
@@ -198,7 +231,7 @@
 def _untried(mine, message, key, tried, now):
     """The tiers of servers that were not tried: nginx stops there, the courier goes round once more."""
     whole = list(mine.tiers(message, key, tried, now))
-    return whole[:len(whole) // 2] if tried else whole
+    return whole[: len(whole) // 2] if tried else whole
 
 
 # Hashes
@@ -281,8 +314,10 @@
 
 def test_a_choice_does_not_grow_with_the_pool():
     def took(count, method):
-        p = pool(*(Server(n, f"10.{n // 250}.1.{n % 250}:80", 1 + n % 3, max_fails=1) for n in range(count)),
-                 method=method)
+        p = pool(
+            *(Server(n, f"10.{n // 250}.1.{n % 250}:80", 1 + n % 3, max_fails=1) for n in range(count)),
+            method=method,
+        )
         best = 1e9
         for _ in range(3):
             start = time.process_time()
@@ -290,6 +325,7 @@
                 send(p, n, message=n, key=f"k{n}")
             best = min(best, time.process_time() - start)
         return best
+
     for method in Method:
         assert took(5000, method) < 6 * took(50, method), method
 
@@ -304,11 +340,16 @@
 
 def test_names_paths_and_classes_lead_to_destinations():
     r = Router(1)
-    r.configure(raw(routes=[
-        {"on": "path", "match": "", "text": "/rooms/", "to": 1},
-        {"on": "path", "match": "~", "text": "^/c", "to": 2},
-        {"on": "class", "match": "=", "text": "deposit", "to": 1},
-        {"on": "name", "match": "^~", "text": "v-", "to": 1}]))
+    r.configure(
+        raw(
+            routes=[
+                {"on": "path", "match": "", "text": "/rooms/", "to": 1},
+                {"on": "path", "match": "~", "text": "^/c", "to": 2},
+                {"on": "class", "match": "=", "text": "deposit", "to": 1},
+                {"on": "name", "match": "^~", "text": "v-", "to": 1},
+            ]
+        )
+    )
     assert r.destination("", "/rooms//x/../%6c?q=1", "any") == 1
     assert r.destination("", "/choir", "any") == 2 and r.destination("", "/other", "any") is None
     assert r.destination("choir", "", "any") == 2 and r.destination("v-7", "", "any") == 1
@@ -320,17 +361,23 @@
         assert "\n" not in str(error.value)
 
 
-@pytest.mark.parametrize("change, field", [
-    ({"form": 2}, "routing.form"), ({"pools": {"1": {"method": "magic"}}}, "method"),
-    ({"pools": {"1": {"hash_on": "moon"}}}, "hash_on"),
-    ({"pools": {"1": {"fails_on": ["rain"]}}}, "fails_on"),
-    ({"pools": {"1": {"spill": 0}}}, "spill"), ({"pools": {"1": {"subset": -1}}}, "subset"),
-    ({"pools": {"1": {"servers": [{"address": "a:1", "weight": 0}]}}}, "weight"),
-    ({"pools": {"1": {"servers": [{"address": "a:1", "wait": 1}]}}}, "no such setting"),
-    ({"pools": {"1": {"servers": [{"address": "a:1", "down": 1}]}}}, "down"),
-    ({"routes": [{"on": "path", "match": "=", "text": "/", "to": 9}]}, "routing.routes[0].to"),
-    ({"routes": [{"on": "moon", "match": "=", "text": "/", "to": 1}]}, "routing.routes[0]"),
-    ({"routes": [{"on": "path", "match": "~", "text": "(", "to": 1}]}, "text")])
+@pytest.mark.parametrize(
+    "change, field",
+    [
+        ({"form": 2}, "routing.form"),
+        ({"pools": {"1": {"method": "magic"}}}, "method"),
+        ({"pools": {"1": {"hash_on": "moon"}}}, "hash_on"),
+        ({"pools": {"1": {"fails_on": ["rain"]}}}, "fails_on"),
+        ({"pools": {"1": {"spill": 0}}}, "spill"),
+        ({"pools": {"1": {"subset": -1}}}, "subset"),
+        ({"pools": {"1": {"servers": [{"address": "a:1", "weight": 0}]}}}, "weight"),
+        ({"pools": {"1": {"servers": [{"address": "a:1", "wait": 1}]}}}, "no such setting"),
+        ({"pools": {"1": {"servers": [{"address": "a:1", "down": 1}]}}}, "down"),
+        ({"routes": [{"on": "path", "match": "=", "text": "/", "to": 9}]}, "routing.routes[0].to"),
+        ({"routes": [{"on": "moon", "match": "=", "text": "/", "to": 1}]}, "routing.routes[0]"),
+        ({"routes": [{"on": "path", "match": "~", "text": "(", "to": 1}]}, "text"),
+    ],
+)
 def test_routing_that_cannot_be_used_leaves_the_old_in_force(change, field):
     r = Router(1)
     r.configure(raw())
--- a/tests/routing/test_routes.py
+++ b/tests/routing/test_routes.py
@@ -20,13 +20,26 @@
 
 
 # The documentation's own example (ngx_http_core_module, `location`): configurations A to E.
-DOCUMENTED = routes(("=", "/", "A"), ("", "/", "B"), ("", "/documents/", "C"), ("^~", "/images/", "D"),
-                    ("~*", r"\.(gif|jpg|jpeg)$", "E"))
-
-
-@pytest.mark.parametrize("name, expected", [
-    ("/", "A"), ("/index.html", "B"), ("/documents/document.html", "C"), ("/images/1.gif", "D"),
-    ("/documents/1.jpg", "E"), ("/documents/1.JPG", "E")])
+DOCUMENTED = routes(
+    ("=", "/", "A"),
+    ("", "/", "B"),
+    ("", "/documents/", "C"),
+    ("^~", "/images/", "D"),
+    ("~*", r"\.(gif|jpg|jpeg)$", "E"),
+)
+
+
+@pytest.mark.parametrize(
+    "name, expected",
+    [
+        ("/", "A"),
+        ("/index.html", "B"),
+        ("/documents/document.html", "C"),
+        ("/images/1.gif", "D"),
+        ("/documents/1.jpg", "E"),
+        ("/documents/1.JPG", "E"),
+    ],
+)
 def test_the_documentation_s_example(name, expected):
     assert pool(DOCUMENTED, name) == expected
 
@@ -50,11 +63,20 @@
     assert routes(("=", "/a", "p"), ("", "/b", "q"), ("~", "^c", "r")).find("/z") is None
 
 
-@pytest.mark.parametrize("rows, field", [
-    ([("~", "(a", "p")], "text"), ([("~", "(?=a)b", "p")], "text"), ([("~", r"(a)\1", "p")], "text"),
-    ([("", "/a", "p"), ("^~", "/a", "q")], "text"), ([("=", "/a", "p"), ("=", "/a", "q")], "text"),
-    ([("=", "", "p")], "text"), ([("", "/a", "")], "pool"), ([("~", "a" * 1001, "p")], "text"),
-    ([("~", "((a{100}){100}){100}", "p")], "text")])
+@pytest.mark.parametrize(
+    "rows, field",
+    [
+        ([("~", "(a", "p")], "text"),
+        ([("~", "(?=a)b", "p")], "text"),
+        ([("~", r"(a)\1", "p")], "text"),
+        ([("", "/a", "p"), ("^~", "/a", "q")], "text"),
+        ([("=", "/a", "p"), ("=", "/a", "q")], "text"),
+        ([("=", "", "p")], "text"),
+        ([("", "/a", "")], "pool"),
+        ([("~", "a" * 1001, "p")], "text"),
+        ([("~", "((a{100}){100}){100}", "p")], "text"),
+    ],
+)
 def test_a_route_that_cannot_be_used_is_told_in_one_line(rows, field):
     with pytest.raises(RouteError) as error:
         routes(*rows)
@@ -105,4 +127,5 @@
                 table.find(f"/partner-{n:05}/orders")
             best = min(best, (time.perf_counter() - start) / 500)
         return best
+
     assert took(20_000) < 8 * took(500)
--- a/tests/shared/lease_bugs.py
+++ b/tests/shared/lease_bugs.py
@@ -89,5 +89,3 @@
         else:
             patches.enter_context(mock.patch.object(*bug))
         yield
-
-
--- a/tests/shared/lease_model.py
+++ b/tests/shared/lease_model.py
@@ -129,8 +129,14 @@
         return [m.amount(RATE, self.now) for m in self.machines]
 
     def key(self):
-        return repr((self.now, self.left, sorted((k, repr(v)) for k, v in self.links.items() if v),
-                     [self._member(m) for m in self.machines]))
+        return repr(
+            (
+                self.now,
+                self.left,
+                sorted((k, repr(v)) for k, v in self.links.items() if v),
+                [self._member(m) for m in self.machines],
+            )
+        )
 
     def _member(self, machine):
         slot, holder = machine.slots[0], machine.holder
--- a/tests/shared/lease_net.py
+++ b/tests/shared/lease_net.py
@@ -4,8 +4,20 @@
 import random
 
 from madderbeam.membership.values import (
-    Draining, Due, FromLink, Leaving, Life, MemberChanged, MemberId, MemberView, Persist, Resumed, SetTimer,
-    State, ToLink, Unwritten,
+    Draining,
+    Due,
+    FromLink,
+    Leaving,
+    Life,
+    MemberChanged,
+    MemberId,
+    MemberView,
+    Persist,
+    Resumed,
+    SetTimer,
+    State,
+    ToLink,
+    Unwritten,
 )
 from madderbeam.shared.lease_messages import from_row, to_row
 from madderbeam.shared.lease_settings import LeaseSettings
--- a/tests/shared/place_net.py
+++ b/tests/shared/place_net.py
@@ -28,8 +28,14 @@
             it.start, it.run = it.start + 1, it.run + 1
             it.timers, it.waiting, it.paused = {}, [], False
             life, run = Life(it.start, self.chance.randrange(2**32)), it.run
-            it.machine = Leases(self.settings, m, life, random.Random(self.chance.random()),
-                                dict(it.records), lambda r, m=m, run=run: float(self.count(m, run)))
+            it.machine = Leases(
+                self.settings,
+                m,
+                life,
+                random.Random(self.chance.random()),
+                dict(it.records),
+                lambda r, m=m, run=run: float(self.count(m, run)),
+            )
             self.hand(m, Limit(PLACES, self.total, self.total / len(self.site), True, LINGERS))
             self.hand(m, Need(PLACES, it.demand.get(PLACES, 0.0)))
             self._start(m)
@@ -83,8 +89,14 @@
         members = ids(self.chance.randrange(2, 7))
         total = len(members) * self.chance.choice((1, 2, 8)) + self.chance.randrange(3)
         settings = LeaseSettings(lease_us=LEASE, slots=1, drift_ppm=self.chance.choice((200, 50_000)))
-        self.net = Places(seed, members, total, settings=settings, loss=self.chance.choice((0.0, 0.1)),
-                          delay=self.chance.choice((2_000, 400_000)))
+        self.net = Places(
+            seed,
+            members,
+            total,
+            settings=settings,
+            loss=self.chance.choice((0.0, 0.1)),
+            delay=self.chance.choice((2_000, 400_000)),
+        )
         self.net.detect_us = self.chance.choice((1, 3, 12)) * LEASE // 2
         self.kinds = self.chance.sample((self.kill, self.pause, self.cut, self.drain, self.need), 3)
 
--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -17,7 +17,15 @@
 from madderbeam.host.listing import Listing  # noqa: E402
 from madderbeam.membership.settings import Settings as Times  # noqa: E402
 from madderbeam.membership.values import (  # noqa: E402
-    Due, Heard, Life, MemberChanged, MemberId, Note, SetTimer, Spread)
+    Due,
+    Heard,
+    Life,
+    MemberChanged,
+    MemberId,
+    Note,
+    SetTimer,
+    Spread,
+)
 from madderbeam.policy import interface as i  # noqa: E402
 from madderbeam.policy.messages import Courier  # noqa: E402
 from madderbeam.shared.returning import Partners  # noqa: E402
@@ -27,8 +35,17 @@
 LATENCY_US, REFUSED_US = (5_000, 25_000), (500, 3_000)
 CLASS = i.MessageClass("safe", aim_us=S, deadline_us=20 * S)
 # As `[defaults]` of an estate has them.
-SETTINGS = i.Settings((CLASS,), slots=16, max_held=400, tick_us=5_000, cold_share=0.15, cold_us=12 * S,
-                      fall_multiple=2.5, fall_us=2 * S, max_retry_after_us=10 * S)
+SETTINGS = i.Settings(
+    (CLASS,),
+    slots=16,
+    max_held=400,
+    tick_us=5_000,
+    cold_share=0.15,
+    cold_us=12 * S,
+    fall_multiple=2.5,
+    fall_us=2 * S,
+    max_retry_after_us=10 * S,
+)
 
 
 class Caller:
@@ -68,6 +85,7 @@
                 if share and isinstance(action, (Heard, MemberChanged)):
                     self.couriers[node.id].tell_news(action)
             node.log.clear()
+
         self.net._do = do
         for courier in self.couriers.values():
             courier.begin(tuple(self.couriers))
@@ -106,8 +124,9 @@
             self.partners = Partners(node.id, Life(1, 1))
             serving = SimpleNamespace(before_call=None, refresh=lambda: None)
             leases = SimpleNamespace(status=lambda now: {}, amount=lambda name, now: 0.0)
-            self.shared = Shared(self, node.id, Life(1, 1), serving, self.partners, leases, self.tell_news,
-                                 lambda event: None)
+            self.shared = Shared(
+                self, node.id, Life(1, 1), serving, self.partners, leases, self.tell_news, lambda event: None
+            )
             self.listing.serves = self.shared.before_call
 
     def begin(self, members):
@@ -160,13 +179,17 @@
                 self.calls.hooks.told_wait(a.endpoint, wait)
             outcome = Outcome(result, result is i.Result.OK, wait)
             self.calls.hooks.ended(item, a.endpoint, outcome, self.town.now - begun)
+
         self.town.later(latency, end)
 
     def _ended(self, item, endpoint, outcome, latency):
         if outcome.over:
             self.attempts.pop(item.number, None)
-        self.tell(i.AttemptEnded(item.number, item.attempt, endpoint, outcome.result, latency, outcome.over,
-                                 outcome.wait_us))
+        self.tell(
+            i.AttemptEnded(
+                item.number, item.attempt, endpoint, outcome.result, latency, outcome.over, outcome.wait_us
+            )
+        )
 
     def feed(self, rate):
         if rate > 0:
@@ -256,5 +279,5 @@
         while self.pushes[0] <= now - self.s.fall_us:
             self.pushes.popleft()
         bears = self.s.fall_multiple * self.capacity * self.warmth(now) * self.s.fall_us / S
-        if len(self.pushes) > bears + 2 * bears ** 0.5 + 1:
+        if len(self.pushes) > bears + 2 * bears**0.5 + 1:
             self.fell_us = now
--- a/tests/shared/test_news.py
+++ b/tests/shared/test_news.py
@@ -5,7 +5,17 @@
 import pytest
 
 from madderbeam.membership.values import (
-    Due, Heard, Life, MemberChanged, MemberId, MemberView, Rumour, SetTimer, Spread, State)
+    Due,
+    Heard,
+    Life,
+    MemberChanged,
+    MemberId,
+    MemberView,
+    Rumour,
+    SetTimer,
+    Spread,
+    State,
+)
 from madderbeam.shared.news import EACH_MOST, FORM, LONGEST_US, NewsBoard
 from madderbeam.shared.returning import MOMENT_US, REST_MOST_US, TURN_US, Partners
 from madderbeam.shared.values import Answered, Failed, Heed, Kind, Lapsed, Learnt, News, Site, TryFor
@@ -151,23 +161,31 @@
     assert 4 * S <= town.lapses(NAMES[1], Kind.WAIT)[0] <= 5 * S
 
 
-@pytest.mark.parametrize(("key", "body"), [
-    ("news/wait/x", FORM.pack(0, S, 0.0)), ("news/nonsense/7", FORM.pack(0, S, 0.0)),
-    ("news/wait/7", b"short"), ("news/wait/7", FORM.pack(9, S, 0.0) + b"ab"),
-    ("news/limit/7", FORM.pack(0, S, float("nan"))),
-    ("news/limit/7", FORM.pack(0, S, -1.0)), ("news/limit/7", FORM.pack(0, S, 0.0)),
-    ("news/wait", FORM.pack(0, S, 0.0)),
-    ("news/drain/7/a", FORM.pack(2, S, 0.0) + b"\xff\xfe"),
-])
+@pytest.mark.parametrize(
+    ("key", "body"),
+    [
+        ("news/wait/x", FORM.pack(0, S, 0.0)),
+        ("news/nonsense/7", FORM.pack(0, S, 0.0)),
+        ("news/wait/7", b"short"),
+        ("news/wait/7", FORM.pack(9, S, 0.0) + b"ab"),
+        ("news/limit/7", FORM.pack(0, S, float("nan"))),
+        ("news/limit/7", FORM.pack(0, S, -1.0)),
+        ("news/limit/7", FORM.pack(0, S, 0.0)),
+        ("news/wait", FORM.pack(0, S, 0.0)),
+        ("news/drain/7/a", FORM.pack(2, S, 0.0) + b"\xff\xfe"),
+    ],
+)
 def test_nonsense_is_told_and_does_nothing(key, body):
     town = Town(NewsBoard)
     town.tell(NAMES[1], Heard(Rumour(NAMES[0], key, 1, body)))
-    (_, note), = town.told[NAMES[1]]
+    ((_, note),) = town.told[NAMES[1]]
     assert note.error.code == "news-refused" and not town.members[NAMES[1]].heeded
 
 
-@pytest.mark.parametrize(("kind", "most_us"), [
-    (Kind.WAIT, LONGEST_US), (Kind.FULL, 10 * S), (Kind.LIMIT, 60 * S), (Kind.BACK, 600 * S)])
+@pytest.mark.parametrize(
+    ("kind", "most_us"),
+    [(Kind.WAIT, LONGEST_US), (Kind.FULL, 10 * S), (Kind.LIMIT, 60 * S), (Kind.BACK, 600 * S)],
+)
 def test_a_span_of_a_year_is_cut_to_what_such_news_may_last_and_told(kind, most_us):
     town = Town(NewsBoard)
     rumour = Rumour(NAMES[0], f"news/{kind.value}/7", 1, FORM.pack(0, 365 * 86_400 * S, 2.0))
@@ -214,12 +232,12 @@
 def test_the_one_that_tries_stays_whoever_finds_it_out_later():
     for seed in range(30):
         town = Town(Partners, count=5, seed=seed)
-        later = NAMES[seed % 5:] + NAMES[:seed % 5]
+        later = NAMES[seed % 5 :] + NAMES[: seed % 5]
         out(town, later[:2])
         for turn in range(1, 9):
             town.run(turn * S)
-            out(town, later[:min(5, turn + 2)])  # one more each second
-        first, = triers(town)
+            out(town, later[: min(5, turn + 2)])  # one more each second
+        (first,) = triers(town)
         tries = [(at, m, a.on) for m in NAMES for at, a in town.told[m] if isinstance(a, TryFor)]
         assert first in later[:2] and not [t for t in tries if t[0] >= S], tries
 
@@ -228,7 +246,7 @@
     town = Town(Partners, count=4)
     out(town, NAMES[:3])
     town.run(S)
-    first, = triers(town)
+    (first,) = triers(town)
     rest = [m for m in NAMES[:3] if m != first]
     for turn in range(2, 6):
         out(town, rest)  # the first says nothing any more
@@ -240,7 +258,7 @@
     town = Town(Partners, count=4)
     out(town, NAMES[:3], 60 * S)
     town.run(S)
-    first, = triers(town)
+    (first,) = triers(town)
     for m in town.members:
         if m != first:
             town.tell(m, MemberChanged(MemberView(first, Life(1, 0), 0, State.DEAD, ("127.0.0.1", 1), S)))
@@ -252,7 +270,7 @@
     town = Town(Partners, count=4)
     out(town, NAMES[:3])
     town.run(S)
-    first, = triers(town)
+    (first,) = triers(town)
     town.members[first].answered(town.now, 7)
     for news in (News(Kind.BACK, 7, "", 12 * S), News(Kind.OUTAGE, 7, "", 0)):
         town.tell(first, Learnt(news))
@@ -336,7 +354,7 @@
     for n, other in enumerate(others):
         rumour = Rumour(other, "news/outage/8", 1, FORM.pack(0, 9 * S, 0.0))
         me.handle(S, Heard(rumour))
-        told, = tells(me, [Learnt(News(Kind.OUTAGE, 8, "", 3 * S))])
+        (told,) = tells(me, [Learnt(News(Kind.OUTAGE, 8, "", 3 * S))])
         assert told[0].at_once is (n == 0)
         me.handle(S, Learnt(News(Kind.OUTAGE, 8, "", 0)))
 
--- a/tests/shared/test_site_net.py
+++ b/tests/shared/test_site_net.py
@@ -60,9 +60,11 @@
                 return Result.RESET, 1000, 0
             count[member] = count.get(member, 0) + 1
             return inner(now, chance, member, a)
+
         one.partner.call = call
         one.run(20 * S)
         return sum(n for m, n in count.items() if m != alone), one
+
     with_all, _ = served(False)
     without, one = served(True)
     assert without > 0.95 * with_all
@@ -76,9 +78,11 @@
 
         def call(now, chance, member, a):
             return (Result.RESET, 1000, 0) if chance.random() < 0.1 else inner(now, chance, member, a)
+
         one.partner.call, at = call, one.now
         one.run(30 * S)
         return sum(t >= at for t in one.partner.answers)
+
     assert served(True) > 0.93 * served(False)
 
 
@@ -95,16 +99,22 @@
     assert sum(t >= back + 10 * S for t in one.partner.answers) >= 4 * MEMBERS * EACH * 0.9
 
 
-@pytest.mark.parametrize(("kind", "value"), [
-    ("full", 0.0), ("limit", 1e-9), ("limit", 1e11), ("outage", 1e11), ("doubt", 0.5), ("back", 3.0)])
+@pytest.mark.parametrize(
+    ("kind", "value"),
+    [("full", 0.0), ("limit", 1e-9), ("limit", 1e11), ("outage", 1e11), ("doubt", 0.5), ("back", 3.0)],
+)
 def test_nonsense_of_one_member_costs_little_and_ends(base, kind, value):
     def served(told):
         one = town(base, seed=6)
         source = MemberId("s0", "m0")
         uid = b"p-1" if kind == "full" else b""
         for n in range(60 if told else 0):
-            rumour = Rumour(source, f"news/{kind}/1" + ("/x" if uid else ""), n + 1,
-                            FORM.pack(len(uid), 365 * 86_400 * S, value) + uid)
+            rumour = Rumour(
+                source,
+                f"news/{kind}/1" + ("/x" if uid else ""),
+                n + 1,
+                FORM.pack(len(uid), 365 * 86_400 * S, value) + uid,
+            )
             for member, courier in one.couriers.items():
                 if member != source:
                     courier.tell_news(Heard(rumour))
@@ -112,4 +122,5 @@
         if not told:
             one.run(30 * S)
         return len(one.partner.answers)
+
     assert served(True) > 0.9 * served(False)
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -37,6 +37,7 @@
     def add(plant):
         BUGS[plant.__name__] = Bug(plant, rules, seed, script)
         return plant
+
     return add
 
 
@@ -76,6 +77,7 @@
     def timed_out(self):
         self.abandon()
         self.finish_all(calls.Outcome(interface.Result.CONNECT_FAILED))
+
     patch.setattr(calls.Call, "timed_out", timed_out)
 
 
@@ -86,6 +88,7 @@
     def spoilt(self):
         self.finish_all(outcome(interface.Result.FULL))
         self.calls.release(self)
+
     patch.setattr(calls.Call, "spoilt", spoilt)
 
 
@@ -105,6 +108,7 @@
     def attempt(self, numbers, at, done=None, failed=None):
         self._effect(["try", numbers, at], 0)
         done()
+
     patch.setattr(Journal, "attempt", attempt)
 
 
@@ -116,6 +120,7 @@
         for reply in replies:
             reply.send(b"+OK\r\n")
         take(self, m, replies)
+
     patch.setattr(Admission, "take", late)
 
 
@@ -128,20 +133,25 @@
             take(self, m, done, lambda error: done())
         except OSError:
             done()
+
     patch.setattr(Journal, "take", careless)
 
 
 @bug(2, "ends")
 def sends_notices_twice(patch):
     forget = discovery.Notices._forget
-    patch.setattr(discovery.Notices, "_forget", lambda self: (
-        forget(self), self.again.pop(0)() if len(self.again) > 3 else None))
+    patch.setattr(
+        discovery.Notices,
+        "_forget",
+        lambda self: (forget(self), self.again.pop(0)() if len(self.again) > 3 else None),
+    )
     add = discovery.Notices.add
 
     def once_more(self, *args):
         self.again = getattr(self, "again", [])
         self.again.append(lambda: add(self, *args))
         add(self, *args)
+
     patch.setattr(discovery.Notices, "add", once_more)
 
 
@@ -156,7 +166,9 @@
         def end():
             if not m.status:
                 self.end(m, "undeliverable", 0)
+
         self.loop.call_later(max(0.0, m.until + ends.OVERDUE_S - self.journal.wall()), end)
+
     patch.setattr(Ends, "guard", guard)
 
 
@@ -168,6 +180,7 @@
         succeeded(self, ep, *args)
         for each in ep.lane.endpoints.values():
             each.c.open, each.c.ramp_from = False, -1
+
     patch.setattr(health.Health, "succeeded", warm)
 
 
@@ -181,6 +194,7 @@
         for dest in self.courier.dests.values():
             for lane in dest.lanes:
                 lane.wait_until = 0
+
     patch.setattr(Host, "listed", forget)
 
 
@@ -191,6 +205,7 @@
     def together(self, *args, **more):
         init(self, *args, **more)
         self.held = shared
+
     patch.setattr(Journal, "__init__", together)
 
 
@@ -198,6 +213,7 @@
 def leaves_a_connection_open_on_which_it_stopped_waiting(patch):
     def abandon(self):
         self.calls._drop(self)
+
     patch.setattr(calls.Call, "abandon", abandon)
 
 
@@ -206,6 +222,7 @@
     def finish(self, m, wait):
         self.actions.append(interface.Refuse(m.id, wait))
         self._close(m)
+
     patch.setattr(messages.Courier, "_finish", finish)
 
 
@@ -222,8 +239,9 @@
 @bug(0, "answer")
 def answers_late(patch):
     take = Admission.take
-    patch.setattr(Admission, "take", lambda self, m, replies: self.ends.loop.call_later(
-        0.39, take, self, m, replies))
+    patch.setattr(
+        Admission, "take", lambda self, m, replies: self.ends.loop.call_later(0.39, take, self, m, replies)
+    )
 
 
 @bug(4, "restart")
@@ -243,6 +261,7 @@
 
     def unlimited(self, disk, clock, folder, limit, *more):
         init(self, disk, clock, folder, 1 << 40, *more)
+
     patch.setattr(Journal, "__init__", unlimited)
 
 
@@ -253,14 +272,14 @@
 
 @bug(1776, "refusal", "repeat", "ends", "lost")
 def tells_an_end_that_the_disk_did_not_take(patch):
-    patch.setattr(Ends, "_unsettled",
-                  lambda self, m, status, again_ms, error: self._notify(m))
+    patch.setattr(Ends, "_unsettled", lambda self, m, status, again_ms, error: self._notify(m))
 
 
 @bug(1, "repeat", "lost", "refusal", "ends", "order", "books")
 def leaves_a_torn_record_in_the_middle(patch):
     def cut(self):
         self.torn = False
+
     patch.setattr(Files, "_cut", cut)
 
 
@@ -273,8 +292,9 @@
 @bug(2, "crash")
 def fails_on_a_full_answer(patch):
     single = calls.single_outcome
-    patch.setattr(calls, "single_outcome", lambda status, headers: 1 / 0 if status == 429
-                  else single(status, headers))
+    patch.setattr(
+        calls, "single_outcome", lambda status, headers: 1 / 0 if status == 429 else single(status, headers)
+    )
 
 
 # What mends of faults that seeds had found would undo.
@@ -306,6 +326,7 @@
             raise OSError("a part of it was written")
         begun, self.begun, self.rest = self.begun, [], b""
         self.accepted(begun)
+
     patch.setattr(local.Feed, "_batch", batch)
 
 
@@ -324,6 +345,7 @@
             return listed(data, shown)
         except local.Unfit:
             return {"rev": 0, "all": True, "targets": []}
+
     patch.setattr(local, "partner_list", careless)
 
 
@@ -338,6 +360,7 @@
         count[0] += 1
         if count[0] % 50:
             append(self, data)
+
     patch.setattr(Files, "append", careless)
 
 
@@ -349,6 +372,7 @@
         for key in list(segment.keys):
             self.keys.drop(key)
         copy(self, segment)
+
     patch.setattr(Journal, "_copy", careless)
 
 
@@ -360,6 +384,7 @@
         for n in list(segment.messages)[:1]:
             self._homeless(n)
         copy(self, segment)
+
     patch.setattr(Journal, "_copy", careless)
 
 
@@ -367,6 +392,7 @@
 def a_segment_goes_before_those_that_it_makes_void(patch):
     def touch(self, n, segment):
         self.places.setdefault(n, set()).add(segment.number)
+
     patch.setattr(Journal, "_touch", touch)
 
 
@@ -379,6 +405,7 @@
             row.done()
             row.done = lambda: None
         commit(self)
+
     patch.setattr(Journal, "commit", early)
 
 
@@ -394,6 +421,7 @@
             else:
                 self._place(row.record, self.files.newest)
                 row.done()
+
     patch.setattr(Journal, "_one_by_one", one_by_one)
 
 
@@ -404,6 +432,7 @@
     def behind(self, m):
         hold(self, m)
         self.held[m.number] = self.held.pop(m.number)
+
     patch.setattr(Journal, "_hold", behind)
     restore = Journal._restore
 
@@ -411,6 +440,7 @@
         restore(self, found)
         homes = {n: (home, at) for at, (n, (home, _)) in enumerate(self.homes.items())}
         self.held = dict(sorted(self.held.items(), key=lambda item: homes.get(item[0], (0, 0))))
+
     patch.setattr(Journal, "_restore", as_it_came)
 
 
@@ -427,6 +457,7 @@
             for lane in dest.lanes:
                 lane.wait_until = 0
         adopt(host, whole)
+
     patch.setattr(handover, "_decisions", careless)
 
 
@@ -440,6 +471,7 @@
             call.endpoint.out.pop(call, None)
         courier.calls.clear()
         adopt(host, whole)
+
     adopt = handover._decisions
     patch.setattr(handover, "_decisions", careless)
     patch.setattr(calls.Calls, "adopt", lambda self, sock, state: None)
@@ -448,8 +480,7 @@
 @bug(378, "answer", "lost", "form")
 def an_upgrade_loses_what_was_read_of_a_request(patch):
     state = clients.Client.state
-    patch.setattr(clients.Client, "state",
-                  lambda self: {**state(self), "reader": [b"", [], 0, -1, 0]})
+    patch.setattr(clients.Client, "state", lambda self: {**state(self), "reader": [b"", [], 0, -1, 0]})
 
 
 @bug(50, "bad client")
@@ -459,6 +490,7 @@
     def careless(self, state):
         restore(self, state)
         self.due = self.loop.time() + clients.WHOLE_S
+
     patch.setattr(clients.Client, "restore", careless)
 
 
@@ -467,6 +499,7 @@
     def careless(self):
         self.calls.close()
         self.clients.close()
+
     patch.setattr(Host, "let_go", careless)
 
 
@@ -538,6 +571,7 @@
         for n in [n for n in segment.messages if n in self.held and self.held[n].status]:
             self._homeless(n)
         copy(self, segment)
+
     patch.setattr(Journal, "_copy", careless)
 
 
@@ -548,6 +582,7 @@
     class Lenient(dict):
         def get(self, ident, default=None):
             return dict.get(self, ident, calls.Outcome(interface.Result.OK, over=True))
+
     patch.setattr(calls, "bundle_outcomes", lambda body, wait: Lenient(read(body, wait)))
 
 
@@ -557,14 +592,18 @@
         rows = calls.json.loads(body)
         states = {row["id"]: row["state"] for row in rows}
         return {i: calls.Outcome(calls.STATES[s], s in ("done", "void"), wait_us) for i, s in states.items()}
+
     patch.setattr(calls, "bundle_outcomes", first_come)
 
 
 @bug(7, "drain")
 def goes_on_calling_an_endpoint_where_it_was(patch):
     place = calls.Calls.place
-    patch.setattr(calls.Calls, "place",
-                  lambda self, endpoint, *more: endpoint in self.pools or place(self, endpoint, *more))
+    patch.setattr(
+        calls.Calls,
+        "place",
+        lambda self, endpoint, *more: endpoint in self.pools or place(self, endpoint, *more),
+    )
 
 
 @bug(0, "drain", script="moved_amid_a_connection")
@@ -581,6 +620,7 @@
         finally:
             if pool:
                 pool.address = now
+
     patch.setattr(calls.Calls, "_write", careless)
 
 
@@ -591,6 +631,7 @@
     def careless(self):
         stop(self)
         self.close()
+
     patch.setattr(clients.Client, "_take_no_more", careless)
 
 
@@ -602,6 +643,7 @@
             self.client.pending.remove(self)
             self.client.unsent += text
             self.client.flush()
+
     patch.setattr(clients.Reply, "send", at_once)
 
 
@@ -620,6 +662,7 @@
             except ValueError:
                 self.rev = 0
                 self.retry()
+
     patch.setattr(discovery.Watch, "data", data)
 
 
@@ -633,6 +676,7 @@
     def ready(host):
         host.rest()
         return not host.calls.unsettled and not any(c.pending for c in host.clients.clients)
+
     patch.setattr(Host, "rest", rest)
     patch.setattr(handover, "ready", ready)
 
@@ -642,6 +686,7 @@
     def chill(self, ep, since, part=1.0):
         self.base(ep)
         ep.c.ramp_from, ep.c.stamp, ep.c.tokens = since, self.now, part
+
     patch.setattr(health.Health, "chill", chill)
 
 
@@ -653,6 +698,7 @@
     def forgets(self, number):
         if sys._getframe(1).f_code not in refused.co_consts:
             forget(self, number)
+
     patch.setattr(Attempts, "forget", forgets)
 
 
@@ -665,6 +711,7 @@
         actions = handle(self, now, events)
         self.rests = {**rests, **self.rests}
         return actions
+
     patch.setattr(messages.Courier, "handle", keeps)
 
 
@@ -677,6 +724,7 @@
         ended(self, e)
         if e.spoilt:
             self.rests = before
+
     patch.setattr(messages.Courier, "_ended", unrested)
 
 
@@ -688,6 +736,7 @@
                 if (ep := self.endpoints.get(ident)) and not m.out:
                     return ep
         return None
+
     patch.setattr(messages.Courier, "_preferred", preferred)
 
 
@@ -700,6 +749,7 @@
         ended(self, ident, result, spoilt, now)
         if ident in self.servers:
             self.conns[ident] = out
+
     patch.setattr(pool.Pool, "ended", forgets)
 
 
@@ -712,6 +762,7 @@
         found = ended(self, failed, succeeded, now)
         self.probe_out = out
         return found
+
     patch.setattr(marks.Mark, "ended", keeps)
 
 
@@ -743,6 +794,7 @@
         told, self.told = self.told, lambda outcome: None
         told(front._Outcome(0, "", self.offset))
         handed(self, puts)
+
     patch.setattr(front._Handed, "hand_in", hasty)
 
 
@@ -763,6 +815,7 @@
     def lax(self, tenant, cls, size):
         ask(self, tenant, cls, size)
         return gate.Verdict(True)
+
     patch.setattr(quota.Quota, "ask", lax)
 
 
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -34,6 +34,7 @@
     def add(plant):
         BUGS[plant.__name__] = Bug(plant, rules, seed)
         return plant
+
     return add
 
 
@@ -44,14 +45,16 @@
     def early(self, publication, dests, copy):
         begin(self, publication, dests, copy)
         self._acknowledge(self.kept.all[publication.name])
+
     patch.setattr(Custodian, "_begin_custody", early)
 
 
 @bug(0, "F2")
 def a_vote_that_is_not_written(patch):
     persist = Outbox.persist
-    patch.setattr(Outbox, "persist", lambda self, kind, key, value: kind == "vote" or persist(
-        self, kind, key, value))
+    patch.setattr(
+        Outbox, "persist", lambda self, kind, key, value: kind == "vote" or persist(self, kind, key, value)
+    )
 
 
 @bug(5, "F2")
@@ -60,7 +63,9 @@
         def asked(self, message):
             self.promised = None
             return method(self, message)
+
         return asked
+
     patch.setattr(Acceptor, "prepare", any_ballot(Acceptor.prepare))
     patch.setattr(Acceptor, "accept", any_ballot(Acceptor.accept))
 
@@ -68,8 +73,9 @@
 @bug(0, "F2")
 def a_table_is_staged_without_a_record(patch):
     persist = Outbox.persist
-    patch.setattr(Outbox, "persist", lambda self, kind, key, value: kind == "staged" or persist(
-        self, kind, key, value))
+    patch.setattr(
+        Outbox, "persist", lambda self, kind, key, value: kind == "staged" or persist(self, kind, key, value)
+    )
 
 
 @bug(2, "F6")
@@ -89,6 +95,7 @@
         self._hide([action.dest])
         self.told(Released(self._release(action.dest, action.table)))
         self.hand_over(action.dest)
+
     patch.setattr(Serving, "relinquish", at_once)
 
 
@@ -96,6 +103,7 @@
 def what_is_let_go_of_is_called_on(patch):
     def deaf(self, action):
         self.told(Released(self._release(action.dest, action.table)))
+
     patch.setattr(Serving, "relinquish", deaf)
     patch.setattr(Switch, "may_call", lambda self, now_us, dest, lasting_us=0: True)
 
@@ -128,8 +136,9 @@
 @bug(23, "F3")
 def a_wait_is_not_passed_on(patch):
     release = Serving._release
-    patch.setattr(Serving, "_release", lambda self, dest, table: replace(
-        release(self, dest, table), waits=()))
+    patch.setattr(
+        Serving, "_release", lambda self, dest, table: replace(release(self, dest, table), waits=())
+    )
 
 
 @bug(1, "F5")
@@ -142,14 +151,23 @@
             self.host.notices.add(m.number, m.id, "undeliverable", 0)
             self.host.loop.call_later(0.01, self.host.notices.add, m.number, m.id, "undeliverable", 0)
         ended(self, action)
+
     patch.setattr(Publications, "ended", twice)
 
 
 @bug(2, "F5", "F3")
 def an_entry_is_expanded_by_the_newest_table(patch):
     def newest(self, publication):
-        return tuple(d for d in self.subscribers(publication.topic) if self.kept[max(self.kept)].get(
-            d) == self.site) if publication.dest < 0 else (publication.dest,)
+        return (
+            tuple(
+                d
+                for d in self.subscribers(publication.topic)
+                if self.kept[max(self.kept)].get(d) == self.site
+            )
+            if publication.dest < 0
+            else (publication.dest,)
+        )
+
     patch.setattr(Tables, "expand", newest)
 
 
@@ -170,6 +188,7 @@
         except OSError:
             for kind, key, value in rows:
                 self._effect(["keep", kind, key, value])
+
     patch.setattr(Kept, "write", blind)
 
 
@@ -179,6 +198,7 @@
 
     def without(self, settings, own, life, expand, wall_ms, records):
         made(self, settings, own, life, expand, wall_ms, {})
+
     patch.setattr(Custodian, "__init__", without)
 
 
@@ -216,6 +236,7 @@
             told = stream.told
             if stream.number and (now[0] > 2 * told[0] or now[1] > 2 * told[1] or now[0] < told[0] // 2):
                 self.out.free.append(self._ack(stream))
+
     patch.setattr(Custodian, "_credit", credit)
 
 
--- a/tests/simulation/planted_sharing.py
+++ b/tests/simulation/planted_sharing.py
@@ -16,9 +16,11 @@
 
 def bug(seed, *rules, kind=""):
     """`kind`: the seed is played with this kind of fault alone, which among all comes too rarely."""
+
     def add(plant):
         BUGS[plant.__name__] = Bug(plant, rules, seed, kind)
         return plant
+
     return add
 
 
@@ -29,6 +31,7 @@
     def changed(self, action):
         if (told := change(action.news)) is not None:
             inner(self, replace(action, news=told))
+
     patch.setattr(Shared, "heed", changed)
 
 
@@ -76,8 +79,9 @@
 @bug(0, "S5", kind="outage")
 def a_return_is_not_told_as_cold(patch):
     heed(patch, lambda told: None if told.kind is Kind.BACK else told)
-    patch.setattr(Shared, "lapsed", lambda self, action: self.held.discard(action.dest) or self._show(
-        action.dest))
+    patch.setattr(
+        Shared, "lapsed", lambda self, action: self.held.discard(action.dest) or self._show(action.dest)
+    )
 
 
 @bug(222, "S1")
@@ -93,8 +97,13 @@
 
 @bug(99, "S2")
 def what_holds_without_a_lease_is_not_used(patch):
-    patch.setattr(Shared, "allot", lambda self, action: self._rate(
-        int(action.resource.partition("/")[2]), action.amount, action.until_us))
+    patch.setattr(
+        Shared,
+        "allot",
+        lambda self, action: self._rate(
+            int(action.resource.partition("/")[2]), action.amount, action.until_us
+        ),
+    )
 
 
 @bug(99, "S1", "S2")
@@ -123,4 +132,5 @@
         elif told.kind is Kind.OUTAGE:
             return []
         return learnt(self, now_us, event)
+
     patch.setattr(NewsBoard, "_learnt", longer)
--- a/tests/simulation/test_books.py
+++ b/tests/simulation/test_books.py
@@ -21,6 +21,7 @@
 
     def stop():
         raise Stopped(machine)
+
     world.after(2_000_000, stop)
     try:
         world.play()
@@ -101,13 +102,25 @@
     host.calls.pools.popitem()
 
 
-@pytest.mark.parametrize(("spoil", "told"), [
-    (_slot, "slots in use"), (_queue, "messages that wait"), (_lane, "calls of a lane"),
-    (_window, "a window of"), (_timer, "nothing wakes"), (_circuit, "a circuit is open"),
-    (_open, "open messages"),
-    (_live, "bytes that live"), (_used, "bytes used"), (_guard, "guards and open"),
-    (_number, "numbers of attempts"), (_name, "names of endpoints"), (_idle, "idle connections"),
-    (_pool, "pools")])
+@pytest.mark.parametrize(
+    ("spoil", "told"),
+    [
+        (_slot, "slots in use"),
+        (_queue, "messages that wait"),
+        (_lane, "calls of a lane"),
+        (_window, "a window of"),
+        (_timer, "nothing wakes"),
+        (_circuit, "a circuit is open"),
+        (_open, "open messages"),
+        (_live, "bytes that live"),
+        (_used, "bytes used"),
+        (_guard, "guards and open"),
+        (_number, "numbers of attempts"),
+        (_name, "names of endpoints"),
+        (_idle, "idle connections"),
+        (_pool, "pools"),
+    ],
+)
 def test_what_drifts_is_seen(machine, spoil, told):
     assert seen(machine) == ""
     spoil(machine.host)
--- a/tests/simulation/test_claims.py
+++ b/tests/simulation/test_claims.py
@@ -14,18 +14,22 @@
     return health.s.backoff_base_us
 
 
-@pytest.mark.parametrize(("backoff", "told"), [
-    (lambda self, attempt: 0, ["backoff: first waits are"]),
-    (lambda self, attempt: int(self.random.uniform(0, base(self))), ["backoff: waits do not grow"]),
-    (lambda self, attempt: base(self) // 2 * 2 ** attempt, ["jitter: first waits"]),
-])
+@pytest.mark.parametrize(
+    ("backoff", "told"),
+    [
+        (lambda self, attempt: 0, ["backoff: first waits are"]),
+        (lambda self, attempt: int(self.random.uniform(0, base(self))), ["backoff: waits do not grow"]),
+        (lambda self, attempt: base(self) // 2 * 2**attempt, ["jitter: first waits"]),
+    ],
+)
 def test_a_backoff_that_is_none_does_not_grow_or_does_not_vary_is_told(monkeypatch, backoff, told):
     monkeypatch.setattr(Health, "backoff", backoff)
     lines = claims.judged()
-    assert [line[:len(t)] for line, t in zip(lines, told, strict=True)] == told
+    assert [line[: len(t)] for line, t in zip(lines, told, strict=True)] == told
 
 
 def test_a_rule_that_a_calm_day_breaks_is_told(monkeypatch):
     from madderbeam.host.ends import Ends
+
     monkeypatch.setattr(Ends, "notify", lambda self, m: None)
     assert claims.judged()[0].startswith("rule books is broken on a calm day")
--- a/tests/simulation/test_compare.py
+++ b/tests/simulation/test_compare.py
@@ -18,7 +18,8 @@
 def test_worth_falls_from_the_wanted_time_to_the_deadline():
     cls = MessageClass("x", aim_us=1_000, deadline_us=3_000, late_share=0.4)
     assert [worth(cls, age) for age in (0, 1_000, 2_000, 2_999, 3_000)] == pytest.approx(
-        [1, 1, 0.7, 0.4, 0], abs=1e-3)
+        [1, 1, 0.7, 0.4, 0], abs=1e-3
+    )
 
 
 def test_a_calm_day_is_served_and_an_outage_costs_and_takes_time_to_recover_from():
@@ -30,8 +31,10 @@
 
 
 def rows(**shares):
-    return {seed: {"seed": seed, "broken": "", "quality": {"worth": share, "by_class": {}}}
-            for seed, share in enumerate(shares["worth"])}
+    return {
+        seed: {"seed": seed, "broken": "", "quality": {"worth": share, "by_class": {}}}
+        for seed, share in enumerate(shares["worth"])
+    }
 
 
 def test_a_difference_is_told_with_its_interval_and_only_where_both_kept_the_rules():
@@ -52,7 +55,8 @@
         pytest.skip("no checkout of git")
     with compare.other("HEAD") as folder:
         assert (folder / "madderbeam" / "simulation" / "compare.py").read_text() == (
-            compare.PACKAGE / "simulation" / "compare.py").read_text()
+            compare.PACKAGE / "simulation" / "compare.py"
+        ).read_text()
     found = compare.there("HEAD", range(3), 1)
     assert sorted(found) == [0, 1, 2] and all(0 < r["quality"]["worth"] <= 1 for r in found.values())
 
--- a/tests/simulation/test_explore.py
+++ b/tests/simulation/test_explore.py
@@ -39,8 +39,12 @@
 
 
 def test_the_smallest_set_reaches_all_and_prefers_what_is_quick():
-    rows = [found(1, {("a",)}), found(2, {("a",), ("b",)}), found(3, {("a",), ("b",), ("c",)}, steps=2),
-            found(4, {("c",)}, steps=9)]
+    rows = [
+        found(1, {("a",)}),
+        found(2, {("a",), ("b",)}),
+        found(3, {("a",), ("b",), ("c",)}, steps=2),
+        found(4, {("c",)}, steps=9),
+    ]
     assert [r.script.seed for r in explore.smallest(rows)] == [2, 3]
     assert explore.smallest([]) == []
 
@@ -75,11 +79,21 @@
 
 
 def test_what_followed_on_what_is_read_from_a_trace():
-    trace = ["5 1 client put id=a to=n0", "6 2 n0 says id=a line=+OK", "7 3 n0 call uid=s-1 ids=['a']",
-             "8 4 s-1 answer status=200 ids=['a']", "9 5 n0 dies", "9 6 log something", "10 7 n0 starts"]
+    trace = [
+        "5 1 client put id=a to=n0",
+        "6 2 n0 says id=a line=+OK",
+        "7 3 n0 call uid=s-1 ids=['a']",
+        "8 4 s-1 answer status=200 ids=['a']",
+        "9 5 n0 dies",
+        "9 6 log something",
+        "10 7 n0 starts",
+    ]
     assert reach.pairs(trace) == {
-        ("pair", "m", "put", "says+OK"), ("pair", "m", "says+OK", "call"), ("pair", "m", "call", "answer200"),
-        ("pair", "n", "dies", "starts")}
+        ("pair", "m", "put", "says+OK"),
+        ("pair", "m", "says+OK", "call"),
+        ("pair", "m", "call", "answer200"),
+        ("pair", "n", "dies", "starts"),
+    }
 
 
 def test_a_line_belongs_to_its_statement_and_a_head_not_to_its_body():
--- a/tests/simulation/test_fabric.py
+++ b/tests/simulation/test_fabric.py
@@ -27,8 +27,16 @@
         made = Link()
         for name, value in dict(link).items():
             setattr(made, name, value)
-        return SimNetwork(ProcessLoop(self.scheduler), {}, made, random.Random(f"{host} {seed}"),
-                          lambda name: False, 10, host, self.fabric)
+        return SimNetwork(
+            ProcessLoop(self.scheduler),
+            {},
+            made,
+            random.Random(f"{host} {seed}"),
+            lambda name: False,
+            10,
+            host,
+            self.fabric,
+        )
 
     def run(self, us=1_000_000):
         self.scheduler.run(self.scheduler.now_us + us)
@@ -50,6 +58,7 @@
         got.append(sock.recv(size))
         if not got[-1]:
             net.off_readable(sock)
+
     net.on_readable(sock, read)
     return got
 
@@ -58,9 +67,10 @@
     left = [data]
 
     def write():
-        left[0] = left[0][sock.send(left[0]):]
+        left[0] = left[0][sock.send(left[0]) :]
         if not left[0]:
             net.off_writable(sock)
+
     net.on_writable(sock, write)
     return left
 
@@ -151,6 +161,7 @@
         assert [d for d, _ in at_a] == [b"%d" % n for n in range(count)]
         assert {s for _, s in at_b} <= {A}
         return [int(d) for d, _ in at_b]
+
     assert sent() == list(range(1000))
     there.loss = 0.3
     assert 600 < len(sent()) < 800
@@ -198,4 +209,5 @@
             net.off_readable(b)
             a.close()
             b.close()
+
     asyncio.run(main())
--- a/tests/simulation/test_fakes.py
+++ b/tests/simulation/test_fakes.py
@@ -42,8 +42,9 @@
         self.peer, self.link, self.kill_at, self.count = peer or Peer(), Link(), 0, 0
         for name, value in link.items():
             setattr(self.link, name, value)
-        self.net = SimNetwork(self.loop, {ADDRESS: self.peer}, self.link, random.Random(seed), self.operation,
-                              descriptors)
+        self.net = SimNetwork(
+            self.loop, {ADDRESS: self.peer}, self.link, random.Random(seed), self.operation, descriptors
+        )
 
     def operation(self, name):
         self.count += 1
@@ -56,8 +57,9 @@
         stream = self.net.stream(ADDRESS)
         assert stream.connect_ex(ADDRESS) == errno.EINPROGRESS
         seen = []
-        self.net.on_writable(stream, lambda: (seen.append(self.scheduler.now_us),
-                                              self.net.off_writable(stream)))
+        self.net.on_writable(
+            stream, lambda: (seen.append(self.scheduler.now_us), self.net.off_writable(stream))
+        )
         self.run()
         assert len(seen) == 1
         return stream
@@ -65,8 +67,9 @@
 
 def read_all(net, stream):
     got = []
-    net.net.on_readable(stream, lambda: got.append(stream.recv(1 << 16)) or got[-1]
-                        or net.net.off_readable(stream))
+    net.net.on_readable(
+        stream, lambda: got.append(stream.recv(1 << 16)) or got[-1] or net.net.off_readable(stream)
+    )
     net.run()
     return got
 
@@ -78,14 +81,15 @@
         left = [text]
 
         def write(net=net, stream=stream, left=left):
-            left[0] = left[0][stream.send(left[0]):]
+            left[0] = left[0][stream.send(left[0]) :]
             if not left[0]:
                 net.net.off_writable(stream)
+
         net.net.on_writable(stream, write)
         net.run(10_000_000)
         assert net.peer.got == text
         for at in range(0, len(text), 100):
-            net.peer.stream.write(text[at:at + 100])
+            net.peer.stream.write(text[at : at + 100])
         net.peer.stream.finish()
         assert b"".join(read_all(net, stream)) == text
 
--- a/tests/simulation/test_full_fleet.py
+++ b/tests/simulation/test_full_fleet.py
@@ -11,8 +11,10 @@
 from madderbeam.simulation.fleet import FULL, FULL_CASES, MANY
 from madderbeam.simulation.runs import play
 
-RESTARTED = {"all start in one second with an old list": 1,
-             "a tenth at a time is killed while endpoints are replaced and discovery moves": 2}
+RESTARTED = {
+    "all start in one second with an old list": 1,
+    "a tenth at a time is killed while endpoints are replaced and discovery moves": 2,
+}
 
 
 @cache
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -44,21 +44,21 @@
 def test_a_copy_that_finds_no_room_on_a_full_disk_does_not_keep_what_is_over_from_being_recorded():
     # Seed 50758, shrunk: one message takes a segment of 14 KB where copies have 6. It was copied with all the
     # room that was left; from then on nothing was recorded, and a kill brought back what had been told.
-    report, = played(script("a_copy_finds_no_room"), [50758])
+    (report,) = played(script("a_copy_finds_no_room"), [50758])
     assert not times(report, "log journal: compaction rests") and report.kills == 1
 
 
 def test_an_end_that_is_not_written_as_its_segment_goes_leaves_no_places_behind():
     # Seed 207581 with fewer faults and another chance: the seed itself breaks nothing since timers of the
     # world have moved. tests/journal/test_store.py forces the moment.
-    report, = played(script("an_end_not_written_outlasts_its_segment"), [266], trace=False)
+    (report,) = played(script("an_end_not_written_outlasts_its_segment"), [266], trace=False)
     assert report.kills == 2
 
 
 def test_an_end_on_a_full_disk_is_told_in_time_where_an_accept_queue_took_some_of_it():
     # Seed 10418, shrunk: the message waited 129 ms in the queue of a process that handed over, its end was
     # told 120 ms past the time that the courier knew, and a new connection took 100 ms on a grid of 20.
-    report, = played(script("a_full_disk_as_an_accept_queue_took_time"), [10418])
+    (report,) = played(script("a_full_disk_as_an_accept_queue_took_time"), [10418])
     assert times(report, "No space left on device") and report.kills == 1
 
 
@@ -98,8 +98,16 @@
 
 
 def test_an_answer_at_the_instant_of_its_time_out_counts_once_whichever_comes_first():
-    made = Script(seed=1, couriers=1, dests=1, rate_per_s=0, seconds=1.0, grid_us=50_000, aligned=True,
-                  faults=(Fault("hand_in", 500, 40, 0, SAFE),))
+    made = Script(
+        seed=1,
+        couriers=1,
+        dests=1,
+        rate_per_s=0,
+        seconds=1.0,
+        grid_us=50_000,
+        aligned=True,
+        faults=(Fault("hand_in", 500, 40, 0, SAFE),),
+    )
     ends = {}
     for took in range(600_000, 1_100_000, 50_000):
         for seed in range(16):
@@ -128,8 +136,9 @@
     faults = [Fault("hand_in", 1000, 40, 0, cls)]
     if fate:
         faults.insert(0, Fault(fate, 500, 2500, 0, 0.99))
-    made = Script(seed=7, couriers=1, dests=1, rate_per_s=0, seconds=2.0, service_ms=5.0,
-                  faults=tuple(faults))
+    made = Script(
+        seed=7, couriers=1, dests=1, rate_per_s=0, seconds=2.0, service_ms=5.0, faults=tuple(faults)
+    )
     whole = staged(made)
     whole.play()
     assert whole.report.violation is None, whole.report.line
@@ -148,8 +157,9 @@
 def killed_at_each_operation(cls, fate):
     """The reports of a sidecar that is killed at each operation of one message's life in turn."""
     faults = (Fault(fate, 500, 2500, 0, 0.99), Fault("hand_in", 1000, 40, 0, cls))
-    made = Script(seed=7, couriers=1, dests=1, rate_per_s=0, seconds=2.0, service_ms=5.0, sidecar=True,
-                  faults=faults)
+    made = Script(
+        seed=7, couriers=1, dests=1, rate_per_s=0, seconds=2.0, service_ms=5.0, sidecar=True, faults=faults
+    )
     whole = staged(made)
     whole.play()
     assert whole.report.violation is None, whole.report.line
@@ -173,6 +183,7 @@
     def early(self, number, *args):
         self.accepted([number])
         self.loop.call_later(0.01, add, self, number, *args)
+
     monkeypatch.setattr(Feed, "add", early)
     rules = {r.violation.rule for r in killed_at_each_operation(UNSAFE, "errors") if r.violation}
     assert rules == {"lost"}
@@ -193,8 +204,12 @@
         report = world.play()
         assert report.violation is None, report.line
         told = times(report, "terminating")
-        firsts = [(int(w[6:]), int(line.split()[0])) for line in report.trace
-                  for w in line.split() if w.startswith("first=")]
+        firsts = [
+            (int(w[6:]), int(line.split()[0]))
+            for line in report.trace
+            for w in line.split()
+            if w.startswith("first=")
+        ]
         between += any(first < at < last for first, last in firsts for at in told)
     assert between >= 3  # the news came amid a request
 
@@ -211,6 +226,7 @@
     def comes_up(self, stream):
         up(self, stream)
         connecting[stream] = (connecting[stream], stream.scheduler.now_us)
+
     monkeypatch.setattr(SimNetwork, "connect", begins)
     monkeypatch.setattr(SimNetwork, "_up", comes_up)
     made = script("drain_amid_a_connection")
@@ -227,8 +243,11 @@
         drained = next(ep for ep in world.endpoints if ep.state == "terminating")
         told = world.checker.drained[("n0", drained.uid)]
         heard = told + 25_000  # the line's way to the courier, with its jitter and its parts
-        streams = [s for s, span in connecting.items() if s.address == drained.address
-                   and isinstance(span, tuple) and span[0] < told and span[1] > heard]
+        streams = [
+            s
+            for s, span in connecting.items()
+            if s.address == drained.address and isinstance(span, tuple) and span[0] < told and span[1] > heard
+        ]
         if streams and any(ep.state == "in_service" for ep in world.endpoints):
             amid += streams
             assert not any(s.tap and s.tap.total for s in streams), "a call was written on it"
@@ -247,8 +266,16 @@
 
 def test_twenty_couriers_whose_told_waits_all_end_at_one_instant():
     # Each of them waits until the destination opens, and all go at once; together they may not push it over.
-    made = Script(seed=1, couriers=20, dests=1, rate_per_s=60.0, seconds=9.0, grid_us=1000, aligned=True,
-                  faults=(Fault("shut", 1000, 3500, 0, 0.5),))
+    made = Script(
+        seed=1,
+        couriers=20,
+        dests=1,
+        rate_per_s=60.0,
+        seconds=9.0,
+        grid_us=1000,
+        aligned=True,
+        faults=(Fault("shut", 1000, 3500, 0, 0.5),),
+    )
     for r in played(made, range(4)):
         opens = 4_500_000
         told = {line.split()[2] for line in r.trace if " knows " in line and int(line.split()[0]) < opens}
@@ -260,9 +287,19 @@
 def test_a_bundles_answer_that_leaves_one_out_and_names_one_twice_proves_nothing():
     # Every bundle's answer lacks one, names one twice, or names one of another call. No rule breaks, and what
     # is left out goes again or ends as what may have run.
-    made = Script(seed=1, couriers=1, dests=2, rate_per_s=0, seconds=3.0, service_ms=5.0, tight=8.0,
-                  faults=(Fault("gaps", 500, 5000, 1, 0.99),
-                          *(Fault("hand_in", 1000 + 5 * (n // 4), 30, 1, n % 3) for n in range(40))))
+    made = Script(
+        seed=1,
+        couriers=1,
+        dests=2,
+        rate_per_s=0,
+        seconds=3.0,
+        service_ms=5.0,
+        tight=8.0,
+        faults=(
+            Fault("gaps", 500, 5000, 1, 0.99),
+            *(Fault("hand_in", 1000 + 5 * (n // 4), 30, 1, n % 3) for n in range(40)),
+        ),
+    )
     reports = played(made, range(12))
     lines = [line for r in reports for line in r.trace]
     bundles = [line for line in lines if "path=/events/bundle" in line]
--- a/tests/simulation/test_killed_anywhere.py
+++ b/tests/simulation/test_killed_anywhere.py
@@ -21,9 +21,19 @@
     killed = Counter()
     for operation in range(1, OPERATIONS + 1):
         at = Fault("kill_at", at_ms=800, for_ms=operation)
-        report = play(Script(seed=operation % 5, couriers=1, dests=2, rate_per_s=20, seconds=2,
-                             faults=(*BESIDE[beside], at)), True)
+        report = play(
+            Script(
+                seed=operation % 5,
+                couriers=1,
+                dests=2,
+                rate_per_s=20,
+                seconds=2,
+                faults=(*BESIDE[beside], at),
+            ),
+            True,
+        )
         assert report.violation is None, report.line
-        killed.update(line.split("operation=")[1].split()[0] for line in report.trace
-                      if "is killed at" in line)
+        killed.update(
+            line.split("operation=")[1].split()[0] for line in report.trace if "is killed at" in line
+        )
     assert {"append", "send", "recv"} <= set(killed) and killed.total() > OPERATIONS * 0.7, killed
--- a/tests/simulation/test_list_clock.py
+++ b/tests/simulation/test_list_clock.py
@@ -17,8 +17,22 @@
 TOLD = 6 * S  # what discovery has and can be asked for counts as told so much later
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 ELSEWHERE = ("10.9.9.8", 80)
-WAYS = ["no byte", "a head", "half a value", "half a value, empty lines", "never up", "late up", "refused",
-        "turned away", "turned away late", "an end", "a reset", "unreadable", "no rev", "no descriptor"]
+WAYS = [
+    "no byte",
+    "a head",
+    "half a value",
+    "half a value, empty lines",
+    "never up",
+    "late up",
+    "refused",
+    "turned away",
+    "turned away late",
+    "an end",
+    "a reset",
+    "unreadable",
+    "no rev",
+    "no descriptor",
+]
 SEEDS = range(4)
 
 
@@ -111,7 +125,7 @@
 
     def pieces(self, text, last):
         for n in range(len(text)):
-            self.after(last * n // len(text), self.write, chunk(text[n:n + 1]))
+            self.after(last * n // len(text), self.write, chunk(text[n : n + 1]))
         self.after(last + 2 * S, self.beat)
 
     def beat(self):
@@ -127,11 +141,18 @@
         self.scheduler, self.chance = Scheduler(seed), random.Random(f"play {seed}")
         self.discovery, self.heard = Discovery(self.scheduler, way), []
         self.loop = ProcessLoop(self.scheduler)
-        self.network = SimNetwork(self.loop, {ADDRESS: self.discovery}, Link(), random.Random(seed),
-                                  lambda name: False, 9)
+        self.network = SimNetwork(
+            self.loop, {ADDRESS: self.discovery}, Link(), random.Random(seed), lambda name: False, 9
+        )
         self.network.stream = self.stream
-        self.watch = Watch(self.loop, self, ADDRESS, random.Random(seed), 1,
-                           lambda change: self.heard.append((self.scheduler.now_us, change["rev"])))
+        self.watch = Watch(
+            self.loop,
+            self,
+            ADDRESS,
+            random.Random(seed),
+            1,
+            lambda change: self.heard.append((self.scheduler.now_us, change["rev"])),
+        )
         self.on_readable, self.off_readable = self.network.on_readable, self.network.off_readable
         self.on_writable, self.off_writable = self.network.on_writable, self.network.off_writable
 
@@ -275,7 +296,7 @@
     play.discovery.silence(mixed(seed) if way == "mixed" else lambda: way)
     moved = last + play.chance.randrange(9 * S)
     play.until(moved)
-    left = ["turned away", "no byte"][:seed % 3]  # nor is the new one well at once
+    left = ["turned away", "no byte"][: seed % 3]  # nor is the new one well at once
     new = play.network.world[ELSEWHERE] = Discovery(play.scheduler, lambda: left.pop(0) if left else "well")
     new.rev, old = 2, len(play.discovery.asked)
     play.watch.move(ELSEWHERE)
--- a/tests/simulation/test_long_service.py
+++ b/tests/simulation/test_long_service.py
@@ -21,9 +21,32 @@
 from madderbeam.transport.clients import ClientServer
 
 MINUTES = 45
-TROUBLES = ("down", "hung", "tables", "full", "resets", "errors", "spoilt", "mute", "half", "slow_handshakes",
-            "bad_clients", "crowd", "programs", "torn_connections", "closing", "lowered", "repeated_lists",
-            "whole_lists", "flood", "moved", "moves", "shut", "gaps", "notices_torn")
+TROUBLES = (
+    "down",
+    "hung",
+    "tables",
+    "full",
+    "resets",
+    "errors",
+    "spoilt",
+    "mute",
+    "half",
+    "slow_handshakes",
+    "bad_clients",
+    "crowd",
+    "programs",
+    "torn_connections",
+    "closing",
+    "lowered",
+    "repeated_lists",
+    "whole_lists",
+    "flood",
+    "moved",
+    "moves",
+    "shut",
+    "gaps",
+    "notices_torn",
+)
 BOUNDED = {"host.listing.ever": EVER}  # grows up to that many
 # Held against what is open at each look, which is stricter than by size: that is chance, as troubles are.
 EXACT = "host.journal.open_keys"
@@ -51,6 +74,7 @@
             for path, size in books.kept(machine.host).items():
                 part[path] = max(part.get(path, 0), size)
         world.after(10_000_000, look)
+
     world.after(10_000_000, look)
     report = world.play()
     assert report.violation is None, report.line
--- a/tests/simulation/test_loop.py
+++ b/tests/simulation/test_loop.py
@@ -32,6 +32,7 @@
             scheduler.at(10, seen.append, name)
         scheduler.run(20)
         return "".join(seen)
+
     assert order(5) == order(5)
     assert {order(seed) for seed in range(60)} == {"abc", "acb", "bac", "bca", "cab", "cba"}
 
@@ -76,6 +77,7 @@
     def die():
         loop.dead = True
         raise Killed
+
     loop.call_later(1, die)
     loop.call_later(2, seen.append, 1)
     scheduler.run(3_000_000)
@@ -98,6 +100,7 @@
 
     def again():
         loop.call_soon(again)
+
     loop.call_soon(again)
     with pytest.raises(Spinning):
         scheduler.run(1_000)
@@ -111,6 +114,7 @@
     async def wait():
         seen.append(await future)
         seen.append(loop.time())
+
     loop.create_task(wait())
     loop.call_later(7, future.set_result, "done")
     scheduler.run(10_000_000)
--- a/tests/simulation/test_mended.py
+++ b/tests/simulation/test_mended.py
@@ -32,7 +32,8 @@
     now = machine.clock.wall()
     tried = Held(1, "tried", UNSAFE, 0, 1, "", now + 5, False, b"body", tries=1, trying_at=now - 60)
     machine.disk.files[f"/state/{OLD}"] = bytearray(
-        frame(["clock", 5.0, "an earlier boot"]) + frame(tried.record()))
+        frame(["clock", 5.0, "an earlier boot"]) + frame(tried.record())
+    )
     assert machine.disk.files[BOOT]
     world.checker.put(Handed("tried", UNSAFE, 1, "", "", None, 0, 5_000_000))
     report = world.play()
@@ -62,12 +63,14 @@
     scheduler = Scheduler(1)
     network = SimNetwork(ProcessLoop(scheduler), {}, Link(), random.Random(1), lambda name: False, 64)
     puts = {}
-    server = ClientServer(network.loop, network, lambda put, reply: puts.update({put.id: (put, reply)}),
-                          Places(2))
+    server = ClientServer(
+        network.loop, network, lambda put, reply: puts.update({put.id: (put, reply)}), Places(2)
+    )
     server.listen("10.0.0.1", 1)
 
     def come(ident):
         return Line(network, command(b"MSG.PUT", b"0", ident, b"c=safe,d=1000,dest=1", b"x"))
+
     first = come(b"a")
     scheduler.run(50_000)
     come(b"b")
@@ -127,8 +130,9 @@
     if not mended:
         monkeypatch.setattr(Call, "wanted", True)
     faults = [Fault("down", 100, 2400, 4), Fault("slow_handshakes", 2400, 8000, 4, 0.399)]
-    made = Script(seed=1, couriers=1, dests=5, rate_per_s=0, seconds=2.0, tight=50.0, sidecar=True,
-                  kafka=True)
+    made = Script(
+        seed=1, couriers=1, dests=5, rate_per_s=0, seconds=2.0, tight=50.0, sidecar=True, kafka=True
+    )
     rules = set()
     for at_ms in range(200, 1000, 200):
         older = [Fault("hand_in", at_ms, 40, 4, 0)] * 2
--- a/tests/simulation/test_mutation.py
+++ b/tests/simulation/test_mutation.py
@@ -20,8 +20,11 @@
     for seed in seeds:
         script = draw(seed)
         report = play(script) if known else None
-        found.append(mutation.Day(script, report and mutation.measures(report),
-                                  mutation.outcome(report) if report else ()))
+        found.append(
+            mutation.Day(
+                script, report and mutation.measures(report), mutation.outcome(report) if report else ()
+            )
+        )
     return found
 
 
@@ -41,8 +44,18 @@
     found = [m for path in mutants.sources() for m in every(path)]
     assert len({m.id for m in found}) == len(found) > 4000
     assert not {(m.path, m.name) for m in found} & {("journal/records.py", "parse")}
-    assert {m.rule for m in found} >= {"compare", "negate", "left out", "arguments", "constant", "return",
-                                       "order", "unguarded", "arithmetic", "condition"}
+    assert {m.rule for m in found} >= {
+        "compare",
+        "negate",
+        "left out",
+        "arguments",
+        "constant",
+        "return",
+        "order",
+        "unguarded",
+        "arithmetic",
+        "condition",
+    }
 
 
 def test_each_mutant_of_a_module_compiles_and_can_be_planted():
@@ -51,10 +64,13 @@
             pool.apply(mutants.plant, (m,))
 
 
-@pytest.mark.parametrize(("path", "name", "rule", "before"), [
-    ("host/ends.py", "Ends.notify", "left out", "self.notices.add"),  # no notice ever
-    ("policy/messages.py", "Courier._pump", "condition", "picks"),
-])
+@pytest.mark.parametrize(
+    ("path", "name", "rule", "before"),
+    [
+        ("host/ends.py", "Ends.notify", "left out", "self.notices.add"),  # no notice ever
+        ("policy/messages.py", "Courier._pump", "condition", "picks"),
+    ],
+)
 def test_a_mutant_is_found_by_what_it_breaks(path, name, rule, before):
     assert apart(one(path, name, rule, before), days(range(40), known=False)).verdict in mutation.FOUND
 
@@ -66,9 +82,11 @@
 
 
 def test_a_mutant_has_the_same_verdict_in_any_order_and_on_any_number_of_workers():
-    wanted = [one("host/ends.py", "Ends.notify", "left out", "self.notices.add"),
-              one("host/listing.py", "Listing.waited", "compare", ">"),
-              one("host/ends.py", "Ends.unguard", "left out", "guard.cancel")]
+    wanted = [
+        one("host/ends.py", "Ends.notify", "left out", "self.notices.add"),
+        one("host/listing.py", "Listing.waited", "compare", ">"),
+        one("host/ends.py", "Ends.unguard", "left out", "guard.cancel"),
+    ]
     alone = [(v.mutant.id, v.verdict, v.seed, v.detail) for v in mutation.score(wanted, 1, reach=4)]
     many = [(v.mutant.id, v.verdict, v.seed, v.detail) for v in mutation.score(wanted[::-1], 3, reach=4)]
     assert sorted(alone) == sorted(many) and len(alone) == 3
@@ -77,8 +95,13 @@
 def test_a_mutant_is_played_on_days_that_reach_its_statement_the_cheapest_first():
     cheap, dear = (mutation.Day(draw(n), None, (), steps) for n, steps in ((1, 5), (2, 9)))
     m = one("host/listing.py", "Listing.waited", "compare", ">")
-    chosen = mutation.Chosen([(frozenset({(m.path, m.line)}), dear), (frozenset({(m.path, m.line)}), cheap),
-                              (frozenset({(m.path, 1)}), mutation.Day(draw(3), None, (), 1))])
+    chosen = mutation.Chosen(
+        [
+            (frozenset({(m.path, m.line)}), dear),
+            (frozenset({(m.path, m.line)}), cheap),
+            (frozenset({(m.path, 1)}), mutation.Day(draw(3), None, (), 1)),
+        ]
+    )
     assert chosen(m) == (cheap, dear)
 
 
--- a/tests/simulation/test_returning_fleet.py
+++ b/tests/simulation/test_returning_fleet.py
@@ -20,8 +20,18 @@
 
 def returning(couriers, kind, seed, tight=1.1):
     faults = tuple(Fault(kind, 1000, 8000, dest) for dest in range(4))
-    return Script(seed=seed, couriers=couriers, dests=6, rate_per_s=60.0, seconds=18.0, slots=SLOTS[couriers],
-                  tight=tight, service_ms=60.0, cold_ms=12_000, faults=faults)
+    return Script(
+        seed=seed,
+        couriers=couriers,
+        dests=6,
+        rate_per_s=60.0,
+        seconds=18.0,
+        slots=SLOTS[couriers],
+        tight=tight,
+        service_ms=60.0,
+        cold_ms=12_000,
+        faults=faults,
+    )
 
 
 @pytest.mark.parametrize("couriers", SLOTS)
--- a/tests/simulation/test_seeds.py
+++ b/tests/simulation/test_seeds.py
@@ -34,6 +34,7 @@
 def test_a_campaign_on_several_processes_reports_what_one_does():
     def told(jobs):
         return sorted((r.seed, r.steps, r.messages, r.calls) for r in campaign(range(20), jobs))
+
     assert told(1) == told(3)
 
 
@@ -66,19 +67,23 @@
     assert play(Script.parse(draw(4).text())).steps == play(draw(4)).steps
 
 
-@pytest.mark.parametrize(("change", "text"), [
-    ({"couriers": 0}, "couriers: must be a number from 1 to 256, not 0"),
-    ({"grid_us": "1"}, "grid_us: must be a number from 1"),
-    ({"aligned": 3}, "aligned: must be true or false"),
-    ({"colour": 1}, "colour: no such field; allowed are"),
-    ({"version": 2}, "version: must be 1"),
-    ({"faults": [{"kind": "rain"}]}, "faults: kind must be one of"),
-    ({"faults": [{"kind": "kill", "at": 4}]}, "faults[0]: must be an object with kind and any of"),
-    ({"faults": [{"kind": "kill", "at_ms": "soon"}]}, "faults[0].at_ms: must be a number"),
-    ({"faults": 7}, "faults: must be a list"),
-])
+@pytest.mark.parametrize(
+    ("change", "text"),
+    [
+        ({"couriers": 0}, "couriers: must be a number from 1 to 256, not 0"),
+        ({"grid_us": "1"}, "grid_us: must be a number from 1"),
+        ({"aligned": 3}, "aligned: must be true or false"),
+        ({"colour": 1}, "colour: no such field; allowed are"),
+        ({"version": 2}, "version: must be 1"),
+        ({"faults": [{"kind": "rain"}]}, "faults: kind must be one of"),
+        ({"faults": [{"kind": "kill", "at": 4}]}, "faults[0]: must be an object with kind and any of"),
+        ({"faults": [{"kind": "kill", "at_ms": "soon"}]}, "faults[0].at_ms: must be a number"),
+        ({"faults": 7}, "faults: must be a list"),
+    ],
+)
 def test_a_wrong_script_is_one_line_that_names_its_field(change, text):
     import json
+
     raw = {**json.loads(draw(1).text()), **change}
     with pytest.raises(ScriptError) as error:
         check(Script.parse(json.dumps(raw)))
@@ -87,9 +92,14 @@
 
 def test_a_script_that_breaks_a_rule_shrinks_to_what_it_needs(monkeypatch):
     from madderbeam.host.turn import Host
+
     monkeypatch.setattr(Host, "terminate", lambda self: None)
-    script = Script(seed=5, seconds=2.0, rate_per_s=10.0, faults=(
-        Fault("slow", 100, 500), Fault("term", 900), Fault("bad_clients", 300), Fault("drain", 400)))
+    script = Script(
+        seed=5,
+        seconds=2.0,
+        rate_per_s=10.0,
+        faults=(Fault("slow", 100, 500), Fault("term", 900), Fault("bad_clients", 300), Fault("drain", 400)),
+    )
     assert play(script).violation.rule == "restart"
     small = shrink(script, "restart")
     assert [f.kind for f in small.faults] == ["term"]
@@ -100,6 +110,7 @@
 def test_the_commands_tell_a_broken_rule_and_end_with_1(tmp_path, capsys, monkeypatch):
     from madderbeam.cli import main
     from madderbeam.host.turn import Host
+
     path = tmp_path / "script.json"
     path.write_text(Script(seed=5, seconds=1.0, faults=(Fault("term", 500),)).text())
     assert main(["simulate", "--script", str(path)]) == 0
--- a/tests/simulation/test_silent_watch.py
+++ b/tests/simulation/test_silent_watch.py
@@ -76,6 +76,7 @@
             if self.agent.way == way:
                 self.stream.write(chunk(b"\n"))
                 self.agent.scheduler.after(2 * S, again)
+
         self.agent.scheduler.after(2 * S, again)
 
 
@@ -84,10 +85,17 @@
 def test_a_silent_watch_is_opened_anew_twice_before_what_it_misses_counts(way, seed):
     scheduler = Scheduler(seed)
     agent, heard = Agent(scheduler), []
-    network = SimNetwork(ProcessLoop(scheduler), {ADDRESS: agent}, Link(), random.Random(seed),
-                         lambda name: False, 9)
-    watch = Watch(network.loop, network, ADDRESS, random.Random(seed), 1,
-                  lambda change: heard.append((scheduler.now_us, change["rev"])))
+    network = SimNetwork(
+        ProcessLoop(scheduler), {ADDRESS: agent}, Link(), random.Random(seed), lambda name: False, 9
+    )
+    watch = Watch(
+        network.loop,
+        network,
+        ADDRESS,
+        random.Random(seed),
+        1,
+        lambda change: heard.append((scheduler.now_us, change["rev"])),
+    )
     watch.open()
     silent = 10 * S + seed * S // 3
     scheduler.run(silent)
@@ -118,8 +126,10 @@
     """When calls to an endpoint began."""
     found = []
     judged = world.checker.call
-    world.checker.call = lambda call, idents, dest, to: (judged(call, idents, dest, to),
-                                                         found.append(call.first_us) if to == uid else None)
+    world.checker.call = lambda call, idents, dest, to: (
+        judged(call, idents, dest, to),
+        found.append(call.first_us) if to == uid else None,
+    )
     return found
 
 
@@ -139,6 +149,7 @@
                 line.stream.write(HEAD + chunk(b'{"rev": 3,\n "targets": [\n'))
             return
         plain(line, since)
+
     monkeypatch.setattr(AgentLine, "_begin", begin)
     silent = 3 * S
     world.after(silent, lambda: [line.stream.cut() for line in agent.lines.values() if line.watching])
@@ -146,6 +157,7 @@
     def drained():
         old.state = "terminating"
         agent.learn(old.entry())
+
     world.after(silent + S, drained)
     report = world.play()
     assert report.violation is None, report.line
@@ -165,6 +177,7 @@
     def drained():
         old.state = "terminating"
         machine.agent.learn(old.entry())
+
     for at in (3, 6, 9):
         world.after(at * S, machine.kill)
     world.after(3 * S + S // 10, drained)
--- a/tests/standby/pair.py
+++ b/tests/standby/pair.py
@@ -29,13 +29,23 @@
     async def start(self, until="is ready on port", largest=0):
         """Ready when this returns: as a courier, or `until` another line is said; None: at once. `largest`:
         bytes of a file that its disk takes, 0: any."""
+
         def limit():
             if largest:
                 resource.setrlimit(resource.RLIMIT_FSIZE, (largest, largest))
+
         self.life = len(self.lines)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "madderbeam", "run", "--config", str(self.rendered), cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE, preexec_fn=limit)
+            sys.executable,
+            "-m",
+            "madderbeam",
+            "run",
+            "--config",
+            str(self.rendered),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            preexec_fn=limit,
+        )
         self.reading = asyncio.create_task(self._read(self.process.stderr))
         if until is not None:
             await self.until(until, LIMIT)
@@ -58,6 +68,7 @@
             while not so(told := await self.status()):
                 await asyncio.sleep(0.02)  # nobody is told when it changes
             return told
+
         try:
             return await asyncio.wait_for(inner(), limit)
         except TimeoutError:
@@ -106,14 +117,23 @@
             table["to"] = "{}:{}".format(*self.links.address("s/a", "s/b"))
         else:
             table["listen"] = f"{side.host}:{side.mesh}"
-        app = {"name": side.short, "listen": f"{side.host}:{side.listen}", "state": "state",
-               "control": f"{side.host}:{side.control}", "classes": ["safe", "keyed", "unsafe"],
-               "finals": "finals.jsonl", "max_held": 2000, **self.more}
+        app = {
+            "name": side.short,
+            "listen": f"{side.host}:{side.listen}",
+            "state": "state",
+            "control": f"{side.host}:{side.control}",
+            "classes": ["safe", "keyed", "unsafe"],
+            "finals": "finals.jsonl",
+            "max_held": 2000,
+            **self.more,
+        }
         (side.folder / "estate.toml").write_text(
-            f"{CLASSES}[[application]]\n{_table(app)}\n[application.standby]\n{_table(table)}")
+            f"{CLASSES}[[application]]\n{_table(app)}\n[application.standby]\n{_table(table)}"
+        )
         (side.folder / "partners.toml").write_text(
             f'[[partner]]\nname = "p"\nnumber = {DEST}\nper_s = 1000\n'
-            f'endpoints = ["{self.partner.address(side.name)}"]\n')
+            f'endpoints = ["{self.partner.address(side.name)}"]\n'
+        )
         report = check(side.folder / "estate.toml")
         assert report.loaded is not None, [str(p) for p in report.problems]
         write(render(report.loaded), side.folder / "rendered")
@@ -158,9 +178,12 @@
         taken = {ident for ident, text in answers.items() if text == "+OK"}
 
         async def inner():
-            while not taken <= ({c.ident for c in self.partner.calls if c.effect == "ran"}
-                                | {i for s in self.sides.values() for i, _ in s.finals()}):
+            while not taken <= (
+                {c.ident for c in self.partner.calls if c.effect == "ran"}
+                | {i for s in self.sides.values() for i, _ in s.finals()}
+            ):
                 await asyncio.sleep(0.05)
+
         await asyncio.wait_for(inner(), limit)
 
     def delivered(self, ident):
@@ -174,7 +197,9 @@
 
 def pair(test, folder, **told):
     """Run a test with a pair."""
+
     async def inner():
         async with Pair(folder, **told) as made:
             await test(made)
+
     asyncio.run(inner())
--- a/tests/standby/test_drawn.py
+++ b/tests/standby/test_drawn.py
@@ -7,18 +7,28 @@
 from world import judge, play
 
 MODES = {
-    "a person": {}, "a lease": {"takeover": "lease"}, "alone": {"silent": "alone"},
+    "a person": {},
+    "a lease": {"takeover": "lease"},
+    "alone": {"silent": "alone"},
     "after": {"mode": "after", "silent": "alone"},
     "made stricter": {"silent": "alone", "then": {"silent": "refuse"}},
-    "made weaker": {"then": {"silent": "alone"}}}
+    "made weaker": {"then": {"silent": "alone"}},
+}
 # The owner comes back with weaker settings, cut off; the standby is promoted; both lose each other no more.
 WEAKER = [(3, "kill a"), (3, "cut"), (3.2, "start a"), (5.5, "promote"), (9, "heal")]
 
 
 def stricter(at):
     """The owner was alone, comes back strict, and is gone again as the copy is brought up."""
-    return [(2.5, "cut"), (2.5, "break"), (5, "kill a"), (5.2, "heal"), (5.2, "start a"), (at, "kill a"),
-            (5.5, "promote")]
+    return [
+        (2.5, "cut"),
+        (2.5, "break"),
+        (5, "kill a"),
+        (5.2, "heal"),
+        (5.2, "start a"),
+        (at, "kill a"),
+        (5.5, "promote"),
+    ]
 
 
 @pytest.fixture(autouse=True)
@@ -52,10 +62,14 @@
     "window_forgotten": [{"faults": LATE, "seeds": range(20)}],
     "doubt_forgotten": [{"silent": "alone", "seeds": range(60)}],
     "weaker_at_once": [{**MODES["made weaker"], "faults": WEAKER, "seeds": range(20)}],
-    "sure_too_soon": [{**MODES["made stricter"], "faults": stricter(5.2 + k * 0.0005), "seeds": range(2)}
-                      for k in range(30)],
-    **{name: [{"takeover": "lease", "seeds": range(100)}]
-       for name in ("early_lease", "lease_by_answer", "grant_forgotten", "lease_forgotten")}}
+    "sure_too_soon": [
+        {**MODES["made stricter"], "faults": stricter(5.2 + k * 0.0005), "seeds": range(2)} for k in range(30)
+    ],
+    **{
+        name: [{"takeover": "lease", "seeds": range(100)}]
+        for name in ("early_lease", "lease_by_answer", "grant_forgotten", "lease_forgotten")
+    },
+}
 
 
 @pytest.mark.parametrize("name", plants.ALL)
--- a/tests/standby/test_machines.py
+++ b/tests/standby/test_machines.py
@@ -16,7 +16,18 @@
 from madderbeam.replication.errors import KeyUnfit, NotProven
 from madderbeam.replication.standby import Standby
 from madderbeam.replication.values import (
-    Close, Down, Got, Hello, Promote, Say, Settings, Sort, TakeOver, Write, Wrote)
+    Close,
+    Down,
+    Got,
+    Hello,
+    Promote,
+    Say,
+    Settings,
+    Sort,
+    TakeOver,
+    Write,
+    Wrote,
+)
 from madderbeam.simulation.couriers import SimClock
 from madderbeam.simulation.disk import SimDisk
 from madderbeam.simulation.loop import Scheduler
@@ -36,12 +47,15 @@
     return made
 
 
-@pytest.mark.parametrize("row", [
-    [1, 4, b"d", 1, 2, 4, 5, 1],  # a byte lacks
-    [1, 2, b"cd", 1, 2, 5, 5, 1],  # one comes twice
-    [1, 3, b"d", 1, 2, 4, 5, 1],  # another digest
-    [1, 3, b"d", 3984772369, 2, 4, 5, 2],  # of another fence
-])
+@pytest.mark.parametrize(
+    "row",
+    [
+        [1, 4, b"d", 1, 2, 4, 5, 1],  # a byte lacks
+        [1, 2, b"cd", 1, 2, 5, 5, 1],  # one comes twice
+        [1, 3, b"d", 1, 2, 4, 5, 1],  # another digest
+        [1, 3, b"d", 3984772369, 2, 4, 5, 2],  # of another fence
+    ],
+)
 def test_a_gap_is_never_guessed_over(row):
     made = followed()
     actions = made.handle(9, Got("block", row, 1))
@@ -78,7 +92,7 @@
     assert any(isinstance(a, TakeOver) for a in made.handle(end, Down(0)))
 
 
-@given(st.integers(0, 2 ** 32))
+@given(st.integers(0, 2**32))
 def test_what_is_sent_in_order_of_writing_is_an_earlier_state(seed):
     """While `exact` holds, what the copy gets next is the first byte that it lacks of what was written."""
     chance = random.Random(seed)
@@ -106,9 +120,14 @@
     row = [1, "f"]
     told = keys.proof(ONE["two"], "owner", b"c", b"n", "hello", row)
     keys.proven(ONE, "two", "owner", b"c", b"n", "hello", row, told)
-    for wrong in (("one", "owner", b"c", b"n", "hello", row), ("two", "standby", b"c", b"n", "hello", row),
-                  ("two", "owner", b"d", b"n", "hello", row), ("two", "owner", b"c", b"n", "hello", [2, "f"]),
-                  ("three", "owner", b"c", b"n", "hello", row), (None, "owner", b"c", b"n", "hello", row)):
+    for wrong in (
+        ("one", "owner", b"c", b"n", "hello", row),
+        ("two", "standby", b"c", b"n", "hello", row),
+        ("two", "owner", b"d", b"n", "hello", row),
+        ("two", "owner", b"c", b"n", "hello", [2, "f"]),
+        ("three", "owner", b"c", b"n", "hello", row),
+        (None, "owner", b"c", b"n", "hello", row),
+    ):
         with pytest.raises(NotProven):
             keys.proven(ONE, *wrong, told)
     for text in ("", "one 12", "one " + "5a" * 16 + "\none " + "6a" * 16, "one " + "g" * 32):
@@ -116,8 +135,12 @@
             keys.read(text, "keys")
 
 
-@given(st.sampled_from(sorted(messages.FORMS)), st.lists(
-    st.one_of(st.none(), st.integers(), st.text(), st.binary(), st.booleans(), st.lists(st.integers()))))
+@given(
+    st.sampled_from(sorted(messages.FORMS)),
+    st.lists(
+        st.one_of(st.none(), st.integers(), st.text(), st.binary(), st.booleans(), st.lists(st.integers()))
+    ),
+)
 def test_what_comes_is_in_form_or_odd(channel, row):
     try:
         messages.check(channel, row)
@@ -181,7 +204,12 @@
     room.asked[3][1]()
     journal.attempt([2], 7.0)
     assert [sort for sort, _, _ in room.asked] == [
-        Sort.TAKE, Sort.ATTEMPT, Sort.LIGHT, Sort.TAKE, Sort.ATTEMPT]
+        Sort.TAKE,
+        Sort.ATTEMPT,
+        Sort.LIGHT,
+        Sort.TAKE,
+        Sort.ATTEMPT,
+    ]
 
 
 def test_an_attempt_that_is_denied_never_ran_after_a_restart_either():
@@ -224,9 +252,15 @@
         assert again.held[1].may_have_run_at and again.held[2].may_have_run_at and not again.damage
 
 
-@pytest.mark.parametrize("change,told", [
-    ('listen = "127.0.0.1:1"\n', ""), ("mode = \"after\"\ntakeover = \"lease\"\n", "takeover"),
-    ('to = "nowhere"\n', "to"), ('key_file = "none"\n', "key_file")])
+@pytest.mark.parametrize(
+    "change,told",
+    [
+        ('listen = "127.0.0.1:1"\n', ""),
+        ('mode = "after"\ntakeover = "lease"\n', "takeover"),
+        ('to = "nowhere"\n', "to"),
+        ('key_file = "none"\n', "key_file"),
+    ],
+)
 def test_mistakes_are_told_by_field(tmp_path, change, told):
     made = Pair(tmp_path)
     made.partner.ports = {"s/a": 9, "s/b": 9}
@@ -238,4 +272,4 @@
     text = "\n".join(rows) + "\n" + change if told else path.read_text() + change
     path.write_text(text)
     problems = [str(p) for p in check(path).problems]
-    assert (any(f"standby.{told}" in p for p in problems) if told else not problems), problems
+    assert any(f"standby.{told}" in p for p in problems) if told else not problems, problems
--- a/tests/standby/test_moves.py
+++ b/tests/standby/test_moves.py
@@ -26,6 +26,7 @@
         await p.all_end(answers)
         unsafe_once(p)
         assert sum(text == "+OK" for text in answers.values()) >= 60
+
     pair(inner, tmp_path)
 
 
@@ -49,6 +50,7 @@
         assert "over" not in (await p.b.call("GET", "/ready"))[1]
         await p.a.start(None)  # it gave its messages away
         assert await asyncio.wait_for(p.a.process.wait(), LIMIT) == 3
+
     pair(inner, tmp_path)
 
 
@@ -67,6 +69,7 @@
         assert await client.put("m4", kind="unsafe") == "+OK"
         await p.partner.until(lambda calls: p.delivered("m4"), LIMIT)
         assert not p.delivered("m1") and not p.delivered("m2")
+
     pair(inner, tmp_path)
 
 
@@ -81,11 +84,13 @@
         await p.a.until_status(lambda told: told["state"] == "in step" and not told["alone"])
         assert not (await p.b.status())["sure"]  # what was done alone is taken for having run
         assert await client.put("m2", kind="unsafe") == "+OK"
+
     pair(inner, tmp_path, silent="alone")
 
 
 def test_a_standby_whose_disk_is_full(tmp_path):
     """The setting acts, memory is bounded, and with room it is in step again."""
+
     async def inner(p):
         await p.b.standing(largest=30_000)
         await p.a.start()
@@ -102,6 +107,7 @@
         await p.b.standing()
         await p.a.until_status(lambda told: told["state"] == "in step" and not told["trouble"])
         assert await client.put("m9001", kind="unsafe") == "+OK"
+
     pair(inner, tmp_path)
 
 
@@ -118,6 +124,7 @@
         await p.b.start()  # it stays the owner
         assert sum("takes over with fence" in line for line in p.b.lines) == 1
         assert len(p.delivered("m1")) <= 1
+
     pair(inner, tmp_path)
 
 
@@ -130,6 +137,7 @@
         client = await p.b.client()
         assert await client.put("m3", kind="unsafe") == "+OK"
         await p.partner.until(lambda calls: p.delivered("m3"), LIMIT)
+
     pair(inner, tmp_path, takeover="lease")
 
 
@@ -138,6 +146,7 @@
         await p.b.standing()
         status, text = await p.b.promote()
         assert status == 409 and "never-whole" in text
+
     pair(inner, tmp_path)
 
 
@@ -151,4 +160,5 @@
         await p.b.until("not-proven", LIMIT)
         (p.folder / "keys").write_text("one " + "5a" * 32 + "\ntwo " + "7b" * 32 + "\n")
         await p.a.until("is ready on port", LIMIT)
+
     pair(inner, tmp_path)
--- a/tests/standby/test_taken_over.py
+++ b/tests/standby/test_taken_over.py
@@ -7,6 +7,7 @@
 
 def test_what_was_taken_on_is_ended_by_the_standby(tmp_path):
     """The owner is killed with messages held; each ends once, and what may have run is not sent again."""
+
     async def inner(p):
         client = await p.start()
         p.partner.script.extend(["hold"] * 16)  # all slots: the rest waits untried
@@ -26,6 +27,7 @@
         await p.all_end({f"m{n}": "+OK" for n in range(40)})
         assert all(len(p.delivered(f"m{n}")) <= 1 for n in range(1, 40, 2))
         assert sum(c.member == "s/b" for c in p.partner.calls) >= 20  # nearly all were untried
+
     pair(inner, tmp_path)
 
 
@@ -49,4 +51,5 @@
         assert all(len(p.delivered(f"m{n}")) <= 1 for n in range(40))
         await p.a.start(None)  # its folder comes back a day later
         assert await asyncio.wait_for(p.a.process.wait(), LIMIT) == 3
+
     pair(inner, tmp_path)
--- a/tests/standby/world.py
+++ b/tests/standby/world.py
@@ -25,8 +25,31 @@
 from madderbeam.replication.owner import Owner
 from madderbeam.replication.standby import Standby
 from madderbeam.replication.values import (
-    Appended, Block, Check, Checked, Close, Deny, Down, Dropped, Ended, Go, Got, Hello, Promote, Read,
-    Released, Remove, Removed, Say, Settings, Stop, TakeOver, Wait, Write, Wrote)
+    Appended,
+    Block,
+    Check,
+    Checked,
+    Close,
+    Deny,
+    Down,
+    Dropped,
+    Ended,
+    Go,
+    Got,
+    Hello,
+    Promote,
+    Read,
+    Released,
+    Remove,
+    Removed,
+    Say,
+    Settings,
+    Stop,
+    TakeOver,
+    Wait,
+    Write,
+    Wrote,
+)
 from madderbeam.simulation.disk import SimDisk
 from madderbeam.simulation.loop import Killed
 
@@ -193,6 +216,7 @@
         def due():
             if not timer.cancelled and self.life == life:
                 self.awake(lambda: None if timer.cancelled or self.life != life else action(*args))
+
         self.world.at(seconds * 1e6, due)
         return timer
 
@@ -336,9 +360,9 @@
     def _look_up(self, a):
         data = bytes(self.disk.files.get(self.journal.files.path(a.segment), b""))
         if isinstance(a, Check):
-            self.tell(Checked(a.segment, a.size, zlib.crc32(data[:a.size])))
+            self.tell(Checked(a.segment, a.size, zlib.crc32(data[: a.size])))
         else:
-            self.tell(Block(a.segment, a.at, data[a.at:a.at + a.most]))
+            self.tell(Block(a.segment, a.at, data[a.at : a.at + a.most]))
 
     def _take_over(self, a):
         w = self.world
@@ -370,8 +394,17 @@
         j, w = self.journal, self.world
         if not self.working or self.role == "owner" and not self.machine.open(self.clock.monotonic_us()):
             return
-        m = Held(j.last + 1, ident, cls, 0, 7, ident if cls == KEYED else "", j.wall() + life_s, False,
-                 b"x" * w.chance.randint(20, 400))
+        m = Held(
+            j.last + 1,
+            ident,
+            cls,
+            0,
+            7,
+            ident if cls == KEYED else "",
+            j.wall() + life_s,
+            False,
+            b"x" * w.chance.randint(20, 400),
+        )
 
         def taken():
             w.taken[ident] = w.now
@@ -381,6 +414,7 @@
             (w.unsure if isinstance(error, Unsure) else w.refused).add(ident)
             if isinstance(error, Unsure) and m.number in j.held:
                 self.end(m, "undeliverable")
+
         try:
             j.take(m, taken, failed)
         except OSError as error:
@@ -392,14 +426,22 @@
         m = j.held.get(number)
         if m is None or m.status or not self.working:
             return
-        if j.wall() > m.until or m.cls == UNSAFE and m.may_have_run_at or (
-                m.cls == KEYED and m.may_have_run_at and j.wall() >= m.may_have_run_at + WINDOW_S - 0.05):
+        if (
+            j.wall() > m.until
+            or m.cls == UNSAFE
+            and m.may_have_run_at
+            or (m.cls == KEYED and m.may_have_run_at and j.wall() >= m.may_have_run_at + WINDOW_S - 0.05)
+        ):
             self.end(m, "undeliverable")
         elif w.chance.random() < 0.15 and not m.may_have_run_at:
             self.end(m, "deferred")  # it was turned away before it was ever tried
         else:
-            j.attempt([number], j.wall(), lambda: self.first_byte(m),
-                      lambda error: self.call_later(0.2, self.go_on, number))
+            j.attempt(
+                [number],
+                j.wall(),
+                lambda: self.first_byte(m),
+                lambda error: self.call_later(0.2, self.go_on, number),
+            )
 
     def first_byte(self, m):
         w = self.world
@@ -424,8 +466,9 @@
 
     def end_again(self, m, status):
         if self.working and m.number in self.journal.held:
-            self.journal.final(m.number, status, 0, lambda: self.notice(m),
-                               lambda error: self.unsettled(m, status))
+            self.journal.final(
+                m.number, status, 0, lambda: self.notice(m), lambda error: self.unsettled(m, status)
+            )
 
     def unsettled(self, m, status):
         """As the host's ends do: once its time is over nothing is promised."""
@@ -444,13 +487,17 @@
 
 
 FAULTS = {  # of schedules that are written
-    "kill a": lambda w: w.a.die(), "start a": lambda w: w.a.start(),
+    "kill a": lambda w: w.a.die(),
+    "start a": lambda w: w.a.start(),
     "cut": lambda w: w.cut.update(a=True, b=True),
-    "heal": lambda w: _heal(w), "promote": lambda w: _promote(w),
+    "heal": lambda w: _heal(w),
+    "promote": lambda w: _promote(w),
     "break": lambda w: w.link and w.link.close(),
-    "kill b": lambda w: w.b.die(), "start b": lambda w: w.b.start(),
+    "kill b": lambda w: w.b.die(),
+    "start b": lambda w: w.b.start(),
     "full": lambda w: setattr(w.b.disk.faults, "full", True),
-    "room": lambda w: setattr(w.b.disk.faults, "full", False)}
+    "room": lambda w: setattr(w.b.disk.faults, "full", False),
+}
 
 
 def traffic(w):
@@ -463,8 +510,26 @@
 def drawn(w):
     """Faults of a run, from its chance."""
     c = w.chance
-    kinds = c.sample(["kill a", "kill b", "kill at", "cut a", "cut b", "cut both", "sever", "flap", "pause a",
-                      "pause amid", "pause b", "full", "promote", "promote", "twice"], c.randint(2, 6))
+    kinds = c.sample(
+        [
+            "kill a",
+            "kill b",
+            "kill at",
+            "cut a",
+            "cut b",
+            "cut both",
+            "sever",
+            "flap",
+            "pause a",
+            "pause amid",
+            "pause b",
+            "full",
+            "promote",
+            "promote",
+            "twice",
+        ],
+        c.randint(2, 6),
+    )
     for kind in kinds:
         w.at(c.randint(1_500_000, 11_000_000), lambda kind=kind: _fault(w, kind))
 
@@ -572,5 +637,3 @@
     if strict and w.late:
         broken.append(f"first bytes of the old owner's since it was taken over: {w.late[:3]}")
     return broken, lost
-
-
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -65,9 +65,20 @@
         """As call, on a connection that is there."""
         items = [[n, 0, i, "", b"", timeout_us, 0, False, True] for n, i in enumerate(ids or ("a",))]
         now = asyncio.get_running_loop().time()
-        self.calls.adopt(ours, {"endpoint": 1, "items": items, "started": now, "deadline": now + 10,
-                                "address": ["127.0.0.1", 1], "bundle": len(items), "rest": rest,
-                                "connected": True, "write_by": write_by})
+        self.calls.adopt(
+            ours,
+            {
+                "endpoint": 1,
+                "items": items,
+                "started": now,
+                "deadline": now + 10,
+                "address": ["127.0.0.1", 1],
+                "bundle": len(items),
+                "rest": rest,
+                "connected": True,
+                "write_by": write_by,
+            },
+        )
         return next(reversed(self.calls.out))
 
     def told(self, call, theirs, data):
@@ -86,6 +97,7 @@
 
 def held(test):
     """Runs a test with Held."""
+
     def run():
         async def inner():
             with socket.create_server(("127.0.0.1", 0)) as server:
@@ -94,7 +106,9 @@
                     await test(h)
                 finally:
                     h.calls.close()
+
         asyncio.run(inner())
+
     return run
 
 
@@ -132,6 +146,7 @@
             told = cut == len(text) or 0 <= line <= cut
             assert h.outcomes == [whole if told else RESET], (cut, text[:cut])
             assert call not in h.calls.out
+
     held(run)()
 
 
@@ -146,6 +161,7 @@
             assert h.outcomes == ([] if 0 <= line_of_200(text) <= cut else [whole])
             assert call not in h.calls.out
             theirs.close()
+
     held(run)()
 
 
@@ -160,6 +176,7 @@
             arrived(call.connection.sock)
             call.connection.look()
             assert h.outcomes == [RESET, RESET]
+
     held(run)()
 
 
@@ -171,8 +188,10 @@
     theirs.close()
 
 
-@pytest.mark.parametrize("waits", [("0.1", "0.4"), ("0.4", "0.1"), ("0.4", "Fri, 31 Dec 1999 23:59:59 GMT"),
-                                   ("0.1, 0.4",), ("nan", "0.4")])
+@pytest.mark.parametrize(
+    "waits",
+    [("0.1", "0.4"), ("0.4", "0.1"), ("0.4", "Fri, 31 Dec 1999 23:59:59 GMT"), ("0.1, 0.4",), ("nan", "0.4")],
+)
 def test_of_several_told_waits_the_longest_binds(waits):
     # The last one counted, and a destination that had told to wait longer was called.
     async def run(h):
@@ -181,6 +200,7 @@
         h.told(call, theirs, b"HTTP/1.1 429 x\r\nContent-Length: 0\r\n" + lines + b"\r\n")
         assert h.outcomes == [TOLD] and h.o.waits == [400_000]
         theirs.close()
+
     held(run)()
 
 
@@ -199,6 +219,7 @@
         h.told(call, theirs, b"HTTP/1.1 500 x\r\n")
         assert (await bounded(h.o.ended.get()))[1] == c.Outcome(Result.ERROR, spoilt=True)
         theirs.close()
+
     monkeypatch.setattr(c, "TAIL_S", 0.0)
     held(run)()
 
@@ -291,6 +312,7 @@
         reset(theirs)
         outcome = (await bounded(h.o.ended.get()))[1]
         assert outcome == (NEVER if rest else RESET)
+
     held(run)()
 
 
@@ -311,6 +333,7 @@
                 theirs.close()
             arrived(call.connection.sock)
             go(True)
+
         h.calls.hooks.begin = slow
         item = c.Item(5, 0, "b", "", b"x", 5_000_000)
         h.calls.send(1, [item])
@@ -321,6 +344,7 @@
             with pytest.raises(ConnectionResetError):  # closed over what was unread; no byte of a call came
                 theirs.recv(1)
             theirs.close()
+
     held(run)()
 
 
@@ -332,6 +356,7 @@
     def slow(items, go):
         h.o.allowed = False
         go(True)
+
     h.calls.hooks.begin = slow
     item = c.Item(5, 0, "b", "", b"x", 5_000_000)
     h.calls.send(1, [item])
@@ -369,19 +394,27 @@
             theirs, _ = h.server.accept()
             theirs.sendall(step)
             theirs.close()
-            call, = h.calls.out
+            (call,) = h.calls.out
             arrived(call.connection.sock)
             go(True)
             reached.append(items[0].begun)
+
         h.calls.hooks.begin = slow
         h.calls.send(1, [c.Item(5, 0, "b", "", b"x", 5_000_000)])
         assert (await bounded(ended.get()))[1] == outcome
         assert reached == [step != b""] and not h.calls.out
+
     held(run)()
 
 
-@pytest.mark.parametrize(("step", "outcome"), [
-    (answer(200), c.Outcome(Result.ERROR, spoilt=True)), (answer(503), c.Outcome(Result.FULL)), (FULL, TOLD)])
+@pytest.mark.parametrize(
+    ("step", "outcome"),
+    [
+        (answer(200), c.Outcome(Result.ERROR, spoilt=True)),
+        (answer(503), c.Outcome(Result.FULL)),
+        (FULL, TOLD),
+    ],
+)
 def test_a_200_that_came_on_a_new_connection_ahead_of_the_request_is_none(step, outcome):
     # The message was over with no effect and no notice. One that is turned away at once may say so first.
     async def run(h):
@@ -393,14 +426,16 @@
             theirs, _ = h.server.accept()
             others.append(theirs)
             theirs.sendall(step)
-            call, = h.calls.out
+            (call,) = h.calls.out
             arrived(call.connection.sock)
             go(True)
+
         h.calls.hooks.begin = slow
         h.calls.send(1, [c.Item(5, 0, "b", "", b"x", 5_000_000)])
         assert (await bounded(h.o.ended.get()))[1] == outcome
         assert not h.calls.out
         others[0].close()
+
     held(run)()
 
 
@@ -416,6 +451,7 @@
         h.calls.cancel(0, 0)
         assert h.outcomes == [whole] and len(h.o.waits) == (whole is TOLD)
         theirs.close()
+
     held(run)()
 
 
@@ -434,6 +470,7 @@
         h.calls._late(next(iter(h.calls.out)))
         assert h.o.probes.get_nowait() is Result.FULL and h.o.waits == [400_000]
         theirs.close()
+
     held(run)()
 
 
@@ -454,6 +491,7 @@
         h.calls.cancel(0, 0)
         assert h.outcomes == [c.Outcome(Result.MOOT)] and call.connection.closed
         theirs.close()
+
     held(run)()
 
 
@@ -471,11 +509,14 @@
     theirs.close()
 
 
-@pytest.mark.parametrize(("step", "outcome"), [
-    (b"nonsense\r\n\r\n", c.Outcome(Result.ERROR, spoilt=True)),  # can't be read
-    (b"HTTP/1.1 500 x\r\n\r\n" + b"x" * 70_000, c.Outcome(Result.ERROR, spoilt=True)),
-    (b"", RESET),  # its sending ended, and it reads on
-])
+@pytest.mark.parametrize(
+    ("step", "outcome"),
+    [
+        (b"nonsense\r\n\r\n", c.Outcome(Result.ERROR, spoilt=True)),  # can't be read
+        (b"HTTP/1.1 500 x\r\n\r\n" + b"x" * 70_000, c.Outcome(Result.ERROR, spoilt=True)),
+        (b"", RESET),  # its sending ended, and it reads on
+    ],
+)
 def test_what_is_over_with_no_answer_is_reset_and_not_sent_on(step, outcome):
     # All of it had been handed to the system, which held most of it back and sent it on behind a plain close:
     # the call began as the endpoint read on, beside its next attempt.
@@ -504,6 +545,7 @@
                 came += len(part)
         assert came < len(body)
         theirs.close()
+
     held(run)()
 
 
@@ -529,27 +571,31 @@
             self.over.set()
 
 
-@pytest.mark.parametrize(("head", "part"), [
-    (b"", b"HTTP/1.1 102 Processing\r\n\r\n"),
-    (b"", b"\r\n"),
-    (b"HTTP/1.1 500 x\r\n", b"A: b\r\n"),
-    (b"HTTP/1.1 500 x\r\nA: ", b"b" * 100),
-    (b"HTTP/1.1 500 x\r\n\r\n", b"b" * 1000),
-    (b"HTTP/1.1 500 x\r\nContent-Length: 3000000000\r\n\r\n", b"b" * 1000),
-    (b"HTTP/1.1 500 x\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\nb\r\n"),
-    (b"HTTP/1.1 500 x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"A: b\r\n"),
-])
+@pytest.mark.parametrize(
+    ("head", "part"),
+    [
+        (b"", b"HTTP/1.1 102 Processing\r\n\r\n"),
+        (b"", b"\r\n"),
+        (b"HTTP/1.1 500 x\r\n", b"A: b\r\n"),
+        (b"HTTP/1.1 500 x\r\nA: ", b"b" * 100),
+        (b"HTTP/1.1 500 x\r\n\r\n", b"b" * 1000),
+        (b"HTTP/1.1 500 x\r\nContent-Length: 3000000000\r\n\r\n", b"b" * 1000),
+        (b"HTTP/1.1 500 x\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\nb\r\n"),
+        (b"HTTP/1.1 500 x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"A: b\r\n"),
+    ],
+)
 def test_an_answer_that_never_ends_is_given_up(head, part):
     async def run():
         endpoint = await Endless(head, part).start()
         o = Outcomes()
         began = asyncio.get_running_loop().time()
-        (_, outcome), = await o.send(endpoint.port, "a", timeout_us=60_000_000)
+        ((_, outcome),) = await o.send(endpoint.port, "a", timeout_us=60_000_000)
         assert outcome.result is Result.ERROR and outcome.spoilt
         assert asyncio.get_running_loop().time() - began < 10 * c.TAIL_S
         await bounded(endpoint.over.wait())  # its connection is closed
         assert not o.calls.out and not o.calls.idle
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -562,7 +608,7 @@
     h.calls.send(1, [c.Item(5, 0, "b", "", b"x", 5_000_000)])
     theirs, _ = await bounded(loop.sock_accept(h.server))
     await bounded(loop.sock_recv(theirs, 1))
-    call, = h.calls.out
+    (call,) = h.calls.out
     assert call.connection.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
     theirs.close()
 
@@ -573,13 +619,14 @@
         for _ in range(3):
             call, theirs = h.call()
             h.told(call, theirs, text)
-            outcome, = h.outcomes
+            (outcome,) = h.outcomes
             assert outcome.result is Result.ERROR and outcome.spoilt
             theirs.close()
         call, theirs = h.call()
         h.told(call, theirs, answer(200))
         assert h.outcomes == [DELIVERED]
         theirs.close()
+
     with caplog.at_level("WARNING"):
         held(run)()
     assert len([r for r in caplog.records if "can't be read" in r.message]) == 1
@@ -592,6 +639,7 @@
             h.told(call, theirs, answer(200, body))
             assert len(h.outcomes) == 2
             theirs.close()
+
     with caplog.at_level("WARNING"):
         held(run)()
     assert len([r for r in caplog.records if "can't be read" in r.message]) == 1
--- a/tests/test_bundles.py
+++ b/tests/test_bundles.py
@@ -51,6 +51,7 @@
         while not all(i in fleet.host.journal.over for i in ("middle", "long")):
             await bounded(asyncio.sleep(0.01))
         assert fleet.discovery.finals.empty()
+
     courier(test)(tmp_path)
 
 
--- a/tests/test_busy_discovery.py
+++ b/tests/test_busy_discovery.py
@@ -74,6 +74,7 @@
         watch.stop()
         await busy.stop()
         return second - first
+
     assert asyncio.run(test()) >= 0.49  # a quarter of the first ceiling; a lost connection's is 0.1 s
 
 
@@ -84,10 +85,17 @@
     queue = Queue(scheduler, serve_s)
     heard = {}
     for k in range(COURIERS):
-        network = SimNetwork(ProcessLoop(scheduler), {ADDRESS: queue}, SimLink(), random.Random(k),
-                             lambda name: False, 9)
-        watch = Watch(network.loop, network, ADDRESS, random.Random(k), 1,
-                      lambda change, k=k: heard.setdefault(k, scheduler.now_us / 1e6))
+        network = SimNetwork(
+            ProcessLoop(scheduler), {ADDRESS: queue}, SimLink(), random.Random(k), lambda name: False, 9
+        )
+        watch = Watch(
+            network.loop,
+            network,
+            ADDRESS,
+            random.Random(k),
+            1,
+            lambda change, k=k: heard.setdefault(k, scheduler.now_us / 1e6),
+        )
         watch.by = watch.clock_end = CLOCK_S + (0.0 if silent_at_once else 2 * k / COURIERS)
         watch.after(watch.clock_end - CLOCK_S + SILENCE_S, watch.open)
     scheduler.run(30_000_000)
@@ -133,8 +141,10 @@
         if self.stream.closed:  # it was given up meanwhile
             self.queue.in_vain += 1
             return
-        self.stream.write(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n"
-                          b"21\r\n" + b'{"rev":2,"all":true,"targets":[]}\r\n')
+        self.stream.write(
+            b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n"
+            b"21\r\n" + b'{"rev":2,"all":true,"targets":[]}\r\n'
+        )
         self.beat()
 
     def beat(self):
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -20,9 +20,15 @@
     def __init__(self, **changes):
         self.ended, self.waits, self.probes, self.begun = asyncio.Queue(), [], asyncio.Queue(), []
         self.allowed, self.waited = True, False
-        hooks = c.Hooks(lambda e: self.allowed, self.begin, self.end, lambda e, w: self.waits.append(w),
-                        lambda e, r, latency: self.probes.put_nowait(r), lambda item, outcome: None,
-                        waited=lambda e: self.waited)
+        hooks = c.Hooks(
+            lambda e: self.allowed,
+            self.begin,
+            self.end,
+            lambda e, w: self.waits.append(w),
+            lambda e, r, latency: self.probes.put_nowait(r),
+            lambda item, outcome: None,
+            waited=lambda e: self.waited,
+        )
         loop = asyncio.get_running_loop()
         given = {"idle_us": 10_000_000, "connect_us": 1_000_000, "max_idle": 20, **changes}
         self.calls = c.Calls(loop, RealNetwork(loop), hooks, **given)
@@ -47,20 +53,23 @@
         return s.getsockname()[1]
 
 
-@pytest.mark.parametrize(("step", "outcome"), [
-    (answer(200), c.Outcome(Result.OK, over=True)),
-    (answer(500), c.Outcome(Result.ERROR)),
-    (answer(429, Retry_After="0.25"), c.Outcome(Result.FULL, wait_us=250_000)),
-    (answer(503), c.Outcome(Result.FULL)),
-    (answer(503, Slots_Taken="1"), c.Outcome(Result.MOOT)),
-    (answer(504), c.Outcome(Result.MOOT)),
-    (answer(410), c.Outcome(Result.MOOT, over=True)),
-    (answer(413), c.Outcome(Result.MOOT)),
-    ("reset", c.Outcome(Result.RESET)),
-    ("hang", c.Outcome(Result.TIMEOUT)),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(Result.OK, over=True)),
-    (b"nonsense\r\n\r\n", c.Outcome(Result.ERROR, spoilt=True)),
-])
+@pytest.mark.parametrize(
+    ("step", "outcome"),
+    [
+        (answer(200), c.Outcome(Result.OK, over=True)),
+        (answer(500), c.Outcome(Result.ERROR)),
+        (answer(429, Retry_After="0.25"), c.Outcome(Result.FULL, wait_us=250_000)),
+        (answer(503), c.Outcome(Result.FULL)),
+        (answer(503, Slots_Taken="1"), c.Outcome(Result.MOOT)),
+        (answer(504), c.Outcome(Result.MOOT)),
+        (answer(410), c.Outcome(Result.MOOT, over=True)),
+        (answer(413), c.Outcome(Result.MOOT)),
+        ("reset", c.Outcome(Result.RESET)),
+        ("hang", c.Outcome(Result.TIMEOUT)),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(Result.OK, over=True)),
+        (b"nonsense\r\n\r\n", c.Outcome(Result.ERROR, spoilt=True)),
+    ],
+)
 def test_each_answer_has_its_outcome(step, outcome):
     async def run():
         endpoint = await Endpoint(step).start()
@@ -76,6 +85,7 @@
         assert o.waits == ([250_000] if outcome.wait_us else [])
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -84,6 +94,7 @@
         o = Outcomes()
         assert await o.send(free_port(), "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
         assert o.begun == []  # nothing was written, so no attempt is recorded
+
     asyncio.run(run())
 
 
@@ -102,6 +113,7 @@
             assert await o.send(s.getsockname()[1], "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
             for f in fill:
                 f.close()
+
     asyncio.run(run())
 
 
@@ -135,6 +147,7 @@
         assert await bounded(lost) is False
         thread.join()
         listener.close()
+
     asyncio.run(run())
 
 
@@ -151,6 +164,7 @@
         assert endpoint.accepted == 2
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -162,28 +176,37 @@
         await bounded(endpoint.ended.get())  # this side ended it
         assert not o.calls.pools[1].idle
         await endpoint.stop()
+
     asyncio.run(run())
 
 
 def test_a_bundle_has_an_end_for_each():
     async def run():
-        rows = (b'[{"id":"a","state":"done"},{"id":"b","state":"failed"},{"id":"c","state":"busy"},'
-                b'{"id":"d","state":"void"},{"id":"e","state":"used_up"}]')
-        endpoint = await Endpoint(answer(200, rows, Retry_After="0.5"), answer(429, Retry_After="1"),
-                                  answer(200, b"[]"), "reset").start()
+        rows = (
+            b'[{"id":"a","state":"done"},{"id":"b","state":"failed"},{"id":"c","state":"busy"},'
+            b'{"id":"d","state":"void"},{"id":"e","state":"used_up"}]'
+        )
+        endpoint = await Endpoint(
+            answer(200, rows, Retry_After="0.5"), answer(429, Retry_After="1"), answer(200, b"[]"), "reset"
+        ).start()
         o = Outcomes()
         ends = dict(await o.send(endpoint.port, *"abcde"))
         path, headers, body, _ = await endpoint.call()
         assert path == "/events/bundle" and b'"key":"ka"' in body and b'"body":"eA=="' in body
         assert {o.wait_us for o in ends.values()} == {500_000}
         assert {i: (o.result, o.over) for i, o in ends.items()} == {
-            "a": (Result.OK, True), "b": (Result.ERROR, False), "c": (Result.FULL, False),
-            "d": (Result.MOOT, True), "e": (Result.MOOT, False)}
+            "a": (Result.OK, True),
+            "b": (Result.ERROR, False),
+            "c": (Result.FULL, False),
+            "d": (Result.MOOT, True),
+            "e": (Result.MOOT, False),
+        }
         assert {o.result for _, o in await o.send(endpoint.port, *"fg")} == {Result.FULL}
         assert {o.result for _, o in await o.send(endpoint.port, *"hi")} == {Result.ERROR}  # may have run
         assert {o.result for _, o in await o.send(endpoint.port, *"jk")} == {Result.RESET}
         assert o.waits == [500_000, 1_000_000]
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -197,6 +220,7 @@
         assert endpoint.calls.empty() and o.begun == []
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -213,6 +237,7 @@
         assert endpoint.calls.empty() and o.begun == []
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -222,7 +247,7 @@
         before, after = Outcomes(), Outcomes()
         before.calls.place(1, ("127.0.0.1", endpoint.port), dest=7)
         before.calls.send(1, [c.Item(0, 0, "a", "", b"x", 5_000_000)])
-        call, = before.calls.out
+        (call,) = before.calls.out
         for o in (before, after):
             o.calls.place(1, ("127.0.0.1", endpoint.port), dest=8)
         after.calls.adopt(call.connection.sock.dup(), before.calls.state(call))
@@ -231,6 +256,7 @@
         assert endpoint.calls.empty() and after.begun == []
         after.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -245,6 +271,7 @@
         assert (await endpoint.call())[0] == "/alive"
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -275,6 +302,7 @@
         o.calls.close()
         thread.join()
         listener.close()
+
     asyncio.run(run())
 
 
@@ -306,6 +334,7 @@
             assert o.waits == [400_000]
             o.calls.close()
             thread.join(5)
+
     asyncio.run(run())
 
 
@@ -331,4 +360,5 @@
                 c.Call.look = look
             assert len(o.begun) == many and len(looks) < 10 * many
             o.calls.close()
+
     asyncio.run(run())
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -84,6 +84,7 @@
 
 def door(**how):
     """Runs a test with a door."""
+
     def wrap(test):
         def run(monkeypatch):
             async def inner():
@@ -94,9 +95,12 @@
                     made.server.close()
                     for plain in made.plains:
                         plain.sock.close()
+
             asyncio.run(inner())
+
         run.__name__, run.__doc__ = test.__name__, test.__doc__
         return run
+
     return wrap
 
 
@@ -127,6 +131,7 @@
         for text in texts:
             await client.loop.sock_sendall(client.sock, text)
             sent += 1
+
     sending = asyncio.create_task(send())
     for n in range(len(texts)):
         await until(lambda n=n: len(made.replies) > n)
@@ -146,6 +151,7 @@
     async def send():
         for _ in range(count // 100):
             await client.loop.sock_sendall(client.sock, text * 100)
+
     sending = asyncio.create_task(send())
     await until(lambda: held.unsent)  # nothing of it fits into the system's buffers any more
     for _ in range(50):
@@ -160,8 +166,9 @@
 async def test_answers_that_wait_for_an_earlier_one_are_bounded(made, _):
     client, held = await made.client()
     count, size = 30, 10_000
-    sending = asyncio.create_task(client.loop.sock_sendall(
-        client.sock, message("m1") + c(b"PING", b"x" * size) * count))
+    sending = asyncio.create_task(
+        client.loop.sock_sendall(client.sock, message("m1") + c(b"PING", b"x" * size) * count)
+    )
     await until(lambda: held.held > server.UNSENT)
     for _ in range(50):
         await asyncio.sleep(0)
@@ -177,8 +184,9 @@
     client, held = await made.client()
     held.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     size = 60_000
-    sending = asyncio.create_task(client.loop.sock_sendall(
-        client.sock, message("m1") + c(b"PING", b"x" * size) * 2))
+    sending = asyncio.create_task(
+        client.loop.sock_sendall(client.sock, message("m1") + c(b"PING", b"x" * size) * 2)
+    )
     await until(lambda: held.held > server.UNSENT)
     made.replies[0].taken()
     assert held.phase is Phase.OPEN and len(held.unsent) > server.UNSENT
@@ -195,6 +203,7 @@
     def noted(self, request):
         handled.append(self is flooding)
         handle(self, request)
+
     monkeypatch.setattr(server.Client, "_handle", noted)
     flood.send(c(b"PING") * 3000)
     usual.send(c(b"PING"))
@@ -221,7 +230,9 @@
 # The end over what is still unread
 
 ENDS = {
-    "garbled": (b"*x\r\n", 1), "too large": (b"*1\r\n$60000000\r\n", 1), "QUIT": (c(b"QUIT"), 1),
+    "garbled": (b"*x\r\n", 1),
+    "too large": (b"*1\r\n$60000000\r\n", 1),
+    "QUIT": (c(b"QUIT"), 1),
     "last strike": (c(b"NOPE") * server.STRIKES, server.STRIKES),
 }
 
@@ -242,6 +253,7 @@
         client.sock.close()
         await until(lambda: made.server.leaving == {})
         assert made.put == []
+
     test(monkeypatch)
 
 
@@ -265,7 +277,9 @@
             if sock is held.sock and acts:
                 acts.pop()()
             return do(sock, *args)
+
         return ends
+
     monkeypatch.setattr(socket.socket, "shutdown", before(socket.socket.shutdown))
     monkeypatch.setattr(socket.socket, "close", before(socket.socket.close))
 
@@ -277,8 +291,12 @@
     async def test(made, patch):
         client, held = await made.client()
         crossing(patch, held, lambda: client.send(message("m1")))
-        ends = {"let go": made.server.let_go, "overdue": lambda: held.overdue(held.due),
-                "too many idle": held.finish, "end of the process": made.server.end}
+        ends = {
+            "let go": made.server.let_go,
+            "overdue": lambda: held.overdue(held.due),
+            "too many idle": held.finish,
+            "end of the process": made.server.end,
+        }
         ends[how]()
         assert held.phase is Phase.SHUT
         assert await client.rest() == b""
@@ -286,6 +304,7 @@
         held.due = 0.0
         made.server._sweep()
         assert held.phase is Phase.CLOSED and made.put == []
+
     test(monkeypatch)
 
 
@@ -364,6 +383,7 @@
         assert not host.clients.clients
         assert await client.rest() == OK
         await bounded(host.closed)
+
     courier(test)(tmp_path)
 
 
@@ -416,6 +436,7 @@
     async def send():
         while True:
             await client.loop.sock_sendall(client.sock, c(b"PING", b"x" * 500) * 100)
+
     sending = asyncio.create_task(send())
     await until(lambda: held.unsent)
     sending.cancel()
@@ -445,6 +466,7 @@
     def crossed():
         client.send(message("m1"))
         end()
+
     host.clients.end = crossed
     host.terminate()
     host.clients.last_call()
@@ -491,8 +513,13 @@
     "plain": message("7f3a9c21e0b4d655"),
     "no body": message("m1", body=b""),
     "any bytes": message("m1", body=bytes(range(256)) + b"\r\n*1\r\n$4\r\nPING\r\n"),
-    "key, marks, another order": c(b"MSG.PUT", b"9b1f03aa5c7e2d41", b"m1",
-                                   b"dest=7,k=5c0f6e1a2b3d4c59,again=1,r=1,d=8000,t=acme,c=notice", b"BODY"),
+    "key, marks, another order": c(
+        b"MSG.PUT",
+        b"9b1f03aa5c7e2d41",
+        b"m1",
+        b"dest=7,k=5c0f6e1a2b3d4c59,again=1,r=1,d=8000,t=acme,c=notice",
+        b"BODY",
+    ),
     "small letters": c(b"msg.put", b"0" * 16, b"m1", b"c=safe,t=t,d=900,dest=7", b"BODY"),
 }
 
@@ -510,6 +537,7 @@
             client.send(text[cut:])
             assert await client.answers(1) == OK
         assert len(made.put) == len(text) - 1 and len(set(made.put)) == 1
+
     test(monkeypatch)
 
 
@@ -567,14 +595,14 @@
 def test_a_client_that_writes_slowly_and_goes_on_is_served(first):
     # It had 2 s for all of a request.
     world, text = World(Places(50)), message("m1")
-    client = Distant(world, first, *(text[n:n + 10] for n in range(0, len(text), 10)), every_us=1_000_000)
+    client = Distant(world, first, *(text[n : n + 10] for n in range(0, len(text), 10)), every_us=1_000_000)
     world.run(len(text) / 10 + 2)
     assert client.got.endswith(OK) and len(text) / 10 > 3 * server.WHOLE_S
 
 
 def test_a_client_that_goes_on_for_ever_is_told_in_time():
     world, text = World(Places(50)), message("m1")
-    client = Distant(world, *(text[n:n + 1] for n in range(len(text))), every_us=1_000_000)
+    client = Distant(world, *(text[n : n + 1] for n in range(len(text))), every_us=1_000_000)
     world.run(server.SLOW_S + 1)
     assert client.got.startswith(b"-ERR the request did not become whole in time")
     assert server.SLOW_S - 1 < client.over_us / 1e6 < server.SLOW_S + 1
@@ -584,7 +612,7 @@
     # Each read ends amid a request: each one has its own time.
     world, text = World(Places(50)), message("m1")
     stream = text * 40
-    pieces = [stream[n:n + len(text) + 7] for n in range(0, len(stream), len(text) + 7)]
+    pieces = [stream[n : n + len(text) + 7] for n in range(0, len(stream), len(text) + 7)]
     client = Distant(world, *pieces, every_us=1_000_000)
     world.run(len(pieces) + 1)
     assert len(pieces) > 2 * server.SLOW_S and client.got == OK * 40
@@ -593,8 +621,10 @@
 def test_those_that_write_slowly_on_new_connections_are_not_taken_for_silent():
     world, text = World(Places(8)), message("m1")
     assert world.server.idle_most < 4
-    clients = [Distant(world, *(text[n:n + 10] for n in range(0, len(text), 10)), every_us=500_000)
-               for _ in range(4)]
+    clients = [
+        Distant(world, *(text[n : n + 10] for n in range(0, len(text), 10)), every_us=500_000)
+        for _ in range(4)
+    ]
     world.run(len(text) / 20 + 1)
     assert [client.got for client in clients] == [OK] * 4
 
@@ -637,7 +667,7 @@
     client = Distant(world, c(b"NOPE"))
     client.stream.paced = True  # the client reads nothing yet
     world.run(1)
-    held, = world.server.clients
+    (held,) = world.server.clients
     assert held.unsent and not world.server.make_room()
     for _ in range(20):
         client.stream.peer_took(client.stream.under_way)
--- a/tests/test_client_fuzz.py
+++ b/tests/test_client_fuzz.py
@@ -132,6 +132,7 @@
         def noted(one, reply):
             handed.add(one.id)
             put(one, reply)
+
         host.clients.put = noted
 
         async def come():
@@ -141,6 +142,7 @@
                     return
                 hands.append(Hand(f"c{n}", port, random.Random(f"{seed} {n}")))
                 going.append(asyncio.create_task(hands[-1].go()))
+
         coming = asyncio.create_task(come())
         await asyncio.sleep(0.1 + chance.random() * 0.4)
         host.terminate()
@@ -152,11 +154,12 @@
         for hand in hands:
             assert hand.over == "ended", (hand.name, hand.over)
             *answers, rest = hand.answers()
-            more = answers[len(hand.asked):]
+            more = answers[len(hand.asked) :]
             assert not more and not rest, (hand.name, more, rest)
             for (start, _), answer in zip(hand.asked, answers, strict=False):
                 assert answer.startswith(start), (hand.name, start, answer)
-            unanswered = {ident for _, ident in hand.asked[len(answers):]}
+            unanswered = {ident for _, ident in hand.asked[len(answers) :]}
             assert not handed & unanswered, (hand.name, handed & unanswered)
         assert hands and len(handed) > CLIENTS  # it played
+
     courier(test)(tmp_path)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -26,10 +26,18 @@
     "fields": c(b"MSG.PUT", b"0", b"id", b"\xff\xfe", b""),
 }
 UNREADABLE = {
-    "inline": b"PING\r\n", "number": b":5\r\n", "noise": b"\x00\xff\x17" * 30,
-    "nested": b"*1\r\n*1\r\n$1\r\nx\r\n", "negative count": b"*-1\r\n", "huge count": b"*1000000000\r\n",
-    "negative length": b"*1\r\n$-1\r\n", "huge length": b"*1\r\n$60000000\r\n", "no length": b"*1\r\n$x\r\n",
-    "signed": b"*+1\r\n", "wrong length": b"*1\r\n$3\r\nPINGPONG\r\n", "line without end": b"*" + b"1" * 50,
+    "inline": b"PING\r\n",
+    "number": b":5\r\n",
+    "noise": b"\x00\xff\x17" * 30,
+    "nested": b"*1\r\n*1\r\n$1\r\nx\r\n",
+    "negative count": b"*-1\r\n",
+    "huge count": b"*1000000000\r\n",
+    "negative length": b"*1\r\n$-1\r\n",
+    "huge length": b"*1\r\n$60000000\r\n",
+    "no length": b"*1\r\n$x\r\n",
+    "signed": b"*+1\r\n",
+    "wrong length": b"*1\r\n$3\r\nPINGPONG\r\n",
+    "line without end": b"*" + b"1" * 50,
     "big body": Client.message("big", body=b"x" * 65537),
     "sum": b"*16\r\n" + b"".join(b"$60000\r\n%s\r\n" % (b"x" * 60000) for _ in range(2)),
 }
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -77,6 +77,7 @@
     def mixed(body):
         rows = b'[{"id":"b1","state":"done"},{"id":"b2","state":"failed"},{"id":"b3","state":"busy"}]'
         return answer(200, rows, Retry_After="0.3")
+
     # The first call teaches the courier that more than one may be out; then three travel as one.
     e = await fleet.endpoint("a", answer(200), mixed, dest=9, kind="bundles")
     client = await fleet.inside()
@@ -120,6 +121,7 @@
             await fleet.inside()
             for _ in range(3):
                 await bounded(fleet.discovery.watches.get())
+
     asyncio.run(run())
 
 
@@ -184,6 +186,7 @@
 
     def fail(file, data):
         raise OSError(28, "No space left on device")
+
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("madderbeam.ports.real.os.write", fail)
         assert (await client.put("m1")).startswith("-BUSY")
@@ -200,15 +203,21 @@
     assert time.monotonic() - start < 0.6 + 0.3
 
 
-@pytest.mark.parametrize(("name", "value", "field"), [
-    ("LB_CONFIG", "", "LB_CONFIG"), ("LB_CONFIG", "/nowhere", "LB_CONFIG"),
-    ("LB_STATE", "/nowhere", "LB_STATE"),
-    ("LB_LISTEN", "here", "LB_LISTEN"), ("LB_DISCOVERY", "127.0.0.1:x", "LB_DISCOVERY"),
-])
+@pytest.mark.parametrize(
+    ("name", "value", "field"),
+    [
+        ("LB_CONFIG", "", "LB_CONFIG"),
+        ("LB_CONFIG", "/nowhere", "LB_CONFIG"),
+        ("LB_STATE", "/nowhere", "LB_STATE"),
+        ("LB_LISTEN", "here", "LB_LISTEN"),
+        ("LB_DISCOVERY", "127.0.0.1:x", "LB_DISCOVERY"),
+    ],
+)
 def test_a_wrong_value_names_its_field(tmp_path, name, value, field):
     async def run():
         async with Fleet(tmp_path) as fleet:
             return fleet.env()
+
     env = asyncio.run(run())
     load(env, RealDisk())
     with pytest.raises(ConfigError, match=f"^{field}: [^\n]+$"):
@@ -219,6 +228,7 @@
     async def run():
         async with Fleet(tmp_path, settings(familyInfo__maxCalls=0)) as fleet:
             return fleet.env()
+
     with pytest.raises(ConfigError, match="^settings: slots"):
         load(asyncio.run(run()), RealDisk())
 
@@ -231,6 +241,7 @@
             client.writer.write(client.message("half")[:-5])
             other = await Client().open(client.writer.get_extra_info("peername")[1])
             assert await other.put("m") == "+OK"
+
     asyncio.run(run())
 
 
@@ -309,4 +320,5 @@
             assert await client.put("m", kind="unsafe", life=1500) == "+OK"
             assert (await fleet.discovery.final())["status"] == "deferred"  # it never ran
             assert e.calls.empty()
+
     asyncio.run(run())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -89,9 +89,15 @@
 
 SILENT, OF_USE = b"", Client.command(b"PING")
 AMID = OF_USE + b"*5\r\n$7\r\nMSG."  # of use once, then in the middle of a request for good
-CASES = pytest.mark.parametrize("first, told, real", [
-    pytest.param(SILENT, 64, 64, id="silent"), pytest.param(OF_USE, 64, 64, id="of-use"),
-    pytest.param(AMID, 64, 64, id="amid-a-request"), pytest.param(AMID, 1024, 48, id="told-too-many")])
+CASES = pytest.mark.parametrize(
+    "first, told, real",
+    [
+        pytest.param(SILENT, 64, 64, id="silent"),
+        pytest.param(OF_USE, 64, 64, id="of-use"),
+        pytest.param(AMID, 64, 64, id="amid-a-request"),
+        pytest.param(AMID, 1024, 48, id="told-too-many"),
+    ],
+)
 
 
 @pytest.fixture
@@ -143,6 +149,7 @@
                 assert (await other.call())[1]["x-request-id"] == "m1"
                 assert loop.time() - back < CLOCK_S + 1.0  # with the message, on a busy machine
                 assert fleet.endpoints["a"].calls.empty()
+
     asyncio.run(run())
 
 
@@ -163,6 +170,7 @@
                 assert (await fleet.discovery.final())["id"] == "n1"
         segments = sorted(path.name for path in (fleet.folder / "state").iterdir())
         assert "segment-00000001.journal" not in segments or len(segments) > 1  # others were begun
+
     asyncio.run(run())
 
 
@@ -186,6 +194,7 @@
                 ended = await fleet.discovery.ended(3)
                 tried = {(await late.call())[1]["x-request-id"] for _ in range(3)}
             assert (ended, tried) == ({"n0", "n1", "n2"}, {"m0", "m1", "m2"})
+
     asyncio.run(run())
 
 
@@ -213,6 +222,7 @@
                 fleet.process.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(fleet.process.wait(), 3.7) == 0
                 await moved.stop()
+
     asyncio.run(run())
 
 
@@ -236,6 +246,7 @@
                 except (ConnectionError, asyncio.IncompleteReadError):
                     kept.discard(one)
             assert 0 < len(kept) <= 24
+
     asyncio.run(run())
 
 
@@ -277,4 +288,5 @@
                 sock.close()
         assert [life[n] for n in range(20)] == [0] * 20
         assert [life[n] for n in range(25, len(crowd))] == [6000] * (len(crowd) - 25)
+
     asyncio.run(run())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,8 +6,20 @@
 from madderbeam.policy.health import LEAST
 from madderbeam.policy.messages import Courier
 from madderbeam.policy.interface import (
-    AttemptEnded, CloseIdle, EndpointsListed, EndpointState, Fail, Kind, ListEntry, ListForm, MessageArrived,
-    Refuse, Result, Send, Settings)
+    AttemptEnded,
+    CloseIdle,
+    EndpointsListed,
+    EndpointState,
+    Fail,
+    Kind,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    Refuse,
+    Result,
+    Send,
+    Settings,
+)
 
 
 def fleet(**changes):
@@ -114,8 +126,18 @@
 def test_what_a_hundred_couriers_send_into_an_outage_sums_to_the_fall_budget(how, every, least):
     # Where a fourth comes of what it takes, a courier that seldom asks found out late that it was back.
     rate, cold, multiple, couriers = 40.0, 0.15, 2.5, 100
-    given = dict(classes=CLASSES, slots=4, max_held=100, max_attempts=12, rates_listed=True,
-                 couriers=couriers, cold_share=cold, cold_us=12 * S, fall_multiple=multiple, tick_us=5000)
+    given = dict(
+        classes=CLASSES,
+        slots=4,
+        max_held=100,
+        max_attempts=12,
+        rates_listed=True,
+        couriers=couriers,
+        cold_share=cold,
+        cold_us=12 * S,
+        fall_multiple=multiple,
+        tick_us=5000,
+    )
     all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
     told = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
     calls, sent, now, ident = [], [], 1000 * S, 0
@@ -192,10 +214,25 @@
 def test_couriers_spread_over_routes_in_step_with_their_rates():
     chosen = {}
     for seed in range(200):
-        c = Courier(Settings(classes=CLASSES, slots=4, max_held=50, couriers=100, rates_listed=True,
-                             kinds=(Kind("k", routes_apart=True),), zone_fees=(0.1,)), seed)
-        acts = c.handle(S, [EndpointsListed(ListForm.CACHED, (entry(100, rate=9.0), entry(101, rate=3.0))),
-                            MessageArrived(1, 0, 1, 9 * S)])
+        c = Courier(
+            Settings(
+                classes=CLASSES,
+                slots=4,
+                max_held=50,
+                couriers=100,
+                rates_listed=True,
+                kinds=(Kind("k", routes_apart=True),),
+                zone_fees=(0.1,),
+            ),
+            seed,
+        )
+        acts = c.handle(
+            S,
+            [
+                EndpointsListed(ListForm.CACHED, (entry(100, rate=9.0), entry(101, rate=3.0))),
+                MessageArrived(1, 0, 1, 9 * S),
+            ],
+        )
         e = of(Send, acts)[0].endpoint
         chosen[e] = chosen.get(e, 0) + 1
     assert 130 < chosen[100] < 170
--- a/tests/test_full_restart.py
+++ b/tests/test_full_restart.py
@@ -22,8 +22,17 @@
     """Take messages on, up to so many and for as long as there is room; how many."""
     journal = Journal(RealDisk(), RealClock(), str(fleet.folder / "state"), 3_000_000, 9.0)
     for n in range(1, most + 1):
-        m = Held(n, f"{n:016x}", n % 3, 0, 99, f"{n:016x}" if n % 3 == 1 else "", journal.wall() + left_s,
-                 False, b"x" * size)
+        m = Held(
+            n,
+            f"{n:016x}",
+            n % 3,
+            0,
+            99,
+            f"{n:016x}" if n % 3 == 1 else "",
+            journal.wall() + left_s,
+            False,
+            b"x" * size,
+        )
         try:
             journal.take(m)
         except OSError:
@@ -55,6 +64,7 @@
             full.append(await started(fleet))
             await fleet.kill()
         assert min(full) < RATIO * max(empty)
+
     courier(test)(tmp_path)
 
 
@@ -75,6 +85,7 @@
         # With all that the journal holds the test's own reading counts as much: on a machine that does other
         # things beside, one of eight runs took 1.54 s.
         assert many == MOST or time.monotonic() - ready < NOTICES_S
+
     courier(test)(tmp_path)
 
 
@@ -111,8 +122,13 @@
         fleet.raw = settings(policyLimits__maxOpen=MOST)
         count = fill(fleet, size, left_s=60)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", PHASES, env={**os.environ, **fleet.env()}, cwd=ROOT,
-            stdout=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-c",
+            PHASES,
+            env={**os.environ, **fleet.env()},
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+        )
         out, _ = await asyncio.wait_for(process.communicate(), 30.0)
         phases, held = out.decode().rsplit(" ", 1)
         imports, restored, listed = json.loads(phases)
@@ -120,4 +136,5 @@
         assert int(held) == count
         assert restored < restore * imports
         assert listed < first * imports
+
     courier(test)(tmp_path)
--- a/tests/test_full_tables.py
+++ b/tests/test_full_tables.py
@@ -6,14 +6,32 @@
 from test_messages import CLASSES, Host, S, of
 
 from madderbeam.policy.interface import (
-    AttemptEnded, CloseIdle, EndpointsListed, EndpointState, Kind, ListEntry, ListForm, Refuse, Result, Send)
+    AttemptEnded,
+    CloseIdle,
+    EndpointsListed,
+    EndpointState,
+    Kind,
+    ListEntry,
+    ListForm,
+    Refuse,
+    Result,
+    Send,
+)
 
 SET_UP, AT_ONCE = 200_000, 55_000  # latency of calls that had to set up a connection; of one turned away
 
 
 def end(h, message, result, latency, fresh=True, told=0, after=1000):
-    ended = AttemptEnded(message, h.tries[message], h.courier.calls[message, h.tries[message]][0].endpoint.id,
-                         result, latency, result is Result.OK, told, fresh)
+    ended = AttemptEnded(
+        message,
+        h.tries[message],
+        h.courier.calls[message, h.tries[message]][0].endpoint.id,
+        result,
+        latency,
+        result is Result.OK,
+        told,
+        fresh,
+    )
     return h.do(ended, after=after)
 
 
@@ -109,8 +127,7 @@
 
 def test_connections_are_kept_where_tables_have_room_and_not_where_one_was_full():
     h = fleet(kinds=(Kind("roomy"), Kind("tight")))
-    h.do(EndpointsListed(ListForm.DELTA, (
-        entry(100), ListEntry(200, 2, EndpointState.READY, 0.0, 1))))
+    h.do(EndpointsListed(ListForm.DELTA, (entry(100), ListEntry(200, 2, EndpointState.READY, 0.0, 1))))
     served(h, 10)
     h.arrive(after=10_000)
     assert not of(CloseIdle, end(h, h.next, Result.OK, SET_UP))
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -21,6 +21,7 @@
 
 def watched(test):
     """Runs a test with the collector off; what it leaves must be nothing."""
+
     async def inner(fleet):
         gc.collect()
         gc.disable()
@@ -29,13 +30,17 @@
             await test(fleet)
             await settled(fleet)
             gc.collect()
-            found = collections.Counter(type(o).__name__ for o in gc.garbage
-                                        if type(o).__module__.startswith(("madderbeam", "httptools")))
+            found = collections.Counter(
+                type(o).__name__
+                for o in gc.garbage
+                if type(o).__module__.startswith(("madderbeam", "httptools"))
+            )
         finally:
             gc.set_debug(0)
             gc.garbage.clear()
             gc.enable()
         assert not found, found
+
     return courier(inner)
 
 
@@ -63,8 +68,14 @@
     assert fleet.host.calls.opened == 5
 
 
-FATES = ("hang", "reset", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", answer(503), b"noise\r\n\r\n",
-         b"HTTP/1.1 500 no\r\nContent-Length: 9\r\n\r\nx")
+FATES = (
+    "hang",
+    "reset",
+    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx",
+    answer(503),
+    b"noise\r\n\r\n",
+    b"HTTP/1.1 500 no\r\nContent-Length: 9\r\n\r\nx",
+)
 
 
 @watched
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -4,9 +4,16 @@
 import pathlib
 
 ROOT = pathlib.Path(__file__).parent.parent
-LAYERS = ("madderbeam.policy.interface", "madderbeam.simulation.script", "madderbeam.simulation.kernel",
-          "madderbeam.simulation.couriers", "madderbeam.simulation.world", "madderbeam.simulation.faults",
-          "madderbeam.simulation.runs", "madderbeam.cli")  # each may import only what stands before it
+LAYERS = (
+    "madderbeam.policy.interface",
+    "madderbeam.simulation.script",
+    "madderbeam.simulation.kernel",
+    "madderbeam.simulation.couriers",
+    "madderbeam.simulation.world",
+    "madderbeam.simulation.faults",
+    "madderbeam.simulation.runs",
+    "madderbeam.cli",
+)  # each may import only what stands before it
 
 
 def modules():
@@ -20,8 +27,10 @@
                 found[name] |= {node.module, *(f"{node.module}.{a.name}" for a in node.names)}
             elif isinstance(node, ast.Import):
                 found[name] |= {a.name for a in node.names}
-    return {name: {i for i in imports if i in found and i != name and not name.startswith(f"{i}.")}
-            for name, imports in found.items()}
+    return {
+        name: {i for i in imports if i in found and i != name and not name.startswith(f"{i}.")}
+        for name, imports in found.items()
+    }
 
 
 def reached(graph, start):
@@ -41,7 +50,7 @@
 def test_layers_import_only_what_lies_below():
     graph = modules()
     for at, name in enumerate(LAYERS):
-        assert not reached(graph, name) & set(LAYERS[at + 1:]), name
+        assert not reached(graph, name) & set(LAYERS[at + 1 :]), name
 
 
 def test_decisions_do_no_io():
--- a/tests/test_key_window.py
+++ b/tests/test_key_window.py
@@ -32,6 +32,7 @@
         if count == number:
             act()
         attempt(*args)
+
     host.journal.attempt = slowly
 
 
@@ -59,6 +60,7 @@
             connected(*args)
         else:
             loop.call_later(WINDOW_S, connected, *args)
+
     fleet.host.calls._connected = late
     assert await client.put("a", kind="keyed", key="k1") == "+OK"
     await endpoint.call()
@@ -107,6 +109,7 @@
         sock = stream(address)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return sock
+
     network.stream = small
     assert await client.put("a", kind="keyed", key="k1", body=BODY) == "+OK"
     assert await bounded(endpoint.second) == "broken off"
@@ -133,6 +136,7 @@
         else:
             assert (await endpoint.call())[3] - at_first < WINDOW_S
             await bounded(until(lambda: not fleet.host.journal.held))
+
     run(tmp_path)
 
 
@@ -159,6 +163,7 @@
             missed(number)
             states.append(host.journal.held[number].state)
             hooks.may_write = may_write
+
         host.journal.missed = seen
         at_attempt(host, 1, drains)
         assert await client.put("a", kind=kind, key="k1") == "+OK"
@@ -166,6 +171,7 @@
         assert states == ["taken"]
         await bounded(until(lambda: not host.journal.held))
         assert endpoint.calls.empty() and fleet.discovery.finals.empty()
+
     run(tmp_path)
 
 
@@ -212,8 +218,10 @@
     client, journal = await fleet.inside(), fleet.host.journal
     assert await client.put("before", dest=9) == "+OK"  # teaches the courier that more than one may be out
     await endpoint.call()
-    client.writer.write(client.message("other", kind="unsafe", dest=9, life=9000)
-                        + client.message("a", kind="keyed", key="k1", dest=9))
+    client.writer.write(
+        client.message("other", kind="unsafe", dest=9, life=9000)
+        + client.message("a", kind="keyed", key="k1", dest=9)
+    )
     assert [await client.line() for _ in range(2)] == ["+OK"] * 2
     assert "a" in await endpoint.call()
     fleet.discovery.notice_status = [503] * 1000
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -39,8 +39,10 @@
 BROKEN = "tests/test_some.py::test_wrong_before_it_begins | what it needs lacks | 42"
 RIGHT = "tests/test_some.py::test_right | long mended | 40"
 LENIENT = "tests/test_some.py::test_lenient | long mended | 40"
-KNOWN = ["fails as known: tests/test_some.py::test_wrong[a|b] (issue 41): a word stands there",
-         "fails as known: tests/test_some.py::test_wrong_before_it_begins (issue 42): what it needs lacks"]
+KNOWN = [
+    "fails as known: tests/test_some.py::test_wrong[a|b] (issue 41): a word stands there",
+    "fails as known: tests/test_some.py::test_wrong_before_it_begins (issue 42): what it needs lacks",
+]
 
 
 class Folder:
@@ -58,8 +60,13 @@
         """The exit code, the counts of the last line, and all that is printed."""
         if lines:
             (self.path / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
-        done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *args],
-                              cwd=self.path, capture_output=True, text=True, timeout=60)
+        done = subprocess.run(
+            [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *args],
+            cwd=self.path,
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
         text = done.stdout + done.stderr
         words = r"(\d+) (passed|failed|error|skipped|xfailed|xpassed)"
         return done.returncode, {w: int(n) for n, w in re.findall(words, text.splitlines()[-1])}, text
@@ -107,17 +114,25 @@
     assert code == 1 and counts["failed"] == 1
 
 
-@pytest.mark.parametrize("name, processes", [
-    ("test_some.py::test_gone", "-n0"), ("test_some.py::test_gone", "-n2"),
-    ("test_gone.py::test_gone", "-n0"), ("test_some.py::test_left_out", "-n0")])
+@pytest.mark.parametrize(
+    "name, processes",
+    [
+        ("test_some.py::test_gone", "-n0"),
+        ("test_some.py::test_gone", "-n2"),
+        ("test_gone.py::test_gone", "-n0"),
+        ("test_some.py::test_left_out", "-n0"),
+    ],
+)
 def test_one_that_does_not_exist_or_is_left_out_fails_a_whole_run(folder, name, processes):
     code, counts, text = folder.run([WRONG, BROKEN, f"tests/{name} | was taken out | 40"], processes)
     assert code == 1 and "failed" not in counts and "error" not in counts
     assert f"ERROR: it passed, was not run or does not exist: tests/{name}" in text
 
 
-@pytest.mark.parametrize("args", [["tests/test_others.py"], ["-k", "other"], ["-n2", "-k", "other"],
-                                  ["--ignore", "tests/test_some.py"]])
+@pytest.mark.parametrize(
+    "args",
+    [["tests/test_others.py"], ["-k", "other"], ["-n2", "-k", "other"], ["--ignore", "tests/test_some.py"]],
+)
 def test_a_part_of_the_tests_passes_over_the_others(folder, args):
     code, counts, text = folder.run([WRONG, BROKEN], *args)
     assert code == 0 and counts == {"passed": 1} and "ERROR" not in text
@@ -137,9 +152,19 @@
 TEST = "tests/test_some.py::test_wrong"
 
 
-@pytest.mark.parametrize("line", [
-    "", TEST, f"{TEST} | no issue", f"{TEST} | cause | soon", f"{TEST} |  | 41",
-    "tests/test_some.py | a file | 41", f"{TEST} | more | than three | 41", WRONG])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "",
+        TEST,
+        f"{TEST} | no issue",
+        f"{TEST} | cause | soon",
+        f"{TEST} |  | 41",
+        "tests/test_some.py | a file | 41",
+        f"{TEST} | more | than three | 41",
+        WRONG,
+    ],
+)
 def test_a_line_that_cannot_be_used_is_told(line):
     read = runpy.run_path(str(CONFTEST))["read"]
     with pytest.raises(ValueError, match="line 2: "):
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -63,7 +63,9 @@
     fleet.host.close()
     assert states(fleet) == {"m2": "ended", "m3": "ended", "m4": "trying"}
     assert {m.id: m.status for m in fleet.host.journal.held.values() if m.status} == {
-        "m2": "deferred", "m3": "undeliverable"}
+        "m2": "deferred",
+        "m3": "undeliverable",
+    }
     for endpoint in endpoints:
         endpoint.close()
 
@@ -87,6 +89,7 @@
         assert not late and states(fleet) == {}
         for endpoint in endpoints:
             endpoint.close()
+
     courier(test)(tmp_path)
 
 
@@ -104,13 +107,14 @@
         sock = stream(address)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return sock
+
     fleet.host.calls.network.stream = small
     assert await client.put("m", kind="unsafe", dest=10, body=b"x" * 60_000) == "+OK"
     loop = asyncio.get_running_loop()
     sock, _ = await bounded(loop.sock_accept(listener))
     first = await bounded(loop.sock_recv(sock, 10))
     assert first == b"POST /even" and states(fleet) == {"m": "trying"}
-    call, = fleet.host.calls.out
+    (call,) = fleet.host.calls.out
     assert not call.sent
     fleet.host.terminate()
     fleet.host.clients.last_call()
--- a/tests/test_last_requests.py
+++ b/tests/test_last_requests.py
@@ -53,7 +53,7 @@
     await fleet.inside()
     client = Plain(fleet.port_of_host())
     assert await client.put("m1") == b"+OK\r\n"
-    held, = fleet.host.clients.clients
+    (held,) = fleet.host.clients.clients
     held.due = 0.0
     client.send(Client.message("m2"))
     held.overdue(1.0)  # unread, it would be reset
@@ -112,6 +112,7 @@
         assert await first.line() == await second.line() == b"+OK\r\n"
         assert await first.line() == await second.line() == b""
         await bounded(host.closed)
+
     courier(test)(tmp_path)
 
 
@@ -129,7 +130,9 @@
             sent.append(f"m{len(sent)}")
             client.send(Client.message(sent[-1]))
             return do()
+
         return look
+
     host.terminate()
     host.clients.last_call()
     host.clients.let_go, host.clients.look = crossed(host.clients.let_go), crossed(host.clients.look)
--- a/tests/test_learnt_entries.py
+++ b/tests/test_learnt_entries.py
@@ -85,6 +85,7 @@
         while len(times) < 8:
             times += calls(h, h.arrive(life=100 * S, after=20_000), Result.RESET)
         return [b - a for a, b in zip(times, times[1:], strict=False)]
+
     assert max(gaps()[3:]) > 1.2 * S
     steady = gaps(trial_gap_us=S)
     assert max(steady) <= 1.1 * S and len(set(steady[3:])) > 2  # with jitter
--- a/tests/test_learnt_late.py
+++ b/tests/test_learnt_late.py
@@ -67,6 +67,7 @@
     async def test():
         async with Fleet(tmp_path) as fleet:
             await drained(fleet, state)
+
     asyncio.run(bounded(test()))
 
 
@@ -100,6 +101,7 @@
     async def test():
         async with Fleet(tmp_path) as fleet:
             await moved(fleet, there)
+
     asyncio.run(bounded(test()))
 
 
@@ -151,6 +153,7 @@
     async def test():
         async with Fleet(tmp_path) as fleet:
             await held_up(fleet, append)
+
     asyncio.run(bounded(test()))
 
 
@@ -169,6 +172,7 @@
             told.append(asyncio.get_running_loop().time())
             time.sleep(0.15)  # calls that come within 100 ms of the wait are let through, no others
         return plain(data, spare)
+
     files.append = slow
     assert await client.put("n2") == "+OK"
     ident, at = await a.call()
--- a/tests/test_list_clock_sockets.py
+++ b/tests/test_list_clock_sockets.py
@@ -43,8 +43,14 @@
 
 def watch_at(port, heard):
     loop = asyncio.get_running_loop()
-    return Watch(loop, real_ports(loop).network, ("127.0.0.1", port), random.Random(6), 1,
-                 lambda change: heard.put_nowait((loop.time(), change["rev"])))
+    return Watch(
+        loop,
+        real_ports(loop).network,
+        ("127.0.0.1", port),
+        random.Random(6),
+        1,
+        lambda change: heard.put_nowait((loop.time(), change["rev"])),
+    )
 
 
 class Lag:
@@ -80,10 +86,12 @@
     # 7.4 to 8.2 s before: 3.2 of silence, then each wait by itself.
     async def test():
         lag = Lag()
-        took = await asyncio.gather(told_after("hangs", "hangs"), told_after("hangs", "half"),
-                                    told_after("half", "turned away"))
+        took = await asyncio.gather(
+            told_after("hangs", "hangs"), told_after("hangs", "half"), told_after("half", "turned away")
+        )
         lag.task.cancel()
         return max(took), lag.total
+
     took, lag = asyncio.run(test())
     assert took <= 6.0 + LAG_S + lag
 
@@ -120,6 +128,7 @@
         async def answer(reader, writer):
             if await reader.read(1):  # a filler has asked for nothing
                 writer.write(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n" + line(2))
+
         server = loop.create_task(answers())
         at, rev = await bounded(heard.get())
         watch.stop()
@@ -129,6 +138,7 @@
         for one in accepted:
             one.close()
         return at - room, rev, lag.total
+
     took, rev, lag = asyncio.run(test())
     assert rev == 2 and took <= 2.0 + LAG_S + lag
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -32,13 +32,25 @@
     """Feeds a courier and keeps what it did."""
 
     def __init__(self, endpoints=1, rate=0.0, **changes):
-        given = {"classes": CLASSES, "slots": 8, "max_held": 100, "max_attempts": 12, "kinds": (Kind("k"),),
-                 "rates_listed": rate > 0, "max_retry_after_us": 2 * S, "tick_us": 5000}
+        given = {
+            "classes": CLASSES,
+            "slots": 8,
+            "max_held": 100,
+            "max_attempts": 12,
+            "kinds": (Kind("k"),),
+            "rates_listed": rate > 0,
+            "max_retry_after_us": 2 * S,
+            "tick_us": 5000,
+        }
         given.update(changes)
         self.courier = Courier(Settings(**given), 7)
         self.now, self.next, self.tries = 1000 * S, 0, {}
-        self.do(EndpointsListed(ListForm.CACHED, tuple(
-            ListEntry(100 + n, 1, EndpointState.READY, rate) for n in range(endpoints))))
+        self.do(
+            EndpointsListed(
+                ListForm.CACHED,
+                tuple(ListEntry(100 + n, 1, EndpointState.READY, rate) for n in range(endpoints)),
+            )
+        )
 
     def do(self, *events, after=0):
         self.now += after
@@ -54,8 +66,10 @@
         return self.do(MessageArrived(self.next, cls, dest, until), after=after)
 
     def end(self, message, result, latency=100_000, after=100_000, endpoint=100, told=0):
-        return self.do(AttemptEnded(message, self.tries[message], endpoint, result, latency,
-                                    result is Result.OK, told), after=after)
+        return self.do(
+            AttemptEnded(message, self.tries[message], endpoint, result, latency, result is Result.OK, told),
+            after=after,
+        )
 
     def idle(self, seconds, step=0.05):
         acts = []
@@ -266,6 +280,7 @@
         lane.brink = lane.rate = 2.0
         serve(h, 3, Result.OK)
         return lane.rate - 2.0
+
     assert 0 < growth(True) < 0.7 * growth(False)
 
 
@@ -286,6 +301,7 @@
         h.courier.endpoints[100].lane.window = 20.0
         h.idle(2)
         return sum(len(of(Send, h.arrive())) for _ in range(12))
+
     assert 1 < at_once(0.1) < at_once(0.0) < 12
 
 
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -57,9 +57,17 @@
     return client
 
 
-@pytest.mark.parametrize("script", [
-    ["silent"], ["silent", "silent"], [b""], [b"HTTP/1.1 2"], [b"HTTP/1.1 204 x\r\nContent-Le"],
-    [b"HTTP/1.1 204 x\r\n", "silent"]])
+@pytest.mark.parametrize(
+    "script",
+    [
+        ["silent"],
+        ["silent", "silent"],
+        [b""],
+        [b"HTTP/1.1 2"],
+        [b"HTTP/1.1 204 x\r\nContent-Le"],
+        [b"HTTP/1.1 204 x\r\n", "silent"],
+    ],
+)
 def test_a_notice_comes_in_time_though_its_connection_falls_silent_or_is_cut_off(tmp_path, script):
     async def test(fleet):
         client = await fickle(fleet)
@@ -72,6 +80,7 @@
             assert ids == ["late"]
         assert at - began < SLACK_S + 0.05
         assert fleet.discovery.connections == 1 + len(script)
+
     courier(test)(tmp_path)
 
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -27,13 +27,20 @@
     code = re.search(r"```python\n(from madderbeam.client.*?)```", README, re.S).group(1)
     compile(code, "README.md", "exec")
     from madderbeam.client import Courier
+
     assert {"put", "finals"} <= set(vars(Courier))
 
 
 def test_the_commands_of_the_pages_exist():
     from madderbeam.cli import parser
-    pages = [README, *((pathlib.Path(__file__).parent.parent / "docs" / "operators" / name).read_text()
-                       for name in ("sidecar.md", "simulation.md"))]
+
+    pages = [
+        README,
+        *(
+            (pathlib.Path(__file__).parent.parent / "docs" / "operators" / name).read_text()
+            for name in ("sidecar.md", "simulation.md")
+        ),
+    ]
     commands = {m[1] for page in pages for m in re.finditer(r"`?madderbeam ([a-z]+)", page)}
     commands -= {"is", "starts", "on"}
     known = parser()._subparsers._group_actions[0].choices
@@ -42,6 +49,7 @@
 
 def test_the_estate_of_the_operators_page_has_no_mistake(tmp_path):
     from madderbeam.config.check import check
+
     page = (pathlib.Path(__file__).parent.parent / "docs" / "operators" / "sidecar.md").read_text()
     for name in ("estate", "partners"):
         text = re.search(rf"```toml\n# {name}.toml\n(.*?)```", page, re.S).group(1)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,7 +14,14 @@
 from madderbeam.journal.segments import JournalFull
 from madderbeam.journal.store import Journal
 from madderbeam.policy.interface import (
-    EndpointsListed, EndpointState, ListEntry, ListForm, MessageArrived, Result, Send)
+    EndpointsListed,
+    EndpointState,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    Result,
+    Send,
+)
 from madderbeam.simulation.couriers import SimClock
 from madderbeam.simulation.disk import SimDisk
 from madderbeam.simulation.loop import Scheduler, process_loop
@@ -157,11 +164,13 @@
             if not self.free:
                 raise OSError(errno.EMFILE, "none")
             return "socket"
+
     network = Network()
 
     def make_room():
         network.free = 1
         return True
+
     assert Sparing(network, make_room).stream(("a", 1)) == "socket"
     network.free = 0
     with pytest.raises(OSError):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -44,11 +44,29 @@
     await new.stop()
 
 
-@pytest.mark.parametrize("strange", [
-    "[" * 100_000, "", "[]", "null", '{"discovery": null}', '{"discovery": 8500}',
-    *(json.dumps({"discovery": text}) for text in (
-        "127.0.0.1", "127.0.0.1:0", "127.0.0.1:\u00b2", "127.0.0.1:" + "9" * 5000, "nowhere.invalid:80",
-        "http://127.0.0.1:80", "\u00e4..b:80"))])
+@pytest.mark.parametrize(
+    "strange",
+    [
+        "[" * 100_000,
+        "",
+        "[]",
+        "null",
+        '{"discovery": null}',
+        '{"discovery": 8500}',
+        *(
+            json.dumps({"discovery": text})
+            for text in (
+                "127.0.0.1",
+                "127.0.0.1:0",
+                "127.0.0.1:\u00b2",
+                "127.0.0.1:" + "9" * 5000,
+                "nowhere.invalid:80",
+                "http://127.0.0.1:80",
+                "\u00e4..b:80",
+            )
+        ),
+    ],
+)
 def test_a_strange_file_leaves_all_as_it_was_and_a_good_one_is_found(strange, tmp_path):
     # Some ended the reading, so that a good file that came later was not seen; some led the watch nowhere.
     async def test(fleet):
@@ -60,8 +78,9 @@
         loop.set_exception_handler(lambda loop, context: failures.append(context))
         good, told = path.read_text(), asyncio.Queue()
         path.write_text(strange)
-        reloader = Reloader(loop, {"LB_CONFIG": str(path)}, RealDisk(), fleet.host.move, random.Random(1),
-                            told.put_nowait)
+        reloader = Reloader(
+            loop, {"LB_CONFIG": str(path)}, RealDisk(), fleet.host.move, random.Random(1), told.put_nowait
+        )
         loop.call_soon(reloader.hup)
         used = await bounded(told.get())
         assert await client.put("m1") == "+OK"
@@ -74,6 +93,7 @@
         reloader.stop()
         assert not used and told.empty() and not failures and fleet.discovery.watches.empty()
         await new.stop()
+
     courier(test)(tmp_path)
 
 
@@ -107,6 +127,7 @@
         fleet.env = lambda: env
         await fleet.inside()
         await bounded(fleet.discovery.watches.get())
+
     courier(test)(tmp_path)
 
 
--- a/tests/test_restored.py
+++ b/tests/test_restored.py
@@ -4,7 +4,16 @@
 from test_messages import S, Host, of
 
 from madderbeam.policy.interface import (
-    EndpointsListed, EndpointState, ListEntry, ListForm, MessageArrived, Refuse, Result, Send, Tenant)
+    EndpointsListed,
+    EndpointState,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    Refuse,
+    Result,
+    Send,
+    Tenant,
+)
 
 
 def restored(h, count, life=8 * S, dest=1, tries=0):
@@ -12,8 +21,9 @@
     first = h.next + 1
     h.next += count
     numbers = list(range(first, h.next + 1))
-    return h.do(*(MessageArrived(n, 0, dest, h.now + life, restored=True, tries=tries) for n in numbers),
-                after=5000), numbers
+    return h.do(
+        *(MessageArrived(n, 0, dest, h.now + life, restored=True, tries=tries) for n in numbers), after=5000
+    ), numbers
 
 
 def test_what_a_restart_found_is_not_refused_where_refusals_set_the_pace_of_an_unlisted_destination():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,25 @@
 
 from madderbeam.policy.messages import WINDOW_SHARE, Courier
 from madderbeam.policy.interface import (
-    AttemptEnded, Effect, EndpointsListed, EndpointState, Fail, Kind, ListEntry, ListForm, MessageArrived,
-    MessageClass, MessageGone, Refuse, Result, Send, SetTimer, Settings, Tenant, TimerDue)
+    AttemptEnded,
+    Effect,
+    EndpointsListed,
+    EndpointState,
+    Fail,
+    Kind,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    MessageClass,
+    MessageGone,
+    Refuse,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+    Tenant,
+    TimerDue,
+)
 
 S = 1_000_000
 TICK = 5_000
@@ -20,14 +37,25 @@
     keyed = {"effect": Effect.KEYED, "key_window_us": 4 * S, "key_scope": r.choice(("all", "zone"))}
     ordered = r.random() < 0.5
     return Settings(
-        classes=(MessageClass("s", S, 5 * S, worth=2.0),
-                 MessageClass("k", S, 8 * S, ordered=ordered, **keyed),
-                 MessageClass("u", 2 * S, 9 * S, effect=Effect.UNSAFE, late_share=0.4, ordered=ordered)),
-        kinds=(Kind("a", r.random() < 0.5, r.choice((1, 4))), Kind("b")), slots=r.randint(1, 12),
-        max_held=30, tenants=(Tenant("t", 0.5, 3.0),) if r.random() < 0.5 else (), couriers=r.randint(1, 4),
-        max_attempts=r.randint(1, 8), rates_listed=r.random() < 0.5, zone_fees=(0.1, 0.0),
-        max_retry_after_us=S, key_rest_us=S // 2, answer_slack_us=20_000, tick_us=TICK,
-        clients_mark_retries=r.random() < 0.5)
+        classes=(
+            MessageClass("s", S, 5 * S, worth=2.0),
+            MessageClass("k", S, 8 * S, ordered=ordered, **keyed),
+            MessageClass("u", 2 * S, 9 * S, effect=Effect.UNSAFE, late_share=0.4, ordered=ordered),
+        ),
+        kinds=(Kind("a", r.random() < 0.5, r.choice((1, 4))), Kind("b")),
+        slots=r.randint(1, 12),
+        max_held=30,
+        tenants=(Tenant("t", 0.5, 3.0),) if r.random() < 0.5 else (),
+        couriers=r.randint(1, 4),
+        max_attempts=r.randint(1, 8),
+        rates_listed=r.random() < 0.5,
+        zone_fees=(0.1, 0.0),
+        max_retry_after_us=S,
+        key_rest_us=S // 2,
+        answer_slack_us=20_000,
+        tick_us=TICK,
+        clients_mark_retries=r.random() < 0.5,
+    )
 
 
 @examples(max_examples=40, derandomize=True, deadline=None)
@@ -108,8 +136,11 @@
                         assert now < ran[0][2] + c.key_window_us
                         assert c.key_scope == "all" or places[a.endpoint][1] == places[ran[0][1]][1]
                 if m.order_key:
-                    before = [x for x in order[:order.index(a.message)]
-                              if (live.get(x) or ended[x]).order_key == m.order_key]
+                    before = [
+                        x
+                        for x in order[: order.index(a.message)]
+                        if (live.get(x) or ended[x]).order_key == m.order_key
+                    ]
                     assert not [x for x in before if x in live or [k for k in out if k[0] == x]]
                     assert history[a.message] or now >= rest.get(m.order_key, 0)
                 end = now + min(a.timeout_us, m.valid_until_us - now)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -98,6 +98,7 @@
             found = await figures(port)
             assert refused >= 2 and found["app.declined.safe"] == refused
             assert found["app.outstanding"] == 4 - refused
+
     asyncio.run(inner())
 
 
@@ -153,6 +154,7 @@
         host.service.act("PUT", "/endpoints/disable", member("a"))
         started.set()
         begin(call_, connection, error)
+
     host.calls._connected = connected
     assert await client.put("m1") == "+OK"
     await bounded(started.wait())
@@ -178,6 +180,7 @@
             assert (await call(fleet.control(), "PUT", "/endpoints/enable", member("a")))[0] == 200
             assert await client.put("m2") == "+OK"
             assert (await out.call())[1]["x-request-id"] == "m2"
+
     asyncio.run(inner())
 
 
@@ -212,6 +215,7 @@
             fleet.discovery.change("a", capacity_hint=90.0)  # a later word does not chill it again
             await until(lambda: host.watch.rev == 2)
             assert host.listing.entries[1].cold is False
+
     asyncio.run(inner())
 
 
@@ -235,8 +239,10 @@
 
                 def __getattr__(self, name):
                     return getattr(listening, name)
+
             fleet.host.control.accepting.sock = Short()
             assert (await call(port, "GET", "/ready"))[0] == 200
             assert await bounded(client.reader.read()) == b""  # the idle client's descriptor was had
             assert len(accepts) < 8
+
     asyncio.run(inner())
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -27,6 +27,7 @@
             while data := await reader.read(10_000):
                 replay.feed_data(data)
             replay.feed_eof()
+
         task = asyncio.create_task(copy())
         try:
             await super().serve(replay, writer)
@@ -88,8 +89,7 @@
         assert (await fleet.discovery.final())["id"] == "first"  # a connection to the old address is kept
         moved = await Discovery().start()
         path = tmp_path / "config.json"
-        path.write_text(json.dumps({**json.loads(path.read_text()),
-                                    "discovery": f"127.0.0.1:{moved.port}"}))
+        path.write_text(json.dumps({**json.loads(path.read_text()), "discovery": f"127.0.0.1:{moved.port}"}))
         assert await client.put("late", life=300, dest=99) == "+OK"
         for number in order:
             fleet.process.send_signal(number)
@@ -101,6 +101,7 @@
         # What was answered is not told again: that would come on the connection that had the answer.
         assert all(ids in ([], ["first"]) for ids in fleet.discovery.heard)
         await moved.stop()
+
     courier(test)(tmp_path)
 
 
@@ -128,7 +129,8 @@
     path.unlink()
     os.mkfifo(path)
     process = fleet.process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "madderbeam", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE)
+        sys.executable, "-m", "madderbeam", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE
+    )
     loop = asyncio.get_running_loop()
     pipe = await bounded(loop.run_in_executor(None, open, path, "w"))  # it has opened its end
     path.unlink()
@@ -153,7 +155,8 @@
     config = pathlib.Path(env["LB_CONFIG"])
     raw = json.loads(config.read_text())
     process = fleet.process = await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", run, env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE)
+        "/bin/sh", "-c", run, env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE
+    )
     words = pathlib.Path(f"/proc/{process.pid}/cmdline")
     while b"-m\0madderbeam" not in words.read_bytes():  # by exec, so that it has the shell's number
         await asyncio.sleep(0)
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -28,11 +28,15 @@
     "an upgrade": b"HTTP/1.1 101 x\r\nUpgrade: y\r\nConnection: upgrade\r\n\r\n",
 }
 GOOD = {
-    "1xx ahead": (b"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 103 x\r\nLink: y\r\n\r\n" + answer(503),
-                  c.Outcome(Result.FULL)),
+    "1xx ahead": (
+        b"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 103 x\r\nLink: y\r\n\r\n" + answer(503),
+        c.Outcome(Result.FULL),
+    ),
     "a second copy": (answer(503) * 2, c.Outcome(Result.FULL)),
-    "a bad report": (answer(429, Retry_After="0.2", X_Server_Load="x0=,=,nan"),
-                     c.Outcome(Result.FULL, wait_us=200_000)),
+    "a bad report": (
+        answer(429, Retry_After="0.2", X_Server_Load="x0=,=,nan"),
+        c.Outcome(Result.FULL, wait_us=200_000),
+    ),
     "200, then a head that can't be read": (b"HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\n", OK),
     "200, then 3 GB": (ENDLESS % 200, OK),
     "200, then nothing": (b"HTTP/1.1 200 OK\r\n", OK),
@@ -61,6 +65,7 @@
         await bounded(endpoint.ended.get())  # closed: it is of no further use
         assert not o.calls.out and not o.calls.pools[1].idle
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -77,6 +82,7 @@
         reusable = name.startswith(("1xx", "a bad report", "wait"))
         assert endpoint.server is not None and o.calls.opened == (1 if reusable else 2)
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -95,12 +101,23 @@
             c.Call.end = original
         assert seen == [0]
         await endpoint.stop()
+
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("body", [
-    b"[" * 100000, b"[1]", b'{"id":1}', b'[{"id":"a","state":[]}]', b'[{"id":"a","state":"done"}',
-    b'[{"id":"a","state":"done"},{"id":"a","state":"busy"}]', b"\xff\xfe", b"x" * 70000])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"[" * 100000,
+        b"[1]",
+        b'{"id":1}',
+        b'[{"id":"a","state":[]}]',
+        b'[{"id":"a","state":"done"}',
+        b'[{"id":"a","state":"done"},{"id":"a","state":"busy"}]',
+        b"\xff\xfe",
+        b"x" * 70000,
+    ],
+)
 def test_a_spoilt_bundle_may_have_run(body):
     async def run():
         endpoint = await Endpoint(answer(200, body)).start()
@@ -108,6 +125,7 @@
         got = await o.send(endpoint.port, "a", "b")
         assert got == [("a", MAY_HAVE_RUN), ("b", MAY_HAVE_RUN)]
         await endpoint.stop()
+
     asyncio.run(run())
 
 
--- a/tests/test_told_again.py
+++ b/tests/test_told_again.py
@@ -11,8 +11,11 @@
 @pytest.mark.parametrize("own_s, others_s, ends_s", [(5, 2, 5), (2, 5, 5)])
 def test_the_longer_wait_holds_whoever_was_told_it(own_s, others_s, ends_s):
     now = [10 * S]
-    listing = Listing(Settings((MessageClass("safe", aim_us=S, deadline_us=9 * S),), slots=4, max_held=8), (),
-                      lambda: now[0])
+    listing = Listing(
+        Settings((MessageClass("safe", aim_us=S, deadline_us=9 * S),), slots=4, max_held=8),
+        (),
+        lambda: now[0],
+    )
     target = {"uid": "p-1", "endpoint": "127.0.0.1:80", "pod_group": 1, "state": "in_service"}
     for entry, _ in listing.read({"targets": [target]}):
         listing.entries[entry.endpoint] = entry
--- a/tests/test_told_limits.py
+++ b/tests/test_told_limits.py
@@ -84,13 +84,27 @@
     assert [entry.rate_per_s for entry, _ in told_of] == [40] and lane.listed == 20
 
 
-@pytest.mark.parametrize("text", [
-    "", "x1", "x1=", "x1=many", "x1=nan", "x1=inf", "=", "x0=0.5;x1=4", "x1=-3", "x1=0"])
+@pytest.mark.parametrize(
+    "text", ["", "x1", "x1=", "x1=many", "x1=nan", "x1=inf", "=", "x0=0.5;x1=4", "x1=-3", "x1=0"]
+)
 def test_a_report_that_tells_of_no_rate_changes_nothing(text):
-    listing = Listing(i.Settings(
-        (i.MessageClass("c", 1, 1),), 1, 1, rates_listed=True, report=FIELDS), ("here",), lambda: 0)
-    listing.read({"targets": [{"uid": "a", "endpoint": "127.0.0.1:1", "az": "here", "model": "any",
-                               "pod_group": 7, "state": "in_service"}]})
+    listing = Listing(
+        i.Settings((i.MessageClass("c", 1, 1),), 1, 1, rates_listed=True, report=FIELDS), ("here",), lambda: 0
+    )
+    listing.read(
+        {
+            "targets": [
+                {
+                    "uid": "a",
+                    "endpoint": "127.0.0.1:1",
+                    "az": "here",
+                    "model": "any",
+                    "pod_group": 7,
+                    "state": "in_service",
+                }
+            ]
+        }
+    )
     assert listing.told_load(1, told_load({"x-server-load": text})) == []
     assert listing.told_load(99, {"x1": 5.0}) == []  # one that has left the list
 
@@ -106,9 +120,21 @@
     kinds = (i.Kind("apart", routes_apart=True),)
     s = i.Settings((i.MessageClass("c", 1, 1),), 1, 1, kinds=kinds, rates_listed=True, report=FIELDS)
     listing = Listing(s, ("here",), lambda: 0)
-    listing.read({"targets": [
-        {"uid": uid, "endpoint": "127.0.0.1:1", "az": "here", "model": "apart", "pod_group": 7,
-         "state": "in_service"} for uid in "ab"]})
+    listing.read(
+        {
+            "targets": [
+                {
+                    "uid": uid,
+                    "endpoint": "127.0.0.1:1",
+                    "az": "here",
+                    "model": "apart",
+                    "pod_group": 7,
+                    "state": "in_service",
+                }
+                for uid in "ab"
+            ]
+        }
+    )
     assert [e.endpoint for e in listing.told_load(2, {"x0": 1.0, "x1": 6.0})] == [2]
     listing.forget(2)
     assert not listing.limits.rates
--- a/tests/test_told_waits.py
+++ b/tests/test_told_waits.py
@@ -78,6 +78,7 @@
     def seen(item, *args):
         ended.append(item.id)
         over(item, *args)
+
     host.calls.hooks.ended = seen
     assert await client.put("b") == "+OK"
     await until(lambda: pending)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -49,15 +49,26 @@
         """Start one; with `ready` it has said that it is."""
         with socket.create_server(("127.0.0.1", 0)) as free:
             control = free.getsockname()[1]
-        env = {**os.environ, **self.fleet.env(), "LB_LISTEN": f"127.0.0.1:{self.port}",
-               "LB_CONTROL": f"127.0.0.1:{control}", **more}
+        env = {
+            **os.environ,
+            **self.fleet.env(),
+            "LB_LISTEN": f"127.0.0.1:{self.port}",
+            "LB_CONTROL": f"127.0.0.1:{control}",
+            **more,
+        }
         fds = ()
         if self.held:
             fds = (self.sock.fileno(),)
             env["LB_FD"] = str(self.sock.fileno())
-        process = await asyncio.create_subprocess_exec(sys.executable, "-m", "madderbeam", env=env, cwd=ROOT,
-                                                       pass_fds=fds,
-                                                       stderr=asyncio.subprocess.DEVNULL)
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "madderbeam",
+            env=env,
+            cwd=ROOT,
+            pass_fds=fds,
+            stderr=asyncio.subprocess.DEVNULL,
+        )
         process.control = control
         self.all.append(process)
         while ready and await self.asked(control) != 200:
@@ -78,12 +89,15 @@
 
 def upgraded(test, held=True, **changed):
     """Runs a test with a fleet and processes."""
+
     def run(tmp_path):
         async def inner():
             raw = {**settings(), **changed}
             async with Fleet(tmp_path, raw) as fleet, Processes(fleet, held) as processes:
                 await test(fleet, processes)
+
         asyncio.run(inner())
+
     return run
 
 
@@ -120,6 +134,7 @@
 
     async def ping():
         assert await talks.send(talks.command(b"PING")) == "+PONG"  # it is kept for as long as it is of use
+
     assert await once("m1") == "+OK"
     await e.call()
     assert await once("u1", dest=8) == "+OK"  # out, and not answered yet
@@ -198,6 +213,7 @@
             finals.add((await fleet.discovery.final())["id"])
         assert len(once()) == len(set(once())) > 50
         assert len(taken) > 100
+
     upgraded(test)(tmp_path)
 
 
@@ -213,8 +229,11 @@
         assert (await call(old.control, "PUT", "/endpoints/disable", b'{"member":"a"}'))[0] == 200
         assert (await call(old.control, "PUT", "/drain"))[0] == 200
         new = await processes.start(ready=False)
-        while not (await processes.asked(new.control) == 503 and await processes.asked(old.control) == 503
-                   and (await call(new.control, "GET", "/metrics"))[0] == 200):
+        while not (
+            await processes.asked(new.control) == 503
+            and await processes.asked(old.control) == 503
+            and (await call(new.control, "GET", "/metrics"))[0] == 200
+        ):
             await asyncio.sleep(0.02)
         fresh = await processes.client()
         assert (await fresh.send(fresh.command(b"PING"))).startswith("-")
@@ -227,6 +246,7 @@
         if not shut.calls.empty() or shut.script:
             assert (await shut.call())[3] >= at + 3
         assert shut.calls.empty() or (await shut.call())[3] >= at + 3
+
     upgraded(test)(tmp_path)
 
 
@@ -260,6 +280,7 @@
         conn.close()  # dies with all in hand
         assert await client.put("m1") == "+OK" and (await e.call())[1]["x-request-id"] == "m1"
         assert await processes.asked(old.control) == 200
+
     upgraded(test)(tmp_path)
 
 
@@ -284,6 +305,7 @@
         again = await processes.client()
         assert await again.put("m2") == "+OK" and (await e.call())[1]["x-request-id"] == "m2"
         assert await ended(old) == 0
+
     upgraded(test)(tmp_path)
 
 
@@ -299,11 +321,13 @@
             await asyncio.sleep(0.02)
         client = await processes.client()
         assert await client.put("m1") == "+OK" and (await e.call())[1]["x-request-id"] == "m1"
+
     upgraded(test)(tmp_path)
 
 
 # The state, with both sides in this process
 
+
 async def two(fleet, change=lambda message: None, settings_=None):
     """The host of this fleet passes on to a second one, which is returned with its message."""
     host = fleet.host
@@ -356,8 +380,12 @@
 async def test_what_can_not_be_read_is_not_taken(fleet):
     await fleet.endpoint("a")
     await fleet.inside()
-    for change in ({"series": 99}, {"nodes": [["object", "Popen"]]}, {"nodes": [["list", [7]]]},
-                   {"listens": 2}):
+    for change in (
+        {"series": 99},
+        {"nodes": [["object", "Popen"]]},
+        {"nodes": [["list", [7]]]},
+        {"listens": 2},
+    ):
         message, socks = handover.snapshot(fleet.host, handover.form())
         with pytest.raises(graph.Unknown):
             handover.Passed({**message, **change}, socks, fleet.host.s, 1)
@@ -389,8 +417,14 @@
 def test_a_graph_takes_known_classes_only():
     with pytest.raises(graph.Unknown):
         graph.encode([object()], CLASSES)
-    for nodes in ([], [["object", "Fleet"]], [["enum", "EndpointState", "NONE"]], [["list", [9]]], [["odd"]],
-                  [["tuple", [0]]]):
+    for nodes in (
+        [],
+        [["object", "Fleet"]],
+        [["enum", "EndpointState", "NONE"]],
+        [["list", [9]]],
+        [["odd"]],
+        [["tuple", [0]]],
+    ):
         with pytest.raises(graph.Unknown):
             graph.decode(nodes, CLASSES, random.Random(1))
 
