--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,12 +16,25 @@
         {"name": "a", "goalTimeUs": 1000000, "deadlineUs": 6000000, "idempotency": "read_like", "worth": 2.0},
         {"name": "b", "goalTimeUs": 2000000, "deadlineUs": 9000000, "idempotency": "non_idempotent"},
     ],
-    "contract": {"coldShare": 0.2, "coldUs": 9000000, "drainGraceUs": 500000, "fallMultiple": 2.5,
-                 "fallUs": 2000000},
+    "contract": {
+        "coldShare": 0.2,
+        "coldUs": 9000000,
+        "drainGraceUs": 500000,
+        "fallMultiple": 2.5,
+        "fallUs": 2000000,
+    },
     "familyInfo": {"maxCalls": 6, "kindApart": [True], "kindBatch": [3]},
-    "policyLimits": {"attemptsCap": 9, "connIdleUs": 1, "connectTimeoutUs": 2, "maxOpen": 50,
-                     "retryAfter": True, "maxRetryAfterUs": 7},
-    "shapes": ["k"], "weightSource": "nominal", "somethingNew": {"x": 1},
+    "policyLimits": {
+        "attemptsCap": 9,
+        "connIdleUs": 1,
+        "connectTimeoutUs": 2,
+        "maxOpen": 50,
+        "retryAfter": True,
+        "maxRetryAfterUs": 7,
+    },
+    "shapes": ["k"],
+    "weightSource": "nominal",
+    "somethingNew": {"x": 1},
 }
 ADDRESS = 0x0A124A07
 
@@ -40,19 +53,30 @@
     entry = struct.pack(">IHHBfQBH", ADDRESS, 9003, 57, 1, 4.0, 0, 0, 0)
     records = [record("BBII", 6, 2, 0, 1)]
     for n in instances:
-        records += [record("BH", 1, n), record("BQII", 7, 77 + n, len(entry), len(text)),
-                    record("BBQB", 5, 2, 1, 2)]
+        records += [
+            record("BH", 1, n),
+            record("BQII", 7, 77 + n, len(entry), len(text)),
+            record("BBQB", 5, 2, 1, 2),
+        ]
     return batch(records, entry + text, seq, now)
 
 
 def arrival(ident, seq, now, instance=3, cls=0):
-    return batch([record("BH", 1, instance),
-                  record("BIBIQQIfH", 2, ident, cls, 0, 0, now + 6_000_000, 0, 57.0, 2)], seq=seq, now=now)
+    return batch(
+        [record("BH", 1, instance), record("BIBIQQIfH", 2, ident, cls, 0, 0, now + 6_000_000, 0, 57.0, 2)],
+        seq=seq,
+        now=now,
+    )
 
 
 def run(data, **env):
-    return subprocess.run([sys.executable, "-m", "madderbeam.simhost"], input=data, capture_output=True,
-                          env={**os.environ, **env}, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "madderbeam.simhost"],
+        input=data,
+        capture_output=True,
+        env={**os.environ, **env},
+        timeout=60,
+    )
 
 
 def events(data):
@@ -69,30 +93,61 @@
 def test_begin_list_and_arrival():
     got = events(begin_batch())
     assert got[0][0] == 3 and got[0][1].seed == 80
-    assert got[1][1] == i.EndpointsListed(i.ListForm.CACHED, (
-        i.ListEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),))
+    assert got[1][1] == i.EndpointsListed(
+        i.ListForm.CACHED,
+        (i.ListEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),),
+    )
     assert events(arrival(9, 2, 10))[0][1] == i.MessageArrived(9, 0, 57, 6_000_010, 0, 0, True)
 
 
 def test_a_list_number_used_again_means_the_newer_list():
     entry = struct.pack(">IHHBfQBH", ADDRESS, 1, 1, 1, 0, 0, 0, 0)
     other = struct.pack(">IHHBfQBH", ADDRESS, 2, 1, 0, 0, 0, 0, 0)
-    got = events(batch([record("BH", 1, 0), record("BBII", 6, 4, 0, 1), record("BBQB", 5, 4, 1, 0),
-                        record("BBII", 6, 4, 24, 1), record("BBQB", 5, 4, 2, 1)], entry + other))
+    got = events(
+        batch(
+            [
+                record("BH", 1, 0),
+                record("BBII", 6, 4, 0, 1),
+                record("BBQB", 5, 4, 1, 0),
+                record("BBII", 6, 4, 24, 1),
+                record("BBQB", 5, 4, 2, 1),
+            ],
+            entry + other,
+        )
+    )
     assert [e.entries[0].endpoint & 0xFFFF for _, e in got] == [1, 2]
     assert got[1][1].entries[0].state is i.EndpointState.GONE
 
 
 def test_outcomes_probes_notes_and_the_rest():
-    got = [e for _, e in events(batch([
-        record("BH", 1, 3), record("BIBIHHIBI", 8, 5, 1, ADDRESS, 9003, 429, 18, 0, 250),
-        record("BIHIH", 3, 1400, 200, ADDRESS, 9003), record("BIII", 11, 2, 0, 4), record("BI", 10, 5),
-        record("BQ", 4, 77), record("BIIHBI", 12, 5, ADDRESS, 9003, 1, 9), record("BBQB", 5, 0, 3, 3)],
-        b"hi 7"))]
+    got = [
+        e
+        for _, e in events(
+            batch(
+                [
+                    record("BH", 1, 3),
+                    record("BIBIHHIBI", 8, 5, 1, ADDRESS, 9003, 429, 18, 0, 250),
+                    record("BIHIH", 3, 1400, 200, ADDRESS, 9003),
+                    record("BIII", 11, 2, 0, 4),
+                    record("BI", 10, 5),
+                    record("BQ", 4, 77),
+                    record("BIIHBI", 12, 5, ADDRESS, 9003, 1, 9),
+                    record("BBQB", 5, 0, 3, 3),
+                ],
+                b"hi 7",
+            )
+        )
+    ]
     ep = wire.endpoint_id(ADDRESS, 9003)
-    assert got == [i.AttemptEnded(5, 1, ep, i.Result.FULL, 18, False, 250_000),
-                   i.ProbeEnded(ep, i.Result.OK, 1400), i.PeerNote(2, b"hi 7"), i.MessageGone(5),
-                   i.TimerDue(77), i.AttemptAnswering(5, 1, ep), i.EndpointsListed(i.ListForm.FAILED)]
+    assert got == [
+        i.AttemptEnded(5, 1, ep, i.Result.FULL, 18, False, 250_000),
+        i.ProbeEnded(ep, i.Result.OK, 1400),
+        i.PeerNote(2, b"hi 7"),
+        i.MessageGone(5),
+        i.TimerDue(77),
+        i.AttemptAnswering(5, 1, ep),
+        i.EndpointsListed(i.ListForm.FAILED),
+    ]
 
 
 def test_actions_are_packed_as_the_page_shows():
@@ -103,14 +158,28 @@
     reply.instance(5)
     reply.action(i.Log("two servers known"))
     assert reply.pack(12).hex() == (
-        "0000000c" "00000005" "00000061"
-        "0d0003" + "00" * 13 + "015d3a91c40a124a07232b0001388000" "050007a120000000000000004d000000"
-        "0d0005" + "00" * 13 + "09000000000000001100000000000000" + b"two servers known".hex())
-
-
-@pytest.mark.parametrize("action, code", [
-    (i.Refuse(1, 2), 2), (i.Fail(1), 3), (i.Cancel(1, 0), 4), (i.Probe(1), 6), (i.CloseIdle(1), 7),
-    (i.SendNote(None, b"x"), 8), (i.Subscribe(), 11), (i.FetchList(), 12)])
+        "0000000c"
+        "00000005"
+        "00000061"
+        "0d0003" + "00" * 13 + "015d3a91c40a124a07232b0001388000"
+        "050007a120000000000000004d000000"
+        "0d0005" + "00" * 13 + "09000000000000001100000000000000" + b"two servers known".hex()
+    )
+
+
+@pytest.mark.parametrize(
+    "action, code",
+    [
+        (i.Refuse(1, 2), 2),
+        (i.Fail(1), 3),
+        (i.Cancel(1, 0), 4),
+        (i.Probe(1), 6),
+        (i.CloseIdle(1), 7),
+        (i.SendNote(None, b"x"), 8),
+        (i.Subscribe(), 11),
+        (i.FetchList(), 12),
+    ],
+)
 def test_every_action_has_its_code(action, code):
     reply = wire.Reply()
     reply.action(action)
@@ -120,17 +189,20 @@
 LACKING = {k: v for k, v in SETTINGS.items() if k != "contract"}
 
 
-@pytest.mark.parametrize("data, said", [
-    (b"\0\0\0\1", "short batch header"),
-    (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated batch"),
-    (batch([record("BH", 1, 0), record("B", 99)]), "unknown event code 99"),
-    (batch([record("BH", 1, 0), record("BIII", 11, 2, 5, 90)]), "outside the tail"),
-    (batch([record("BQ", 4, 1)]), "before any instance"),
-    (batch([], count=3), "do not fit"),
-    (batch([record("BH", 1, 0), record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
-    (begin_batch(settings=LACKING), "'contract'"),
-    (batch([record("BH", 1, 0), record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]), "unknown result 777"),
-])
+@pytest.mark.parametrize(
+    "data, said",
+    [
+        (b"\0\0\0\1", "short batch header"),
+        (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated batch"),
+        (batch([record("BH", 1, 0), record("B", 99)]), "unknown event code 99"),
+        (batch([record("BH", 1, 0), record("BIII", 11, 2, 5, 90)]), "outside the tail"),
+        (batch([record("BQ", 4, 1)]), "before any instance"),
+        (batch([], count=3), "do not fit"),
+        (batch([record("BH", 1, 0), record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
+        (begin_batch(settings=LACKING), "'contract'"),
+        (batch([record("BH", 1, 0), record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]), "unknown result 777"),
+    ],
+)
 def test_malformed_input_ends_with_one_plain_line(data, said):
     done = run(data)
     assert done.returncode != 0 and said in done.stderr.decode()
@@ -139,6 +211,7 @@
 
 def test_an_exception_in_the_brain_is_reported_as_a_fault(monkeypatch):
     from madderbeam import simhost
+
     monkeypatch.setattr(simhost.Courier, "handle", lambda *a: 1 / 0)
     data = begin_batch()
     reply = simhost.answer(1, 5, data[20:], 4, {}, {}, {})
@@ -152,6 +225,7 @@
             for n in instances:
                 data += arrival(k, k * 10 + n, 5_000_000 + k * 500_000, n, k % 2)
         return data
+
     both = run(day((3, 4)), PYTHONHASHSEED="1")
     assert both.returncode == 0 and both.stdout == run(day((3, 4)), PYTHONHASHSEED="2").stdout
 
@@ -159,8 +233,9 @@
         found = {}
         while out:
             seq, _, size = struct.unpack(">III", out[:12])
-            found[seq], out = out[12:12 + size], out[12 + size:]
+            found[seq], out = out[12 : 12 + size], out[12 + size :]
         return found
+
     together = replies(both.stdout)
     assert len(together) == 1 + 2 * 38 and sum(map(len, together.values())) > 1500
     for n in (3, 4):
@@ -168,9 +243,16 @@
         assert len(alone) == 39 and all(together[seq] == body for seq, body in alone.items() if seq > 1)
 
 
-@pytest.mark.parametrize("field, change", [
-    ("slots", {"slots": 0}), ("cold_share", {"cold_share": 1.5}), ("cold_us", {"cold_us": -1}),
-    ("classes", {"classes": ()}), ("max_attempts", {"max_attempts": 0})])
+@pytest.mark.parametrize(
+    "field, change",
+    [
+        ("slots", {"slots": 0}),
+        ("cold_share", {"cold_share": 1.5}),
+        ("cold_us", {"cold_us": -1}),
+        ("classes", {"classes": ()}),
+        ("max_attempts", {"max_attempts": 0}),
+    ],
+)
 def test_invalid_settings_name_the_field(field, change):
     good = {"classes": (i.MessageClass("a", 1, 2),), "slots": 1, "max_held": 1}
     i.Settings(**good)
