--- a/bench/agreement.py
+++ b/bench/agreement.py
@@ -8,9 +8,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests" / "federation_pure"))
 
-from agreement_net import SECOND, Net, one, table  # noqa: E402
+from agreement_net import SECOND, Net, one, table
 
-from madderbeam.federation.rounds import AgreementSettings  # noqa: E402
+from madderbeam.federation.rounds import AgreementSettings
 
 WAY_US = 100_000
 
--- a/bench/agreement_model.py
+++ b/bench/agreement_model.py
@@ -7,7 +7,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests" / "federation_pure"))
 
-from agreement_model import beginnings, explore_all  # noqa: E402
+from agreement_model import beginnings, explore_all
 
 BUDGETS = ((1, 1, 2), (1, 1, 2), (1, 0, 2))  # crashes, doubles, timers that are due
 DEPTHS = (6, 3, 6)
--- a/bench/changes.py
+++ b/bench/changes.py
@@ -214,8 +214,8 @@
             took[name].append(spent(many) / 40 * 1e3)
             for m in list(host.journal.held.values()):
                 host.ends.done(m)
-            host.courier.messages.clear()
-            for dest in host.courier.dests.values():
+            host.courier.state.messages.clear()
+            for dest in host.courier.state.destinations.values():
                 dest.queue.clear()
     for name, host in hosts.items():
         host.close()
--- a/bench/federation.py
+++ b/bench/federation.py
@@ -57,7 +57,7 @@
 async def proposal(folder: Path, rounds: int = 10) -> None:
     """Spans in milliseconds."""
     partners = {1: ("macon", []), 2: ("savannah", []), 3: ("athens", [])}
-    async with Estate(folder, {site: 2 for site in SITES}, partners) as estate:
+    async with Estate(folder, dict.fromkeys(SITES, 2), partners) as estate:
         await serve(estate)
         number, plain, killed, unheard, chance = 1, [], [], 0, random.Random(1)
         for turn in range(2 * rounds):
@@ -95,7 +95,7 @@
     for name, changes in (("no change", ()), ("two switch-overs", ((2, "athens"), (3, "savannah")))):
         path = folder / name.replace(" ", "-")
         path.mkdir()
-        async with Estate(path, {site: 1 for site in SITES}, partners) as estate:
+        async with Estate(path, dict.fromkeys(SITES, 1), partners) as estate:
             await serve(estate)
             members = list(estate.members.values())
             clients = [await m.client() for m in members]
--- a/bench/quota_flood.py
+++ b/bench/quota_flood.py
@@ -17,11 +17,11 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
 
-from loopback import Client, beside  # noqa: E402
+from loopback import Client, beside
 
-from madderbeam.config.check import check  # noqa: E402
-from madderbeam.config.render import render, write  # noqa: E402
-from madderbeam.standins.partner import Partner  # noqa: E402
+from madderbeam.config.check import check
+from madderbeam.config.render import render, write
+from madderbeam.standins.partner import Partner
 
 RATE, FLOOD, TENANTS, WANTED_S = 5.0, 20, ("choir", "band", "strings", "brass"), 1.0
 ESTATE = """\
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -11,7 +11,7 @@
 
 from madderbeam.importers.nginx.meaning import understand
 from madderbeam.importers.nginx.tree import read
-from madderbeam.policy.interface import Result
+from madderbeam.policy.events import AttemptResult
 from madderbeam.routing.pool import Method, Policy, Pool, Server
 from madderbeam.routing.routes import Match, Route, Routes
 from madderbeam.routing.subset import part
@@ -41,7 +41,7 @@
         for n in range(calls):
             ident = next(iter(next(iter(pool.tiers(n, f"k{n % 997}", (), n)))[1]))
             pool.begun(n, ident, n)
-            pool.ended(ident, Result.OK, False, n)
+            pool.ended(ident, AttemptResult.OK, False, n)
 
     return best(play) / calls
 
--- a/bench/shared.py
+++ b/bench/shared.py
@@ -213,6 +213,6 @@
         "returns": shared_site.returns,
     }
     name, *rest = sys.argv[1:] or [""]
-    if name not in scenes or rest and name != "returns":
+    if name not in scenes or (rest and name != "returns"):
         sys.exit(f"usage: python bench/shared.py {'|'.join(scenes)}")
     scenes[name](*(float(n) if "." in n else int(n) for n in rest))
--- a/bench/shared_site.py
+++ b/bench/shared_site.py
@@ -108,7 +108,7 @@
     partner.mode = "out"
     town.run(town.chance.randrange(4 * S, 8 * S))
     partner.returns(town.now)
-    town.run(SETTINGS.cold_us)
+    town.run(SETTINGS.warm_up_us)
     if partner.fell_us >= 0:
         return True, float("inf")
     since = [(t - partner.back_us) // S for t in partner.answers]
--- a/madderbeam/__init__.py
+++ b/madderbeam/__init__.py
@@ -1,6 +1,6 @@
 """madderbeam: a message courier that hands messages on to destinations outside its control."""
 
-from madderbeam.policy.messages import Courier
-from madderbeam.policy.interface import Settings
+from madderbeam.policy.engine import DeliveryEngine
+from madderbeam.policy.settings import Settings
 
-__all__ = ["Courier", "Settings"]
+__all__ = ["DeliveryEngine", "Settings"]
--- a/madderbeam/changes/drains.py
+++ b/madderbeam/changes/drains.py
@@ -37,7 +37,7 @@
                 self.heard.setdefault(uid, now_us)
             elif self.holds(uid, now_us):
                 held.add(uid)
-            elif uid in self.heard or uid in self.left or old is not None and old.state == DRAINING:
+            elif uid in self.heard or uid in self.left or (old is not None and old.state == DRAINING):
                 cold.add(uid)
                 self.over(uid)
         while len(self.left) > LEFT_MOST:
--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -244,7 +244,7 @@
         wrong: list[errors.ChangeError] = []
         out = self.outcome(change.id)
         waiting = self.waits(change.id) or self.trial(change.id)
-        if waiting or out is not None and out.what in ("kept", "undone"):
+        if waiting or (out is not None and out.what in ("kept", "undone")):
             told = f"{out.what}, version {out.version}" if out and not waiting else "it waits or is on trial"
             wrong.append(errors.Twice(at, f"{change.id!r} is known already: {told}", "a name of its own"))
         if len(self.staged) >= self.s.queue:
--- a/madderbeam/changes/sharing.py
+++ b/madderbeam/changes/sharing.py
@@ -13,7 +13,7 @@
     """From text to values. A map of five thousand in which one value differs costs the two kilobytes of its
     parts' list and one part of some twenty rows. Its order is the same in every process."""
 
-    __slots__ = ("parts", "count")
+    __slots__ = ("count", "parts")
 
     def __init__(self, rows: Mapping[str, Any] | None = None) -> None:
         empty: dict[str, Any] = {}
--- a/madderbeam/changes/trial.py
+++ b/madderbeam/changes/trial.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+import itertools
 from collections import deque
 from collections.abc import Mapping
-
 from dataclasses import dataclass, field, replace
 from typing import Any
 
@@ -136,7 +136,7 @@
     def _growing(self, facts: Facts, settings: Settings) -> str:
         self.held.append(facts.held_all)
         rows = list(self.held)
-        if len(rows) < GROWING or any(b <= a for a, b in zip(rows, rows[1:], strict=False)):
+        if len(rows) < GROWING or any(b <= a for a, b in itertools.pairwise(rows)):
             return ""
         if rows[-1] - rows[0] < settings.held_growth * max(1, facts.max_held):
             return ""
--- a/madderbeam/changes/values.py
+++ b/madderbeam/changes/values.py
@@ -68,7 +68,7 @@
     def present(self, key: Key) -> Any:
         """The row of what is there for new messages."""
         row = self.get(key)
-        return None if row is None or key[0] in NUMBERED and row["retired"] else row
+        return None if row is None or (key[0] in NUMBERED and row["retired"]) else row
 
     def names(self, section: str) -> list[str]:
         """Those that are there for new messages."""
--- a/madderbeam/config/addresses.py
+++ b/madderbeam/config/addresses.py
@@ -41,6 +41,6 @@
         return True
     for mine, theirs in ((one, other), (other, one)):
         for text in mine:
-            if "any4" in theirs and ":" not in text or "any6" in theirs and ":" in text:
+            if ("any4" in theirs and ":" not in text) or ("any6" in theirs and ":" in text):
                 return True
     return False
--- a/madderbeam/config/between.py
+++ b/madderbeam/config/between.py
@@ -53,7 +53,7 @@
         "partner.number": {p.name: p.number for p in partners.partner},
         "partner.topics": {p.name: sorted(p.topics) for p in partners.partner if p.topics},
         "classes": {name: _effect(c) for name, c in estate.classes.items()},
-        "tenants": {name: True for name in estate.tenants},
+        "tenants": dict.fromkeys(estate.tenants, True),
     }
 
 
--- a/madderbeam/config/check.py
+++ b/madderbeam/config/check.py
@@ -11,8 +11,8 @@
 from madderbeam.config.listeners import listeners
 from madderbeam.config.partners import partner_list
 from madderbeam.config.report import Loaded, Report, like, named, some, where
-from madderbeam.config.standbys import standbys
 from madderbeam.config.source import Key, Problem, Source, read
+from madderbeam.config.standbys import standbys
 from madderbeam.config.validate import validate
 
 WINDOW_SHARE = 0.75  # DESIGN: calls to one destination stay under this share of the slots
--- a/madderbeam/config/federated.py
+++ b/madderbeam/config/federated.py
@@ -157,7 +157,7 @@
         host = ipaddress.ip_address(split[0]) if split else None
     except ValueError:
         return None
-    if split is None or host is None or host.is_unspecified and not everywhere or host.is_multicast:
+    if split is None or host is None or (host.is_unspecified and not everywhere) or host.is_multicast:
         return None
     return str(host), split[1]
 
--- a/madderbeam/config/platform.py
+++ b/madderbeam/config/platform.py
@@ -12,7 +12,7 @@
 
 from madderbeam import wire
 from madderbeam.config import rendered
-from madderbeam.policy.interface import Settings
+from madderbeam.policy.settings import Settings
 from madderbeam.ports import Address, Disk
 
 if TYPE_CHECKING:
--- a/madderbeam/config/render.py
+++ b/madderbeam/config/render.py
@@ -13,9 +13,9 @@
 from madderbeam.config import model as m
 from madderbeam.config.check import WINDOW_SHARE
 from madderbeam.config.quotas import quota
-from madderbeam.config.sites import section
 from madderbeam.config.rendered import FORM, seal
 from madderbeam.config.report import Loaded
+from madderbeam.config.sites import section
 from madderbeam.config.standbys import standby
 
 EFFECTS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
--- a/madderbeam/config/sites.py
+++ b/madderbeam/config/sites.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, Any
 
 from madderbeam.config import model as m
-from madderbeam.config.report import Loaded
 from madderbeam.config.addresses import split_address
+from madderbeam.config.report import Loaded
 
 if TYPE_CHECKING:
     from madderbeam.federation.values import Table
--- a/madderbeam/config/source.py
+++ b/madderbeam/config/source.py
@@ -103,7 +103,7 @@
             if c == "#":
                 end = self.text.find("\n", self.at)
                 self.at = len(self.text) if end < 0 else end
-            elif c in " \t\r" or newlines and c == "\n":
+            elif c in " \t\r" or (newlines and c == "\n"):
                 self.skip()
             else:
                 return
--- a/madderbeam/federation/adoption.py
+++ b/madderbeam/federation/adoption.py
@@ -42,7 +42,7 @@
         whole = message.whole
         if whole is not None and self.candidate is None:
             above = whole.number - self.book.ledger.number
-            if above > 1 or above >= 0 and self.fresh:
+            if above > 1 or (above >= 0 and self.fresh):
                 self.put(whole, True)
         for table in message.tables:
             self.add(table)
--- a/madderbeam/federation/folder.py
+++ b/madderbeam/federation/folder.py
@@ -24,7 +24,6 @@
 from madderbeam.federation.rounds import Mark
 from madderbeam.membership.values import Life, MemberId
 
-
 REWRITE_US = 1_000_000
 
 
--- a/madderbeam/federation/inquiry.py
+++ b/madderbeam/federation/inquiry.py
@@ -12,8 +12,8 @@
 
 from madderbeam.federation.book import Book
 from madderbeam.federation.inquiries import PENDING_MOST, InForceIs, Pending, WhatIsInForce
-from madderbeam.federation.ledger import named
 from madderbeam.federation.lease import majority
+from madderbeam.federation.ledger import named
 from madderbeam.federation.switch_settings import SwitchSettings
 from madderbeam.federation.table import MEMBERS_MOST
 from madderbeam.federation.values import ProposalId, Table
--- a/madderbeam/federation/learning.py
+++ b/madderbeam/federation/learning.py
@@ -84,7 +84,7 @@
         if mine and member not in known:
             self.out.do(Note(f"{member} is no member that the tables since {self._oldest()} name"))
             return
-        news = table > self.book.words.get(member, 0) or mine and member not in self.said
+        news = table > self.book.words.get(member, 0) or (mine and member not in self.said)
         if news and member in known and on_its_way != value and len(self.book.words) < MEMBERS_MOST:
             self.out.write("off", str(member), value)
 
--- a/madderbeam/federation/ledger.py
+++ b/madderbeam/federation/ledger.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import itertools
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from typing import Any
@@ -115,7 +116,7 @@
             tables.append(table_of(document))
         except TableUnfit as error:
             raise ValueError(f"tables: {error.what}") from None
-    if any(b.number != a.number + 1 for a, b in zip(tables, tables[1:], strict=False)):
+    if any(b.number != a.number + 1 for a, b in itertools.pairwise(tables)):
         raise ValueError("tables: allowed: numbers one after the other")
     return tuple(tables)
 
--- a/madderbeam/federation/speaker.py
+++ b/madderbeam/federation/speaker.py
@@ -99,7 +99,8 @@
             self._down(TableRefused.code, f"it was not checked within {self.check_us // 1_000_000} s")
 
     def _write(self) -> None:
-        assert self.slot is not None and self.table is not None
+        assert self.slot is not None
+        assert self.table is not None
         self._writing = True
         record = {"slot": to_plain(self.slot), "document": self.table.document()}
         self.out.persist("staged", "", record)
--- a/madderbeam/federation/switch.py
+++ b/madderbeam/federation/switch.py
@@ -17,8 +17,8 @@
 from madderbeam.federation.handed import of_row
 from madderbeam.federation.holds import Holds
 from madderbeam.federation.inquiry import Alone, Council, Inquiry
-from madderbeam.federation.lease import Holder
 from madderbeam.federation.learning import Learning
+from madderbeam.federation.lease import Holder
 from madderbeam.federation.leasing import Leasing
 from madderbeam.federation.ledger import everyone, first, read
 from madderbeam.federation.moves import Moves
--- a/madderbeam/host/admission.py
+++ b/madderbeam/host/admission.py
@@ -15,7 +15,9 @@
 from madderbeam.journal.message import Held
 from madderbeam.journal.segments import Unsure
 from madderbeam.journal.store import Journal
-from madderbeam.policy import interface as i
+from madderbeam.policy.actions import Action, Fail, Reject
+from madderbeam.policy.events import Event, MessageArrived, MessageWithdrawn
+from madderbeam.policy.settings import Idempotency, Settings
 from madderbeam.transport.answers import Answer
 from madderbeam.transport.clients import BadRequest, Put
 
@@ -32,13 +34,13 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         journal: Journal,
         listing: Listing,
         ends: Ends,
         attempts: Attempts,
         cancel: Callable[[int, int], None],
-        tell: Callable[[i.Event], None],
+        tell: Callable[[Event], None],
         come_back_us: Callable[[], int],
         figures: Figures,
         routing: Routing,
@@ -69,7 +71,7 @@
             # Handed in again on a new connection: it is, or was, taken care of.
             self.journal.known(put.id, reply.taken, reply.failed)
             return
-        if self.journal.open + len(self.arrived) >= self.s.max_held:
+        if self.journal.open + len(self.arrived) >= self.s.max_pending:
             self.figures.ended(DECLINED, cls)
             reply.busy(self.come_back_us())
             return
@@ -120,7 +122,7 @@
         tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
         if tenant < 0:
             raise BadRequest("t: no such tenant, must be one of the settings")
-        if self.s.classes[cls].effect is i.Effect.KEYED and not put.key:
+        if self.s.classes[cls].idempotency is Idempotency.WITH_KEY and not put.key:
             raise BadRequest("k: lacks, must be given for a keyed class")
         most_ms = LONGEST * self.s.classes[cls].deadline_us // 1000
         if put.life_ms > most_ms:
@@ -132,7 +134,7 @@
             raise BadRequest("dest: no such destination, must be one of the list")
         return cls, tenant
 
-    def arrival(self, m: Held, weight: float = 1.0, restored: bool = False) -> i.MessageArrived:
+    def arrival(self, m: Held, weight: float = 1.0, restored: bool = False) -> MessageArrived:
         """The event that tells the decision module of a message. `weight`: by quotas; `restored`: it was
         taken on before this process."""
         ran = m.may_have_run_at
@@ -140,7 +142,7 @@
         # After a reboot an attempt may lie before the monotonic clock's zero: a negative time would say that
         # none may have run, and a deposit would go out again.
         ran_at = max(0, mono(ran)) if ran else -1
-        return i.MessageArrived(
+        return MessageArrived(
             m.number,
             m.cls,
             m.dest,
@@ -161,7 +163,7 @@
         if arrived := self.arriving_keys.pop(m.key, 0):
             older, replies = self.arrived.pop(arrived)
             del self.arriving[older.id]
-            self.tell(i.MessageGone(arrived))
+            self.tell(MessageWithdrawn(arrived))
             self.figures.ended(DECLINED, older.cls)
             for reply in replies:
                 reply.busy(0)
@@ -169,7 +171,7 @@
         if old is None:
             return
         m.ran_at = m.ran_at or old.may_have_run_at
-        self.tell(i.MessageGone(old.number))
+        self.tell(MessageWithdrawn(old.number))
         newest = self.attempts.newest(old.number)
         self.ends.end(old, "deferred", 0)
         self.cancel(old.number, newest)
@@ -183,14 +185,14 @@
         self.arriving_keys.clear()
         return arrived
 
-    def answer(self, arrived: dict[int, tuple[Held, list[Answer]]], actions: Iterable[i.Action]) -> None:
+    def answer(self, arrived: dict[int, tuple[Held, list[Answer]]], actions: Iterable[Action]) -> None:
         """Refuse what the decision module turned down, and take the rest on."""
         for a in actions:
-            if isinstance(a, (i.Refuse, i.Fail)) and a.message in arrived:
+            if isinstance(a, (Reject, Fail)) and a.message in arrived:
                 m, replies = arrived.pop(a.message)
-                self.figures.ended(DECLINED if isinstance(a, i.Refuse) else ABORTED, m.cls)
+                self.figures.ended(DECLINED if isinstance(a, Reject) else ABORTED, m.cls)
                 for reply in replies:
-                    if isinstance(a, i.Refuse):
+                    if isinstance(a, Reject):
                         reply.busy(a.retry_after_us)
                     else:
                         reply.failed()
@@ -200,7 +202,7 @@
     def take(self, m: Held, replies: list[Answer], then: Callable[[], None] = lambda: None) -> None:
         """Take a message on, and answer those who handed it in; `then` is called once it is recorded."""
         if not any(r.wanted for r in replies):
-            self.tell(i.MessageGone(m.number))  # nobody heard that it was taken on
+            self.tell(MessageWithdrawn(m.number))  # nobody heard that it was taken on
             return
 
         def taken() -> None:
@@ -212,7 +214,7 @@
         def refused(error: OSError) -> None:
             log.error("not taken on: %s", error)
             self.attempts.forget(m.number)
-            self.tell(i.MessageGone(m.number))
+            self.tell(MessageWithdrawn(m.number))
             if isinstance(error, Unsure):  # its record stands: it has an end, and no promise is made
                 self.ends.end(m, "undeliverable", 0)
                 for reply in replies:
--- a/madderbeam/host/assembly.py
+++ b/madderbeam/host/assembly.py
@@ -19,8 +19,8 @@
 from madderbeam.host.trace import TracedCourier
 from madderbeam.host.turn import Host
 from madderbeam.journal.store import Journal
-from madderbeam.policy import interface as i
-from madderbeam.policy.messages import Courier
+from madderbeam.policy.engine import DeliveryEngine
+from madderbeam.policy.settings import Idempotency, Settings
 from madderbeam.ports import Ports
 from madderbeam.transport.calls import Calls, Hooks
 from madderbeam.transport.clients import ClientServer
@@ -54,7 +54,7 @@
         config = importlib.import_module(IN_FORCE).in_force(config, ports)
     s = config.settings
     host = Host(loop, config, ports.clock.monotonic_us)
-    host.courier = TracedCourier(s, config.seed, trace) if trace else Courier(s, config.seed)
+    host.courier = TracedCourier(s, config.seed, trace) if trace else DeliveryEngine(s, config.seed)
     _state(host, ports)
     network = Sparing(ports.network, lambda: host.clients.make_room() or host.calls.spare())
     around = surroundings(loop, ports.disk, network, config, host.accepted, host.listed)
@@ -89,7 +89,7 @@
         host.attempts,
         host.calls.cancel,
         host.tell,
-        host.courier.come_back_us,
+        host.courier.admission.retry_after_us,
         host.figures,
         host.routing,
     )
@@ -137,8 +137,8 @@
     control.spare = lambda: host.clients.make_room() or host.calls.spare()
 
 
-def remembered_s(settings: i.Settings) -> float:
+def remembered_s(settings: Settings) -> float:
     """Seconds for which an idempotency key that may have run is remembered: its window alone is too short,
     since a client may hand the key in again until the message's time is up, and would find it new."""
-    keyed = [c for c in settings.classes if c.effect is i.Effect.KEYED]
+    keyed = [c for c in settings.classes if c.idempotency is Idempotency.WITH_KEY]
     return max((max(c.key_window_us, c.deadline_us) for c in keyed), default=0) / 1e6
--- a/madderbeam/host/attempts.py
+++ b/madderbeam/host/attempts.py
@@ -12,10 +12,12 @@
 from madderbeam.host.listing import Listing
 from madderbeam.journal.message import Held
 from madderbeam.journal.store import Journal
-from madderbeam.policy import interface as i
+from madderbeam.policy.actions import Send
+from madderbeam.policy.events import AttemptEnded, AttemptResult, Event, HealthCheckEnded, MessageWithdrawn
+from madderbeam.policy.settings import Idempotency, Settings
 from madderbeam.transport.calls import Calls, Item, Outcome
 
-UNRUN = (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
+UNRUN = (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 log = logging.getLogger(__name__)
 
 
@@ -24,11 +26,11 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         journal: Journal,
         listing: Listing,
         ends: Ends,
-        tell: Callable[[i.Event], None],
+        tell: Callable[[Event], None],
         over: Callable[[], None],
         figures: Figures,
     ) -> None:
@@ -53,16 +55,25 @@
             for at in range(0, len(items), most):
                 self._call(endpoint, items[at : at + most])
 
-    def send(self, a: i.Send, bundles: dict[int, list[Item]]) -> None:
+    def send(self, a: Send, bundles: dict[int, list[Item]]) -> None:
         """Send at once, or with the turn's bundles where the endpoint takes them."""
         m = self.journal.held.get(a.message)
         attempt = self.numbers.get(a.message, m.tries if m else 0)
         if m is not None and not m.status:  # one that is over has nothing left to be numbered
             self.numbers[a.message] = attempt + 1
         if m is None or m.status or self.ends.blocked(m):
-            self.tell(i.AttemptEnded(a.message, attempt, a.endpoint, i.Result.MOOT, 0, m is None))
+            self.tell(AttemptEnded(a.message, attempt, a.endpoint, AttemptResult.NOT_SENT, 0, m is None))
             return
-        item = Item(m.number, attempt, m.id, m.key, m.body, a.timeout_us, a.fresh_timeout_us, a.fresh)
+        item = Item(
+            m.number,
+            attempt,
+            m.id,
+            m.key,
+            m.body,
+            a.timeout_us,
+            a.new_connection_timeout_us,
+            a.requires_new_connection,
+        )
         if self.listing.batch(a.endpoint) > 1:
             bundles.setdefault(a.endpoint, []).append(item)
         else:
@@ -93,7 +104,7 @@
             for item in items:
                 if not item.ended:
                     item.ended = True
-                    result = i.Result.RESET if item.begun else i.Result.MOOT
+                    result = AttemptResult.RESET if item.begun else AttemptResult.NOT_SENT
                     self.ended(item, endpoint, Outcome(result), 0)
 
     # What the calls ask and tell
@@ -126,7 +137,7 @@
     def _key_s(self, m: Held, ran_at: float) -> float:
         """Seconds left of the window of its key, which an attempt began at `ran_at` that may have run."""
         cls = self.s.classes[m.cls]
-        if cls.effect is not i.Effect.KEYED or not ran_at:
+        if cls.idempotency is not Idempotency.WITH_KEY or not ran_at:
             return math.inf
         return ran_at + (cls.key_window_us - self.s.tick_us) / 1e6 - self.journal.wall()
 
@@ -147,7 +158,7 @@
         if over:
             self.forget(item.number)
         self.tell(
-            i.AttemptEnded(
+            AttemptEnded(
                 item.number,
                 item.attempt,
                 endpoint,
@@ -162,9 +173,9 @@
         self.over()
 
     def _done(self, m: Held, outcome: Outcome) -> None:
-        if outcome.result is i.Result.OK and not m.status:
+        if outcome.result is AttemptResult.OK and not m.status:
             self.figures.ended(SUCCEEDED, m.cls)
-        self.ends.done(m, outcome.result is i.Result.OK)
+        self.ends.done(m, outcome.result is AttemptResult.OK)
 
     def late(self, item: Item, outcome: Outcome) -> None:
         """Its time was up, but its end was not decided yet when the rest of its bundle was answered."""
@@ -172,7 +183,7 @@
         if m and not m.status:
             self._done(m, outcome)
             self.forget(m.number)
-            self.tell(i.MessageGone(m.number))
+            self.tell(MessageWithdrawn(m.number))
 
-    def probed(self, endpoint: int, result: i.Result, latency: int) -> None:
-        self.tell(i.ProbeEnded(endpoint, result, latency))
+    def probed(self, endpoint: int, result: AttemptResult, latency: int) -> None:
+        self.tell(HealthCheckEnded(endpoint, result, latency))
--- a/madderbeam/host/changes/applying.py
+++ b/madderbeam/host/changes/applying.py
@@ -17,12 +17,12 @@
 from madderbeam.host.figures import Figures
 from madderbeam.host.turn import Host
 from madderbeam.journal.store import KEYS_S
-from madderbeam.policy import interface as i
+from madderbeam.policy.events import EndpointEntry, EndpointState, ListUpdateKind
+from madderbeam.policy.settings import Settings
 from madderbeam.ports import Ports
 
-READY = i.EndpointState.READY
+READY = EndpointState.READY
 NO_ROUTING: dict[str, Any] = {"form": 1, "pools": {}, "names": {}, "routes": []}
-WINDOW_SHARE = 0.75
 QUOTA = "madderbeam.host.quota"  # its room is there where there are quotas
 
 
@@ -59,7 +59,7 @@
     def _list(self, action: Apply, rows: Iterable[tuple[Endpoint | None, Endpoint | None]]) -> None:
         host, after = self.host, action.after
         waits: list[tuple[int, str, int]] = []
-        gone: list[i.ListEntry] = []
+        gone: list[EndpointEntry] = []
         come: list[tuple[Endpoint | None, Endpoint]] = []
         for old, new in rows:
             # One that moved is another endpoint: a call that waits for a connection must not be written.
@@ -80,22 +80,22 @@
         if gone:
             self._dests(after)
 
-    def _gone(self, row: Endpoint) -> list[i.ListEntry]:
+    def _gone(self, row: Endpoint) -> list[EndpointEntry]:
         number = self.host.listing.uids.get(row.uid)
         if number is None:
             return []
         self.host.gone(number)
-        return [i.ListEntry(number, row.dest, i.EndpointState.GONE)]
+        return [EndpointEntry(number, row.dest, EndpointState.GONE)]
 
-    def _come(self, old: Endpoint | None, new: Endpoint, held: bool) -> i.ListEntry:
+    def _come(self, old: Endpoint | None, new: Endpoint, held: bool) -> EndpointEntry:
         """An endpoint that is new, or that is otherwise where it is."""
         listing, calls = self.host.listing, self.host.calls
         if new.uid in listing.bans or any(row.topic or row.topics for row in (old or new, new)):
             [(entry, address)] = listing.read({"targets": [target_of(new, DRAINING if held else "")]})
         else:
             number = listing.number(new.uid)
-            state = READY if new.state == IN_SERVICE and not held else i.EndpointState.DRAINING
-            entry = i.ListEntry(
+            state = READY if new.state == IN_SERVICE and not held else EndpointState.DRAINING
+            entry = EndpointEntry(
                 number,
                 new.dest,
                 state,
@@ -112,16 +112,16 @@
             address = address or fields.address(new.address) or ("", 0)
             calls.place(entry.endpoint, address, new.topic, entry.destination)
             self.host.routing.placed([(entry, address)])
-        if entry.state is i.EndpointState.DRAINING:
+        if entry.state is EndpointState.DRAINING:
             calls.close_idle(entry.endpoint)
         return entry
 
     def _cold(self, uids: frozenset[str]) -> None:
         listing = self.host.listing
         entries = [listing.entries[listing.uids[uid]] for uid in sorted(uids) if uid in listing.uids]
-        cold = [replace(e, cold=True) for e in entries if e.state is i.EndpointState.READY]
+        cold = [replace(e, recovering=True) for e in entries if e.state is EndpointState.READY]
         if cold:
-            self.host.list_told(i.ListForm.DELTA, cold)
+            self.host.list_told(ListUpdateKind.DELTA, cold)
 
     def _wait(self, row: Endpoint) -> list[tuple[int, str, int]]:
         """A wait that was told by one endpoint alone, and still runs."""
@@ -133,7 +133,7 @@
         """It counts for whoever is at the same address of the same destination."""
         for row in after.endpoints.values():
             if (row.dest, row.address) == (dest, address):
-                self.host.list_told(i.ListForm.DELTA, self.host.listing.told_again(dest, row.uid, until))
+                self.host.list_told(ListUpdateKind.DELTA, self.host.listing.told_again(dest, row.uid, until))
 
     def _dests(self, after: Snapshot) -> None:
         """A message for a destination that has gone altogether is turned down."""
@@ -155,20 +155,9 @@
             quota.config = host.config
         self._names(snapshot)
 
-    def _decisions(self, s: i.Settings) -> None:
+    def _decisions(self, s: Settings) -> None:
         """The decision module reads its settings anew; what it has learnt stays."""
-        courier = self.host.courier
-        health = courier.health
-        courier.s = health.s = s
-        courier.tries = min(s.tries, s.max_attempts)
-        courier.cap = health.cap = min(s.window, max(1, int(WINDOW_SHARE * s.slots)))
-        old = courier.quota
-        courier.quota = [
-            [t.quota_per_s / s.couriers, *(old[n][1:] if n < len(old) else (1.0, courier.now))]
-            for n, t in enumerate(s.tenants)
-        ]
-        more = len(s.kinds) - len(health.roomy)
-        health.roomy += [health.roomy[0]] * more
+        self.host.courier.change_settings(s)
 
     def _names(self, snapshot: Snapshot) -> None:
         admission = self.host.admission
@@ -206,7 +195,7 @@
     return {name: row["number"] for name, row in snapshot.sections[section].items() if not row["retired"]}
 
 
-def _figures(figures: Figures, s: i.Settings) -> None:
+def _figures(figures: Figures, s: Settings) -> None:
     """Counts go on; a new class begins at none."""
     figures.classes = tuple(c.name for c in s.classes)
     for counts in figures.ends.values():
--- a/madderbeam/host/changes/commands.py
+++ b/madderbeam/host/changes/commands.py
@@ -68,7 +68,7 @@
     import http.client
 
     try:
-        host, colon, port = (args.at or _address(args.courier)).rpartition(":")
+        host, _, port = (args.at or _address(args.courier)).rpartition(":")
         link = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=TIMEOUT_S)
         try:
             link.request(method, path, None if body is None else json.dumps(body))
--- a/madderbeam/host/changes/facts.py
+++ b/madderbeam/host/changes/facts.py
@@ -7,11 +7,11 @@
 from madderbeam.changes.values import Facts
 from madderbeam.host.figures import DECLINED
 from madderbeam.host.turn import Host
-from madderbeam.policy import interface as i
+from madderbeam.policy.events import AttemptResult, EndpointState
 from madderbeam.transport.calls import Item, Outcome
 
-FAILED = (i.Result.ERROR, i.Result.TIMEOUT, i.Result.RESET, i.Result.CONNECT_FAILED)
-UNTOLD = (i.Result.MOOT, i.Result.CANCELLED)  # they say nothing of the endpoint
+FAILED = (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CONNECT_FAILED)
+UNTOLD = (AttemptResult.NOT_SENT, AttemptResult.CANCELLED)  # they say nothing of the endpoint
 SAMPLE_S, SAMPLES = 5.0, 7  # refusals before a change are those of the last half minute
 
 
@@ -49,19 +49,23 @@
     def facts(self) -> Facts:
         """As it is at this instant."""
         host, courier = self.host, self.host.courier
-        avoided = set(courier.avoided())
+        avoided = set(courier.ejected_endpoints())
         ready: dict[int, int] = {}
         for number, entry in host.listing.entries.items():
-            if entry.state is i.EndpointState.READY and number not in avoided:
+            if entry.state is EndpointState.READY and number not in avoided:
                 ready[entry.destination] = ready.get(entry.destination, 0) + 1
         at, refused = self.samples[0]
         now = self._refused()
         return Facts(
             ready,
-            {d.number: d.out for d in courier.dests.values() if d.out},
-            {d.number: len(d.queue) + d.out for d in courier.dests.values() if d.queue or d.out},
+            {d.number: d.in_flight for d in courier.state.destinations.values() if d.in_flight},
+            {
+                d.number: len(d.queue) + d.in_flight
+                for d in courier.state.destinations.values()
+                if d.queue or d.in_flight
+            },
             dict(self.calls),
             now,
             (now - refused) / max(1.0, host.loop.time() - at),
-            host.s.max_held,
+            host.s.max_pending,
         )
--- a/madderbeam/host/changes/reading.py
+++ b/madderbeam/host/changes/reading.py
@@ -12,10 +12,10 @@
 from madderbeam.changes.values import DRAINING, Endpoint, Key, Snapshot, blank
 from madderbeam.config.platform import Config
 from madderbeam.host.federation.kept import Kept
-from madderbeam.policy import interface as i
+from madderbeam.policy.settings import DestinationKind, Idempotency, MessageClass, Settings, Tenant
 from madderbeam.ports import Ports
 
-REPEAT = {"safe": i.Effect.SAFE, "keyed": i.Effect.KEYED, "unsafe": i.Effect.UNSAFE}
+REPEAT = {"safe": Idempotency.IDEMPOTENT, "keyed": Idempotency.WITH_KEY, "unsafe": Idempotency.NON_IDEMPOTENT}
 NAMED = {effect: name for name, effect in REPEAT.items()}
 BOUND = (("kafka", ("class", "tenant")), ("share", ("whole",)))  # what is fixed with it: see check.bound
 FIRST = 1  # the version that a courier's file makes where nothing was kept
@@ -40,23 +40,28 @@
     s = config.settings
     for n, c in enumerate(s.classes):
         rows["class", c.name] = {
-            "wanted_ms": c.aim_us // 1000,
+            "wanted_ms": c.latency_objective_us // 1000,
             "deadline_ms": c.deadline_us // 1000,
-            "repeat": NAMED[c.effect],
+            "repeat": NAMED[c.idempotency],
             "key_window_ms": c.key_window_us // 1000,
             "key_scope": c.key_scope,
-            "worth": c.worth,
-            "late_share": c.late_share,
+            "worth": c.priority_weight,
+            "late_share": c.late_value_share,
             "ordered": c.ordered,
             "number": n,
             "retired": False,
         }
     for n, t in enumerate(s.tenants):
-        rows["tenant", t.name] = {"share": t.share, "per_s": t.quota_per_s, "number": n, "retired": False}
+        rows["tenant", t.name] = {
+            "share": t.quota_share,
+            "per_s": t.quota_per_s,
+            "number": n,
+            "retired": False,
+        }
     for n, k in enumerate(s.kinds):
         rows["kind", k.name] = {
-            "bundle": k.batch,
-            "routes_apart": k.routes_apart,
+            "bundle": k.max_batch,
+            "routes_apart": k.limits_per_endpoint,
             "number": n,
             "retired": False,
         }
@@ -76,7 +81,7 @@
 
 def fixed_of(config: Config) -> dict[Key, Any]:
     """What only a restart changes, where rules need it."""
-    found: dict[str, Any] = {"slots": config.settings.slots, "disk_bytes": config.disk_bytes}
+    found: dict[str, Any] = {"slots": config.settings.max_in_flight, "disk_bytes": config.disk_bytes}
     if config.kafka is not None:
         found["kafka"] = True
     if config.federation is not None and config.federation.share:
@@ -117,14 +122,14 @@
     )
 
 
-def _limits(s: i.Settings) -> dict[str, int]:
+def _limits(s: Settings) -> dict[str, int]:
     return {
-        "max_held": s.max_held,
-        "attempts": min(s.tries, s.max_attempts),
+        "max_held": s.max_pending,
+        "attempts": min(s.attempts_per_message, s.max_attempts),
         "retry_base_ms": s.backoff_base_us // 1000,
         "retry_cap_ms": s.backoff_cap_us // 1000,
         "max_wait_ms": s.max_retry_after_us // 1000,
-        "window": s.window or max(1, int(0.75 * s.slots)),
+        "window": s.destination_window or max(1, int(0.75 * s.max_in_flight)),
     }
 
 
@@ -147,7 +152,7 @@
     }
 
 
-def settings_of(base: i.Settings, snapshot: Snapshot) -> i.Settings:
+def settings_of(base: Settings, snapshot: Snapshot) -> Settings:
     """The base with what the snapshot says. A class, tenant or kind that was taken away keeps its number."""
 
     def numbered(section: str) -> list[tuple[str, Mapping[str, Any]]]:
@@ -157,7 +162,7 @@
     return replace(
         base,
         classes=tuple(
-            i.MessageClass(
+            MessageClass(
                 name,
                 c["wanted_ms"] * 1000,
                 c["deadline_ms"] * 1000,
@@ -170,15 +175,15 @@
             )
             for name, c in numbered("class")
         ),
-        tenants=tuple(i.Tenant(name, t["share"], t["per_s"]) for name, t in numbered("tenant")),
-        kinds=tuple(i.Kind(name, k["routes_apart"], k["bundle"]) for name, k in numbered("kind")),
-        max_held=limit["max_held"],
-        tries=limit["attempts"],
+        tenants=tuple(Tenant(name, t["share"], t["per_s"]) for name, t in numbered("tenant")),
+        kinds=tuple(DestinationKind(name, k["routes_apart"], k["bundle"]) for name, k in numbered("kind")),
+        max_pending=limit["max_held"],
+        attempts_per_message=limit["attempts"],
         max_attempts=limit["attempts"],
         backoff_base_us=limit["retry_base_ms"] * 1000,
         backoff_cap_us=limit["retry_cap_ms"] * 1000,
         max_retry_after_us=limit["max_wait_ms"] * 1000,
-        window=limit["window"],
+        destination_window=limit["window"],
     )
 
 
--- a/madderbeam/host/changes/room.py
+++ b/madderbeam/host/changes/room.py
@@ -32,7 +32,8 @@
     def __init__(self, host: Host, ports: Ports) -> None:
         """OSError if its folder can't be used."""
         self.host, self.started = host, False
-        assert host.config.changes is not None and host.config.sidecar is not None
+        assert host.config.changes is not None
+        assert host.config.sidecar is not None
         self.kept = opened(host.config, ports)
         if self.kept.damaged:
             log.error("changes: %s is damaged: what could be read of it counts", self.kept.path)
--- a/madderbeam/host/ends.py
+++ b/madderbeam/host/ends.py
@@ -10,7 +10,8 @@
 from madderbeam.host.parts import Teller
 from madderbeam.journal.message import Held
 from madderbeam.journal.store import Journal
-from madderbeam.policy import interface as i
+from madderbeam.policy.actions import Fail, Reject
+from madderbeam.policy.events import Event, MessageWithdrawn
 from madderbeam.transport.discovery import Notices
 from madderbeam.transport.local import Feed
 
@@ -31,7 +32,7 @@
         loop: asyncio.AbstractEventLoop,
         journal: Journal,
         notices: Notices | Feed,
-        tell: Callable[[i.Event], None],
+        tell: Callable[[Event], None],
         ended: Callable[[int], None],
         figures: Figures,
     ) -> None:
@@ -63,17 +64,17 @@
         m = self.journal.held.get(number)
         if m and not m.status:
             log.error("message %s was overdue", m.id)
-            self.tell(i.MessageGone(number))
+            self.tell(MessageWithdrawn(number))
             self.end(m, "undeliverable", 0)
 
     # Ends by a notice
 
-    def final(self, a: i.Refuse | i.Fail) -> None:
+    def final(self, a: Reject | Fail) -> None:
         """The decision module has given the message up."""
         m = self.journal.held.get(a.message)
         if m is None or m.status:
             return
-        if isinstance(a, i.Refuse):
+        if isinstance(a, Reject):
             self.end(m, "deferred", -(-a.retry_after_us // 1000))
         else:
             self.end(m, "undeliverable", 0)
--- a/madderbeam/host/federation/calls.py
+++ b/madderbeam/host/federation/calls.py
@@ -13,7 +13,7 @@
 from madderbeam.federation.agreement import Agreement
 from madderbeam.federation.errors import FederationError
 from madderbeam.federation.switch import Switch
-from madderbeam.federation.values import Outcome, Proposed, ProposalId, SaidOff, Table, Trusted
+from madderbeam.federation.values import Outcome, ProposalId, Proposed, SaidOff, Table, Trusted
 from madderbeam.host.federation.shared import Shared
 from madderbeam.host.turn import Host
 from madderbeam.membership.machine import Membership
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -159,7 +159,7 @@
     def _look_at_room(self) -> None:
         """How much more can be taken on."""
         host, journal = self.host, self.host.journal
-        room = max(0, host.s.max_held - journal.open - len(host.admission.arrived) - SPARE)
+        room = max(0, host.s.max_pending - journal.open - len(host.admission.arrived) - SPARE)
         left = max(0, (journal.limit - journal.files.used - journal.needed) // 2)
         now = Credit(room, left)
         self.same = self.same + 1 if now == self.told and room > SPARE and left > BODY_MOST else 0
--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -13,7 +13,7 @@
 
 from madderbeam.federation.errors import LimitsMany
 from madderbeam.host.turn import Host
-from madderbeam.policy import interface as i
+from madderbeam.policy.events import ListUpdateKind
 from madderbeam.shared.division import rounded
 from madderbeam.shared.leases import Leases
 from madderbeam.shared.needs import Meter
@@ -112,7 +112,7 @@
         courier."""
         limited = self.places[dest]
         order = sorted(limited)
-        first = self.host.s.me % len(order)
+        first = self.host.s.courier_index % len(order)
         whole = sum(limited.values())
         parts = rounded({n: lease * limited[n] / whole for n in order[first:] + order[:first]})
         return {n: int(part) for n, part in parts.items()}
@@ -126,7 +126,7 @@
             router.allow(dest, endpoint, most, now)
         entry = self.host.listing.entries.get(endpoint)
         if entry is not None and (before is None or most > before):
-            self.host.list_told(i.ListForm.DELTA, [entry])  # what waits may go now
+            self.host.list_told(ListUpdateKind.DELTA, [entry])  # what waits may go now
 
     def in_use(self, resource: str) -> float:
         """Connections open by this resource, or about to be."""
@@ -151,7 +151,7 @@
         for dest, limited in self.places.items():
             for endpoint in limited:
                 calls.trim(endpoint)
-            found = self.host.courier.dests.get(dest)
+            found = self.host.courier.state.destinations.get(dest)
             waiting = len(found.queue) if found is not None else 0
             self.lease(Need(f"places/{dest}", sum(calls.busy[n] for n in limited) + waiting))
         if self.gate is not None:
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -20,7 +20,8 @@
 from madderbeam.host.turn import Host
 from madderbeam.journal.message import Held
 from madderbeam.membership.values import MemberId
-from madderbeam.policy import interface as i
+from madderbeam.policy.events import MessageWithdrawn
+from madderbeam.policy.settings import Idempotency
 from madderbeam.relay.derive import derived_id
 from madderbeam.relay.grouping import expand
 from madderbeam.relay.origin import Streams
@@ -152,7 +153,7 @@
             "",
             m.dest,
             cls.name,
-            Effect(cls.effect.value),
+            Effect(cls.idempotency.value),
             tenant,
             m.key,
             str(m.order) if m.order else "",
@@ -173,7 +174,7 @@
         if m.number in self.names or self.settling(m.number):
             return
         owner = self.table().owners.get(m.dest)
-        self.host.tell(i.MessageGone(m.number))
+        self.host.tell(MessageWithdrawn(m.number))
         if owner is None or not self._may_go(m):
             self.host.ends.end(m, "undeliverable" if m.may_have_run_at else "deferred", 0)
         elif owner != self.me.site:
@@ -182,10 +183,10 @@
     def _may_go(self, m: Held) -> bool:
         """Another site may make attempts of it: it never ran, or does no harm twice."""
         cls, ran = self.host.s.classes[m.cls], m.may_have_run_at
-        if not ran or cls.effect is i.Effect.SAFE:
+        if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
         # The other site does not know when the first attempt was: the window has to outlast the message.
-        return cls.effect is i.Effect.KEYED and ran + cls.key_window_us / 1e6 >= m.until
+        return cls.idempotency is Idempotency.WITH_KEY and ran + cls.key_window_us / 1e6 >= m.until
 
     def come_home(self, m: Held) -> bool:
         """A message of this courier's own is to be served by this site: it goes to the decision module if it
--- a/madderbeam/host/federation/room.py
+++ b/madderbeam/host/federation/room.py
@@ -65,7 +65,7 @@
     StateReply,
     ToLink,
 )
-from madderbeam.policy.interface import Effect
+from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
 from madderbeam.relay import messages as streams
 from madderbeam.relay.custody import Custodian, CustodySettings
@@ -203,7 +203,7 @@
         self.subscriptions = Subscriptions(self.me, self.life)
         self.tables = Tables(self.me.site, self.subscriptions.subscribers)
         backlog = Backlog(c.backlog_messages, c.backlog_bytes, away_again_us=c.wait_told_ms * 1000)
-        windows = [k.key_window_us for k in self.host.s.classes if k.effect is Effect.KEYED]
+        windows = [k.key_window_us for k in self.host.s.classes if k.idempotency is Idempotency.WITH_KEY]
         settings = StreamSettings(room=backlog, keyed_window_us=min(windows, default=0))
         self.streams = Streams(settings, self.me, self.life, self._wall_ms, self.kept.map)
         self.custodian = Custodian(
@@ -478,7 +478,7 @@
 
     def _reach(self, member: MemberId) -> None:
         """Have a link there, by this courier's own file first, else by what was gossiped or the table has."""
-        if member == self.me or len(self.mesh.links) >= LINKS and member not in self.mesh.links:
+        if member == self.me or (len(self.mesh.links) >= LINKS and member not in self.mesh.links):
             return
         view = self.membership.view(member)
         rows = self.table.sites.get(member.site, ())
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -16,7 +16,7 @@
 from madderbeam.host.turn import Host
 from madderbeam.journal.message import Held
 from madderbeam.membership.values import MemberId
-from madderbeam.policy import interface as i
+from madderbeam.policy.events import EndpointEntry, EndpointState, ListUpdateKind
 
 LOOK_S = 0.02  # calls out at what is let go of are looked at so often
 QUIET = 2  # looks in a row that find none: the turn that hears their ends lies between
@@ -79,18 +79,18 @@
             return
         self.begun.add(dest)
         now = self.host.clock()
-        closed: dict[int, i.ListEntry] = {}
+        closed: dict[int, EndpointEntry] = {}
         for release in action.releases:
             for wait in release.waits:
                 uid = wait.uid if wait.uid in listing.uids else ""
                 for entry in listing.told_again(dest, uid, now + wait.left_us):
                     before = closed.get(entry.endpoint, entry)
-                    until = max(before.closed_until_us, entry.closed_until_us)
-                    closed[entry.endpoint] = replace(entry, closed_until_us=until)
+                    until = max(before.retry_after_until_us, entry.retry_after_until_us)
+                    closed[entry.endpoint] = replace(entry, retry_after_until_us=until)
             listing.drains_passed_on.update(dict.fromkeys(w.uid for w in release.draining))
         cold = any(release.cold for release in action.releases)
         entries = [closed.get(e.endpoint, e) for e in self._entries(dest)]
-        self._show([replace(e, cold=cold or e.cold) for e in entries])
+        self._show([replace(e, recovering=cold or e.recovering) for e in entries])
         if action.releases:
             log.info(
                 "federation: destination %d is served here from now on: %d waits, %s",
@@ -167,15 +167,15 @@
         drains = tuple(
             Wait(listing.names[e.endpoint], DRAIN_US)
             for e in self._entries(dest)
-            if e.state is i.EndpointState.DRAINING
+            if e.state is EndpointState.DRAINING
         )
         return Release(dest, self.me, table, waits, drains, self._cold(dest))
 
     def _cold(self, dest: int) -> bool:
         """Some endpoint is out, or came back lately."""
-        found = self.host.courier.dests.get(dest)
-        endpoints = [ep for lane in found.lanes for ep in lane.endpoints.values()] if found else []
-        return any(ep.c.open or ep.c.ramp_from >= 0 for ep in endpoints)
+        found = self.host.courier.state.destinations.get(dest)
+        endpoints = [ep for lane in found.scopes for ep in lane.endpoints.values()] if found else []
+        return any(ep.circuit.is_open or ep.circuit.slow_start_since_us >= 0 for ep in endpoints)
 
     def hand_over(self, dest: int) -> None:
         """All messages for a destination that another site serves go there."""
@@ -184,13 +184,13 @@
 
     # The list
 
-    def _entries(self, dest: int) -> list[i.ListEntry]:
+    def _entries(self, dest: int) -> list[EndpointEntry]:
         return [e for e in self.host.listing.entries.values() if e.destination == dest]
 
     def _dest(self, endpoint: int) -> int:
         entry = self.host.listing.entries.get(endpoint)
         return entry.destination if entry else -1
 
-    def _show(self, entries: Iterable[i.ListEntry]) -> None:
+    def _show(self, entries: Iterable[EndpointEntry]) -> None:
         if shown := list(entries):
-            self.host.list_told(i.ListForm.DELTA, shown)
+            self.host.list_told(ListUpdateKind.DELTA, shown)
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/shared.py
@@ -18,7 +18,7 @@
 from madderbeam.host.federation.serving import Serving
 from madderbeam.host.turn import Host
 from madderbeam.membership.values import Life, MemberId
-from madderbeam.policy import interface as i
+from madderbeam.policy.events import AttemptResult, EndpointEntry, EndpointState, ListUpdateKind
 from madderbeam.policy.state import Destination
 from madderbeam.shared.leases import Leases
 from madderbeam.shared.needs import Meter
@@ -46,7 +46,11 @@
 FULL_US = 2_000_000  # a full connection table is told for so long
 LIMIT_US = 5_000_000  # and the pace that a refusal led to
 TRIAL_GAP_US = 1_000_000  # longest ceiling of the gap between the trials of the one that tries for all
-FAILING = (i.Result.RESET, i.Result.CONNECT_FAILED, i.Result.TIMEOUT)  # as an outage would show
+FAILING = (
+    AttemptResult.RESET,
+    AttemptResult.CONNECT_FAILED,
+    AttemptResult.TIMEOUT,
+)  # as an outage would show
 WARM_S = 1.0  # after a start others are waited for so long at most, before the first call
 TOLD_S = 0.02  # the decision module has taken a turn by then
 CHANGED = 0.1  # of a rate: a lease that changes by less is not told to the decision module
@@ -98,11 +102,11 @@
 
         def over(item: Item, endpoint: int, outcome: Outcome, latency_us: int) -> None:
             ended(item, endpoint, outcome, latency_us)
-            if outcome.result is i.Result.OK:
+            if outcome.result is AttemptResult.OK:
                 self.answered(endpoint)
             elif outcome.result in FAILING:
                 self._fails(endpoint, latency_us)
-            elif outcome.result is i.Result.FULL and (entry := self._entry(endpoint)) is not None:
+            elif outcome.result is AttemptResult.OVERLOADED and (entry := self._entry(endpoint)) is not None:
                 self.refused.add(entry.destination)
 
         host.calls.hooks.told_wait, host.calls.hooks.ended = told_wait, over
@@ -151,12 +155,12 @@
 
     # What this courier learns
 
-    def _entry(self, endpoint: int) -> i.ListEntry | None:
+    def _entry(self, endpoint: int) -> EndpointEntry | None:
         return self.host.listing.entries.get(endpoint)
 
     def _waits(self, endpoint: int, wait_us: int) -> None:
         if (entry := self._entry(endpoint)) is not None:
-            apart = self.host.s.kinds[min(entry.kind, len(self.host.s.kinds) - 1)].routes_apart
+            apart = self.host.s.kinds[min(entry.kind, len(self.host.s.kinds) - 1)].limits_per_endpoint
             uid = self.host.listing.names[endpoint] if apart else ""
             self.news(Learnt(News(Kind.WAIT, entry.destination, uid, wait_us)))
 
@@ -173,7 +177,7 @@
             self.out.discard(dest)
             log.info("federation: destination %d answers again", dest)
             tried = dest in self.partners.trying
-            self.news(Learnt(News(Kind.BACK, dest, "", self.host.s.cold_us)))
+            self.news(Learnt(News(Kind.BACK, dest, "", self.host.s.warm_up_us)))
             self.news(Learnt(News(Kind.OUTAGE, dest, "", 0)))
             if tried:
                 self._show(dest, cold=True)
@@ -195,7 +199,7 @@
         now = {
             listing.names[e.endpoint]: e.destination
             for e in listing.entries.values()
-            if e.state is i.EndpointState.DRAINING
+            if e.state is EndpointState.DRAINING
         }
         for uid in now.keys() - self.drains:
             self.news(Learnt(News(Kind.DRAIN, now[uid], uid, self.host.s.drain_grace_us)))
@@ -206,40 +210,46 @@
     def _look_soon(self) -> None:
         self.looking = False
         for number in sorted(self.failed):
-            if not self.closed and (dest := self.host.courier.dests.get(number)) is not None:
+            if not self.closed and (dest := self.host.courier.state.destinations.get(number)) is not None:
                 self._find(number, dest)
 
     def _find(self, number: int, dest: Destination) -> None:
         """Whether it is out, as the decision module has found."""
-        endpoints = [ep for lane in dest.lanes for ep in lane.endpoints.values()]
-        failing = all(lane.failures >= IN_A_ROW and lane.failing_from >= 0 for lane in dest.lanes)
-        trouble = all(ep.c.open for ep in endpoints) or number in self.failed and failing
+        endpoints = [ep for lane in dest.scopes for ep in lane.endpoints.values()]
+        failing = all(
+            lane.failures_in_a_row >= IN_A_ROW and lane.failing_since_us >= 0 for lane in dest.scopes
+        )
+        trouble = all(ep.circuit.is_open for ep in endpoints) or (number in self.failed and failing)
         known = self.host.clock() - self.back_us.get(number, 0) < LOOK_S * 1e6  # not found since
-        if endpoints and trouble and not known and (dest.queue or dest.out):
+        if endpoints and trouble and not known and (dest.queue or dest.in_flight):
             self.out.add(number)
             self.news(Learnt(News(Kind.OUTAGE, number, "", OUT_US)))
-        elif number in self.out and not any(ep.c.open for ep in endpoints):
+        elif number in self.out and not any(ep.circuit.is_open for ep in endpoints):
             self.out.discard(number)
             self.news(Learnt(News(Kind.OUTAGE, number, "", 0)))
 
     def _find_bounds(self, number: int, dest: Destination) -> None:
         """Connection tables that were full, and the pace that refusals led to, where no rate is listed."""
-        for lane in dest.lanes:
+        for lane in dest.scopes:
             for ep in lane.endpoints.values():
                 uid = self.host.listing.names.get(ep.id)
-                if ep.most_at > self.full_us.get(ep.id, 0) and ep.most < math.inf and uid is not None:
-                    self.full_us[ep.id] = ep.most_at
-                    left_us = ep.most_at + FULL_US - self.host.clock()
+                if (
+                    ep.connection_limit_at_us > self.full_us.get(ep.id, 0)
+                    and ep.connection_limit < math.inf
+                    and uid is not None
+                ):
+                    self.full_us[ep.id] = ep.connection_limit_at_us
+                    left_us = ep.connection_limit_at_us + FULL_US - self.host.clock()
                     self.news(Learnt(News(Kind.FULL, number, uid, max(0, left_us))))
-            if lane.rate and not lane.listed and number in self.refused:
-                self.news(Learnt(News(Kind.LIMIT, number, "", LIMIT_US, lane.rate)))
+            if lane.pace_per_s and not lane.listed_rate_per_s and number in self.refused:
+                self.news(Learnt(News(Kind.LIMIT, number, "", LIMIT_US, lane.pace_per_s)))
 
     def _look(self) -> None:
         """What the decision module has found since."""
         if self.closed:
             return
-        self.full_us = {n: at for n, at in self.full_us.items() if n in self.host.courier.endpoints}
-        for number, dest in list(self.host.courier.dests.items()):
+        self.full_us = {n: at for n, at in self.full_us.items() if n in self.host.courier.state.endpoints}
+        for number, dest in list(self.host.courier.state.destinations.items()):
             self._find(number, dest)
             self._find_bounds(number, dest)
             self.refused.discard(number)
@@ -271,7 +281,7 @@
         if news.kind is Kind.WAIT:
             uid = news.uid if news.uid in listing.uids else ""
             entries = listing.told_again(news.dest, uid, self.host.clock() + news.left_us)
-            self.host.list_told(i.ListForm.DELTA, entries)
+            self.host.list_told(ListUpdateKind.DELTA, entries)
         elif news.kind is Kind.DRAIN and news.uid in listing.uids:
             listing.drains_passed_on[news.uid] = None
             self._show(news.dest)
@@ -290,7 +300,7 @@
             self._is_back(news.dest)
         elif news.kind is Kind.FULL and news.uid in listing.uids:
             until_us = self.host.clock() + min(news.left_us, FULL_US)
-            self._tell(news.dest, lambda e: replace(e, full_until_us=until_us), news.uid)
+            self._tell(news.dest, lambda e: replace(e, connect_not_before_us=until_us), news.uid)
         elif news.kind is Kind.LIMIT and not any(e.rate_per_s for e in self._entries(news.dest)):
             self._tell(news.dest, lambda e: replace(e, paced_per_s=news.value))
 
@@ -339,28 +349,28 @@
             self.rates[dest] = amount
             self._show(dest)
 
-    def rate(self, entry: i.ListEntry) -> float:
+    def rate(self, entry: EndpointEntry) -> float:
         """What the list says of it, by the lease: a rate of all couriers of these settings together."""
         amount = self.rates.get(entry.destination)
-        return entry.rate_per_s if amount is None else max(1e-3, amount) * self.host.s.couriers
+        return entry.rate_per_s if amount is None else max(1e-3, amount) * self.host.s.courier_count
 
-    def learnt(self, entry: i.ListEntry) -> i.ListEntry:
+    def learnt(self, entry: EndpointEntry) -> EndpointEntry:
         """What the list says of it, by who tries, and whether its rate is this courier's own."""
         gap_us = TRIAL_GAP_US if entry.destination in self.partners.trying else 0
-        return replace(entry, trial_gap_us=gap_us, lent=entry.destination in self.rates)
+        return replace(entry, max_probe_interval_us=gap_us, rate_is_leased=entry.destination in self.rates)
 
-    def _entries(self, dest: int) -> list[i.ListEntry]:
+    def _entries(self, dest: int) -> list[EndpointEntry]:
         return [e for e in self.host.listing.entries.values() if e.destination == dest]
 
     def _show(self, dest: int, cold: bool = False) -> None:
         part = 1 / max(1, self.partners.board.living) if cold else 1.0
-        self._tell(dest, lambda e: replace(e, cold=cold or e.cold, part=part))
+        self._tell(dest, lambda e: replace(e, recovering=cold or e.recovering, slow_start_share=part))
 
-    def _tell(self, dest: int, change: Callable[[i.ListEntry], i.ListEntry], uid: str = "") -> None:
+    def _tell(self, dest: int, change: Callable[[EndpointEntry], EndpointEntry], uid: str = "") -> None:
         """The decision module hears of the destination's entries, or of one."""
         names = self.host.listing.names
         found = [e for e in self._entries(dest) if uid in ("", names[e.endpoint])]
-        self.host.list_told(i.ListForm.DELTA, list(map(change, found)))
+        self.host.list_told(ListUpdateKind.DELTA, list(map(change, found)))
 
     # The second address
 
--- a/madderbeam/host/handover.py
+++ b/madderbeam/host/handover.py
@@ -14,27 +14,65 @@
 
 from madderbeam.host import graph
 from madderbeam.host.turn import Host
-from madderbeam.policy import health, interface, messages, state
+from madderbeam.policy.admission import Admission, QuotaBucket
+from madderbeam.policy.circuit_breaker import CircuitBreakers
+from madderbeam.policy.completion import MessageCompleter
+from madderbeam.policy.connection_reuse import ConnectionReuse
+from madderbeam.policy.dispatch import Dispatcher
+from madderbeam.policy.eligibility import Eligibility
+from madderbeam.policy.endpoint_list import EndpointList
+from madderbeam.policy.engine import DeliveryEngine
+from madderbeam.policy.engine_state import EngineState
+from madderbeam.policy.events import EndpointEntry, EndpointState, MessageWithdrawn, TimerDue
+from madderbeam.policy.outlier_detection import OutlierDetector
+from madderbeam.policy.rate_pacing import RatePacer
+from madderbeam.policy.retries import RetryPolicy
+from madderbeam.policy.selection import Selector
+from madderbeam.policy.settings import DestinationKind, Idempotency, MessageClass, Settings, Tenant
+from madderbeam.policy.slow_start import SlowStart
+from madderbeam.policy.state import (
+    Call,
+    CircuitBreaker,
+    Destination,
+    Endpoint,
+    Message,
+    RateLimitScope,
+)
+from madderbeam.policy.timeouts import TimeoutEstimator
 from madderbeam.ports import Socket
 from madderbeam.transport.discovery import Watch
 
 SERIES = 1  # of what is passed on beside the decision module; another one is not understood
 CLASSES: tuple[type, ...] = (
-    messages.Courier,
-    health.Health,
-    state.Message,
-    state.Circuit,
-    state.Endpoint,
-    state.Lane,
-    state.Destination,
-    state.Call,
-    interface.Settings,
-    interface.MessageClass,
-    interface.Tenant,
-    interface.Kind,
-    interface.ListEntry,
-    interface.EndpointState,
-    interface.Effect,
+    DeliveryEngine,
+    EngineState,
+    RatePacer,
+    TimeoutEstimator,
+    ConnectionReuse,
+    SlowStart,
+    CircuitBreakers,
+    OutlierDetector,
+    MessageCompleter,
+    RetryPolicy,
+    Admission,
+    QuotaBucket,
+    EndpointList,
+    Eligibility,
+    Selector,
+    Dispatcher,
+    Message,
+    CircuitBreaker,
+    Endpoint,
+    RateLimitScope,
+    Destination,
+    Call,
+    Settings,
+    MessageClass,
+    Tenant,
+    DestinationKind,
+    EndpointEntry,
+    EndpointState,
+    Idempotency,
 )
 LISTING = ("uids", "names", "listed_ever", "ever", "entries", "told", "dests", "waits")  # its fields
 log = logging.getLogger(__name__)
@@ -80,7 +118,7 @@
         socks.append(host.clients.sock)
     message["listens"] = len(socks)
     if wanted == form():
-        host.courier.actions = host.courier.health.actions = []
+        host.courier.state.actions = []
         whole = {
             "courier": host.courier,
             "numbers": host.attempts.numbers,
@@ -88,13 +126,14 @@
             "pools": {n: pool.address for n, pool in host.calls.pools.items()},
             **{name: getattr(host.listing, name) for name in LISTING},
         }
-        router, host.courier.routing = host.courier.routing, None  # the next process makes its own
+        state = host.courier.state
+        router, state.endpoint_preference = state.endpoint_preference, None  # the next process makes its own
         try:
             message["nodes"] = graph.encode(whole, CLASSES)
         except graph.Unknown as error:
             log.error("hand-over: messages go by the journal, as over a restart: %s", error)
         finally:
-            host.courier.routing = router
+            state.endpoint_preference = router
     if message["nodes"] is not None:
         for call in host.calls.out:
             assert call.connection is not None
@@ -111,7 +150,7 @@
     read, which the process before must be told, so that it goes on."""
 
     def __init__(
-        self, message: dict[str, Any], socks: Sequence[Socket], settings: interface.Settings, seed: int
+        self, message: dict[str, Any], socks: Sequence[Socket], settings: Settings, seed: int
     ) -> None:
         """`seed`: of the random numbers that the decision module goes on with."""
         self.message, self.socks = message, socks
@@ -123,7 +162,7 @@
                 message["nodes"], CLASSES, random.Random(f"passed {seed} {message['numbers']}")
             )
             message["nodes"] = None
-            if self.whole["courier"].s != settings:
+            if self.whole["courier"].state.settings != settings:
                 log.warning("the settings have changed: messages come from the journal, as after a restart")
                 self.whole = None
         calls = len(message["calls"])
@@ -187,15 +226,15 @@
 def _decisions(host: Host, whole: dict[str, Any]) -> None:
     """The decision module goes on with its messages, calls and timers. One that the journal does not know is
     over; one that only the journal knows is told as after a restart."""
-    courier: messages.Courier = whole["courier"]
-    host.courier, host.admission.come_back_us = courier, courier.come_back_us
-    courier.routing = host.routing.router
-    for number in [n for n in courier.messages if n not in host.journal.held]:
-        host.events.append(interface.MessageGone(number))
+    courier: DeliveryEngine = whole["courier"]
+    host.courier, host.admission.come_back_us = courier, courier.admission.retry_after_us
+    courier.state.endpoint_preference = host.routing.router
+    for number in [n for n in courier.state.messages if n not in host.journal.held]:
+        host.events.append(MessageWithdrawn(number))
     for m in host.journal.held.values():
-        if m.status or m.number not in courier.messages:
+        if m.status or m.number not in courier.state.messages:
             host.restore(m)
         else:
             host.ends.guard(m)
-    for at in courier.timers:
-        host.loop.call_later(max(0, at - host.clock()) / 1e6 + 5e-5, host.tell, interface.TimerDue(0))
+    for at in courier.state.timers:
+        host.loop.call_later(max(0, at - host.clock()) / 1e6 + 5e-5, host.tell, TimerDue(0))
--- a/madderbeam/host/listing.py
+++ b/madderbeam/host/listing.py
@@ -10,15 +10,16 @@
 
 from madderbeam.config.platform import ConfigError, dialed_address
 from madderbeam.host.limits import Limits, told
-from madderbeam.policy import interface as i
+from madderbeam.policy.events import EndpointEntry, EndpointState
+from madderbeam.policy.settings import DestinationKind, Settings
 from madderbeam.ports import Address
 
 STATES = {
-    "in_service": i.EndpointState.READY,
-    "terminating": i.EndpointState.DRAINING,
-    "terminated": i.EndpointState.GONE,
+    "in_service": EndpointState.READY,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.GONE,
 }
-READY = i.EndpointState.READY
+READY = EndpointState.READY
 UNREADABLE = (LookupError, TypeError, ValueError, OverflowError, AttributeError, ConfigError)  # of an entry
 EVER = 4096  # ids that are known to have been listed, the newest
 log = logging.getLogger(__name__)
@@ -33,7 +34,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         zones: tuple[str, ...],
         clock: Callable[[], int],
         bans: Container[str] = (),
@@ -47,8 +48,8 @@
         self.names: dict[int, str] = {}  # the other way round
         self.listed_ever = 0
         self.ever: dict[str, None] = {}  # ids, the newest last
-        self.entries: dict[int, i.ListEntry] = {}
-        self.told: dict[int, i.EndpointState] = {}  # what discovery says of those that are out by hand
+        self.entries: dict[int, EndpointEntry] = {}
+        self.told: dict[int, EndpointState] = {}  # what discovery says of those that are out by hand
         self.dests: set[int] = set()  # that ever stood in a list: its endpoints may only be gone for now
         self.topics: dict[int, str] = {}  # of endpoints that are a Kafka partner's
         self.subscribed: dict[int, tuple[str, ...]] = {}  # topics of the federation that it wants notices of
@@ -62,16 +63,16 @@
         # Ids that another courier heard to drain, until this one's list tells of them.
         self.drains_passed_on: dict[str, None] = {}
         # The rate that the decision module is to be told, where couriers share a destination's.
-        self.rate: Callable[[i.ListEntry], float] | None = None
+        self.rate: Callable[[EndpointEntry], float] | None = None
         # What it is to be told beside, of what others have learnt.
-        self.learnt: Callable[[i.ListEntry], i.ListEntry] | None = None
+        self.learnt: Callable[[EndpointEntry], EndpointEntry] | None = None
         self.strange: set[str] = set()  # entries that can't be read, as the log was told of them
         self.puzzled = False  # the newest list told of one in a new way: it should be asked for again
 
-    def read(self, change: dict[str, Any]) -> list[tuple[i.ListEntry, Address | None]]:
+    def read(self, change: dict[str, Any]) -> list[tuple[EndpointEntry, Address | None]]:
         """The entries of a change that can be read, now part of the list, and where each is, None: where it
         was. One that can't be read may still end its endpoint's service: that binds."""
-        found: list[tuple[i.ListEntry, Address | None]] = []
+        found: list[tuple[EndpointEntry, Address | None]] = []
         strange = set()
         for target in change.get("targets", []):
             try:
@@ -92,7 +93,7 @@
         self.strange = strange if change.get("all") or len(self.strange) > EVER else self.strange | strange
         return found
 
-    def _entry(self, target: dict[str, Any]) -> tuple[i.ListEntry, Address]:
+    def _entry(self, target: dict[str, Any]) -> tuple[EndpointEntry, Address]:
         """Nothing of the list changes unless all of it can be read."""
         uid, hint = target["uid"], float(target.get("capacity_hint") or 0.0)
         if not uid or not isinstance(uid, str) or not 0 <= hint < math.inf:
@@ -103,8 +104,8 @@
         topic, subscribed = str(target.get("topic") or ""), tuple(map(str, target.get("topics") or ()))
         self.drains_passed_on.pop(uid, None)
         number = self.number(uid)
-        entry = i.ListEntry(number, dest, state, hint, kind, zone)
-        if self.s.report:  # the list's figure means nothing there
+        entry = EndpointEntry(number, dest, state, hint, kind, zone)
+        if self.s.load_report_fields:  # the list's figure means nothing there
             entry = replace(entry, rate_per_s=self.limits[self._key(entry)])
         if topic:
             self.topics[number] = topic
@@ -116,7 +117,7 @@
             self.subscribed.pop(number, None)
         return self._by_bans(uid, entry), address
 
-    def _drained(self, target: dict[str, Any]) -> i.ListEntry:
+    def _drained(self, target: dict[str, Any]) -> EndpointEntry:
         """Of an entry that can't be read: its endpoint, if it is known and wants nothing new by it."""
         entry, state = self.entries[self.uids[target["uid"]]], STATES[target["state"]]
         if state is READY:
@@ -136,30 +137,30 @@
 
     # By hand
 
-    def _by_bans(self, uid: str, entry: i.ListEntry) -> i.ListEntry:
+    def _by_bans(self, uid: str, entry: EndpointEntry) -> EndpointEntry:
         """An entry as it was told, or as it is by hand."""
         if uid in self.bans:
             return self._kept_out(entry)
         self.told.pop(entry.endpoint, None)
         return entry
 
-    def _kept_out(self, entry: i.ListEntry) -> i.ListEntry:
+    def _kept_out(self, entry: EndpointEntry) -> EndpointEntry:
         """As the turn sees one that is out by hand: it wants nothing new."""
         self.told[entry.endpoint] = entry.state
-        gone = entry.state is i.EndpointState.GONE
-        return entry if gone else replace(entry, state=i.EndpointState.DRAINING)
+        gone = entry.state is EndpointState.GONE
+        return entry if gone else replace(entry, state=EndpointState.DRAINING)
 
-    def by_hand(self, uid: str, back: bool) -> list[i.ListEntry]:
+    def by_hand(self, uid: str, back: bool) -> list[EndpointEntry]:
         """The entry that changes as an endpoint is taken out or put back, none if it is not listed now. One
         that is put back has been restarted: it is cold."""
         number = self.uids.get(uid)
         if number is None or number not in self.entries or back is not (number in self.told):
             return []  # not listed, or told twice
         if back:
-            entry = replace(self.entries[number], state=self.told.pop(number), cold=True)
+            entry = replace(self.entries[number], state=self.told.pop(number), recovering=True)
         else:
             entry = self._kept_out(self.entries[number])
-        self.entries[number] = replace(entry, cold=False)
+        self.entries[number] = replace(entry, recovering=False)
         return [entry]
 
     @property
@@ -167,7 +168,7 @@
         """Those listed now."""
         return {number for number in self.told if number in self.entries}
 
-    def kept(self, change: dict[str, Any], read: list[i.ListEntry]) -> list[i.ListEntry]:
+    def kept(self, change: dict[str, Any], read: list[EndpointEntry]) -> list[EndpointEntry]:
         """Entries that stay as they were, since a whole list tells of them in a way that can't be read. Where
         it does not even tell of whom, none of them has gone."""
         known = {e.endpoint for e in read}
@@ -175,7 +176,7 @@
         everyone, named = not all(isinstance(uid, str) and uid for uid in ids), {str(uid) for uid in ids}
         return [e for n, e in self.entries.items() if n not in known and (everyone or self.names[n] in named)]
 
-    def unnamed(self, entries: list[i.ListEntry]) -> list[int]:
+    def unnamed(self, entries: list[EndpointEntry]) -> list[int]:
         """The endpoints that a whole list leaves out."""
         named = {e.endpoint for e in entries}
         return [n for n in self.entries if n not in named]
@@ -194,7 +195,7 @@
         self.subscribed.pop(endpoint, None)
         self.uids.pop(self.names.pop(endpoint, ""), None)  # an id that has gone does not come again
 
-    def _kind(self, entry: i.ListEntry) -> i.Kind:
+    def _kind(self, entry: EndpointEntry) -> DestinationKind:
         return self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)]
 
     def zone(self, number: int) -> str:
@@ -204,9 +205,9 @@
     def batch(self, endpoint: int) -> int:
         """How many messages one call there may hold."""
         entry = self.entries.get(endpoint)
-        return self._kind(entry).batch if entry else 1
+        return self._kind(entry).max_batch if entry else 1
 
-    def shown(self, entry: i.ListEntry) -> i.ListEntry:
+    def shown(self, entry: EndpointEntry) -> EndpointEntry:
         """As the decision module sees it: what is not served here now wants nothing new."""
         hidden = self.serves is not None and not self.serves(entry.destination)
         hidden = hidden or self.names.get(entry.endpoint, "") in self.drains_passed_on
@@ -214,15 +215,15 @@
             entry = replace(entry, rate_per_s=self.rate(entry))
         if self.learnt is not None:
             entry = self.learnt(entry)
-        return replace(entry, state=i.EndpointState.DRAINING) if hidden and entry.state is READY else entry
+        return replace(entry, state=EndpointState.DRAINING) if hidden and entry.state is READY else entry
 
-    def told_load(self, endpoint: int, load: dict[str, float]) -> list[i.ListEntry]:
+    def told_load(self, endpoint: int, load: dict[str, float]) -> list[EndpointEntry]:
         """The entries that an answer's report changes."""
         entry = self.entries.get(endpoint)
-        if entry is None or not self.s.report:
+        if entry is None or not self.s.load_report_fields:
             return []
-        key, values = self._key(entry), [load.get(name, 0.0) for name in self.s.report]
-        if not self.limits.told(key, told(self.s.report, values)):
+        key, values = self._key(entry), [load.get(name, 0.0) for name in self.s.load_report_fields]
+        if not self.limits.told(key, told(self.s.load_report_fields, values)):
             return []
         alike = [e for e in self.entries.values() if self._key(e) == key]
         changed = [replace(e, rate_per_s=self.limits[key]) for e in alike]
@@ -231,7 +232,7 @@
 
     # Waits
 
-    def told_again(self, dest: int, uid: str, until: int) -> tuple[i.ListEntry, ...]:
+    def told_again(self, dest: int, uid: str, until: int) -> tuple[EndpointEntry, ...]:
         """The entries that are under a wait which another process was told; '' stands for a destination's.
         One that was told here and ends later holds on."""
         found = [
@@ -239,19 +240,19 @@
         ]
         return self._closed(found, until)
 
-    def _closed(self, entries: list[i.ListEntry], until: int) -> tuple[i.ListEntry, ...]:
+    def _closed(self, entries: list[EndpointEntry], until: int) -> tuple[EndpointEntry, ...]:
         """These, under a wait until then at least."""
         for key in {self._wait_key(e.endpoint) for e in entries}:
             self.waits[key] = max(self.waits.get(key, 0), until)
-        return tuple(replace(e, closed_until_us=self.waits[self._wait_key(e.endpoint)]) for e in entries)
+        return tuple(replace(e, retry_after_until_us=self.waits[self._wait_key(e.endpoint)]) for e in entries)
 
     def _wait_key(self, endpoint: int) -> tuple[int, int]:
         entry = self.entries.get(endpoint)
         return self.left.get(endpoint, ((-1, endpoint), 0))[0] if entry is None else self._key(entry)
 
-    def _key(self, entry: i.ListEntry) -> tuple[int, int]:
+    def _key(self, entry: EndpointEntry) -> tuple[int, int]:
         """What waits and limits are told of: a destination, or one route of it."""
-        return (entry.destination, entry.endpoint if self._kind(entry).routes_apart else -1)
+        return (entry.destination, entry.endpoint if self._kind(entry).limits_per_endpoint else -1)
 
     def waits_by_name(self) -> list[tuple[int, str, int]]:
         """Those that still run: the destination, the endpoint's id or '' for all of them, when it ends."""
@@ -262,7 +263,7 @@
             if dest >= 0 and until > now
         ]
 
-    def told_wait(self, endpoint: int, wait_us: int) -> tuple[i.ListEntry, ...]:
+    def told_wait(self, endpoint: int, wait_us: int) -> tuple[EndpointEntry, ...]:
         """An answer told to wait for so long: the entries that are under it. One that has left the list still
         tells it for its destination."""
         key = self._wait_key(endpoint)
--- a/madderbeam/host/quota.py
+++ b/madderbeam/host/quota.py
@@ -28,7 +28,7 @@
         self.config, self.disk, self.clock, self.held = config, disk, clock, held
         chance = random.Random(f"quota {config.seed}")
         leased = config.federation is not None and config.federation.share
-        self.gate = Gate(raw, clock.monotonic_us(), chance, config.settings.max_held, leased)
+        self.gate = Gate(raw, clock.monotonic_us(), chance, config.settings.max_pending, leased)
         self.path = quota_path(config.state)
         self.saved_at = clock.monotonic_us()
         self.refused = self.borrowed = 0
--- a/madderbeam/host/routing.py
+++ b/madderbeam/host/routing.py
@@ -10,7 +10,7 @@
 from madderbeam.config.platform import Config
 from madderbeam.host.listing import Listing
 from madderbeam.journal.message import Held
-from madderbeam.policy import interface as i
+from madderbeam.policy.events import EndpointEntry, EndpointState
 from madderbeam.ports import Address, Clock
 from madderbeam.transport.clients import BadRequest, Put
 
@@ -36,7 +36,7 @@
         from madderbeam.routing.router import Router
 
         s = self.config.settings
-        router = self.router or Router(self.config.seed, s.me, s.couriers, self.config.zone)
+        router = self.router or Router(self.config.seed, s.courier_index, s.courier_count, self.config.zone)
         try:
             router.configure(raw)
         except (LookupError, TypeError, ValueError, AttributeError) as error:
@@ -44,7 +44,7 @@
             return
         self.router = router
 
-    def placed(self, rows: Iterable[tuple[i.ListEntry, Address]]) -> None:
+    def placed(self, rows: Iterable[tuple[EndpointEntry, Address]]) -> None:
         """Where the entries of a list are."""
         for entry, (host, port) in rows:
             self.addresses[entry.endpoint] = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
@@ -57,7 +57,7 @@
             ready = [
                 (n, e.destination, self.addresses[n], self.listing.zone(e.zone))
                 for n, e in entries.items()
-                if e.state is i.EndpointState.READY and n in self.addresses
+                if e.state is EndpointState.READY and n in self.addresses
             ]
             self.router.listed(ready, self.clock.monotonic_us())
 
--- a/madderbeam/host/service.py
+++ b/madderbeam/host/service.py
@@ -8,7 +8,7 @@
 
 from madderbeam.host.bans import Bans, TooMany
 from madderbeam.host.listing import Listing
-from madderbeam.policy import interface as i
+from madderbeam.policy.events import EndpointEntry
 from madderbeam.transport.clients import ClientServer
 from madderbeam.transport.control import Answer
 
@@ -57,7 +57,7 @@
         drain: Drain,
         ready: Callable[[], bool],
         figures: Callable[[], str],
-        relist: Callable[[Sequence[i.ListEntry]], None],
+        relist: Callable[[Sequence[EndpointEntry]], None],
     ) -> None:
         self.listing, self.bans, self.drain = listing, bans, drain
         self.ready, self.figures, self.relist = ready, figures, relist
--- a/madderbeam/host/standby/journal.py
+++ b/madderbeam/host/standby/journal.py
@@ -183,7 +183,7 @@
             (failed or _raise)(Unsure("the standby is silent"))
             return
         held = [self.held.get(n) for n in numbers]
-        light = all(m is None or m.cls in self.safe and m.number not in self.taking for m in held)
+        light = all(m is None or (m.cls in self.safe and m.number not in self.taking) for m in held)
 
         closes = min(
             (
--- a/madderbeam/host/standby/owner.py
+++ b/madderbeam/host/standby/owner.py
@@ -15,7 +15,7 @@
 from madderbeam.host.standby.journal import WaitingJournal
 from madderbeam.host.standby.shared import Watched, kept_folder, read_keys, settings, told
 from madderbeam.host.turn import Host
-from madderbeam.policy.interface import Effect
+from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
 from madderbeam.quota.gate import Verdict
 from madderbeam.replication.owner import Owner
@@ -76,11 +76,11 @@
         self.released: asyncio.Future[None] = self.loop.create_future()
         self.file: tuple[int, bytes] = 0, b""  # the segment that is being read
         self.moving = self.fenced = False
-        safe = frozenset(n for n, c in enumerate(host.s.classes) if c.effect is Effect.SAFE)
+        safe = frozenset(n for n, c in enumerate(host.s.classes) if c.idempotency is Idempotency.IDEMPOTENT)
         windows = {
             n: (c.key_window_us - host.s.tick_us) / 1e6
             for n, c in enumerate(host.s.classes)
-            if c.effect is Effect.KEYED
+            if c.idempotency is Idempotency.WITH_KEY
         }
         self.runner.after = self._look
         host.journal.attach(self, safe, windows)
--- a/madderbeam/host/standby/shared.py
+++ b/madderbeam/host/standby/shared.py
@@ -10,7 +10,7 @@
 from madderbeam.config.platform import Config
 from madderbeam.config.standby import Standby
 from madderbeam.host.federation.runner import Runner
-from madderbeam.policy.interface import Settings as Policy
+from madderbeam.policy.settings import Settings as Policy
 from madderbeam.ports import Disk
 from madderbeam.replication import keys
 from madderbeam.replication.errors import KeyUnfit
@@ -56,7 +56,7 @@
 def form(s: Policy, known: dict[str, Any]) -> str:
     """What both couriers must have in common: records name classes, tenants and partners by number."""
     rows = [
-        [[c.name, c.effect.name, c.key_window_us, c.deadline_us] for c in s.classes],
+        [[c.name, c.idempotency.name, c.key_window_us, c.deadline_us] for c in s.classes],
         [t.name for t in s.tenants],
         sorted({t.get("pod_group", 0) for t in known.get("targets", ())}),
     ]
--- a/madderbeam/host/trace.py
+++ b/madderbeam/host/trace.py
@@ -4,20 +4,22 @@
 
 from collections.abc import Callable, Iterable
 
-from madderbeam.policy import interface as i
-from madderbeam.policy.messages import Courier
+from madderbeam.policy.actions import Action, Fail, Reject, Send
+from madderbeam.policy.engine import DeliveryEngine
+from madderbeam.policy.events import AttemptEnded, EndpointListUpdate, Event, MessageArrived
+from madderbeam.policy.settings import Settings
 
 
-class TracedCourier(Courier):
+class TracedCourier(DeliveryEngine):
     """The decision module, with every turn written down. Off unless MADDERBEAM_TRACE is set: it is far more
     than a log should hold, and costs CPU. bench/fleet.py reads it."""
 
-    def __init__(self, settings: i.Settings, seed: int, write: Callable[[str], None]) -> None:
+    def __init__(self, settings: Settings, seed: int, write: Callable[[str], None]) -> None:
         super().__init__(settings, seed)
         self.write = write
         write(f"settings {settings}")
 
-    def handle(self, now_us: int, events: Iterable[i.Event]) -> list[i.Action]:
+    def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
         events = list(events)
         lines = [line for e in events if (line := self._event(e))]
         actions = super().handle(now_us, events)
@@ -27,27 +29,27 @@
         return actions
 
     def _dest(self, endpoint: int) -> int:
-        ep = self.endpoints.get(endpoint)
-        return ep.lane.dest.number if ep else -1
+        found = self.state.endpoints.get(endpoint)
+        return found.scope.destination.number if found else -1
 
-    def _event(self, e: i.Event) -> str:
-        if isinstance(e, i.MessageArrived):
-            return f"arrived {e.destination} {e.message} {e.message_class} {int(e.resubmitted)} {e.tries}"
-        if isinstance(e, i.AttemptEnded):
+    def _event(self, e: Event) -> str:
+        if isinstance(e, MessageArrived):
+            return f"arrived {e.destination} {e.message} {e.message_class} {int(e.resubmitted)} {e.attempts}"
+        if isinstance(e, AttemptEnded):
             where = f"{self._dest(e.endpoint)} {e.message} {e.endpoint}"
-            return f"{e.result.value} {where} {e.latency_us} {e.retry_after_us // 1000} {e.fresh}"
-        if isinstance(e, i.EndpointsListed):
+            return f"{e.result.value} {where} {e.latency_us} {e.retry_after_us // 1000} {e.on_new_connection}"
+        if isinstance(e, EndpointListUpdate):
             shown = [
                 f"{x.endpoint}:{x.destination}:{x.state.value}:{x.rate_per_s:g}:{x.kind}" for x in e.entries
             ]
-            return f"listed {e.form.value} {' '.join(shown)}"
+            return f"listed {e.kind.value} {' '.join(shown)}"
         return ""
 
-    def _action(self, a: i.Action) -> str:
-        if isinstance(a, i.Send):
+    def _action(self, a: Action) -> str:
+        if isinstance(a, Send):
             return f"send {self._dest(a.endpoint)} {a.message} {a.endpoint} {a.timeout_us // 1000}"
-        if isinstance(a, i.Refuse):
+        if isinstance(a, Reject):
             return f"refuse - {a.message} {a.retry_after_us // 1000}"
-        if isinstance(a, i.Fail):
+        if isinstance(a, Fail):
             return f"fail - {a.message}"
         return ""
--- a/madderbeam/host/turn.py
+++ b/madderbeam/host/turn.py
@@ -19,11 +19,30 @@
 from madderbeam.host.service import Drain, Service
 from madderbeam.journal.message import Held
 from madderbeam.journal.store import Journal
-from madderbeam.policy import interface as i
-from madderbeam.policy.messages import Courier
+from madderbeam.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    HealthCheck,
+    Log,
+    Reject,
+    Send,
+    SetTimer,
+)
+from madderbeam.policy.engine import DeliveryEngine
+from madderbeam.policy.events import (
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointState,
+    Event,
+    ListUpdateKind,
+    ShutdownStarted,
+    TimerDue,
+)
 from madderbeam.ports import Address
-from madderbeam.transport.calls import Calls, Item
 from madderbeam.transport.answers import Answer
+from madderbeam.transport.calls import Calls, Item
 from madderbeam.transport.clients import ClientServer
 from madderbeam.transport.control import ControlServer
 from madderbeam.transport.discovery import Notices, Watch
@@ -45,7 +64,7 @@
 
     first: asyncio.TimerHandle | None = None  # at the latest then work begins
     # Its rooms, which the assembly makes (host/assembly.py).
-    courier: Courier
+    courier: DeliveryEngine
     bans: Bans
     figures: Figures
     journal: Journal
@@ -65,7 +84,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, clock: Callable[[], int]) -> None:
         """`clock`: the monotonic clock, in microseconds."""
         self.loop, self.config, self.s, self.clock = loop, config, config.settings, clock
-        self.events: list[i.Event] = []
+        self.events: list[Event] = []
         self.scheduled = False
         self.last_turn = -self.s.tick_us
         self.closing_at = 0.0
@@ -120,12 +139,12 @@
 
     def begin(self, waits: dict[tuple[int, str], int]) -> None:
         """The list as it was last known, with told waits that still run, and what the journal holds."""
-        whole = self.listed({**self.config.known, "all": True}, i.ListForm.CACHED)
+        whole = self.listed({**self.config.known, "all": True}, ListUpdateKind.CACHED)
         if not whole and isinstance(self.watch, Watch):
             self.watch.rev = 0  # what came since would leave out what can't be read of it
         for dest, uid in waits:
             entries = self.listing.told_again(dest, uid, waits[dest, uid])
-            self.list_told(i.ListForm.DELTA, entries)
+            self.list_told(ListUpdateKind.DELTA, entries)
         for m in list(self.journal.held.values()):
             self.restore(m)
 
@@ -143,7 +162,7 @@
 
     # The turn
 
-    def tell(self, event: i.Event) -> None:
+    def tell(self, event: Event) -> None:
         if self.handed:
             return
         self.events.append(event)
@@ -176,10 +195,10 @@
         events, self.events = self.events, []
         arrived = self.admission.turn()
         try:
-            actions: Iterable[i.Action] = self.courier.handle(now, events)
+            actions: Iterable[Action] = self.courier.handle(now, events)
         except Exception:  # one bad turn must not end the process; each message still has its guard
             log.exception("the decision module failed on %d events", len(events))
-            actions = [i.Fail(n) for n in arrived]
+            actions = [Fail(n) for n in arrived]
         self.journal.begin()  # the records of this turn go in one write
         try:
             self._carry_out(list(actions), arrived)
@@ -191,23 +210,23 @@
         finally:
             self.journal.commit()
 
-    def _carry_out(self, actions: list[i.Action], arrived: dict[int, tuple[Held, list[Answer]]]) -> None:
+    def _carry_out(self, actions: list[Action], arrived: dict[int, tuple[Held, list[Answer]]]) -> None:
         self.admission.answer(arrived, actions)
         bundles: dict[int, list[Item]] = {}
         for a in actions:
-            if isinstance(a, i.Send):
+            if isinstance(a, Send):
                 self.attempts.send(a, bundles)
-            elif isinstance(a, (i.Refuse, i.Fail)):
+            elif isinstance(a, (Reject, Fail)):
                 self.ends.final(a)
-            elif isinstance(a, i.SetTimer):
-                self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.tell, i.TimerDue(a.token))
-            elif isinstance(a, i.CloseIdle):
+            elif isinstance(a, SetTimer):
+                self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.tell, TimerDue(a.token))
+            elif isinstance(a, CloseIdleConnections):
                 self.calls.close_idle(a.endpoint)
-            elif isinstance(a, i.Cancel):
+            elif isinstance(a, CancelAttempt):
                 self.calls.cancel(a.message, a.attempt)
-            elif isinstance(a, i.Probe):
+            elif isinstance(a, HealthCheck):
                 self.calls.probe(a.endpoint)
-            elif isinstance(a, i.Log):
+            elif isinstance(a, Log):
                 log.info("%s", a.text)
         self.attempts.flush(bundles)
 
@@ -217,7 +236,7 @@
         return self.clients.listening and self.first is None and not self.closing_at and not self.drain.on
 
     def all_figures(self) -> str:
-        avoided = self.listing.out_by_hand.union(self.courier.avoided())
+        avoided = self.listing.out_by_hand.union(self.courier.ejected_endpoints())
         more = self.routing.figures()
         for room in self.rooms:
             more |= room.figures()
@@ -228,21 +247,21 @@
 
     # The list
 
-    def relist(self, entries: Sequence[i.ListEntry]) -> None:
+    def relist(self, entries: Sequence[EndpointEntry]) -> None:
         """Entries changed by hand."""
         for entry in entries:
             self.calls.close_idle(entry.endpoint)
         self._routed()
-        self.list_told(i.ListForm.DELTA, entries)
+        self.list_told(ListUpdateKind.DELTA, entries)
 
     def told_load(self, endpoint: int, load: dict[str, float]) -> None:
         """An answer carried a report: what it tells of a rate is news of the list."""
         if entries := self.listing.told_load(endpoint, load):
-            self.list_told(i.ListForm.DELTA, entries)
+            self.list_told(ListUpdateKind.DELTA, entries)
 
-    def listed(self, change: dict[str, Any], form: i.ListForm | None = None) -> bool:
+    def listed(self, change: dict[str, Any], form: ListUpdateKind | None = None) -> bool:
         """Discovery tells a whole list or a change of it; False if all should be told again."""
-        form = form or (i.ListForm.FULL if change.get("all") else i.ListForm.DELTA)
+        form = form or (ListUpdateKind.SNAPSHOT if change.get("all") else ListUpdateKind.DELTA)
         self.routing.configure(change.get("routing"))
         read = self.listing.read(change)
         entries = [entry for entry, _ in read]
@@ -252,41 +271,43 @@
             self.calls.place(
                 entry.endpoint, address, self.listing.topics.get(entry.endpoint, ""), entry.destination
             )
-        if form is not i.ListForm.DELTA:
+        if form is not ListUpdateKind.DELTA:
             entries += self.listing.kept(change, entries)
             for number in self.listing.unnamed(entries):
                 self.gone(number)
         for entry in entries:
-            if entry.state is i.EndpointState.GONE:
+            if entry.state is EndpointState.GONE:
                 self.gone(entry.endpoint)
-            elif entry.state is i.EndpointState.DRAINING:
+            elif entry.state is EndpointState.DRAINING:
                 self.calls.close_idle(entry.endpoint)
         self.list_changed(entries, form)
-        if form is not i.ListForm.CACHED:
+        if form is not ListUpdateKind.CACHED:
             self._first()
         return not self.listing.puzzled
 
-    def list_changed(self, entries: Iterable[i.ListEntry], form: i.ListForm = i.ListForm.DELTA) -> None:
+    def list_changed(
+        self, entries: Iterable[EndpointEntry], form: ListUpdateKind = ListUpdateKind.DELTA
+    ) -> None:
         """These are part of the list from now on."""
         self._routed()
         self.list_told(form, entries)
         for heard in self.on_list:
             heard()
 
-    def list_told(self, form: i.ListForm, entries: Iterable[i.ListEntry]) -> None:
+    def list_told(self, form: ListUpdateKind, entries: Iterable[EndpointEntry]) -> None:
         """The decision module hears of entries, as they are to be shown."""
-        self.tell(i.EndpointsListed(form, tuple(map(self.listing.shown, entries))))
+        self.tell(EndpointListUpdate(form, tuple(map(self.listing.shown, entries))))
 
     def told_wait(self, endpoint: int, wait_us: int) -> None:
         """The headers of an answer told to wait. The decision module hears of it with no regard to what
         becomes of the answer: what it sent before that would be held back, and lose its tries."""
         if under := self.listing.told_wait(endpoint, wait_us):
-            self.list_told(i.ListForm.DELTA, under)
+            self.list_told(ListUpdateKind.DELTA, under)
 
     def _routed(self) -> None:
         """The decision module goes by the pools as they are now."""
         self.routing.refresh()
-        self.courier.routing = self.routing.router
+        self.courier.state.endpoint_preference = self.routing.router
 
     def gone(self, endpoint: int) -> None:
         self.listing.forget(endpoint)
@@ -321,7 +342,7 @@
             return
         now = self.loop.time()
         self.closing_at = now + EXIT_S
-        self.tell(i.Closing(self.clock() + int(CALLS_S * 1e6)))
+        self.tell(ShutdownStarted(self.clock() + int(CALLS_S * 1e6)))
         for room in self.rooms:
             room.leave()
         self.loop.call_later(LISTEN_S, self._stop_clients)
--- a/madderbeam/host/upgrade.py
+++ b/madderbeam/host/upgrade.py
@@ -180,7 +180,7 @@
         raise Refused(str(error)) from None
     try:
         passing.send(conn, {"say": "take"})
-        yours, _ = passing.receive(conn)
+        passing.receive(conn)
         lock = _locked(disk, f"{config.state}/{LOCK}")
     except (Broken, Refused):
         passed.close()
--- a/madderbeam/importers/nginx/upstreams.py
+++ b/madderbeam/importers/nginx/upstreams.py
@@ -113,7 +113,7 @@
         elif word == "drain":
             server.drain = True
             ledger.changed(at, "drain: it is terminating, and gets nothing more (there are no sessions)")
-        elif word == "resolve" or key in ("service", "route", "id") and equals:
+        elif word == "resolve" or (key in ("service", "route", "id") and equals):
             ledger.changed(at, f"{key}: has no meaning here")
         elif key == "weight" and equals:
             server.weight = number(value, 1)
--- a/madderbeam/journal/commands.py
+++ b/madderbeam/journal/commands.py
@@ -37,7 +37,7 @@
             return action(args)
         except OSError as error:
             print(
-                f"madderbeam journal: {error.strerror and f'{args.folder}: {error.strerror}' or error}",
+                f"madderbeam journal: {(error.strerror and f'{args.folder}: {error.strerror}') or error}",
                 file=sys.stderr,
             )
             return 2
--- a/madderbeam/membership/probing.py
+++ b/madderbeam/membership/probing.py
@@ -156,7 +156,7 @@
             accused = speech.chance.sample(accused, TOLD_MOST)
         for member in accused:
             speech.ping(member, 0, silent)
-        if self.missed or speech.health.score and speech.gossip.pending:
+        if self.missed or (speech.health.score and speech.gossip.pending):
             lately = speech.lately(now_us)
             for member in speech.chance.sample(lately, min(len(lately), CALLED if silent else 1)):
                 speech.ping(member, 0, silent)
@@ -211,7 +211,7 @@
     def succeeded(self, seq: int, by: MemberId, now_us: int) -> None:
         """An answer has come, from the target itself or from a helper."""
         probe = self.probe
-        if probe is None or probe.seq != seq or by != probe.target and by not in probe.asked:
+        if probe is None or probe.seq != seq or (by != probe.target and by not in probe.asked):
             return
         member = self.speech.table.members.get(probe.target)
         if by != probe.target and member is not None:
--- a/madderbeam/membership/rumours.py
+++ b/madderbeam/membership/rumours.py
@@ -28,14 +28,13 @@
         """True if it is new. One whose owner is not known, or is over for long, is not taken."""
         key = (rumour.owner, rumour.key)
         known = self.held.get(key)
-        if known is not None and known.version >= rumour.version or self._over(now_us, rumour):
+        if (known is not None and known.version >= rumour.version) or self._over(now_us, rumour):
             return False
         size = packed_size(rumour_row(rumour))
         more = size - self.sizes.get(key, 0)
         settings = self.settings
-        if (
-            self.bytes + more > settings.rumour_bytes_most
-            or known is None
+        if self.bytes + more > settings.rumour_bytes_most or (
+            known is None
             and (
                 len(self.held) >= settings.rumours_most
                 or self.each.get(rumour.owner, 0) >= settings.rumours_each
--- a/madderbeam/membership/speech.py
+++ b/madderbeam/membership/speech.py
@@ -24,9 +24,9 @@
 from madderbeam.membership.values import (
     Address,
     FolderIsOlder,
-    LifeRaised,
     Heard,
     Life,
+    LifeRaised,
     MemberChanged,
     MemberId,
     Note,
@@ -190,7 +190,7 @@
         """One word on a member; False if it is of a life that is over."""
         member = self.table.members.get(report.id)
         if member is not None and report.life == member.life:
-            if report.word < member.word or report.word == member.word and member.knows(report):
+            if report.word < member.word or (report.word == member.word and member.knows(report)):
                 return True  # the greater part of what comes
         elif report.id == self.own.id:
             self._on_me(now_us, report)
--- a/madderbeam/membership/table.py
+++ b/madderbeam/membership/table.py
@@ -94,7 +94,7 @@
         over = self.over.get(report.id)
         if over is not None and (report.life, report.word) <= over:
             return False  # some still think it alive; if it is, it raises its word
-        if gone and now_us - since >= self.settings.forget_us or not self._room(gone):
+        if (gone and now_us - since >= self.settings.forget_us) or not self._room(gone):
             return False
         member = Member(
             report.id, report.life, report.word, report.state, report.address, since, report.draining
--- a/madderbeam/policy/__init__.py
+++ b/madderbeam/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: which server, whether to try again, what to refuse. It does no I/O."""
+"""The decision module: a state machine that takes events with a time and returns actions. It does no I/O."""
--- a/madderbeam/policy/state.py
+++ b/madderbeam/policy/state.py
@@ -1,100 +1,177 @@
-"""What the decision module keeps: messages, calls out, endpoints, lanes, destinations. No decisions."""
+"""What the delivery engine keeps: messages, calls, endpoints, rate-limit scopes, destinations. No decisions.
+
+Times are microseconds on the engine's clock, -1 or 0 where there was none.
+"""
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass, field
+
+from madderbeam.policy.events import EndpointState, MessageArrived
+from madderbeam.policy.settings import MessageClass
 
-from madderbeam.policy.interface import EndpointState, MessageArrived, MessageClass
+INITIAL_SLOT_TIME_US = 1e5
 
 
+@dataclass(slots=True, eq=False)
 class Message:
-    def __init__(self, ident: int, cls: MessageClass, event: MessageArrived, seq: int, now: int) -> None:
-        self.id, self.cls, self.seq = ident, cls, seq
-        self.key = event.order_key if cls.ordered else 0
-        self.until, self.born = event.valid_until_us, event.valid_until_us - cls.deadline_us
-        self.dest: Destination
-        self.tries, self.out = event.tries, 0
-        self.unsent = 0  # attempts that were held back, and never written
-        self.ran_at, self.ran_zone = event.ran_at_us, 0  # when and where the first that may have run was sent
-        self.ready_at = now
-        self.last: Endpoint | None = None
-        self.affinity, self.restored = event.affinity, event.restored
-        self.tried: tuple[int, ...] = ()  # endpoints, where a preference is told
-        self.closed = self.streaming = self.quick = False
-        self.weight = 1.0
+    """A message whose outcome is still owed."""
+
+    id: int
+    message_class: MessageClass
+    destination: Destination
+    sequence: int  # order of arrival
+    order_key: int  # 0: in no order
+    deadline_us: int
+    accepted_at_us: int
+    retry_at_us: int  # no attempt before
+    attempts: int
+    possibly_executed_at_us: int  # when the first attempt that may have run was sent
+    affinity: str
+    restored: bool  # accepted by the process before this one
+    possibly_executed_zone: int = 0
+    priority_weight: float = 1.0
+    in_flight: int = 0  # attempts
+    attempts_not_sent: int = 0  # attempts that were held back, and never written
+    last_endpoint: Endpoint | None = None
+    attempted_endpoints: tuple[int, ...] = ()  # where an endpoint preference wants to know
+    is_completed: bool = False
+    is_streaming: bool = False
+    failed_quickly: bool = False  # and may be retried at once, outage or not
+
+    @classmethod
+    def from_arrival(
+        cls,
+        event: MessageArrived,
+        message_class: MessageClass,
+        destination: Destination,
+        sequence: int,
+        now_us: int,
+    ) -> Message:
+        """Return the message that an event describes."""
+        return cls(
+            id=event.message,
+            message_class=message_class,
+            destination=destination,
+            sequence=sequence,
+            order_key=event.order_key if message_class.ordered else 0,
+            deadline_us=event.deadline_us,
+            accepted_at_us=event.deadline_us - message_class.deadline_us,
+            retry_at_us=now_us,
+            attempts=event.attempts,
+            possibly_executed_at_us=event.possibly_executed_at_us,
+            affinity=event.affinity,
+            restored=event.restored,
+        )
 
     @property
-    def spent(self) -> int:
-        """Attempts that count: what was never written asked nothing of anybody."""
-        return self.tries - self.unsent
-
-
-class Circuit:
-    """Whether calls may go, and how many: of an endpoint. In a large fleet of a lane: outages mostly take all
-    endpoints, and so few calls go there that one endpoint's own would never gather the evidence."""
-
-    def __init__(self) -> None:
-        self.bad = 0.0  # failing share
-        self.open = False  # trials only
-        self.trial: Call | None = None
-        self.trial_at = self.gap = self.opened_at = 0
-        self.ramp_from = -1  # start of the slow start, -1 when warm
-        self.ramped = -1  # as that, from before the circuit opened
-        self.base = 0.0  # this courier's part of the warm rate
-        self.tokens, self.stamp = 1.0, 0
-        self.most = 1.0  # of the base, at which a slow start ends
-
-
+    def attempts_used(self) -> int:
+        """Attempts that count: one that was never written asked nothing of anybody."""
+        return self.attempts - self.attempts_not_sent
+
+
+@dataclass(slots=True, eq=False)
+class CircuitBreaker:
+    """Whether calls may go, and how many, to an endpoint; in a large fleet to a rate-limit scope.
+
+    Outages mostly take all endpoints of a scope, and a courier of a large fleet makes so few calls that one
+    endpoint's own would never gather the evidence.
+    """
+
+    failure_rate: float = 0.0
+    is_open: bool = False  # half-open probes only
+    half_open_call: Call | None = None
+    next_probe_at_us: int = 0
+    probe_interval_us: int = 0
+    closed_by_server_at_us: int = 0  # when a long Retry-After opened it, 0 if something else did
+    slow_start_since_us: int = -1  # -1 when warm
+    interrupted_slow_start_since_us: int = -1  # the same, from before the circuit opened
+    base_rate_per_s: float = 0.0  # this courier's part of the warm rate
+    tokens: float = 1.0
+    tokens_updated_at_us: int = 0
+    slow_start_ceiling: float = 1.0  # multiple of the base rate at which a slow start ends
+
+
+@dataclass(slots=True, eq=False)
 class Endpoint:
-    """One endpoint and what its calls showed."""
-
-    def __init__(self, ident: int, lane: Lane, zone: int) -> None:
-        self.id, self.lane, self.zone = ident, lane, zone
-        self.state = EndpointState.READY
-        self.out: dict[Call, None] = {}  # calls in flight, oldest first
-        self.idle: list[int] = []  # when each idle connection came free
-        self.bad, self.dirty, self.dirty_at, self.last_ok = 0.0, 0.0, 0, 0
-        self.most, self.most_at = math.inf, 0  # connections that its table took, and when it was full
-        self.turned, self.connect_at = 0, 0  # new ones turned away in a row; when the next may be tried
-        self.quickest = math.inf  # good answer on a new connection
-        self.c = lane.circuit or Circuit()
-
-
-class Lane:
-    """What shares one limit: a destination, or one route of it."""
-
-    def __init__(self, dest: Destination, circuit: Circuit | None) -> None:
-        self.dest, self.circuit = dest, circuit
-        self.endpoints: dict[int, Endpoint] = {}
-        self.listed, self.lent = 0.0, False  # this courier's part of the listed rate, 0 if none; by a lease
-        self.rate = self.brink = 0.0  # calls a second that it is paced to, 0 = not; pace last refused
-        self.tokens, self.stamp, self.wait_until, self.cut_at = 1.0, 0, 0, 0
-        self.refused = 0.0  # share of calls refused as full
-        self.window, self.out, self.fulls = 1.0, 0, 0
-        self.mean = self.dev = 0.0  # latency
-        self.hold = 1e5  # time that a call takes a slot, failed ones included
-        self.seen, self.seen_at = 0.0, 0  # successes a second
-        self.failing_from = -1  # when the first call that failed since the last success was sent
-        self.failures = 0  # how many have since
-        self.back_at = -1  # when it last came back from an outage
-        self.trial_gap = 0  # longest ceiling of the gap between trials, 0: the usual one
-
-
+    """One endpoint and the evidence of its calls."""
+
+    id: int
+    scope: RateLimitScope
+    zone: int
+    circuit: CircuitBreaker
+    state: EndpointState = EndpointState.READY
+    calls: dict[Call, None] = field(default_factory=dict)  # in flight, oldest first
+    idle_since_us: list[int] = field(default_factory=list)  # when each idle connection came free
+    failure_rate: float = 0.0
+    indeterminate_rate: float = 0.0  # share of calls that failed and may have run, as of:
+    indeterminate_updated_at_us: int = 0
+    last_success_at_us: int = 0
+    connection_limit: float = math.inf  # connections that its table had room for
+    connection_limit_at_us: int = 0
+    connection_rejections: int = 0  # in a row
+    next_connect_at_us: int = 0
+    fastest_new_connection_us: float = math.inf  # good response on a new connection
+
+
+@dataclass(slots=True, eq=False)
+class RateLimitScope:
+    """The unit that shares one rate limit, one Retry-After and one outage.
+
+    A destination is one scope; where limits apply per endpoint, each endpoint is one.
+    """
+
+    destination: Destination
+    shared_circuit: CircuitBreaker | None  # of all its endpoints, in a large fleet
+    endpoints: dict[int, Endpoint] = field(default_factory=dict)
+    listed_rate_per_s: float = 0.0  # this courier's part of the listed limit, 0 if there is none
+    rate_is_leased: bool = False
+    pace_per_s: float = 0.0  # calls a second it is paced to, 0: unpaced
+    overload_pace_per_s: float = 0.0  # the pace at which it was last overloaded
+    tokens: float = 1.0
+    tokens_updated_at_us: int = 0
+    retry_after_until_us: int = 0
+    pace_cut_at_us: int = 0
+    overload_share: float = 0.0  # share of calls that were rejected as overload
+    window: float = 1.0
+    in_flight: int = 0
+    overloads_in_a_row: int = 0
+    mean_latency_us: float = 0.0
+    latency_deviation_us: float = 0.0
+    mean_slot_time_us: float = INITIAL_SLOT_TIME_US  # of all calls, failed ones included
+    success_rate_per_s: float = 0.0
+    success_rate_updated_at_us: int = 0
+    failing_since_us: int = -1  # when the first call that failed since the last success was sent
+    failures_in_a_row: int = 0  # since then
+    recovered_at_us: int = -1  # when it last came back from an outage
+    max_probe_interval_us: int = 0  # 0: the usual one
+
+
+@dataclass(slots=True, eq=False)
 class Destination:
-    def __init__(self, number: int) -> None:
-        self.number, self.kind = number, 0
-        self.lanes: list[Lane] = []
-        self.queue: list[Message] = []
-        self.out = self.arrivals = 0
-        self.restored = False  # the process before had messages for it, and may have known of an outage
+    """A destination with its queue."""
+
+    number: int
+    kind: int = 0
+    scopes: list[RateLimitScope] = field(default_factory=list)
+    queue: list[Message] = field(default_factory=list)
+    in_flight: int = 0  # calls
+    arrivals: int = 0
+    has_restored_messages: bool = False  # the process before may have known of an outage
 
 
+@dataclass(slots=True, eq=False)
 class Call:
     """One call in flight; a batched one carries several messages."""
 
-    def __init__(self, endpoint: Endpoint, now: int) -> None:
-        self.endpoint, self.sent_at, self.left, self.judged = endpoint, now, 0, False
-        self.idle_us = -1  # how long its connection had been idle, -1 for a new one
-        self.alone = not endpoint.out  # no other call was out there when it was sent
-        self.fresh = self.crowded = False  # asked for a new connection; turned away by a full table
-        self.opened = self.at_once = False  # it opened one, as the host told; turned away before that was up
+    endpoint: Endpoint
+    sent_at_us: int
+    was_only_call: bool  # no other call to the endpoint was in flight when it was sent
+    messages_in_flight: int = 0
+    outcome_recorded: bool = False
+    connection_idle_us: int = -1  # how long its connection had been idle, -1 for a new one
+    requires_new_connection: bool = False
+    rejected_by_full_table: bool = False  # the endpoint's connection table had no room
+    opened_connection: bool = False  # as the host reported
+    rejected_before_setup: bool = False  # by a full table, before its connection was up
--- a/madderbeam/quota/credits.py
+++ b/madderbeam/quota/credits.py
@@ -18,19 +18,19 @@
     """`asked`, `asked_bytes`: what was handed in since they were read last, refused or not."""
 
     __slots__ = (
-        "node",
-        "left",
-        "bytes",
-        "until",
-        "plan",
-        "size",
-        "most",
         "again",
-        "mean",
-        "last",
         "asked",
         "asked_bytes",
+        "bytes",
         "largest",
+        "last",
+        "left",
+        "mean",
+        "most",
+        "node",
+        "plan",
+        "size",
+        "until",
     )
 
     def __init__(self, node: Node) -> None:
--- a/madderbeam/quota/split.py
+++ b/madderbeam/quota/split.py
@@ -42,7 +42,7 @@
 class Bucket:
     """Fills at a rate up to what it holds."""
 
-    __slots__ = ("rate", "holds", "level", "since")
+    __slots__ = ("holds", "level", "rate", "since")
 
     def __init__(self, rate: int, holds: int, now: int) -> None:
         self.rate, self.holds, self.level, self.since = rate, holds, holds, now
@@ -59,19 +59,19 @@
     """One child's part in a split."""
 
     __slots__ = (
-        "reserved",
-        "rate",
+        "borrowed",
+        "debt",
         "holds",
         "level",
-        "debt",
-        "since",
-        "state",
-        "pending",
+        "mark",
         "most_debt",
-        "borrowed",
+        "pending",
+        "rate",
         "repaid",
+        "reserved",
         "shared",
-        "mark",
+        "since",
+        "state",
     )
 
     def __init__(self, reserved: Bucket, rate: int, holds: int, repay_us: int, now: int) -> None:
@@ -101,18 +101,18 @@
     """A limit and its parts."""
 
     __slots__ = (
-        "rate",
+        "count",
+        "due",
+        "flowing",
+        "free",
         "holds",
+        "mark",
+        "parts",
         "per",
-        "free",
         "pool",
         "pool_holds",
-        "flowing",
+        "rate",
         "since",
-        "due",
-        "parts",
-        "count",
-        "mark",
     )
 
     def __init__(self, amount: int, per: str, burst: int, now: int) -> None:
--- a/madderbeam/quota/tree.py
+++ b/madderbeam/quota/tree.py
@@ -72,7 +72,7 @@
 class Node:
     """One node: its limits, split among its children, and its parts in its parent's."""
 
-    __slots__ = ("name", "parent", "splits", "parts", "children", "ways")
+    __slots__ = ("children", "name", "parent", "parts", "splits", "ways")
 
     def __init__(self, name: str, parent: Node | None) -> None:
         self.name, self.parent = name, parent
--- a/madderbeam/relay/sent.py
+++ b/madderbeam/relay/sent.py
@@ -32,7 +32,7 @@
     def sites(self) -> dict[str, str]:
         """By publication, after a start: the last site that it may be at. One for a single destination goes
         to no other while it may be there, whatever table is in force by now."""
-        return dict((name, site) for name, _, site in (key.rpartition("|") for key in self.found))
+        return {name: site for name, _, site in (key.rpartition("|") for key in self.found)}
 
     def begin(self) -> None:
         """What no publication asks for in its time is let go of."""
--- a/madderbeam/relay/telling.py
+++ b/madderbeam/relay/telling.py
@@ -70,7 +70,7 @@
             if record.unsettled:
                 self.out.bound.append(Settled(name, tuple(record.unsettled)))
                 record.settled, record.unsettled = record.unsettled, []
-            if record.heard >= record.ended and not record.over or record.finished:
+            if (record.heard >= record.ended and not record.over) or record.finished:
                 continue
             if record.over or self.out.now >= record.told_us + self.settings.interim_us:
                 rows.setdefault(record.origin, []).append(record)
--- a/madderbeam/replication/owner.py
+++ b/madderbeam/replication/owner.py
@@ -84,13 +84,13 @@
         """Whether new messages may be taken on, and attempts begun, as things stand."""
         if self.state == "fenced":
             return False
-        return not self.strict or self.leased(now_us) and self.state == "live"
+        return not self.strict or (self.leased(now_us) and self.state == "live")
 
     def passes(self, sort: Sort) -> bool:
         """Whether this needs no word at all now."""
         if self.state == "fenced" or self.strict:
             return False
-        if self.alone or self.s.mode == "after" and self.lag_bytes <= self.s.lag_bytes:
+        if self.alone or (self.s.mode == "after" and self.lag_bytes <= self.s.lag_bytes):
             return True
         return sort is Sort.LIGHT
 
@@ -232,7 +232,7 @@
         """No word came in time."""
         due = self.waiting.due(now)
         silent = now - self.heard >= self.s.silent_us
-        if not self.strict and self.s.silent == "alone" and (due or silent and not self.settled):
+        if not self.strict and self.s.silent == "alone" and (due or (silent and not self.settled)):
             return [*(Go(w.token) for w in due), *self._go_alone()]
         # Also a final: the standby may have taken over and sent what this courier would hand back.
         actions: list[Any] = [Deny(w.token) for w in due]
--- a/madderbeam/routing/pool.py
+++ b/madderbeam/routing/pool.py
@@ -1,8 +1,8 @@
 """A partner's servers in their order of preference: weights, backups, marks, limits, zones, and six methods.
 
-Pure: the time comes in with each call. The decision module takes the first server that its own gate lets
-through (`madderbeam.policy.interface.Preference`); a pool never sends anything by itself, and never opens
-what the module holds back. Terms and their meaning are nginx's (ngx_http_upstream_module);
+Pure: the time comes in with each call. The decision module takes the first server that its own checks admit
+(`madderbeam.policy.endpoint_preference.EndpointPreference`); a pool never sends anything by itself, and never
+opens what the module holds back. Terms and their meaning are nginx's (ngx_http_upstream_module);
 docs/design/routing.md says where not.
 """
 
@@ -16,7 +16,7 @@
 
 from sortedcontainers import SortedDict
 
-from madderbeam.policy.interface import Result
+from madderbeam.policy.events import AttemptResult
 from madderbeam.routing.hashing import Ring, Weighted, plain, spread
 from madderbeam.routing.marks import STEPS, Mark
 from madderbeam.routing.wheel import Wheel
@@ -74,16 +74,16 @@
     fails_on: frozenset[str] = frozenset({"error", "timeout", "invalid_header"})
 
 
-def failure(result: Result, spoilt: bool) -> str:
+def failure(result: AttemptResult, spoilt: bool) -> str:
     """Which of FAILS_ON an outcome is, '' if none."""
     if spoilt:
         return "invalid_header"
     return {
-        Result.CONNECT_FAILED: "error",
-        Result.RESET: "error",
-        Result.TIMEOUT: "timeout",
-        Result.ERROR: "http_500",
-        Result.FULL: "overload",
+        AttemptResult.CONNECT_FAILED: "error",
+        AttemptResult.RESET: "error",
+        AttemptResult.TIMEOUT: "timeout",
+        AttemptResult.ERROR: "http_500",
+        AttemptResult.OVERLOADED: "overload",
     }.get(result, "")
 
 
@@ -335,14 +335,16 @@
         self._settle(ident, now)
         return probe
 
-    def ended(self, ident: int, result: Result, spoilt: bool, now: int) -> None:
+    def ended(self, ident: int, result: AttemptResult, spoilt: bool, now: int) -> None:
         """A call there has ended."""
         if ident not in self.servers:
             return
         self.conns[ident] = max(0, self.conns.get(ident, 0) - 1)
         if mark := self.marks.get(ident):
             failed = failure(result, spoilt) in self.policy.fails_on
-            mark.ended(failed, result is Result.OK or not failed and result is Result.ERROR, now)
+            mark.ended(
+                failed, result is AttemptResult.OK or (not failed and result is AttemptResult.ERROR), now
+            )
         self._settle(ident, now)
 
     def reopens_us(self, now: int) -> int:
--- a/madderbeam/routing/router.py
+++ b/madderbeam/routing/router.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any
 
-from madderbeam.policy.interface import Result
+from madderbeam.policy.events import AttemptResult
 from madderbeam.routing.hosts import ANY, HostError, Hosts
 from madderbeam.routing.paths import normalized
 from madderbeam.routing.pool import FAILS_ON, Method, Policy, Pool, Server
@@ -122,7 +122,7 @@
 
 
 class Router:
-    """Implements policy.interface.Preference for the pools, and resolves names to destinations.
+    """Implements policy.endpoint_preference for the pools, and resolves names to destinations.
 
     `me` of `couriers` says which subset is this courier's; `zone` is where it stands.
     """
@@ -232,9 +232,9 @@
         if pool := self.pools.get(destination):
             pool.allow(endpoint, most, now_us)
 
-    # As the decision module asks (policy.interface.Preference)
+    # As the decision module asks (policy.endpoint_preference.EndpointPreference)
 
-    def knows(self, destination: int) -> bool:
+    def covers(self, destination: int) -> bool:
         return destination in self.pools
 
     def tiers(
@@ -243,15 +243,17 @@
         found: Collection[int] = tuple(tried)
         return self.pools[destination].tiers(message, affinity, found, now_us)
 
-    def begun(self, destination: int, message: int, endpoint: int, now_us: int) -> bool:
+    def attempt_started(self, destination: int, message: int, endpoint: int, now_us: int) -> bool:
         pool = self.pools.get(destination)
         return pool.begun(message, endpoint, now_us) if pool else False
 
-    def ended(self, destination: int, endpoint: int, result: Result, spoilt: bool, now_us: int) -> None:
+    def attempt_ended(
+        self, destination: int, endpoint: int, result: AttemptResult, spoilt: bool, now_us: int
+    ) -> None:
         if pool := self.pools.get(destination):
             pool.ended(endpoint, result, spoilt, now_us)
 
-    def reopens_us(self, destination: int, now_us: int) -> int:
+    def recovers_at_us(self, destination: int, now_us: int) -> int:
         pool = self.pools.get(destination)
         return pool.reopens_us(now_us) if pool else 0
 
--- a/madderbeam/shared/needs.py
+++ b/madderbeam/shared/needs.py
@@ -15,7 +15,7 @@
 class Meter:
     """Units a second. Of messages, bytes or whatever is counted; `each`: what one arrival counts about."""
 
-    __slots__ = ("rate", "each")
+    __slots__ = ("each", "rate")
 
     def __init__(self, each: float = 1.0) -> None:
         self.rate, self.each = 0.0, each
--- a/madderbeam/sidecar/up.py
+++ b/madderbeam/sidecar/up.py
@@ -22,8 +22,8 @@
 from pathlib import Path
 
 from madderbeam.config.check import check
-from madderbeam.config.platform import parse_address
 from madderbeam.config.diff import differences
+from madderbeam.config.platform import parse_address
 from madderbeam.config.render import MANIFEST, File, file_digest, render, write
 from madderbeam.config.rendered import Unfit, read
 from madderbeam.config.sites import first_line
--- a/madderbeam/simhost.py
+++ b/madderbeam/simhost.py
@@ -8,36 +8,39 @@
 
 from madderbeam import wire
 from madderbeam.host.limits import Limits, told
-from madderbeam.policy import interface as i
-from madderbeam.policy.messages import Courier
+from madderbeam.policy.engine import DeliveryEngine
+from madderbeam.policy.events import EndpointEntry, EndpointListUpdate, ListUpdateKind
+from madderbeam.policy.settings import Settings
 
 
 class List:
     """An instance's list of endpoints, with the rates that answers tell where it has none."""
 
-    def __init__(self, settings: i.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.s, self.limits = settings, Limits()
-        self.entries: dict[int, i.ListEntry] = {}
+        self.entries: dict[int, EndpointEntry] = {}
 
     def heard(self, event: Any) -> list[Any]:
         """What the courier is told of it."""
-        if not self.s.report:
+        if not self.s.load_report_fields:
             return [] if isinstance(event, wire.LoadReport) else [event]
-        if isinstance(event, i.EndpointsListed):
+        if isinstance(event, EndpointListUpdate):
             event = replace(event, entries=tuple(map(self._rated, event.entries)))
             self.entries.update({e.endpoint: e for e in event.entries})
         elif isinstance(event, wire.LoadReport):
             entry = self.entries.get(event.endpoint)
-            if entry is None or not self.limits.told(self._key(entry), told(self.s.report, event.values)):
+            if entry is None or not self.limits.told(
+                self._key(entry), told(self.s.load_report_fields, event.values)
+            ):
                 return []
-            event = i.EndpointsListed(i.ListForm.DELTA, (self._rated(entry),))
+            event = EndpointListUpdate(ListUpdateKind.DELTA, (self._rated(entry),))
         return [event]
 
-    def _rated(self, entry: i.ListEntry) -> i.ListEntry:
+    def _rated(self, entry: EndpointEntry) -> EndpointEntry:
         return replace(entry, rate_per_s=self.limits[self._key(entry)])
 
-    def _key(self, entry: i.ListEntry) -> tuple[int, int]:
-        apart = self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].routes_apart
+    def _key(self, entry: EndpointEntry) -> tuple[int, int]:
+        apart = self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].limits_per_endpoint
         return (entry.destination, entry.endpoint if apart else -1)
 
 
@@ -46,7 +49,7 @@
     now_us: int,
     body: bytes,
     count: int,
-    couriers: dict[int, Courier],
+    couriers: dict[int, DeliveryEngine],
     pages: dict[int, Any],
     lists: dict[int, List],
 ) -> bytes:
@@ -55,13 +58,13 @@
     for instance, event in wire.read_events(body, count, pages):
         events = inbox.setdefault(instance, [])
         if isinstance(event, wire.Begin):
-            couriers[instance] = Courier(event.settings, event.seed)
+            couriers[instance] = DeliveryEngine(event.settings, event.seed)
         elif isinstance(event, wire.Shutdown):
             couriers.pop(instance, None)
             lists.pop(instance, None)
             events.clear()
         elif instance in couriers:
-            events += lists.setdefault(instance, List(couriers[instance].s)).heard(event)
+            events += lists.setdefault(instance, List(couriers[instance].state.settings)).heard(event)
     reply = wire.Reply()
     for instance, events in inbox.items():
         courier = couriers.get(instance)
@@ -82,7 +85,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer every batch until the input ends."""
-    couriers: dict[int, Courier] = {}
+    couriers: dict[int, DeliveryEngine] = {}
     pages: dict[int, Any] = {}
     lists: dict[int, List] = {}
     while header := source.read(wire.BATCH_HEADER.size):
--- a/madderbeam/simulation/agent.py
+++ b/madderbeam/simulation/agent.py
@@ -12,7 +12,6 @@
 from madderbeam.simulation.kernel import Kernel
 from madderbeam.simulation.network import Peer, Stream
 
-
 BEAT_US = 2_000_000  # an empty line comes so often while nothing changes
 MISSED_US = 6_000_000  # what a silent watch missed counts as told so long after it fell silent
 
--- a/madderbeam/simulation/books.py
+++ b/madderbeam/simulation/books.py
@@ -16,9 +16,10 @@
 from madderbeam.journal.memory import MEMO
 from madderbeam.journal.records import blocks
 from madderbeam.journal.store import Journal
-from madderbeam.policy.interface import EndpointState
-from madderbeam.policy.messages import Courier
-from madderbeam.policy.state import Call, Circuit, Lane
+from madderbeam.policy.engine import DeliveryEngine
+from madderbeam.policy.engine_state import EngineState
+from madderbeam.policy.events import EndpointState
+from madderbeam.policy.state import Call, CircuitBreaker, Endpoint, RateLimitScope
 from madderbeam.simulation import pools
 from madderbeam.transport.calls import IDLE_EACH
 from madderbeam.transport.discovery import Link
@@ -45,17 +46,17 @@
 
 def left(host: Host) -> str:
     """What is left of messages though the times of all are up and nothing goes on."""
-    c, j = host.courier, host.journal
-    if any(m.until > c.now - REST_US for m in c.messages.values()) or any(
+    state, j = host.courier.state, host.journal
+    if any(m.deadline_us > state.now_us - REST_US for m in state.messages.values()) or any(
         m.until > j.wall() - REST_US / 1e6 for m, _ in host.admission.arrived.values()
     ):
         return ""  # one was handed in again late, perhaps so late that its turn is still to come
     kept: dict[str, Any] = {
-        "messages": c.messages,
-        "calls": c.calls,
-        "orders": c.keys,
-        "slots": c.out,
-        "queues": [d.number for d in c.dests.values() if d.queue],
+        "messages": state.messages,
+        "calls": state.calls,
+        "orders": state.order_queues,
+        "slots": state.calls_in_flight,
+        "queues": [d.number for d in state.destinations.values() if d.queue],
         "open in the journal": j.open,
         "numbers of attempts": host.attempts.numbers,
         "guards": host.ends.guards,
@@ -106,79 +107,90 @@
 # The decision module
 
 
-def decisions(c: Courier, now_us: int) -> Wrong:
-    """Calls, queues, orders and lanes of the decision module."""
-    parts = Counter(call for call, _ in c.calls.values())
-    tries = Counter(m.id for _, m in c.calls.values())
-    yield from _same("slots in use", c.out, len(parts))
-    for call, count in parts.items():
-        yield from _same("messages in a call", call.left, count)
-        if call not in call.endpoint.out:
+def decisions(engine: DeliveryEngine, now_us: int) -> Wrong:
+    """Calls, queues, orders and rate-limit scopes of the decision module."""
+    state = engine.state
+    calls = Counter(call for call, _ in state.calls.values())
+    attempts = Counter(message.id for _, message in state.calls.values())
+    yield from _same("calls in flight", state.calls_in_flight, len(calls))
+    for call, count in calls.items():
+        yield from _same("messages in a call", call.messages_in_flight, count)
+        if call not in call.endpoint.calls:
             yield f"a call to endpoint {call.endpoint.id} is not among its calls"
-    yield from _messages(c, tries)
-    yield from _queues(c)
-    yield from _lanes(c, parts)
-    yield from _timers(c, now_us)
-    yield from pools.wrong(c)
-
-
-def _messages(c: Courier, tries: Counter[int]) -> Wrong:
-    for ident, m in c.messages.items():
-        yield from _same("a message's number", m.id, ident)
-        yield from _same(f"calls with message {ident}", m.out, tries[ident])
-        if m.closed and not m.out:
-            yield f"message {ident} is over and still kept"
-        if m.spent > c.tries and m.out:
-            yield f"message {ident} has {m.spent} attempts"
-        if m.ran_at > c.now:
-            yield f"message {ident} ran in the future"
+    yield from _messages(state, attempts)
+    yield from _queues(state)
+    yield from _scopes(engine, calls)
+    yield from _timers(state, now_us)
+    yield from pools.wrong(engine)
+
+
+def _messages(state: EngineState, attempts: Counter[int]) -> Wrong:
+    for number, message in state.messages.items():
+        yield from _same("a message's number", message.id, number)
+        yield from _same(f"calls with message {number}", message.in_flight, attempts[number])
+        if message.is_completed and not message.in_flight:
+            yield f"message {number} is over and still kept"
+        if message.attempts_used > state.attempts_per_message and message.in_flight:
+            yield f"message {number} has {message.attempts_used} attempts"
+        if message.possibly_executed_at_us > state.now_us:
+            yield f"message {number} ran in the future"
     orders: dict[int, list[int]] = {}
-    for m in sorted(c.messages.values(), key=lambda m: m.seq):
-        if m.key:
-            orders.setdefault(m.key, []).append(m.id)
-    kept = {key: [m.id for m in row] for key, row in c.keys.items()}
+    for message in sorted(state.messages.values(), key=lambda message: message.sequence):
+        if message.order_key:
+            orders.setdefault(message.order_key, []).append(message.id)
+    kept = {key: [message.id for message in queue] for key, queue in state.order_queues.items()}
     yield from _same("orders", kept, orders)
-    if old := [key for key, until in c.rests.items() if until < c.now - REST_US]:
+    if old := [key for key, until in state.order_cooldowns.items() if until < state.now_us - REST_US]:
         yield f"rests of {len(old)} orders are kept though they are over"
 
 
-def _queues(c: Courier) -> Wrong:
-    queued = Counter(m.id for d in c.dests.values() for m in d.queue)
-    due = {m.id for m in c.messages.values() if not m.out and not m.closed}
+def _queues(state: EngineState) -> Wrong:
+    queued = Counter(m.id for destination in state.destinations.values() for m in destination.queue)
+    due = {m.id for m in state.messages.values() if not m.in_flight and not m.is_completed}
     yield from _same("messages that wait", queued, Counter(due))
-    for number, dest in c.dests.items():
-        yield from _same("a destination's number", dest.number, number)
-        if any(m.dest is not dest for m in dest.queue):
+    for number, destination in state.destinations.items():
+        yield from _same("a destination's number", destination.number, number)
+        if any(m.destination is not destination for m in destination.queue):
             yield f"a message waits at destination {number}, which is not its own"
 
 
-def _lanes(c: Courier, parts: Counter[Call]) -> Wrong:
-    lanes: dict[Lane, None] = {call.endpoint.lane: None for call in parts}
-    for dest in c.dests.values():
-        lanes.update(dict.fromkeys(dest.lanes))
-        out = sum(call.endpoint.lane.dest is dest for call in parts)
-        yield from _same(f"calls to destination {dest.number}", dest.out, out)
-    for lane in lanes:
-        yield from _same("calls of a lane", lane.out, sum(call.endpoint.lane is lane for call in parts))
-        if not 1.0 <= lane.window <= max(1, c.cap) + NEAR:
-            yield f"a window of {lane.window}, of 1 to {c.cap}"
-        yield from _shares(lane.refused)
-        if lane.circuit is not None:
-            yield from _circuit(lane.circuit)
-    for ident, ep in c.endpoints.items():
-        yield from _same("an endpoint's number", ep.id, ident)
-        if ep.lane.endpoints.get(ident) is not ep or ep.lane not in ep.lane.dest.lanes:
-            yield f"endpoint {ident} is not in its lane"
-        if ep.state is EndpointState.GONE and not ep.out:
-            yield f"endpoint {ident} has gone and is still kept"
-        yield from _same(f"calls to endpoint {ident}", set(ep.out), {x for x in parts if x.endpoint is ep})
-        yield from _shares(ep.bad, ep.dirty, ep.c.bad)
-        if sorted(ep.idle) != ep.idle or ep.idle and ep.idle[-1] > c.now:
-            yield f"idle connections of endpoint {ident} are out of order"
-        if ep.c.trial is not None and ep.c.trial not in parts:
-            yield f"endpoint {ident} waits for a trial that is over"
-        yield from _circuit(ep.c)
-    yield from _shares(c.health.loss, c.health.torn)
+def _scopes(engine: DeliveryEngine, calls: Counter[Call]) -> Wrong:
+    state = engine.state
+    scopes: dict[RateLimitScope, None] = {call.endpoint.scope: None for call in calls}
+    for destination in state.destinations.values():
+        scopes.update(dict.fromkeys(destination.scopes))
+        in_flight = sum(call.endpoint.scope.destination is destination for call in calls)
+        yield from _same(f"calls to destination {destination.number}", destination.in_flight, in_flight)
+    for scope in scopes:
+        in_flight = sum(call.endpoint.scope is scope for call in calls)
+        yield from _same("calls of a rate-limit scope", scope.in_flight, in_flight)
+        if not 1.0 <= scope.window <= max(1, state.destination_window) + NEAR:
+            yield f"a window of {scope.window}, of 1 to {state.destination_window}"
+        yield from _shares(scope.overload_share)
+        if scope.shared_circuit is not None:
+            yield from _circuit(scope.shared_circuit)
+    for number, endpoint in state.endpoints.items():
+        yield from _endpoint(number, endpoint, calls, state.now_us)
+    yield from _shares(engine.timeouts.loss_rate, engine.connections.reset_rate)
+
+
+def _endpoint(number: int, endpoint: Endpoint, calls: Counter[Call], now_us: int) -> Wrong:
+    yield from _same("an endpoint's number", endpoint.id, number)
+    scope = endpoint.scope
+    if scope.endpoints.get(number) is not endpoint or scope not in scope.destination.scopes:
+        yield f"endpoint {number} is not in its rate-limit scope"
+    if endpoint.state is EndpointState.GONE and not endpoint.calls:
+        yield f"endpoint {number} has gone and is still kept"
+    own = {call for call in calls if call.endpoint is endpoint}
+    yield from _same(f"calls to endpoint {number}", set(endpoint.calls), own)
+    yield from _shares(endpoint.failure_rate, endpoint.indeterminate_rate, endpoint.circuit.failure_rate)
+    idle = endpoint.idle_since_us
+    if sorted(idle) != idle or (idle and idle[-1] > now_us):
+        yield f"idle connections of endpoint {number} are out of order"
+    probe = endpoint.circuit.half_open_call
+    if probe is not None and probe not in calls:
+        yield f"endpoint {number} waits for a probe that is over"
+    yield from _circuit(endpoint.circuit)
 
 
 def _shares(*values: float) -> Wrong:
@@ -187,22 +199,25 @@
             yield f"a share of {value}"
 
 
-def _circuit(circuit: Circuit) -> Wrong:
-    if circuit.open and circuit.ramp_from >= 0:
+def _circuit(circuit: CircuitBreaker) -> Wrong:
+    if circuit.is_open and circuit.slow_start_since_us >= 0:
         yield "a circuit is open and starts slowly at once"
     if circuit.tokens > 1 + NEAR:
         yield f"{circuit.tokens} calls are saved up for a slow start"
 
 
-def _timers(c: Courier, now_us: int) -> Wrong:
+def _timers(state: EngineState, now_us: int) -> Wrong:
     """It is woken when the next message's time is up, and was woken when it asked for it."""
-    ends = {ident for _, ident in c.expiries}
-    if lacks := [m.id for m in c.messages.values() if not m.closed and not m.streaming and m.id not in ends]:
+    ends = {number for _, number in state.expiries}
+    due = (m for m in state.messages.values() if not m.is_completed and not m.is_streaming)
+    if lacks := [m.id for m in due if m.id not in ends]:
         yield f"message {lacks[0]} has no end of its time"
-    if c.expiries and (not c.timers or c.timers[0] > max(c.expiries[0][0], c.now + c.s.tick_us)):
-        yield "nothing wakes the decision module at the end of a message's time"
-    if c.timers and now_us - c.timers[0] > ASLEEP_US:
-        yield f"the decision module is not woken, {now_us - c.timers[0]} us after it asked to be"
+    if state.expiries:
+        next_us = max(state.expiries[0][0], state.now_us + state.settings.tick_us)
+        if not state.timers or state.timers[0] > next_us:
+            yield "nothing wakes the decision module at the end of a message's time"
+    if state.timers and now_us - state.timers[0] > ASLEEP_US:
+        yield f"the decision module is not woken, {now_us - state.timers[0]} us after it asked to be"
 
 
 # The journal
@@ -254,15 +269,15 @@
 
 
 def _rooms(host: Host) -> Wrong:
-    c, j = host.courier, host.journal
+    state, j = host.courier.state, host.journal
     open_ = {n for n, m in j.held.items() if not m.status}
-    known = {n for n, m in c.messages.items() if not m.closed}
+    known = {n for n, m in state.messages.items() if not m.is_completed}
     if not host.events and not host.admission.arrived:
         yield from _same("messages of the decision module", known, open_)
     if guarded := open_ ^ set(host.ends.guards):
         yield f"guards and open messages differ by {sorted(guarded)[:5]}"
     out = {item.number for call in host.calls.out for item in call.items}
-    if lost := set(host.attempts.numbers) - set(j.held) - set(c.messages) - out:
+    if lost := set(host.attempts.numbers) - set(j.held) - set(state.messages) - out:
         yield f"numbers of attempts are kept of messages that are over: {sorted(lost)[:5]}"
     if host.admission.arriving.keys() - {m.id for m, _ in host.admission.arrived.values()}:
         yield "ids arrive of messages that are answered"
@@ -272,11 +287,11 @@
 
 def _list(host: Host) -> Wrong:
     """The list as the rooms, the decision module and those who run it see it."""
-    listing, c = host.listing, host.courier
+    listing, state = host.listing, host.courier.state
     if not host.events:
         kept = {
-            n: (ep.lane.dest.number, ep.state)
-            for n, ep in c.endpoints.items()
+            n: (ep.scope.destination.number, ep.state)
+            for n, ep in state.endpoints.items()
             if ep.state is not EndpointState.GONE
         }
         wanted = {n: (entry.destination, entry.state) for n, entry in listing.entries.items()}
--- a/madderbeam/simulation/changes.py
+++ b/madderbeam/simulation/changes.py
@@ -17,7 +17,7 @@
 from madderbeam.changes.values import DRAINING, READY, Key, Snapshot
 from madderbeam.host.changes.room import ChangesRoom
 from madderbeam.host.turn import Host
-from madderbeam.policy.interface import EndpointState
+from madderbeam.policy.events import EndpointState
 from madderbeam.simulation.couriers import Machine
 from madderbeam.simulation.endpoints import Endpoint
 from madderbeam.simulation.kernel import Report
@@ -323,8 +323,8 @@
             return f"{uid} is {entry.state.value}, against version {m.version}"
     s = host.s
     present = {name: m.current.get(("class", name))["number"] for name in m.current.names("class")}
-    one = host.courier.s is s and host.courier.health.s is s and host.admission.s is s
-    if host.admission.classes != present or not one or s.max_held != m.current.get(("limit", "max_held")):
+    one = host.courier.state.settings is s and host.admission.s is s
+    if host.admission.classes != present or not one or s.max_pending != m.current.get(("limit", "max_held")):
         return f"settings are not those of version {m.version}"
     for name, number in present.items():
         if s.classes[number].deadline_us != m.current.get(("class", name))["deadline_ms"] * 1000:
--- a/madderbeam/simulation/checker.py
+++ b/madderbeam/simulation/checker.py
@@ -33,7 +33,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from madderbeam.policy.interface import Effect, MessageClass, Settings
+from madderbeam.policy.settings import Idempotency, MessageClass, Settings
 from madderbeam.simulation.loop import Scheduler
 from madderbeam.simulation.network import Stream
 
@@ -174,8 +174,8 @@
         self.places: dict[str, dict[str, str]] = {}  # by courier: the address that it was told for each id
         self.left: dict[tuple[str, str], int] = {}  # (courier, address): when told of a move from it
         self.out: dict[tuple[str, int, int], list[Call]] = {}  # by courier, life and destination
-        self.cap = max(1, int(WINDOW * settings.slots))
-        self.tries = min(settings.tries, settings.max_attempts)
+        self.cap = max(1, int(WINDOW * settings.max_in_flight))
+        self.tries = min(settings.attempts_per_message, settings.max_attempts)
         self.troubled: set[str] = set()  # couriers whose disk was made to fail
         self.note: Callable[..., None] = lambda who, what, **more: None
         self.newest: Handed | None = None  # the last one that a courier said it takes on
@@ -318,14 +318,14 @@
             )
 
     def _attempt(self, m: Handed, new: Attempt) -> None:
-        first, effect = new.call.first_us, self.cls(m).effect
+        first, effect = new.call.first_us, self.cls(m).idempotency
         for old in m.attempts:
             if old.call is not new.call and not old.over(first):
                 self.broken(
                     "overlap",
                     f"{m.id}: sent at {first} us while the attempt of {old.call.first_us} us was out",
                 )
-            if effect is Effect.UNSAFE and not old.sure:
+            if effect is Idempotency.NON_IDEMPOTENT and not old.sure:
                 self.broken(
                     "repeat",
                     f"{m.id} is unsafe, went out at {old.call.first_us} us, "
@@ -333,7 +333,7 @@
                 )
         if len(m.attempts) >= self.tries:
             self.broken("design", f"{m.id}: more than {self.tries} attempts")
-        if effect is Effect.KEYED and m.key:
+        if effect is Idempotency.WITH_KEY and m.key:
             same = self.by_key.setdefault((new.call.life.courier, m.key), [])
             may = min((a.call.first_us for a in same if not a.sure), default=first)
             if first > may + self.cls(m).key_window_us + SLACK:
@@ -350,16 +350,20 @@
             self._order(m, first, new.call.life)
         m.attempts.append(new)
 
-    def _ended_before(self, m: Handed, new: Attempt, effect: Effect) -> None:
+    def _ended_before(self, m: Handed, new: Attempt, effect: Idempotency) -> None:
         first, life = new.call.first_us, new.call.life
         if m.said in ("busy", "error"):
             self.broken(
                 "refusal" if m.said == "busy" else "ends",
                 f"{m.id} was answered {m.said} at {m.said_us} us and went out at {first} us",
             )
-        forgiven = effect is not Effect.UNSAFE and life.courier in self.troubled
+        forgiven = effect is not Idempotency.NON_IDEMPOTENT and life.courier in self.troubled
         for notice in m.notices:
-            if notice.written_us < first and notice.status == "deferred" and effect is Effect.UNSAFE:
+            if (
+                notice.written_us < first
+                and notice.status == "deferred"
+                and effect is Idempotency.NON_IDEMPOTENT
+            ):
                 self.broken("refusal", f"{m.id} was handed back at {notice.written_us} us and went out again")
             elif (
                 notice.written_us < first
@@ -392,7 +396,7 @@
             last = max(old.attempts, key=lambda a: a.call.first_us, default=None)
             if last is None or last.call.answered_us >= 0:
                 continue
-            rest = last.ended_us() + self.s.key_rest_us
+            rest = last.ended_us() + self.s.order_key_cooldown_us
             if last.ended_us() < 0 or first < rest - SLACK:
                 self.broken(
                     "order",
@@ -417,24 +421,24 @@
             self._cold(cold, call.life, now)
 
     def _cold(self, dest: Any, life: Life, now: int) -> None:
-        if now - dest.cold_from > self.s.cold_us:
+        if now - dest.cold_from > self.s.warm_up_us:
             dest.cold_from = -1
             self.loads.pop(dest.number, None)
             return
-        span = self.s.fall_us
+        span = self.s.overload_window_us
         load = self.loads.setdefault(dest.number, deque())
         load.append((now, life))
         while load[0][0] < now - span:
             load.popleft()
         since = max(dest.cold_from, now - span)
-        share = self.s.cold_share
-        middle = ((since + now) / 2 - dest.cold_from) / self.s.cold_us
-        budget = self.s.fall_multiple * dest.rate * (share + (1 - share) * middle) * span / 1e6
+        share = self.s.cold_capacity_share
+        middle = ((since + now) / 2 - dest.cold_from) / self.s.warm_up_us
+        budget = self.s.overload_multiple * dest.rate * (share + (1 - share) * middle) * span / 1e6
         if now - dest.cold_from < span:  # what its whole first window bears, so that one call is no flood
             budget = (
-                self.s.fall_multiple
+                self.s.overload_multiple
                 * dest.rate
-                * (share + (1 - share) * span / 2 / self.s.cold_us)
+                * (share + (1 - share) * span / 2 / self.s.warm_up_us)
                 * span
                 / 1e6
             )
@@ -486,11 +490,15 @@
         if m is None or status not in ("undeliverable", "deferred"):
             self.broken("form", f"a notice of {ident!r} with status {status!r}")
             return None
-        effect = self.cls(m).effect
+        effect = self.cls(m).idempotency
         newer = m.key and any(o.key == m.key and o.sent_us > m.sent_us for o in self.handed.values())
         if status == "deferred" and not again_ms and not newer:  # else its client has come already
             self._no_time(m, "handed back")
-        if status == "deferred" and effect is Effect.UNSAFE and not all(a.sure for a in m.attempts):
+        if (
+            status == "deferred"
+            and effect is Idempotency.NON_IDEMPOTENT
+            and not all(a.sure for a in m.attempts)
+        ):
             self.broken("refusal", f"{m.id} is handed back, and an attempt of it may have run")
         if life.courier not in self.troubled:
             self._second(m, life, written_us)
--- a/madderbeam/simulation/clients.py
+++ b/madderbeam/simulation/clients.py
@@ -15,7 +15,6 @@
 from madderbeam.simulation.loop import Event
 from madderbeam.simulation.network import Peer, Stream
 
-
 PATIENCE_US = 400_000  # a client waits so long for its answer, then closes
 TRIES = 3  # further times that a message is handed in after a refusal
 DEAD_US = 1_000_000  # a courier that refused a connection is left alone for so long
--- a/madderbeam/simulation/couriers.py
+++ b/madderbeam/simulation/couriers.py
@@ -31,7 +31,6 @@
 from madderbeam.simulation.loop import Killed, ProcessLoop, Scheduler, process_loop
 from madderbeam.simulation.network import Link, SimNetwork
 
-
 BACK_US = 600_000  # a courier is started again so long after its end
 EXIT_US = 3_700_000  # SIGKILL comes so long after SIGTERM
 CONFIG = "/config.json"
@@ -235,7 +234,7 @@
         if self.loop.dead:
             return True
         self.operations += 1
-        if self.kill_at and self.operations >= self.kill_at or self.ambush and self.ambush(name):
+        if (self.kill_at and self.operations >= self.kill_at) or (self.ambush and self.ambush(name)):
             self.kill_at, self.ambush = 0, None
             self.kills += 1
             self.kernel.note(self.name, "is killed at", operation=name, number=self.operations)
--- a/madderbeam/simulation/endpoints.py
+++ b/madderbeam/simulation/endpoints.py
@@ -13,7 +13,6 @@
 from madderbeam.simulation.kernel import Kernel
 from madderbeam.simulation.network import Peer, Stream
 
-
 STATUS = 14  # bytes of HTTP/1.1 200 x
 FIRST_LINE = STATUS + 2  # with its end: cut off ahead of that, it is no first line and tells nothing
 STATES = {"done": "done", "failed": "failed", "full": "busy", "void": "void"}
--- a/madderbeam/simulation/fleet.py
+++ b/madderbeam/simulation/fleet.py
@@ -35,8 +35,10 @@
     "half of the destinations hang, and come back cold": each("hung", HALF, 1000, 2500),
     "half of the destinations shut": each("shut", HALF, 1000, 2500),
     "few connections at each endpoint": each("tables", range(DESTS), 0, 9000, 0.9),
-    "endpoints drained and replaced while most are killed": each("kill", range(COURIERS * 3 // 4), 2000, 0)
-    + (Fault("mass_drain", 1500, 3000, 0, 0.5),),
+    "endpoints drained and replaced while most are killed": (
+        *each("kill", range(COURIERS * 3 // 4), 2000, 0),
+        Fault("mass_drain", 1500, 3000, 0, 0.5),
+    ),
     "limits halved and restored": each("lowered", range(DESTS), 1000, 2000),
     "last endpoints replaced amid an outage": each("down", HALF, 1000, 2000)
     + tuple(Fault("drain", 1200, 1500, n, 0.5) for n in range(2 * DESTS)),
--- a/madderbeam/simulation/kafka.py
+++ b/madderbeam/simulation/kafka.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from madderbeam.policy.interface import Settings
+from madderbeam.policy.settings import Settings
 from madderbeam.ports import Address
 from madderbeam.simulation.checker import Call, Handed
 from madderbeam.simulation.clients import ClientLine, Wish
--- a/madderbeam/simulation/kernel.py
+++ b/madderbeam/simulation/kernel.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from madderbeam import wire
-from madderbeam.policy.interface import Settings
+from madderbeam.policy.settings import Settings
 from madderbeam.ports import Address
 from madderbeam.simulation.checker import Checker, Handed, Life, Violation
 from madderbeam.simulation.loop import Event, Scheduler
--- a/madderbeam/simulation/local.py
+++ b/madderbeam/simulation/local.py
@@ -12,7 +12,6 @@
 from madderbeam.simulation.kernel import Kernel
 from madderbeam.simulation.pools import routing
 
-
 FOLDER = "/files"
 LIST, CONFIG, FEED = f"{FOLDER}/n.partners.json", f"{FOLDER}/n.json", f"{FOLDER}/finals.jsonl"
 FEED_MB = 0.02  # small enough that it is set aside in most runs
--- a/madderbeam/simulation/loop.py
+++ b/madderbeam/simulation/loop.py
@@ -23,7 +23,7 @@
 class Event:
     """Something that is due: a callback with asyncio's handle interface."""
 
-    __slots__ = ("when_us", "action", "args", "loop")
+    __slots__ = ("action", "args", "loop", "when_us")
 
     def __init__(
         self, when_us: int, action: Callable[..., Any] | None, args: tuple[Any, ...], loop: ProcessLoop | None
--- a/madderbeam/simulation/mutants.py
+++ b/madderbeam/simulation/mutants.py
@@ -118,7 +118,7 @@
 def _statement(node: ast.AST) -> Iterator[tuple[str, ast.AST | None]]:
     if isinstance(node, (ast.If, ast.While)) and not isinstance(node.test, ast.Constant):
         yield "negate", _changed(node, "test", ast.UnaryOp(ast.Not(), node.test))
-    elif isinstance(node, ast.Expr) and isinstance(node.value, ast.Call) or isinstance(node, ast.Raise):
+    elif (isinstance(node, ast.Expr) and isinstance(node.value, ast.Call)) or isinstance(node, ast.Raise):
         yield "left out", None
     elif isinstance(node, (ast.Assign, ast.AugAssign)):
         targets = node.targets if isinstance(node, ast.Assign) else [node.target]
@@ -155,7 +155,7 @@
     def body(self, owner: ast.AST, field: str) -> None:
         rows = getattr(owner, field)
         for at, node in enumerate(rows):
-            if _logs(node) or isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant):
+            if _logs(node) or (isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant)):
                 continue
             for rule, new in _statement(node):
                 self.found.append((rule, node, new, (owner, field, at)))
--- a/madderbeam/simulation/mutation.py
+++ b/madderbeam/simulation/mutation.py
@@ -133,7 +133,7 @@
             violation = report.violation
         except Hang:
             return Verdict(mutant, "hang", day.script.seed)
-        except BaseException as error:  # noqa: B036 - whatever the mutant brings about is its verdict
+        except BaseException as error:
             return Verdict(mutant, "crash", day.script.seed, f"{type(error).__name__}: {error}"[:200])
         finally:
             signal.setitimer(signal.ITIMER_REAL, 0)
--- a/madderbeam/simulation/network.py
+++ b/madderbeam/simulation/network.py
@@ -117,7 +117,7 @@
 
     def write(self, data: bytes, whole: bool = False) -> None:
         """The peer writes; it arrives in order, in one piece if `whole`."""
-        if self.gone or self.closed and not self.peer:
+        if self.gone or (self.closed and not self.peer):
             return
         self.sent += len(data)
         link = self.network.link
@@ -267,7 +267,7 @@
     def shutdown(self, how: int) -> None:
         """End the process's sending; the peer closes as it hears of that."""
         self._operation("shutdown")
-        if self.error or self.gone and self.end:
+        if self.error or (self.gone and self.end):
             raise fail(errno.ENOTCONN)
         self._to_peer(self._shut)
 
@@ -308,7 +308,7 @@
 
     @property
     def writable(self) -> bool:
-        return bool(self.error or self.up and self.under_way < self.network.link.window)
+        return bool(self.error or (self.up and self.under_way < self.network.link.window))
 
 
 class Listener:
--- a/madderbeam/simulation/operator.py
+++ b/madderbeam/simulation/operator.py
@@ -11,7 +11,6 @@
 from madderbeam.simulation.kernel import Kernel
 from madderbeam.simulation.network import Peer, Stream
 
-
 ANSWER_US = 1_000_000  # an answer is due within this
 AGAIN_US = 300_000  # a call that was not answered with yes is made again
 LET_GO_US = 4_000_000  # after a drain began no client's connection is held idle
--- a/madderbeam/simulation/pools.py
+++ b/madderbeam/simulation/pools.py
@@ -55,15 +55,15 @@
 
 def wrong(courier: Any) -> Iterator[str]:
     """What a router keeps, held against the decision module's own calls; nothing where there is no router."""
-    router = getattr(courier, "routing", None)
+    router = courier.state.endpoint_preference
     for number, pool in router.pools.items() if router is not None else ():
         yield from _pool(number, pool, courier)
 
 
 def _pool(number: int, pool: Any, courier: Any) -> Iterator[str]:
     for ident in pool.servers:
-        endpoint = courier.endpoints.get(ident)
-        out = len(endpoint.out) if endpoint else 0
+        endpoint = courier.state.endpoints.get(ident)
+        out = len(endpoint.calls) if endpoint else 0
         if pool.conns.get(ident, 0) > out:  # fewer, where it came into the pool with calls out
             yield f"pool {number} counts {pool.conns[ident]} calls to server {ident}, {out} are out"
         mark = pool.marks.get(ident)
--- a/madderbeam/simulation/quality.py
+++ b/madderbeam/simulation/quality.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from madderbeam.policy.interface import MessageClass
+from madderbeam.policy.settings import MessageClass
 from madderbeam.simulation.checker import Handed
 from madderbeam.simulation.clients import Wish
 
@@ -26,11 +26,13 @@
 
 def worth(cls: MessageClass, age_us: int) -> float:
     """Share of its worth that a message still has at that age."""
-    if age_us <= cls.aim_us:
+    if age_us <= cls.latency_objective_us:
         return 1.0
     if age_us >= cls.deadline_us:
         return 0.0
-    return 1 - (1 - cls.late_share) * (age_us - cls.aim_us) / (cls.deadline_us - cls.aim_us)
+    return 1 - (1 - cls.late_value_share) * (age_us - cls.latency_objective_us) / (
+        cls.deadline_us - cls.latency_objective_us
+    )
 
 
 def measured(
@@ -56,10 +58,10 @@
     for wish in wishes:
         cls = classes[wish.cls]
         age = done[wish.number] - wish.born_us if wish.number in done else cls.deadline_us
-        in_time += age <= cls.aim_us
+        in_time += age <= cls.latency_objective_us
         row = sums.setdefault(cls.name, [0.0, 0.0])
-        row[0] += cls.worth * worth(cls, age)
-        row[1] += cls.worth
+        row[0] += cls.priority_weight * worth(cls, age)
+        row[1] += cls.priority_weight
     firsts = [
         (since, min((at for at in ends.get(dest, ()) if at >= since), default=-1)) for dest, since in outages
     ]
--- a/madderbeam/simulation/script.py
+++ b/madderbeam/simulation/script.py
@@ -6,7 +6,6 @@
 from dataclasses import asdict, dataclass, fields, replace
 from typing import Any
 
-
 VERSION = 1
 
 
--- a/madderbeam/simulation/sharejudge.py
+++ b/madderbeam/simulation/sharejudge.py
@@ -101,12 +101,12 @@
         """The decision module goes by no more than the lease."""
         member, resource = call.member, f"rate/{call.dest}"
         now = member.clock.monotonic_us()
-        shared, dest = member.room.shared, member.host.courier.dests[call.dest]
+        shared, dest = member.room.shared, member.host.courier.state.destinations[call.dest]
         if resource not in shared.leases.holder.lots:
             return
         amount = shared.leases.amount(resource, now)
         self.step(member)  # a lease may have ended by time alone
-        listed = max((max(lane.listed, lane.rate) for lane in dest.lanes), default=0.0)
+        listed = max((max(scope.listed_rate_per_s, scope.pace_per_s) for scope in dest.scopes), default=0.0)
         since = self.since.get((member, resource), 0)
         if listed > max(amount, 1e-3) * (1 + 1e-6) and self.world.now_us - since > TURN_US:
             self.broken(
@@ -131,15 +131,18 @@
         """The decision module goes by all of the lease, but a tenth of which it is not told."""
         now = member.clock.monotonic_us()
         for partner in self.world.partners:
-            resource, dest = f"rate/{partner.number}", member.host.courier.dests.get(partner.number)
+            resource, dest = (
+                f"rate/{partner.number}",
+                member.host.courier.state.destinations.get(partner.number),
+            )
             amount = member.room.shared.leases.amount(resource, now)
             if dest is None or self.world.now_us - self.since.get((member, resource), 0) <= TURN_US:
                 continue
-            for lane in dest.lanes:
-                if lane.listed < 0.85 * amount:
+            for scope in dest.scopes:
+                if scope.listed_rate_per_s < 0.85 * amount:
                     self.broken(
                         "S2",
-                        f"{member.name} goes by {lane.listed:.3f} messages a second to "
+                        f"{member.name} goes by {scope.listed_rate_per_s:.3f} messages a second to "
                         f"{partner.number}, and may use {amount:.3f}",
                     )
 
@@ -189,7 +192,7 @@
         for told in self.waits[call.dest]:
             other, since = told.member, max(told.at_us, self.rest_us)
             lived = self.ended.get((other, told.life), now) > since + bound
-            stood = other.up and not other.works or other.resumed_us >= told.at_us
+            stood = (other.up and not other.works) or other.resumed_us >= told.at_us
             known = lived and not stood
             if other.site == member.site and known and since + bound < now < told.until_us - 1_000:
                 self.broken(
@@ -248,7 +251,7 @@
                     continue
                 answered = now - self.served.get((member, partner.number), -S) < S
                 held = member.room.shared.partners.held.get(partner.number)  # doubts hold for a moment
-                if held is Kind.OUTAGE and (back or answered and now - partner.back_us > 5 * S):
+                if held is Kind.OUTAGE and (back or (answered and now - partner.back_us > 5 * S)):
                     self.broken(
                         "S4",
                         f"{member.name} holds back from {partner.number}, which would answer "
@@ -330,10 +333,10 @@
                 self.broken("S6", f"{member.name} keeps {what} after all is over: {found}")
         shut = [row for row in board.status(now) if row["left_ms"] > LONGEST_US // 1000]
         lane_shut = [
-            lane.wait_until
-            for d in member.host.courier.dests.values()
-            for lane in d.lanes
-            if lane.wait_until > now + LONGEST_US
+            scope.retry_after_until_us
+            for d in member.host.courier.state.destinations.values()
+            for scope in d.scopes
+            if scope.retry_after_until_us > now + LONGEST_US
         ]
         if shut or lane_shut:
             self.broken("S6", f"{member.name} keeps what lasts over an hour: {shut}, {lane_shut}")
--- a/madderbeam/simulation/world.py
+++ b/madderbeam/simulation/world.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from madderbeam.policy.interface import Effect
+from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Address
 from madderbeam.simulation import books
 from madderbeam.simulation.checker import MS, Handed
@@ -16,10 +16,10 @@
 from madderbeam.simulation.couriers import Machine
 from madderbeam.simulation.endpoints import Destination, Endpoint, Nowhere
 from madderbeam.simulation.kafka import Node, Producer, produced
-from madderbeam.simulation.quotas import Meter, tree
 from madderbeam.simulation.kernel import Broken, Kernel, Report
 from madderbeam.simulation.loop import ProcessLoop, Spinning
 from madderbeam.simulation.quality import measured
+from madderbeam.simulation.quotas import Meter, tree
 from madderbeam.simulation.script import Fault, Script
 from madderbeam.simulation.settings import CLASSES, ENSEMBLES
 
@@ -166,7 +166,11 @@
             dest = chance.choices(range(len(self.dests)), self.popularity)[0]
         number = self.dests[dest].number
         usual = self.settings.classes[cls]
-        key = f"key-{self.script.seed & 0xFFFF:x}-{self.wishes:x}" if usual.effect is Effect.KEYED else ""
+        key = (
+            f"key-{self.script.seed & 0xFFFF:x}-{self.wishes:x}"
+            if usual.idempotency is Idempotency.WITH_KEY
+            else ""
+        )
         order = f"group-{number}-{chance.randrange(2)}" if usual.ordered else ""
         if tenant is None:
             tenant = chance.randrange(ENSEMBLES)
@@ -194,12 +198,12 @@
     def ran(self, handed: Handed, uid: str) -> None:
         """An endpoint has run a message."""
         cls = self.settings.classes[handed.cls]
-        if cls.effect is Effect.SAFE:
+        if cls.idempotency is Idempotency.IDEMPOTENT:
             return
-        key = handed.key if cls.effect is Effect.KEYED else handed.id
+        key = handed.key if cls.idempotency is Idempotency.WITH_KEY else handed.id
         times = self.effects.setdefault(key, [])
         now = self.now_us
-        if times and cls.effect is Effect.UNSAFE:
+        if times and cls.idempotency is Idempotency.NON_IDEMPOTENT:
             self.checker.broken("repeat", f"{handed.id} took effect at {times[0]} us and again at {uid}")
         times.append(now)
 
--- a/madderbeam/transport/calls.py
+++ b/madderbeam/transport/calls.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from madderbeam.policy.interface import Result
+from madderbeam.policy.events import AttemptResult
 from madderbeam.ports import Address, Network, Socket
 from madderbeam.transport.http import LOCAL_ERRORS, Connection, Exchange, nothing
 
@@ -26,11 +26,11 @@
 MAX_WAIT_S = 120.0  # a told wait over this is none that a destination would tell
 ANSWERS = (200, 400, 410, 413, 429, 500, 503, 504)  # that PROTOCOL names
 STATES = {
-    "done": Result.OK,
-    "failed": Result.ERROR,
-    "busy": Result.FULL,
-    "void": Result.MOOT,
-    "used_up": Result.MOOT,
+    "done": AttemptResult.OK,
+    "failed": AttemptResult.ERROR,
+    "busy": AttemptResult.OVERLOADED,
+    "void": AttemptResult.NOT_SENT,
+    "used_up": AttemptResult.NOT_SENT,
 }
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
 class Outcome:
     """How an attempt ended."""
 
-    result: Result
+    result: AttemptResult
     over: bool = False  # nothing more is owed for the message
     wait_us: int = 0  # a told wait
     spoilt: bool = False  # an answer came, but it could not be read
@@ -70,7 +70,7 @@
     begin: Callable[[list[Item], Callable[[bool], None]], None]
     ended: Callable[[Item, int, Outcome, int], None]  # item, endpoint, outcome, latency in us
     told_wait: Callable[[int, int], None]  # endpoint, us: at once, before any outcome
-    probed: Callable[[int, Result, int], None]
+    probed: Callable[[int, AttemptResult, int], None]
     # Its attempt had ended by its time-out; now it is known to be over.
     late: Callable[[Item, Outcome], None]
     told_load: Callable[[int, dict[str, float]], None] = lambda endpoint, load: None  # a report came
@@ -106,15 +106,17 @@
     """PROTOCOL's table of answers."""
     wait = told_wait(headers)
     if status == 200:
-        return Outcome(Result.OK, over=True, wait_us=wait)
+        return Outcome(AttemptResult.OK, over=True, wait_us=wait)
     if status in (429, 503):
         no_slot = headers.get("slots-taken") == "1"
-        return Outcome(Result.MOOT if no_slot else Result.FULL, wait_us=wait)
+        return Outcome(AttemptResult.NOT_SENT if no_slot else AttemptResult.OVERLOADED, wait_us=wait)
     if status == 410:
-        return Outcome(Result.MOOT, over=True, wait_us=wait)
+        return Outcome(AttemptResult.NOT_SENT, over=True, wait_us=wait)
     if status in (400, 413, 504):  # not sent
-        return Outcome(Result.MOOT, wait_us=wait)
-    return Outcome(Result.ERROR, wait_us=wait)  # 500, or what the protocol does not name: it may have run
+        return Outcome(AttemptResult.NOT_SENT, wait_us=wait)
+    return Outcome(
+        AttemptResult.ERROR, wait_us=wait
+    )  # 500, or what the protocol does not name: it may have run
 
 
 def told_wait(headers: dict[str, str]) -> int:
@@ -192,9 +194,9 @@
         if not self.calls.hooks.waited(self.endpoint):  # a drain counts from its first byte: it goes on
             return False
         if self.path:
-            self.calls.probe_ended(self, Result.MOOT)
+            self.calls.probe_ended(self, AttemptResult.NOT_SENT)
         self.abandon()
-        self.finish_all(Outcome(Result.MOOT))
+        self.finish_all(Outcome(AttemptResult.NOT_SENT))
         return True
 
     def written_whole(self) -> None:
@@ -207,7 +209,7 @@
     def first_line(self, status: int) -> None:
         """200 in the first line is true whatever follows, for a call with one message."""
         if status == 200 and not self.path and not self.bundle:
-            self.finish_all(Outcome(Result.OK, over=True))
+            self.finish_all(Outcome(AttemptResult.OK, over=True))
 
     def head(self, status: int, headers: dict[str, str]) -> None:
         self.status, self.headers = status, headers
@@ -230,7 +232,7 @@
         if self.status not in ANSWERS and self.connection is not None:
             self.connection.abort()  # perhaps an unasked 408: the next call would get the answer of this one
         if self.path:
-            self.calls.probe_ended(self, Result.OK if self.status == 200 else Result.FULL)
+            self.calls.probe_ended(self, AttemptResult.OK if self.status == 200 else AttemptResult.OVERLOADED)
         elif self.status == 200 and self.bundle:
             wait = told_wait(self.headers)
             ends = bundle_outcomes(bytes(self.body), wait)
@@ -238,10 +240,10 @@
                 self.calls.strange(self.endpoint)
             for item in self.items:
                 # One that the answer leaves out may have run.
-                self.finish(item, ends.get(item.id, Outcome(Result.ERROR, wait_us=wait, spoilt=True)))
+                self.finish(item, ends.get(item.id, Outcome(AttemptResult.ERROR, wait_us=wait, spoilt=True)))
         elif noise:
             self.calls.strange(self.endpoint)
-            self.finish_all(Outcome(Result.ERROR, wait_us=told_wait(self.headers), spoilt=True))
+            self.finish_all(Outcome(AttemptResult.ERROR, wait_us=told_wait(self.headers), spoilt=True))
         else:
             self.finish_all(single_outcome(self.status, self.headers))
         self.calls.release(self)
@@ -250,8 +252,8 @@
         """A failed attempt that may have run."""
         self.calls.strange(self.endpoint)
         if self.path:
-            self.calls.probe_ended(self, Result.ERROR)
-        self.finish_all(Outcome(Result.ERROR, wait_us=told_wait(self.headers), spoilt=True))
+            self.calls.probe_ended(self, AttemptResult.ERROR)
+        self.finish_all(Outcome(AttemptResult.ERROR, wait_us=told_wait(self.headers), spoilt=True))
         self.calls.release(self)
 
     def drop(self) -> None:
@@ -267,15 +269,15 @@
 
     def lost(self, written: bool) -> None:
         if self.path:
-            self.calls.probe_ended(self, Result.RESET)
-        self.finish_all(Outcome(Result.RESET if written else Result.CONNECT_FAILED))
+            self.calls.probe_ended(self, AttemptResult.RESET)
+        self.finish_all(Outcome(AttemptResult.RESET if written else AttemptResult.CONNECT_FAILED))
         self.calls.release(self)
 
     def timed_out(self) -> None:
         """The courier stops waiting: the connection goes too, or a late answer would meet the next call."""
         if self.path:
-            self.calls.probe_ended(self, Result.TIMEOUT)
-        outcome = Outcome(Result.TIMEOUT if self.sent else Result.CONNECT_FAILED)
+            self.calls.probe_ended(self, AttemptResult.TIMEOUT)
+        outcome = Outcome(AttemptResult.TIMEOUT if self.sent else AttemptResult.CONNECT_FAILED)
         self.abandon()
         self.finish_all(outcome)
 
@@ -413,7 +415,7 @@
         """Start the time-outs, which go by the connection that the call is on."""
         for item in call.items:
             item.fresh = fresh
-            patience = (fresh and item.fresh_timeout_us or item.timeout_us) / 1e6
+            patience = ((fresh and item.fresh_timeout_us) or item.timeout_us) / 1e6
             if self.places is not None and self.places.most(call.endpoint) is not None:
                 patience = min(patience, self.places.longest_s)
             call.deadline = max(call.deadline, call.started + patience)
@@ -433,7 +435,7 @@
             if item and item.number == number and item.attempt == attempt and not item.ended:
                 call.look()
                 if not item.ended:
-                    outcome = Outcome(Result.CANCELLED if call.sent else Result.MOOT)
+                    outcome = Outcome(AttemptResult.CANCELLED if call.sent else AttemptResult.NOT_SENT)
                     call.abandon()
                     call.finish(item, outcome)
 
@@ -441,22 +443,22 @@
         """The time of this message, or of the probe, is up."""
         if item is None or not item.ended:
             call.look()
-        if call not in self.out or item is not None and item.ended:
+        if call not in self.out or (item is not None and item.ended):
             return
         if item is None or sum(not i.ended for i in call.items) == 1:
             call.timed_out()
         else:
-            call.finish(item, Outcome(Result.TIMEOUT if item.begun else Result.CONNECT_FAILED))
+            call.finish(item, Outcome(AttemptResult.TIMEOUT if item.begun else AttemptResult.CONNECT_FAILED))
 
     def _start(self, call: Call) -> None:
         pool = call.pool
         if pool is None:
-            self._unsent(call, Result.MOOT)
+            self._unsent(call, AttemptResult.NOT_SENT)
             return
         self._goes_out(call)
         kept = pool.idle and not any(item.fresh for item in call.items)
         if self.places is not None and not self.trim(call.endpoint, -1 if kept else 0):
-            self._unsent(call, Result.MOOT)
+            self._unsent(call, AttemptResult.NOT_SENT)
             return
         while pool.idle and not any(item.fresh for item in call.items):
             connection = pool.idle.pop()
@@ -474,7 +476,7 @@
             connection = self._connection(pool)
         except OSError as error:
             log.error("no socket for a call: %s", error)
-            self._unsent(call, Result.MOOT)
+            self._unsent(call, AttemptResult.NOT_SENT)
             return
         self.opened += 1
         self._set_up(call, connection)
@@ -482,7 +484,9 @@
             connection.connect(lambda error: self._connected(call, connection, error))
         except OSError as error:
             connection.close()
-            self._unsent(call, Result.MOOT if error.errno in LOCAL_ERRORS else Result.CONNECT_FAILED)
+            self._unsent(
+                call, AttemptResult.NOT_SENT if error.errno in LOCAL_ERRORS else AttemptResult.CONNECT_FAILED
+            )
 
     def _connection(self, pool: Pool) -> Connection:
         """A new one; OSError if there is no socket for it."""
@@ -574,14 +578,16 @@
         if error is None:
             self._write(call, connection)
             return
-        self._unsent(call, Result.MOOT if error.errno in LOCAL_ERRORS else Result.CONNECT_FAILED)
+        self._unsent(
+            call, AttemptResult.NOT_SENT if error.errno in LOCAL_ERRORS else AttemptResult.CONNECT_FAILED
+        )
 
     def _write(self, call: Call, connection: Connection) -> None:
         call.connection = connection
         items = [i for i in call.items if not i.ended]
         call.items, call.bundled = items, len(items) > 1
-        if not items and not call.path or not self._may_write(call):
-            self._unsent(call, Result.MOOT)
+        if (not items and not call.path) or not self._may_write(call):
+            self._unsent(call, AttemptResult.NOT_SENT)
             self._keep(call.endpoint, connection)
             return
         if items:
@@ -614,14 +620,14 @@
         # The record may have been written slowly: what held before it is looked at again.
         call.write_by = self.loop.time() + (self.hooks.write_s(items) if may and items else math.inf)
         if not may or call.write_by <= self.loop.time() or not self._may_write(call):
-            self._unsent(call, Result.MOOT)
+            self._unsent(call, AttemptResult.NOT_SENT)
             self._keep(call.endpoint, connection)
             return
         fresh = all(item.fresh for item in items)  # such a one may be turned away before it is asked
         connection.unasked = connection.stale()
         if connection.unasked and (not fresh or connection.ended()):  # what is not written has never run
             connection.close()
-            self._unsent(call, Result.CONNECT_FAILED if fresh else Result.MOOT)
+            self._unsent(call, AttemptResult.CONNECT_FAILED if fresh else AttemptResult.NOT_SENT)
             return
         for item in items:
             item.begun = True
@@ -659,13 +665,13 @@
 
     # Ending
 
-    def _unsent(self, call: Call, result: Result) -> None:
+    def _unsent(self, call: Call, result: AttemptResult) -> None:
         self._drop(call)
         if call.path:
             self.probe_ended(call, result)
         call.finish_all(Outcome(result))
 
-    def probe_ended(self, call: Call, result: Result) -> None:
+    def probe_ended(self, call: Call, result: AttemptResult) -> None:
         if call.path:
             call.path, latency = "", call.latency_us
             self.hooks.probed(call.endpoint, result, latency)
--- a/madderbeam/transport/clients.py
+++ b/madderbeam/transport/clients.py
@@ -239,7 +239,7 @@
     def look(self) -> bool:
         """Read what has come by now, also in a pause; whether anything had."""
         came = self.pause is not None and self._go_on()
-        return self.reading and self._readable() or came
+        return (self.reading and self._readable()) or came
 
     def _read_on(self, on: bool) -> None:
         if on is not self.reading:
@@ -731,7 +731,7 @@
 
     def look(self) -> bool:
         """Read all that has come by now, before those that sent it are closed; whether anything had."""
-        return any([client.look() for client in list(self.clients)])
+        return any([client.look() for client in list(self.clients)])  # noqa: C419 (each has to look)
 
     def end(self) -> None:
         """The process ends: all that is owed is sent, and all connections are shut; `close` is the last."""
--- a/madderbeam/transport/dialing.py
+++ b/madderbeam/transport/dialing.py
@@ -11,7 +11,6 @@
 
 from madderbeam.ports import Address, Network, Socket
 
-
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets
 
 
--- a/madderbeam/transport/http.py
+++ b/madderbeam/transport/http.py
@@ -14,8 +14,8 @@
 import httptools
 
 from madderbeam.ports import Address, Network, Socket
-from madderbeam.transport.dialing import Dialed
 from madderbeam.transport.descriptors import NO_FILES
+from madderbeam.transport.dialing import Dialed
 from madderbeam.transport.reading import NOTHING, read
 
 Headers = Sequence[tuple[str, str]]
--- a/madderbeam/transport/kafka/connection.py
+++ b/madderbeam/transport/kafka/connection.py
@@ -6,13 +6,13 @@
 import struct
 from typing import Any
 
+from madderbeam.ports import Socket
 from madderbeam.transport.clients import Client, ClientServer, Reply
 from madderbeam.transport.kafka import schemas
 from madderbeam.transport.kafka.codec import Malformed, Reader, Writer, decode, encode
 from madderbeam.transport.kafka.front import Front, Session, versions
 from madderbeam.transport.kafka.schemas import APIS, Code
 from madderbeam.transport.resp import FramingError
-from madderbeam.ports import Socket
 
 MOST_FRAME = 1 << 20  # bytes of one request
 HELD = 50  # requests that are read ahead of one that is not answered yet
--- a/madderbeam/transport/kafka/finals.py
+++ b/madderbeam/transport/kafka/finals.py
@@ -48,7 +48,7 @@
         for n in range(offset - self.base, len(self.lines)):
             at_ms, line = self.lines[n]
             size += len(line) + 40
-            if rows and size > most or len(rows) == BATCH:
+            if (rows and size > most) or len(rows) == BATCH:
                 break
             rows.append(Record(json.loads(line)["id"].encode(), line, (), at_ms))
         return write_batch(rows, offset) if rows else b""
--- a/madderbeam/transport/kafka/front.py
+++ b/madderbeam/transport/kafka/front.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from madderbeam.policy.interface import MessageClass
-from madderbeam.transport.clients import BadRequest, Put
+from madderbeam.policy.settings import MessageClass
 from madderbeam.transport.answers import Answer
+from madderbeam.transport.clients import BadRequest, Put
 from madderbeam.transport.kafka.finals import Finals
 from madderbeam.transport.kafka.groups import Groups
 from madderbeam.transport.kafka.producers import Producers
@@ -153,7 +153,7 @@
 
     def _metadata(self, session: Session, version: int, r: dict[str, Any], done: Done) -> None:
         asked = r["topics"]
-        if asked is None or version == 0 and not asked:
+        if asked is None or (version == 0 and not asked):
             names = self._names()
         else:
             names = [t["name"] for t in asked[:MOST_TOPICS]]
--- a/madderbeam/transport/kafka/schemas.py
+++ b/madderbeam/transport/kafka/schemas.py
@@ -8,9 +8,8 @@
 
 from dataclasses import dataclass
 
-from madderbeam.transport.kafka.codec import NEVER
+from madderbeam.transport.kafka.codec import NEVER, Schema
 from madderbeam.transport.kafka.codec import Field as F
-from madderbeam.transport.kafka.codec import Schema
 
 THROTTLE = F("throttle_time_ms", "int32", 1)
 
--- a/madderbeam/transport/kafka/topics.py
+++ b/madderbeam/transport/kafka/topics.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from madderbeam.policy.interface import Effect, MessageClass
+from madderbeam.policy.settings import Idempotency, MessageClass
 from madderbeam.transport.clients import WORD, BadRequest, Put, order_key
 from madderbeam.transport.kafka.records import Batch, Record
 
@@ -69,7 +69,7 @@
         identity(where.name, partition, batch, n) if batch.producer_id >= 0 else fresh
     )
     key = given.get("key", "")
-    if cls.effect is Effect.KEYED and not key:
+    if cls.idempotency is Idempotency.WITH_KEY and not key:
         key = ident  # of an idempotent producer the same whenever it comes again
     for label, text in (("id", ident), ("key", key)):
         if text and not WORD.fullmatch(text.encode()):
--- a/madderbeam/transport/mesh/links.py
+++ b/madderbeam/transport/mesh/links.py
@@ -17,8 +17,8 @@
 from madderbeam.membership.values import FromLink, Life, LinkDown, LinkUp, MemberId, Row
 from madderbeam.ports import Address
 from madderbeam.transport.mesh import frames
-from madderbeam.transport.mesh.ahead import Ahead
 from madderbeam.transport.mesh.addresses import usable
+from madderbeam.transport.mesh.ahead import Ahead
 from madderbeam.transport.mesh.connection import Connection
 from madderbeam.transport.mesh.events import ALL, Outlived
 from madderbeam.transport.mesh.here import Here
