--- a/bench/agreement.py
+++ b/bench/agreement.py
@@ -10,7 +10,7 @@
 
 from agreement_net import SECOND, Net, one, table
 
-from madderbeam.federation.rounds import AgreementSettings
+from madderbeam.federation.consensus.rounds import AgreementSettings
 
 WAY_US = 100_000
 
--- a/bench/changes.py
+++ b/bench/changes.py
@@ -23,10 +23,10 @@
 from madderbeam.changes.values import Change, Facts, Op, Settings, Snapshot
 from madderbeam.config.platform import load_sidecar
 from madderbeam.config.rendered import seal
-from madderbeam.host.assembly import assemble
 from madderbeam.host.changes.reading import snapshot_of
+from madderbeam.host.composition import assemble
+from madderbeam.host.host import Host
 from madderbeam.host.process import collector_rests
-from madderbeam.host.turn import Host
 from madderbeam.journal.records import frame
 from madderbeam.membership.values import Persist
 from madderbeam.ports.real import RealDisk, real_ports
@@ -112,7 +112,7 @@
 
 def applied(host: Host, before: Snapshot, after: Snapshot) -> tuple[float, float]:
     """ms of the instant, and of the turn that follows."""
-    room = next(r for r in host.rooms if type(r).__name__ == "ChangesRoom")
+    room = next(r for r in host.rooms if type(r).__name__ == "ChangesComponent")
     instant = spent(lambda: room.applying.apply(Apply(before, after)))
     return instant, spent(host.turn)
 
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -36,11 +36,11 @@
 sys.path.insert(0, root)
 limit, body = int(mb * 1e6), b"x" * 300
 if which in ("old", "new"):
-    from madderbeam.journal.store import Journal
+    from madderbeam.journal.journal import Journal
     try:
-        from madderbeam.journal.message import Held
+        from madderbeam.journal.pending_message import Held
     except ImportError:
-        from madderbeam.journal.store import Held
+        from madderbeam.journal.journal import Held
     from madderbeam.ports.real import RealClock, RealDisk
 
 waiting = []
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -15,12 +15,12 @@
 
 from swimnet import Link, Net, S  # noqa: E402
 
-from madderbeam.membership.settings import Settings  # noqa: E402
+from madderbeam.membership.settings import MembershipSettings  # noqa: E402
 
 
 def deaths(members: int, loss: float, trials: int = 40, seed: int = 1, health: int = 8) -> list[float]:
     """Probe periods from each of so many deaths, one after another, to the last live member knowing it."""
-    settings = Settings(health_most=health)
+    settings = MembershipSettings(health_most=health)
     net = Net(seed, settings, Link(loss=loss))
     nodes = net.grow(members, settle_s=30)
     spans = []
@@ -42,7 +42,7 @@
 def false(members: int, loss: float, health: int, late: int = 0, minutes: int = 10) -> dict[str, float]:
     """Of live members only, per hour: accusations by own probes, and declarations of death. `late`: so many
     members get all that is sent to them 1.5 to 4 s late, as a process that is short of CPU does."""
-    net = Net(2, Settings(health_most=health), Link(loss=loss))
+    net = Net(2, MembershipSettings(health_most=health), Link(loss=loss))
     nodes = net.grow(members, settle_s=30)
     slow = nodes[1 : 1 + late]
     for one in slow:
@@ -69,7 +69,7 @@
 
 def sent(members: int, loss: float = 0.0, minutes: int = 2, seed: int = 3) -> float:
     """Bytes a second that a member sends in a quiet federation: datagrams and full states, in msgpack."""
-    net = Net(seed, Settings(), Link(loss=loss))
+    net = Net(seed, MembershipSettings(), Link(loss=loss))
     net.grow(members, settle_s=90)
     net.bytes, begin = 0, net.now
     net.until(begin + minutes * 60 * S)
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -14,7 +14,7 @@
 import time
 from statistics import median, quantiles
 
-from madderbeam.membership.values import FromLink, Life, LinkDown, LinkUp, MemberId
+from madderbeam.membership.values import Incarnation, LinkDown, LinkUp, MemberId, MessageReceived
 from madderbeam.ports.real import RealNetwork
 from madderbeam.simulation.fabric import Fabric
 from madderbeam.simulation.loop import Scheduler, process_loop
@@ -46,13 +46,13 @@
             up.set()
 
     def at_b(channel: str, event: object) -> None:
-        got[0] += isinstance(event, FromLink)
+        got[0] += isinstance(event, MessageReceived)
         if got[0] == count:
             done.set()
 
     settings = MeshSettings(unsent_bytes=1 << 30, ping_s=60.0)
-    a = Mesh(loop, network, A, Life(1, 1), "bench", ("127.0.0.1", 0), at_a, settings=settings)
-    b = Mesh(loop, network, B, Life(1, 2), "bench", ("127.0.0.1", 0), at_b, settings=settings)
+    a = Mesh(loop, network, A, Incarnation(1, 1), "bench", ("127.0.0.1", 0), at_a, settings=settings)
+    b = Mesh(loop, network, B, Incarnation(1, 2), "bench", ("127.0.0.1", 0), at_b, settings=settings)
     a.listen()
     a.want(B, ("127.0.0.1", b.listen()))
     await up.wait()
@@ -81,7 +81,7 @@
     for me, host in ((A, "10.0.0.1"), (B, "10.0.0.2")):
         loop = process_loop(scheduler)
         network = SimNetwork(loop, {}, Link(), random.Random(host), lambda name: False, 100, host, fabric)
-        meshes.append(Mesh(loop, network, me, Life(1, 1), "bench", (host, 1), told, chance=chance))
+        meshes.append(Mesh(loop, network, me, Incarnation(1, 1), "bench", (host, 1), told, chance=chance))
         meshes[-1].listen()
     meshes[0].want(B, ("10.0.0.2", 1))
     for _ in range(cuts):
@@ -106,7 +106,7 @@
     parser.add_argument("--cuts", type=int, default=300)
     parser.add_argument("--size", type=int, default=200)
     args = parser.parse_args()
-    empty = frames.pack("federation", frames.Frame(A, Life(1, 1 << 63), "m", []))
+    empty = frames.pack("federation", frames.Frame(A, Incarnation(1, 1 << 63), "m", []))
     print(
         f"bytes beside the row: {len(empty) - 1} of a datagram (federation's name of 10), "
         f"{len(frames.pack_short('r', [], HOUR_US)) - 1} on a link; a ping: "
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -12,18 +12,18 @@
 import msgpack
 
 from madderbeam.membership.values import (
-    Due,
-    FromLink,
-    Heard,
-    Life,
+    GossipEntry,
+    GossipReceived,
+    Incarnation,
     LinkUp,
     MemberChanged,
     MemberId,
     MemberView,
-    Rumour,
+    MessageReceived,
+    SendMessage,
     SetTimer,
     State,
-    ToLink,
+    TimerDue,
 )
 from madderbeam.relay.custody import Custodian
 from madderbeam.relay.grouping import Tables
@@ -56,7 +56,7 @@
     def __init__(self, subscribers, call_us=20_000):
         self.rng, self.call_us = random.Random(1), call_us
         self.frames, self.bytes, self.ended, self.now = Counter(), Counter(), 0, 0
-        life, wall = Life(1, 1), lambda now: now // 1000
+        life, wall = Incarnation(1, 1), lambda now: now // 1000
         self.owners = {s * 10_000 + n: site for s, site in enumerate(SITES) for n in range(subscribers)}
         self.origin = Streams(StreamSettings(), ORIGIN, life, wall, {})
         self.machines = {ORIGIN: self.origin}
@@ -74,10 +74,10 @@
 
     def hand(self, member, event):
         for action in self.machines[member].handle(self.now, event):
-            if isinstance(action, ToLink):
+            if isinstance(action, SendMessage):
                 self.frames[type(action.message).__name__] += 1
                 self.bytes[type(action.message).__name__] += len(msgpack.packb(to_row(action.message)))
-                self.later(self.now, action.member, FromLink(member, action.message))
+                self.later(self.now, action.member, MessageReceived(member, action.message))
             elif isinstance(action, SetTimer):
                 self.timers[member] = (action.at_us, action.token)
             elif isinstance(action, Expand):
@@ -121,7 +121,7 @@
             else:
                 del self.timers[member]
                 self.now = max(self.now, timer[0])
-                self.hand(member, Due(timer[1]))
+                self.hand(member, TimerDue(timer[1]))
 
 
 def notice(subscribers, size):
@@ -154,11 +154,11 @@
 
 def filters():
     """What one member tells of 10,000 topics, and how often a filter says yes where it should not."""
-    told = Subscriptions(MemberId("savannah", "r"), Life(1, 1))
+    told = Subscriptions(MemberId("savannah", "r"), Incarnation(1, 1))
     rumours = told.handle(0, Subscribed({f"season-{n}": (n,) for n in range(10_000)}, 1))
-    heard = Subscriptions(ORIGIN, Life(1, 1))
+    heard = Subscriptions(ORIGIN, Incarnation(1, 1))
     for r in rumours:
-        heard.handle(0, Heard(Rumour(told.own, r.key, r.version, r.body)))
+        heard.handle(0, GossipReceived(GossipEntry(told.own, r.key, r.version, r.body)))
     false = sum(bool(heard.sites(f"other-{n}")) for n in range(100_000))
     return len(rumours), sum(len(r.body) for r in rumours), false / 100_000
 
--- a/bench/shared.py
+++ b/bench/shared.py
@@ -19,15 +19,15 @@
 import shared_site
 
 from madderbeam.membership.values import (
-    Due,
-    FromLink,
-    Life,
+    Incarnation,
     MemberChanged,
     MemberId,
     MemberView,
+    MessageReceived,
+    SendMessage,
     SetTimer,
     State,
-    ToLink,
+    TimerDue,
 )
 from madderbeam.shared.lease_messages import from_row, to_row
 from madderbeam.shared.lease_settings import LeaseSettings
@@ -50,17 +50,17 @@
         self.bytes = [0] * members
         self.timers = {}
         self.machines = [
-            Leases(settings, m, Life(1, n), random.Random(n), {}) for n, m in enumerate(self.ids)
+            Leases(settings, m, Incarnation(1, n), random.Random(n), {}) for n, m in enumerate(self.ids)
         ]
         for n in range(members):
             self.hand(n, Limit(RATE, total, total / members))
             self.hand(n, Site(self.ids))
             for m in self.ids:
-                self.hand(n, MemberChanged(MemberView(m, Life(1, 0), 0, State.ALIVE, ("", 0), 0)))
+                self.hand(n, MemberChanged(MemberView(m, Incarnation(1, 0), 0, State.ALIVE, ("", 0), 0)))
 
     def hand(self, n, event):
         for action in self.machines[n].handle(self.now, event):
-            if isinstance(action, ToLink):
+            if isinstance(action, SendMessage):
                 packed = msgpack.packb(to_row(action.message))
                 self.bytes[n] += len(packed)
                 to = self.ids.index(action.member)
@@ -76,9 +76,9 @@
         while self.queue and self.queue[0][0] <= until:
             self.now, _, n, what = heapq.heappop(self.queue)
             if isinstance(what, str):
-                self.hand(n, Due(what))
+                self.hand(n, TimerDue(what))
             else:
-                self.hand(n, FromLink(self.ids[what[0]], from_row(msgpack.unpackb(what[1]))))
+                self.hand(n, MessageReceived(self.ids[what[0]], from_row(msgpack.unpackb(what[1]))))
         self.now = until
 
 
--- a/bench/sidecar.py
+++ b/bench/sidecar.py
@@ -100,7 +100,7 @@
     for name, command, more in (
         ("run, as the platform starts it", [*python, "madderbeam"], env),
         ("run --config", [*python, "madderbeam", "run", "--config", f"{folder}/out/notices.json"], {}),
-        ("a sidecar of up", [*python, "madderbeam.host.sidecar", f"{folder}/out/notices.json"], {}),
+        ("a sidecar of up", [*python, "madderbeam.host.standalone", f"{folder}/out/notices.json"], {}),
     ):
         figures = [started(command, more) for _ in range(RUNS)]
         took, memory = (statistics.median(f[n] for f in figures) for n in (0, 1))
--- a/bench/standby.py
+++ b/bench/standby.py
@@ -28,8 +28,8 @@
 from loopback import Client  # noqa: E402
 from pair import Pair  # noqa: E402
 
-from madderbeam.journal.message import Held  # noqa: E402
-from madderbeam.journal.store import Journal  # noqa: E402
+from madderbeam.journal.journal import Journal  # noqa: E402
+from madderbeam.journal.pending_message import PendingMessage  # noqa: E402
 from madderbeam.ports.real import RealClock, RealDisk  # noqa: E402
 
 CLIENTS, TICKS = 8, os.sysconf("SC_CLK_TCK")
@@ -119,7 +119,7 @@
             until = journal.wall() + 19 * 9.9
             journal.begin()
             for n in range(1, held + 1):
-                journal.take(Held(n, f"h{n:07}", n % 2 * 2, 0, 7, "", until, False, b"x" * 200))
+                journal.take(PendingMessage(n, f"h{n:07}", n % 2 * 2, 0, 7, "", until, False, b"x" * 200))
                 if not n % 500:
                     journal.commit()
                     journal.begin()
--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -48,7 +48,7 @@
 )
 from madderbeam.changes.trial import Trial
 from madderbeam.changes.values import DRAINING, NUMBERED, Change, Facts, Key, Settings, Snapshot
-from madderbeam.membership.values import Due, Note, Persist, SetTimer, Unwritten
+from madderbeam.membership.values import LogLine, Persist, SetTimer, TimerDue, WriteFailed
 
 BACK_MOST = 16  # versions that can be undone
 CHAIN_MOST = 32  # records above a base: then it is written anew
@@ -164,7 +164,7 @@
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
         self.actions = []
-        if isinstance(event, Unwritten):
+        if isinstance(event, WriteFailed):
             self._not_written(now_us, event)
             return self.actions
         self._beginning = self._back = None
@@ -183,7 +183,7 @@
             self._file(event.digest, event.snapshot)
         elif isinstance(event, Failed):
             self._failed(now_us, event)
-        elif isinstance(event, Due):
+        elif isinstance(event, TimerDue):
             self._due(now_us, event.token)
         return self.actions
 
@@ -455,7 +455,7 @@
 
     # Records
 
-    def _not_written(self, now_us: int, event: Unwritten) -> None:
+    def _not_written(self, now_us: int, event: WriteFailed) -> None:
         """The disk did not take a record, and nothing behind it was carried out."""
         if event.kind == "staged" and (staged := self.waits(event.key)) is not None:
             self.staged.remove(staged)
@@ -527,7 +527,7 @@
     # Help
 
     def _note(self, text: str) -> None:
-        self.actions.append(Note(text))
+        self.actions.append(LogLine(text))
 
     def _timer(self, token: str, at_us: int) -> None:
         self.actions.append(SetTimer(at_us, token))
--- a/madderbeam/cli.py
+++ b/madderbeam/cli.py
@@ -35,7 +35,7 @@
 
 def _run(args: argparse.Namespace) -> int:
     if args.config:
-        from madderbeam.host.sidecar import main as beside
+        from madderbeam.host.standalone import main as beside
 
         return beside(args.config)
     from madderbeam.host.process import main as serve
--- a/madderbeam/federation/acceptor.py
+++ b/madderbeam/federation/consensus/acceptor.py
@@ -9,33 +9,33 @@
 from collections.abc import Mapping
 from typing import Any
 
-from madderbeam.federation.messages import (
+from madderbeam.federation.consensus.messages import (
     Accept,
     Accepted,
+    BallotRejected,
     Prepare,
     Promise,
-    Refused,
     ballot_of,
     claim_of,
     slot_of,
     to_plain,
     voted_of,
 )
-from madderbeam.federation.rounds import Ballot, Claim, Mark, Slot, Word
-from madderbeam.membership.values import Life
+from madderbeam.federation.consensus.rounds import Ballot, Claim, Mark, Slot, Vote
+from madderbeam.membership.values import Incarnation
 
 
 class Acceptor:
     """`slot` only grows; a vote for an earlier one is never given again, whatever became of it."""
 
-    def __init__(self, life: Life, record: Mapping[str, Any] | None) -> None:
+    def __init__(self, life: Incarnation, record: Mapping[str, Any] | None) -> None:
         """`record`: what `record()` gave last. Raises ValueError where it is not whole."""
         self.life = life
         self.slot = Slot(0)
         self.promised: Ballot | None = None
         self.claim: Claim | None = None
         self.claimed: Ballot | None = None
-        self.words: dict[str, tuple[Ballot, Word]] = {}
+        self.words: dict[str, tuple[Ballot, Vote]] = {}
         self.votes = 0  # written down since the folder is there
         if record is not None:
             self._restore(record)
@@ -63,24 +63,24 @@
     def mark(self) -> Mark:
         return Mark(self.life, self.votes)
 
-    def prepare(self, asked: Prepare) -> Promise | Refused | None:
+    def prepare(self, asked: Prepare) -> Promise | BallotRejected | None:
         """The reply to give once the state is written; None for a slot that is over."""
         if not self._open(asked.slot):
             return None
         if self.promised is not None and asked.ballot < self.promised:
-            return Refused(asked.slot, asked.ballot, self.promised)
+            return BallotRejected(asked.slot, asked.ballot, self.promised)
         self.promised = asked.ballot
         self.votes += 1
         return Promise(
             asked.slot, asked.ballot, self.claim, self.claimed, tuple(self.words.values()), self.mark
         )
 
-    def accept(self, asked: Accept) -> Accepted | Refused | None:
+    def accept(self, asked: Accept) -> Accepted | BallotRejected | None:
         """The reply to give once the state is written; None for a slot that is over."""
         if not self._open(asked.slot):
             return None
         if self.promised is not None and asked.ballot < self.promised:
-            return Refused(asked.slot, asked.ballot, self.promised)
+            return BallotRejected(asked.slot, asked.ballot, self.promised)
         self.promised = asked.ballot
         if self.claim is None or self.claim.digest != asked.claim.digest:
             self.words = {}  # of a claim that no majority took, nor will
--- a/madderbeam/federation/agreed.py
+++ b/madderbeam/federation/consensus/agreed_tables.py
@@ -5,10 +5,10 @@
 from collections.abc import Mapping
 from typing import Any
 
-from madderbeam.federation.outbox import Outbox
+from madderbeam.federation.consensus.outbox import Outbox
 from madderbeam.federation.table import read
-from madderbeam.federation.values import Agreed, Table
-from madderbeam.membership.values import Spread
+from madderbeam.federation.values import Table, TableAgreed
+from madderbeam.membership.values import Disseminate
 
 KEPT = 8
 REWRITE_US = 1_000_000
@@ -47,7 +47,7 @@
 
     def tell(self, table: Table) -> None:
         """For the switch part, and for all; at a start whether it was told before or not."""
-        self.out.give(Agreed(table))
+        self.out.give(TableAgreed(table))
         self._spread(table)
 
     def on_written(self, token: str) -> Table | None:
@@ -76,4 +76,4 @@
 
     def _spread(self, table: Table) -> None:
         body = f"{table.number}:{table.digest}".encode()
-        self.out.give(Spread("table", table.number, body))
+        self.out.give(Disseminate("table", table.number, body))
--- a/madderbeam/federation/agreement.py
+++ b/madderbeam/federation/consensus/agreement.py
@@ -11,33 +11,33 @@
 from random import Random
 from typing import Any
 
-from madderbeam.federation import messages as m
-from madderbeam.federation.acceptor import Acceptor
-from madderbeam.federation.agreed import AgreedTables
-from madderbeam.federation.catchup import CatchUp
-from madderbeam.federation.driver import Chosen, Driver, Turned
-from madderbeam.federation.driving import Driving
+from madderbeam.federation.consensus import messages as m
+from madderbeam.federation.consensus.acceptor import Acceptor
+from madderbeam.federation.consensus.agreed_tables import AgreedTables
+from madderbeam.federation.consensus.catch_up import CatchUp
+from madderbeam.federation.consensus.coordinator import Aborted, Committed, Coordinator
+from madderbeam.federation.consensus.failover import CoordinatorFailover
+from madderbeam.federation.consensus.outbox import PREFIX, Outbox
+from madderbeam.federation.consensus.participant import Participant
+from madderbeam.federation.consensus.proposals import Proposals
+from madderbeam.federation.consensus.rollback_detection import RollbackDetector
+from madderbeam.federation.consensus.rounds import AgreementSettings, Slot, Vote
+from madderbeam.federation.consensus.status import silence, status
 from madderbeam.federation.errors import FolderOlder
-from madderbeam.federation.folder import Folder
-from madderbeam.federation.offers import Offers
-from madderbeam.federation.outbox import PREFIX, Outbox
-from madderbeam.federation.rounds import AgreementSettings, Slot, Word
-from madderbeam.federation.speaker import Speaker
-from madderbeam.federation.status import silence, status
 from madderbeam.federation.table import everyone
-from madderbeam.federation.values import Checked, Outcome, Proposed, Table, Trusted
+from madderbeam.federation.values import FolderTrusted, ProposalOutcome, Table, TableChecked, TableProposed
 from madderbeam.membership.values import (
-    Due,
-    FolderIsOlder,
-    FromLink,
-    Heard,
-    Life,
-    LifeRaised,
+    GossipReceived,
+    Incarnation,
+    IncarnationRaised,
     LinkUp,
     MemberChanged,
     MemberId,
     MemberView,
-    Unwritten,
+    MessageReceived,
+    RollbackDetected,
+    TimerDue,
+    WriteFailed,
 )
 
 
@@ -49,7 +49,7 @@
         self,
         settings: AgreementSettings,
         me: MemberId,
-        life: Life,
+        life: Incarnation,
         chance: Random,
         records: Mapping[tuple[str, str], Any],
         table: Table,
@@ -58,10 +58,10 @@
         self.out = Outbox(me)
         self.known = AgreedTables(self.out, records, table)
         self.acceptor = Acceptor(life, records.get(("vote", "")))
-        self.folder = Folder(self.out, life, records)
-        self.offers = Offers(self.out, records)
-        self.speaker = Speaker(self.out, settings.check_us, 4 * settings.resend_us, records, self.base)
-        self.driving = Driving(settings, self.out, life, chance, self.offers, self.document)
+        self.folder = RollbackDetector(self.out, life, records)
+        self.offers = Proposals(self.out, records)
+        self.speaker = Participant(self.out, settings.check_us, 4 * settings.resend_us, records, self.base)
+        self.driving = CoordinatorFailover(settings, self.out, life, chance, self.offers, self.document)
         self.catch_up = CatchUp(self.out, chance, self.known, 4 * settings.resend_us)
         self.views: dict[MemberId, MemberView] = {}
         self.attempt = 0
@@ -111,17 +111,17 @@
     def handle(self, now_us: int, event: Any) -> list[Any]:
         self.out.now_us = now_us
         match event:
-            case FromLink(member, message):
+            case MessageReceived(member, message):
                 self._on_message(member, message)
-            case Due(token) if token.startswith(PREFIX):
+            case TimerDue(token) if token.startswith(PREFIX):
                 self._on_due(token.removeprefix(PREFIX))
-            case Proposed(table):
+            case TableProposed(table):
                 self._on_proposed(table)
-            case Checked():
+            case TableChecked():
                 self.speaker.on_checked(event)
-            case Unwritten(kind, key):
+            case WriteFailed(kind, key):
                 self._on_unwritten(kind, key)
-            case Heard(rumour) if rumour.key == "table":
+            case GossipReceived(rumour) if rumour.key == "table":
                 self.catch_up.on_rumour(rumour.owner, rumour.body)
             case MemberChanged(view):
                 if view.id in everyone(self.base):
@@ -130,12 +130,12 @@
                 self.out.send(member, self.catch_up.latest())
                 if self._greets and member in self.base.voters:
                     self.folder.greet_one(member, self.acceptor.mark)
-            case FolderIsOlder(seen):
+            case RollbackDetected(seen):
                 self.folder.distrust(seen)
                 self._heed_distrust()
-            case LifeRaised(life):
+            case IncarnationRaised(life):
                 self.acceptor.life = self.folder.life = self.driving.life = life
-            case Trusted():
+            case FolderTrusted():
                 self.folder.trust()
                 self._greet()
         self._end_drive()
@@ -202,44 +202,44 @@
     def _on_proposed(self, table: Table) -> None:
         if self.folder.distrusted is not None:
             error = FolderOlder(f"{self.me} has an older folder: it offers no table {table.number}")
-            self.out.give(Outcome(table.proposal, False, error))
+            self.out.give(ProposalOutcome(table.proposal, False, error))
         elif self.offers.add(table, self.base):
             self.driving.fresh()
             self._drive()
 
     def _on_message(self, member: MemberId, message: Any) -> None:
         match message:
-            case m.Prepare() | m.Accept() | m.Offer():
+            case m.Prepare() | m.Accept() | m.VoteRequest():
                 if self._is_open(member, message.slot, message.base):
                     self._on_request(member, message)
-            case m.Promise() | m.Accepted() | m.Refused() | m.Answer():
+            case m.Promise() | m.Accepted() | m.BallotRejected() | m.VoteReply():
                 self._on_reply(member, message)
-            case m.Show(slot, digest):
+            case m.DocumentRequest(slot, digest):
                 table = self.document(digest)
                 if table is not None:
-                    self.out.send(member, m.Shown(slot, table.document()))
-            case m.Shown(slot):
+                    self.out.send(member, m.Document(slot, table.document()))
+            case m.Document(slot):
                 self.speaker.on_shown(message, self.base)
                 driver = self.driving.at(slot)
                 if driver is not None:
                     driver.on_shown(message)
-            case m.Over(slot, digest, words, marks):
+            case m.SlotAborted(slot, digest, words, marks):
                 self._over(slot, digest, words)
                 self.folder.learn(marks, self.base.voters)
-            case m.Later(slot):
+            case m.SlotAdvanced(slot):
                 self._open_slot(slot)
             case m.Decided(_, digest, marks):
                 self.folder.learn(marks, self.base.voters)
                 self._adopt(self.catch_up.on_decided(member, message, self.document(digest)))
-            case m.Want():
+            case m.CatchUpRequest():
                 self.catch_up.on_want(member, message)
-            case m.Known():
+            case m.AgreedTable():
                 self._adopt(self.catch_up.on_known(message))
-            case m.Greet():
+            case m.MarkAnnounced():
                 self.folder.on_greet(member, message, self.base.voters)
-            case m.Greeted():
+            case m.MarkConfirmed():
                 self.folder.on_greeted(member, message)
-            case m.YourFolderIsOlder(mark):
+            case m.RollbackReported(mark):
                 least = self.folder.on_older(member, mark, self.acceptor.mark)
                 self.acceptor.votes = max(self.acceptor.votes, least)
                 self._heed_distrust()
@@ -255,16 +255,16 @@
         elif base != self.base.digest:
             self.catch_up.tell_differ(member, self.base.number, base)
         elif slot.attempt < self.attempt:
-            self.out.send(member, m.Later(self.slot))
+            self.out.send(member, m.SlotAdvanced(self.slot))
         else:
             self._open_slot(slot)
             return True
         return False
 
-    def _on_request(self, member: MemberId, message: m.Prepare | m.Accept | m.Offer) -> None:
+    def _on_request(self, member: MemberId, message: m.Prepare | m.Accept | m.VoteRequest) -> None:
         if member != self.me:
             self.driving.heard(member)
-        if isinstance(message, m.Offer):
+        if isinstance(message, m.VoteRequest):
             self.driving.since(message.slot, message.digest)
             self.speaker.on_offer(member, message, self.base)
             return
@@ -272,7 +272,7 @@
         if not self.votes:
             return
         if isinstance(message, m.Prepare):
-            reply: m.Promise | m.Accepted | m.Refused | None = self.acceptor.prepare(message)
+            reply: m.Promise | m.Accepted | m.BallotRejected | None = self.acceptor.prepare(message)
         else:
             self.driving.since(message.slot, message.claim.digest)
             reply = self.acceptor.accept(message)
@@ -280,7 +280,9 @@
             self.out.persist("vote", "", self.acceptor.record())
             self.out.send(member, reply)
 
-    def _on_reply(self, member: MemberId, message: m.Promise | m.Accepted | m.Refused | m.Answer) -> None:
+    def _on_reply(
+        self, member: MemberId, message: m.Promise | m.Accepted | m.BallotRejected | m.VoteReply
+    ) -> None:
         driver = self.driving.at(message.slot)
         if isinstance(message, m.Promise | m.Accepted) and (
             member not in self.base.voters or not self.folder.note(member, message.mark)
@@ -293,9 +295,9 @@
                 driver.on_promise(member, message)
             case m.Accepted():
                 driver.on_accepted(member, message)
-            case m.Answer():
+            case m.VoteReply():
                 driver.on_answer(member, message)
-            case m.Refused(_, ballot, promised):
+            case m.BallotRejected(_, ballot, promised):
                 self.driving.see(promised)
                 if driver.ballot == ballot:
                     self.driving.give_way()
@@ -329,11 +331,11 @@
             return
         digest, marks = driver.claim.digest, self.folder.marks(self.base.voters)
         others = [o for o in everyone(self.base, driver.table or self.base) if o != self.me]
-        if isinstance(driver.ending, Turned):
-            told: m.Over | m.Decided = m.Over(driver.slot, digest, driver.ending.words, marks)
+        if isinstance(driver.ending, Aborted):
+            told: m.SlotAborted | m.Decided = m.SlotAborted(driver.slot, digest, driver.ending.words, marks)
             self._over(driver.slot, digest, driver.ending.words)
         else:
-            assert isinstance(driver.ending, Chosen)
+            assert isinstance(driver.ending, Committed)
             told = m.Decided(driver.slot.number, digest, marks)
             self._adopt(driver.ending.table)
         for other in others:
@@ -341,7 +343,7 @@
 
     def document(self, digest: str) -> Table | None:
         """A table that is offered, if its document is here."""
-        driver: Driver | None = self.driving.driver
+        driver: Coordinator | None = self.driving.driver
         if driver is not None and driver.table is not None and driver.table.digest == digest:
             return driver.table
         return self.speaker.staged(digest) or self.offers.table(digest)
@@ -351,7 +353,7 @@
 
     # Endings
 
-    def _over(self, slot: Slot, digest: str, words: tuple[Word, ...]) -> None:
+    def _over(self, slot: Slot, digest: str, words: tuple[Vote, ...]) -> None:
         if slot.number == self.slot.number and slot.attempt >= self.attempt:
             self.offers.over(slot, digest, words)
             self._open_slot(Slot(slot.number, slot.attempt + 1))
--- a/madderbeam/federation/catchup.py
+++ b/madderbeam/federation/consensus/catch_up.py
@@ -4,10 +4,10 @@
 
 from random import Random
 
-from madderbeam.federation.agreed import AgreedTables
+from madderbeam.federation.consensus.agreed_tables import AgreedTables
+from madderbeam.federation.consensus.messages import AgreedTable, CatchUpRequest, Decided, digest_of
+from madderbeam.federation.consensus.outbox import Outbox
 from madderbeam.federation.errors import TablesDiffer, TableUnfit
-from madderbeam.federation.messages import Decided, Known, Want, digest_of
-from madderbeam.federation.outbox import Outbox
 from madderbeam.federation.table import NUMBER_MOST, everyone, read
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import MemberId
@@ -32,7 +32,7 @@
     def ask(self, member: MemberId, number: int) -> None:
         """`number` is agreed, `member` has heard of it; others are asked if it does not answer."""
         self.wanted = max(self.wanted, number)
-        self.out.send(member, Want(self.known.latest.number))
+        self.out.send(member, CatchUpRequest(self.known.latest.number))
         if not self._asking:
             self._asking = True
             self.out.timer(self.ask_us, "want")
@@ -49,10 +49,10 @@
         if self._asking:
             self.out.timer(self.ask_us, "want")
 
-    def on_want(self, member: MemberId, message: Want) -> None:
+    def on_want(self, member: MemberId, message: CatchUpRequest) -> None:
         after = message.number
         for table in self.known.since(message.number):
-            self.out.send(member, Known(after, table.document()))
+            self.out.send(member, AgreedTable(after, table.document()))
             after = table.number
 
     def on_decided(self, member: MemberId, message: Decided, staged: Table | None) -> Table | None:
@@ -70,7 +70,7 @@
             self.out.send(member, self.latest())
         return None
 
-    def on_known(self, message: Known) -> Table | None:
+    def on_known(self, message: AgreedTable) -> Table | None:
         """The table to adopt, if it is news and none is left out that could be had."""
         if message.after > self.known.latest.number:
             return None
--- a/madderbeam/federation/driver.py
+++ b/madderbeam/federation/consensus/coordinator.py
@@ -11,40 +11,40 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from madderbeam.federation.errors import NotAllStaged, Superseded, TableUnfit
-from madderbeam.federation.messages import (
+from madderbeam.federation.consensus.messages import (
     WHY_MOST,
     Accept,
     Accepted,
-    Answer,
-    Offer,
+    Document,
+    DocumentRequest,
     Prepare,
     Promise,
-    Show,
-    Shown,
+    VoteReply,
+    VoteRequest,
 )
-from madderbeam.federation.outbox import Outbox
-from madderbeam.federation.rounds import AgreementSettings, Ballot, Claim, Slot, Word
+from madderbeam.federation.consensus.outbox import Outbox
+from madderbeam.federation.consensus.rounds import AgreementSettings, Ballot, Claim, Slot, Vote
+from madderbeam.federation.errors import NotAllStaged, Superseded, TableUnfit
 from madderbeam.federation.table import everyone, instances, read, speakers
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import MemberId
 
 
 @dataclass(frozen=True)
-class Turned:
+class Aborted:
     """The slot is over: some site's word, decided, is that it is turned down."""
 
-    words: tuple[Word, ...]
+    words: tuple[Vote, ...]
 
 
 @dataclass(frozen=True)
-class Chosen:
+class Committed:
     """All sites' words are decided, and all are staged."""
 
     table: Table
 
 
-class Driver:
+class Coordinator:
     """One ballot of one slot. `ending` is set once it is decided; `idle`: there was nothing to finish."""
 
     def __init__(
@@ -66,15 +66,15 @@
         self.since_us = self._claimed_us = self._told_us = out.now_us
         self.claim: Claim | None = None
         self.table: Table | None = None  # of the claim
-        self.words: list[Word] = []
+        self.words: list[Vote] = []
         self.decided = -1  # so many words are decided; -1: not even the claim
-        self.ending: Turned | Chosen | None = None
+        self.ending: Aborted | Committed | None = None
         self.idle = False
         self._sent = 0
         self._shown = False
         self._promises: dict[MemberId, Promise] = {}
         self._steps: dict[MemberId, int] = {}
-        self.answers: dict[MemberId, Word] = {}
+        self.answers: dict[MemberId, Vote] = {}
 
     # What comes in
 
@@ -103,14 +103,14 @@
             self._ask_sites()
         self._pass_on()
 
-    def on_answer(self, member: MemberId, message: Answer) -> None:
+    def on_answer(self, member: MemberId, message: VoteReply) -> None:
         if self.claim is None or message.digest != self.claim.digest or message.word.site != member.site:
             return
         if member in everyone(self.base, self.table or self.base):
             self.answers[member] = message.word
             self._gather()
 
-    def on_shown(self, message: Shown) -> None:
+    def on_shown(self, message: Document) -> None:
         """A document has come: perhaps the one that this claim is on."""
         if self.claim is None or self.table is not None or self.ending is not None:
             return
@@ -143,7 +143,7 @@
             self._accept()
         if self.table is None:
             for member in everyone(self.base):
-                self.out.send(member, Show(self.slot, self.claim.digest))
+                self.out.send(member, DocumentRequest(self.slot, self.claim.digest))
 
     # What is known
 
@@ -210,7 +210,7 @@
 
     def _carry(self, claim: Claim) -> None:
         """Of each instance the word of the highest ballot that the majority knows."""
-        carried: dict[str, tuple[Ballot, Word]] = {}
+        carried: dict[str, tuple[Ballot, Vote]] = {}
         for promise in self._promises.values():
             if promise.claim is None or promise.claim.digest != claim.digest:
                 continue
@@ -249,7 +249,7 @@
         document = None
         if self.table is not None and not self._shown:
             self._shown, document = True, self.table.document()
-        offer = Offer(self.slot, self.base.digest, self.claim.digest, document)
+        offer = VoteRequest(self.slot, self.base.digest, self.claim.digest, document)
         for member in everyone(self.base, self.table or self.base):
             if member not in off and (again or member not in self.answers):
                 self.out.send(member, offer)
@@ -273,16 +273,16 @@
 
     def _close(self, code: str, why: Callable[[str], str]) -> None:
         """Turn down what no word is known of."""
-        self.words += [Word(site, code, why(site)[:WHY_MOST]) for site in self.missing]
+        self.words += [Vote(site, code, why(site)[:WHY_MOST]) for site in self.missing]
 
     def _judge(self) -> bool:
         """Whether the slot is at its end."""
         if self.claim is None or self.ending is not None:
             return self.ending is not None
         if any(not w.staged for w in self.words[: max(self.decided, 0)]):
-            self.ending = Turned(tuple(w for w in self.words if not w.staged))
+            self.ending = Aborted(tuple(w for w in self.words if not w.staged))
         elif self.decided >= len(self.claim.sites) and self.table is not None:
-            self.ending = Chosen(self.table)
+            self.ending = Committed(self.table)
         return self.ending is not None
 
     def _unstaged(self, site: str, silence: Callable[[tuple[MemberId, ...]], str]) -> str:
--- a/madderbeam/federation/driving.py
+++ b/madderbeam/federation/consensus/failover.py
@@ -5,32 +5,32 @@
 from collections.abc import Callable
 from random import Random
 
-from madderbeam.federation.driver import Driver
+from madderbeam.federation.consensus.coordinator import Coordinator
+from madderbeam.federation.consensus.outbox import Outbox
+from madderbeam.federation.consensus.proposals import Proposals
+from madderbeam.federation.consensus.rounds import AgreementSettings, Ballot, Slot
 from madderbeam.federation.errors import FederationError, NoMajority
-from madderbeam.federation.offers import Offers
-from madderbeam.federation.outbox import Outbox
-from madderbeam.federation.rounds import AgreementSettings, Ballot, Slot
 from madderbeam.federation.values import Table
-from madderbeam.membership.values import Life, MemberId
+from madderbeam.membership.values import Incarnation, MemberId
 
 TRIES = 3  # of an own offer against higher ballots, before it waits for its turn
 
 
-class Driving:
+class CoordinatorFailover:
     """At most one driver at a time. `counter` is the highest of all ballots seen."""
 
     def __init__(
         self,
         settings: AgreementSettings,
         out: Outbox,
-        life: Life,
+        life: Incarnation,
         chance: Random,
-        offers: Offers,
+        offers: Proposals,
         document: Callable[[str], Table | None],
     ) -> None:
         self.settings, self.out, self.life, self.chance = settings, out, life, chance
         self.offers, self._document = offers, document
-        self.driver: Driver | None = None
+        self.driver: Coordinator | None = None
         self.counter = 0
         self.heard_of: MemberId | None = None  # the last other member that drove
         self._first: tuple[Slot, str, int] | None = None
@@ -47,12 +47,12 @@
             offer = None  # it is agreed, if not on disk yet, or too late
         ballot = Ballot(self.counter, self.out.me, self.life)
         told = self._document, self.offers.claim, self.since
-        self.driver = Driver(self.out, base, slot, ballot, offer, *told, self.settings)
+        self.driver = Coordinator(self.out, base, slot, ballot, offer, *told, self.settings)
         self._starved_us = self.out.now_us
         self.driver.begin()
         self.out.timer(self.settings.resend_us, "drive")
 
-    def at(self, slot: Slot) -> Driver | None:
+    def at(self, slot: Slot) -> Coordinator | None:
         """The driver, if it drives this slot."""
         return self.driver if self.driver is not None and self.driver.slot == slot else None
 
@@ -127,7 +127,7 @@
         elif self.out.now_us - self._starved_us >= self.settings.agree_within_us:
             self._starve(self.driver, silence)
 
-    def _starve(self, driver: Driver, silence: Callable[[tuple[MemberId, ...]], str]) -> None:
+    def _starve(self, driver: Coordinator, silence: Callable[[tuple[MemberId, ...]], str]) -> None:
         self._starved_us = self.out.now_us
         voters, within_s = driver.base.voters, self.settings.agree_within_us // 1_000_000
         error = NoMajority(
--- a/madderbeam/federation/messages.py
+++ b/madderbeam/federation/consensus/messages.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass, fields
 from typing import Any, get_type_hints
 
-from madderbeam.federation.rounds import Ballot, Claim, Mark, Slot, Word
+from madderbeam.federation.consensus.rounds import Ballot, Claim, Mark, Slot, Vote
 from madderbeam.federation.table import MEMBERS_MOST, NUMBER_MOST, SITES_MOST
-from madderbeam.membership.values import NAME_MOST, Life, MemberId, Row
+from madderbeam.membership.values import NAME_MOST, Incarnation, MemberId, Row
 
 WHY_MOST = 400  # characters of a reason
 COUNT_MOST = 2**62
 DIGEST = 16  # hex digits
 
-Voted = tuple[tuple[Ballot, Word], ...]
+Voted = tuple[tuple[Ballot, Vote], ...]
 Marks = tuple[tuple[MemberId, Mark], ...]
 
 
@@ -47,7 +47,7 @@
     base: str
     ballot: Ballot
     claim: Claim
-    words: tuple[Word, ...]
+    words: tuple[Vote, ...]
 
 
 @dataclass(frozen=True)
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class Refused:
+class BallotRejected:
     """A higher ballot was promised."""
 
     slot: Slot
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class Offer:
+class VoteRequest:
     """Stage the table of this digest and give your word on it. The document comes with it the first time; who
     has missed that asks for it (Show)."""
 
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True)
-class Show:
+class DocumentRequest:
     """Send me the table of this digest."""
 
     slot: Slot
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True)
-class Shown:
+class Document:
     """A table that is offered; its document as Table.document gives it."""
 
     slot: Slot
@@ -97,26 +97,26 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class VoteReply:
     """A member's word for its site."""
 
     slot: Slot
     digest: str
-    word: Word
+    word: Vote
 
 
 @dataclass(frozen=True)
-class Over:
+class SlotAborted:
     """All of a slot is turned down by these words. `marks`: how far the voters' folders are."""
 
     slot: Slot
     digest: str
-    words: tuple[Word, ...]
+    words: tuple[Vote, ...]
     marks: Marks
 
 
 @dataclass(frozen=True)
-class Later:
+class SlotAdvanced:
     """That attempt is over; this slot is open."""
 
     slot: Slot
@@ -132,14 +132,14 @@
 
 
 @dataclass(frozen=True)
-class Want:
+class CatchUpRequest:
     """Send me the agreed tables above this number."""
 
     number: int
 
 
 @dataclass(frozen=True)
-class Known:
+class AgreedTable:
     """An agreed table; the sender knows none between it and `after`."""
 
     after: int
@@ -147,39 +147,53 @@
 
 
 @dataclass(frozen=True)
-class Greet:
+class MarkAnnounced:
     """A voter that has started asks what is known of its folder. `over`: a life whose loss an operator has
     taken on (Trusted)."""
 
     mark: Mark
-    over: Life | None
+    over: Incarnation | None
 
 
 @dataclass(frozen=True)
-class Greeted:
+class MarkConfirmed:
     """Nothing newer is known of that folder, and this mark is written down."""
 
     mark: Mark
 
 
 @dataclass(frozen=True)
-class YourFolderIsOlder:
+class RollbackReported:
     """This was seen of you."""
 
     mark: Mark
 
 
 KINDS: dict[str, type[Any]] = {
-    "prepare": Prepare, "promise": Promise, "accept": Accept, "accepted": Accepted, "refused": Refused,
-    "offer": Offer, "show": Show, "shown": Shown, "answer": Answer, "over": Over, "later": Later,
-    "decided": Decided, "want": Want, "known": Known, "greet": Greet, "greeted": Greeted,
-    "older": YourFolderIsOlder,
-}  # fmt: skip
+    "prepare": Prepare,
+    "promise": Promise,
+    "accept": Accept,
+    "accepted": Accepted,
+    "refused": BallotRejected,
+    "offer": VoteRequest,
+    "show": DocumentRequest,
+    "shown": Document,
+    "answer": VoteReply,
+    "over": SlotAborted,
+    "later": SlotAdvanced,
+    "decided": Decided,
+    "want": CatchUpRequest,
+    "known": AgreedTable,
+    "greet": MarkAnnounced,
+    "greeted": MarkConfirmed,
+    "older": RollbackReported,
+}
 TAGS = {kind: tag for tag, kind in KINDS.items()}
 
 
 _PARTS = {
-    kind: tuple(f.name for f in fields(kind)) for kind in (Slot, Ballot, Claim, Word, Mark, Life, MemberId)
+    kind: tuple(f.name for f in fields(kind))
+    for kind in (Slot, Ballot, Claim, Vote, Mark, Incarnation, MemberId)
 }
 
 
@@ -260,9 +274,9 @@
     return MemberId(_site(site), _site(name))
 
 
-def life_of(value: Any) -> Life:
+def life_of(value: Any) -> Incarnation:
     start, nonce = _parts(value, 2)
-    return Life(_count(start), _count(nonce, 2**64))
+    return Incarnation(_count(start), _count(nonce, 2**64))
 
 
 def ballot_of(value: Any) -> Ballot:
@@ -275,9 +289,9 @@
     return Claim(digest_of(digest), _many(sites, 2 * SITES_MOST, _site))
 
 
-def word_of(value: Any) -> Word:
+def word_of(value: Any) -> Vote:
     site, code, why = _parts(value, 3)
-    return Word(_site(site), _text(code, NAME_MOST), _text(why, WHY_MOST))
+    return Vote(_site(site), _text(code, NAME_MOST), _text(why, WHY_MOST))
 
 
 def mark_of(value: Any) -> Mark:
@@ -285,7 +299,7 @@
     return Mark(life_of(life), _count(votes))
 
 
-def _vote(value: Any) -> tuple[Ballot, Word]:
+def _vote(value: Any) -> tuple[Ballot, Vote]:
     ballot, word = _parts(value, 2)
     return ballot_of(ballot), word_of(word)
 
@@ -319,12 +333,12 @@
     Ballot | None: _maybe(ballot_of),
     Claim: claim_of,
     Claim | None: _maybe(claim_of),
-    Word: word_of,
+    Vote: word_of,
     Mark: mark_of,
-    Life | None: _maybe(life_of),
+    Incarnation | None: _maybe(life_of),
     Voted: voted_of,
     Marks: marks_of,
-    tuple[Word, ...]: lambda value: _many(value, 2 * SITES_MOST, word_of),
+    tuple[Vote, ...]: lambda value: _many(value, 2 * SITES_MOST, word_of),
     dict[str, Any]: _document,
     dict[str, Any] | None: _maybe(_document),
     str: digest_of,
--- a/madderbeam/federation/outbox.py
+++ b/madderbeam/federation/consensus/outbox.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from madderbeam.membership.values import MemberId, Note, Persist, SetTimer, ToLink
+from madderbeam.membership.values import LogLine, MemberId, Persist, SendMessage, SetTimer
 
 PREFIX = "agree/"  # of all tokens of agreement's timers
 OWN_MOST = 256
@@ -30,7 +30,7 @@
 
     def send(self, member: MemberId, message: Any) -> None:
         if member != self.me:
-            self.actions.append(ToLink(member, message))
+            self.actions.append(SendMessage(member, message))
             return
         while len(self._own) >= OWN_MOST:
             del self._own[next(iter(self._own))]
@@ -54,7 +54,7 @@
         self.actions.append(SetTimer(self.now_us + after_us, PREFIX + token))
 
     def note(self, text: str, error: Exception | None = None) -> None:
-        self.actions.append(Note(text, error))
+        self.actions.append(LogLine(text, error))
 
     def give(self, action: Any) -> None:
         self.actions.append(action)
--- a/madderbeam/federation/speaker.py
+++ b/madderbeam/federation/consensus/participant.py
@@ -5,16 +5,24 @@
 from collections.abc import Mapping
 from typing import Any
 
+from madderbeam.federation.consensus.messages import (
+    WHY_MOST,
+    Document,
+    DocumentRequest,
+    VoteReply,
+    VoteRequest,
+    slot_of,
+    to_plain,
+)
+from madderbeam.federation.consensus.outbox import Outbox
+from madderbeam.federation.consensus.rounds import Slot, Vote
 from madderbeam.federation.errors import TableRefused, TableUnfit, WordUnwritten
-from madderbeam.federation.messages import WHY_MOST, Answer, Offer, Show, Shown, slot_of, to_plain
-from madderbeam.federation.outbox import Outbox
-from madderbeam.federation.rounds import Slot, Word
 from madderbeam.federation.table import check, read
-from madderbeam.federation.values import Check, Checked, Table
+from madderbeam.federation.values import CheckTable, Table, TableChecked
 from madderbeam.membership.values import MemberId
 
 
-class Speaker:
+class Participant:
     """At most one table at a time: that of the slot which was offered last."""
 
     def __init__(
@@ -25,7 +33,7 @@
         self.slot: Slot | None = None
         self.digest = ""
         self.table: Table | None = None
-        self.word: Word | None = None  # once it may be given: what is staged is on disk then
+        self.word: Vote | None = None  # once it may be given: what is staged is on disk then
         self.since_us = 0
         self._asked_us: int | None = None
         self._asker: MemberId | None = None
@@ -33,7 +41,7 @@
         record = records.get(("staged", ""))
         if record is not None and slot_of(record["slot"]).number == base.number + 1:
             self.slot, self.table = slot_of(record["slot"]), read(record["document"])
-            self.digest, self.word = self.table.digest, Word(out.me.site)
+            self.digest, self.word = self.table.digest, Vote(out.me.site)
 
     def staged(self, digest: str) -> Table | None:
         """The table of this digest, if its document is here."""
@@ -47,7 +55,7 @@
         self._writing = False
         self.out.persist("staged", "", None)
 
-    def on_offer(self, member: MemberId, message: Offer, base: Table) -> None:
+    def on_offer(self, member: MemberId, message: VoteRequest, base: Table) -> None:
         """Offered again, it gives its word again."""
         slot, digest = message.slot, message.digest
         if (slot, digest) != (self.slot, self.digest):
@@ -57,16 +65,16 @@
             self.since_us, self._asked_us, self._writing = self.out.now_us, None, False
         self._asker = member
         if self.word is not None:
-            self.out.send(member, Answer(slot, digest, self.word))
+            self.out.send(member, VoteReply(slot, digest, self.word))
         elif self.table is not None:
             return  # the host's check or the write is under way
         elif message.document is not None:
-            self.on_shown(Shown(slot, message.document), base)
+            self.on_shown(Document(slot, message.document), base)
         elif self._asked_us is None or self.out.now_us - self._asked_us >= self.ask_us:
             self._asked_us = self.out.now_us
-            self.out.send(member, Show(slot, digest))
+            self.out.send(member, DocumentRequest(slot, digest))
 
-    def on_shown(self, message: Shown, base: Table) -> None:
+    def on_shown(self, message: Document, base: Table) -> None:
         if message.slot != self.slot or self.table is not None or self.word is not None:
             return
         try:
@@ -81,10 +89,10 @@
         if refused is not None:
             self._down(TableRefused.code, refused.what)
             return
-        self.out.give(Check(table))
+        self.out.give(CheckTable(table))
         self.out.timer(self.check_us, f"check/{self.slot}")
 
-    def on_checked(self, event: Checked) -> None:
+    def on_checked(self, event: TableChecked) -> None:
         asked = self.table is not None and self.word is None and not self._writing
         if not asked or self.table is None or event.proposal != self.table.proposal:
             return
@@ -109,7 +117,7 @@
     def on_written(self, token: str) -> None:
         if token == f"staged/{self.slot}" and self._writing:
             self._writing = False
-            self._say(Word(self.out.me.site))
+            self._say(Vote(self.out.me.site))
 
     def on_unwritten(self) -> None:
         if self._writing:
@@ -121,9 +129,9 @@
             self.out.timer(self.check_us, f"check/{self.slot}")
 
     def _down(self, code: str, why: str) -> None:
-        self._say(Word(self.out.me.site, code, f"{self.out.me}: {why}"[:WHY_MOST]))
+        self._say(Vote(self.out.me.site, code, f"{self.out.me}: {why}"[:WHY_MOST]))
 
-    def _say(self, word: Word) -> None:
+    def _say(self, word: Vote) -> None:
         self.word = word
         if self._asker is not None and self.slot is not None:
-            self.out.send(self._asker, Answer(self.slot, self.digest, word))
+            self.out.send(self._asker, VoteReply(self.slot, self.digest, word))
--- a/madderbeam/federation/offers.py
+++ b/madderbeam/federation/consensus/proposals.py
@@ -6,38 +6,40 @@
 from dataclasses import dataclass
 from typing import Any
 
+from madderbeam.federation.consensus.messages import slot_of, to_plain
+from madderbeam.federation.consensus.outbox import Outbox
+from madderbeam.federation.consensus.rounds import Slot, Vote, error_of
 from madderbeam.federation.errors import FederationError, Superseded, TableRefused, WordUnwritten
-from madderbeam.federation.messages import slot_of, to_plain
-from madderbeam.federation.outbox import Outbox
-from madderbeam.federation.rounds import Slot, Word, error_of
 from madderbeam.federation.table import check, read
-from madderbeam.federation.values import Outcome, Table
+from madderbeam.federation.values import ProposalOutcome, Table
 
 OFFERS_MOST = 4
 REWRITE_US = 1_000_000
 
 
 @dataclass(frozen=True)
-class Pending:
+class PendingProposal:
     """An offer; `claimed`: the slot for which this member asked the voters to take it, if it did."""
 
     table: Table
     claimed: Slot | None = None
 
 
-class Offers:
+class Proposals:
     """Only the newest is pushed; earlier ones that were claimed wait for what becomes of them."""
 
     def __init__(self, out: Outbox, records: Mapping[tuple[str, str], Any]) -> None:
         self.out = out
-        self.pending: dict[str, Pending] = {}
+        self.pending: dict[str, PendingProposal] = {}
         self._claiming: str | None = None  # claimed for the first time by the last write
-        self._ended: dict[str, Outcome] = {}  # told once their records are gone from the disk
+        self._ended: dict[str, ProposalOutcome] = {}  # told once their records are gone from the disk
         self._fresh: list[str] = []
         rows = [value for (kind, _), value in records.items() if kind == "offer"]
         for row in sorted(rows, key=lambda r: int(r["count"])):
             table = read(row["document"])
-            self.pending[table.digest] = Pending(table, slot_of(row["claimed"]) if row["claimed"] else None)
+            self.pending[table.digest] = PendingProposal(
+                table, slot_of(row["claimed"]) if row["claimed"] else None
+            )
         self._count = max((int(row["count"]) for row in rows), default=0)
 
     @property
@@ -51,20 +53,20 @@
     def add(self, table: Table, base: Table) -> bool:
         """Whether it is to be pushed now; else it is pending already, or has had its outcome."""
         if table.digest == base.digest:
-            self.out.give(Outcome(table.proposal, True, None))
+            self.out.give(ProposalOutcome(table.proposal, True, None))
             return False
         refused = check(table, base)
         full = len(self.pending) + len(self._ended) >= OFFERS_MOST
         if refused is None and full and table.digest not in self.pending:
             refused = TableRefused(f"{OFFERS_MOST} tables are pending here", "offer")
         if refused is not None:
-            self.out.give(Outcome(table.proposal, False, refused))
+            self.out.give(ProposalOutcome(table.proposal, False, refused))
             return False
         if self.newest is not None and self.newest.digest == table.digest:
             return False
         if table.digest in self._ended:  # offered anew: its record is written over
             self.out.give(self._ended.pop(table.digest))
-        former = self.pending.pop(table.digest, Pending(table))
+        former = self.pending.pop(table.digest, PendingProposal(table))
         for digest, offer in list(self.pending.items()):
             if offer.claimed is None:
                 what = f"table {offer.table.proposal} was replaced by {table.proposal}"
@@ -77,7 +79,7 @@
         """Written down before the voters are asked: after a restart it is known what was risked."""
         former = self.pending[digest]
         self._claiming = None if former.claimed is not None else digest
-        self.pending[digest] = Pending(former.table, slot)
+        self.pending[digest] = PendingProposal(former.table, slot)
         self._keep(digest)
 
     def on_unwritten(self, digest: str) -> bool:
@@ -108,13 +110,13 @@
         if outcome is not None:
             self.out.give(outcome)
 
-    def over(self, slot: Slot, digest: str, words: tuple[Word, ...]) -> None:
+    def over(self, slot: Slot, digest: str, words: tuple[Vote, ...]) -> None:
         """The slot was for this digest, and was turned down. What else was claimed for it may try again."""
         if digest in self.pending:
             self._end(digest, error_of(words))
         for other, offer in self.pending.items():
             if offer.claimed == slot:
-                self.pending[other] = Pending(offer.table)
+                self.pending[other] = PendingProposal(offer.table)
 
     def opened(self, slot: Slot) -> None:
         """What was claimed for an earlier slot was turned down or lost to another: it is not known which."""
@@ -145,7 +147,7 @@
     def _end(self, digest: str, error: FederationError | None) -> None:
         offer = self.pending.pop(digest)
         self._fresh.append(digest)
-        self._ended[digest] = Outcome(offer.table.proposal, error is None, error)
+        self._ended[digest] = ProposalOutcome(offer.table.proposal, error is None, error)
 
     def _keep(self, digest: str) -> None:
         offer, self._count = self.pending[digest], self._count + 1
--- a/madderbeam/federation/folder.py
+++ b/madderbeam/federation/consensus/rollback_detection.py
@@ -10,19 +10,19 @@
 from collections.abc import Mapping
 from typing import Any
 
-from madderbeam.federation.errors import FolderOlder
-from madderbeam.federation.messages import (
-    Greet,
-    Greeted,
+from madderbeam.federation.consensus.messages import (
+    MarkAnnounced,
+    MarkConfirmed,
     Marks,
-    YourFolderIsOlder,
+    RollbackReported,
     life_of,
     marks_of,
     to_plain,
 )
-from madderbeam.federation.outbox import Outbox
-from madderbeam.federation.rounds import Mark
-from madderbeam.membership.values import Life, MemberId
+from madderbeam.federation.consensus.outbox import Outbox
+from madderbeam.federation.consensus.rounds import Mark
+from madderbeam.federation.errors import FolderOlder
+from madderbeam.membership.values import Incarnation, MemberId
 
 REWRITE_US = 1_000_000
 
@@ -33,16 +33,18 @@
     return mark.life.start < seen.life.start or copied or mark.votes < seen.votes
 
 
-class Folder:
+class RollbackDetector:
     """The marks seen of voters, what is known of one's own, and the greetings."""
 
-    def __init__(self, out: Outbox, life: Life, records: Mapping[tuple[str, str], Any]) -> None:
+    def __init__(self, out: Outbox, life: Incarnation, records: Mapping[tuple[str, str], Any]) -> None:
         self.out, self.life = out, life
         rows = [row for (kind, _), row in records.items() if kind == "seen"]
         self.seen: dict[MemberId, Mark] = dict(marks_of(rows))
         distrusted, over = records.get(("distrusted", "")), records.get(("trusted", ""))
-        self.distrusted: Life | None = life_of(distrusted) if distrusted else None
-        self.over: Life | None = life_of(over) if over else None  # an operator has taken on what it lost
+        self.distrusted: Incarnation | None = life_of(distrusted) if distrusted else None
+        self.over: Incarnation | None = (
+            life_of(over) if over else None
+        )  # an operator has taken on what it lost
         if self.over is not None and self.distrusted is not None and self.distrusted.start <= self.over.start:
             self.distrusted = None
         self.greeted: set[MemberId] = set()
@@ -58,21 +60,21 @@
 
     def greet_one(self, voter: MemberId, mark: Mark) -> None:
         if voter != self.out.me:
-            self.out.send(voter, Greet(mark, self.over))
+            self.out.send(voter, MarkAnnounced(mark, self.over))
 
-    def on_greet(self, member: MemberId, message: Greet, voters: tuple[MemberId, ...]) -> None:
+    def on_greet(self, member: MemberId, message: MarkAnnounced, voters: tuple[MemberId, ...]) -> None:
         if member not in voters:
             return
         seen = self.seen.get(member)
         taken_on = message.over is not None and seen is not None and seen.life.start <= message.over.start
         if seen is not None and behind(message.mark, seen) and not taken_on:
-            self.out.send(member, YourFolderIsOlder(seen))
+            self.out.send(member, RollbackReported(seen))
             return
         self.seen[member] = message.mark
         self._keep(member)
-        self.out.send(member, Greeted(message.mark))
+        self.out.send(member, MarkConfirmed(message.mark))
 
-    def on_greeted(self, member: MemberId, message: Greeted) -> None:
+    def on_greeted(self, member: MemberId, message: MarkConfirmed) -> None:
         if message.mark.life == self.life:
             self.greeted.add(member)
 
@@ -80,7 +82,7 @@
         """Whether a voter's mark is not behind what was seen of it; if it is, it is told."""
         seen = self.seen.get(member)
         if seen is not None and behind(mark, seen):
-            self.out.send(member, YourFolderIsOlder(seen))
+            self.out.send(member, RollbackReported(seen))
             return False
         self.seen[member] = mark
         return True
@@ -111,7 +113,7 @@
         """Someone saw `seen` of this member. Returns how many votes to count at least."""
         if self.over is not None and seen.life.start <= self.over.start:
             votes = max(own.votes, seen.votes + 1)
-            self.out.send(member, Greet(Mark(own.life, votes), self.over))  # an operator's word
+            self.out.send(member, MarkAnnounced(Mark(own.life, votes), self.over))  # an operator's word
             return votes
         newer = seen.life.start > own.life.start
         copied = seen.life.start == own.life.start and seen.life != own.life
@@ -119,7 +121,7 @@
             self.distrust(seen.life, f"by {member} at start {seen.life.start} with {seen.votes} votes")
         return own.votes
 
-    def distrust(self, seen: Life, by: str = "") -> None:
+    def distrust(self, seen: Incarnation, by: str = "") -> None:
         if self.over is not None and seen.start <= self.over.start:
             return
         first = self.distrusted is None
--- a/madderbeam/federation/rounds.py
+++ b/madderbeam/federation/consensus/rounds.py
@@ -11,7 +11,7 @@
     TableRefused,
     WordUnwritten,
 )
-from madderbeam.membership.values import Life, MemberId
+from madderbeam.membership.values import Incarnation, MemberId
 
 
 @dataclass(frozen=True)
@@ -46,7 +46,7 @@
 
     counter: int
     member: MemberId
-    life: Life
+    life: Incarnation
 
 
 @dataclass(frozen=True)
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Word:
+class Vote:
     """The value of a site's instance: staged (no code), or turned down with an error's code and text."""
 
     site: str
@@ -74,13 +74,13 @@
 class Mark:
     """How far a voter's folder is: its life, and how many votes it has written down."""
 
-    life: Life
+    life: Incarnation
     votes: int
 
 
-def error_of(words: tuple[Word, ...]) -> FederationError:
+def error_of(words: tuple[Vote, ...]) -> FederationError:
     """Why a claim was turned down, by the first of the words that did."""
-    down = next((w for w in words if not w.staged), Word("", Superseded.code, "it was turned down"))
+    down = next((w for w in words if not w.staged), Vote("", Superseded.code, "it was turned down"))
     if down.code == TableRefused.code:
         return TableRefused(down.why, down.site)
     kinds = {k.code: k for k in (NotAllStaged, Superseded, WordUnwritten)}
--- a/madderbeam/federation/machine.py
+++ b/madderbeam/federation/federation.py
@@ -4,14 +4,20 @@
 
 from typing import Any, Protocol
 
-from madderbeam.federation.agreement import Agreement
-from madderbeam.federation.messages import TAGS
-from madderbeam.federation.outbox import PREFIX
-from madderbeam.federation.values import Agreed, Checked, Finish, Proposed, Trusted
-from madderbeam.membership.values import Due, FromLink
+from madderbeam.federation.consensus.agreement import Agreement
+from madderbeam.federation.consensus.messages import TAGS
+from madderbeam.federation.consensus.outbox import PREFIX
+from madderbeam.federation.values import (
+    FinishProposal,
+    FolderTrusted,
+    TableAgreed,
+    TableChecked,
+    TableProposed,
+)
+from madderbeam.membership.values import MessageReceived, TimerDue
 
 
-class Part(Protocol):
+class SwitchoverMachine(Protocol):
     """A machine that joins in: the switch part."""
 
     def start(self, now_us: int) -> list[Any]: ...
@@ -24,7 +30,7 @@
     part, whose actions take its place in the list. `Unwritten` goes to both whatever its kind is: what stood
     behind a record of the one may have been the other's."""
 
-    def __init__(self, agreement: Agreement, switch: Part | None = None) -> None:
+    def __init__(self, agreement: Agreement, switch: SwitchoverMachine | None = None) -> None:
         self.agreement, self.switch = agreement, switch
 
     def start(self, now_us: int) -> list[Any]:
@@ -33,11 +39,11 @@
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
         match event:
-            case Proposed() | Checked() | Trusted():
+            case TableProposed() | TableChecked() | FolderTrusted():
                 return self._joined(now_us, self.agreement.handle(now_us, event))
-            case FromLink(_, message):
+            case MessageReceived(_, message):
                 agreed_on = type(message) in TAGS
-            case Due(token):
+            case TimerDue(token):
                 agreed_on = token.startswith(PREFIX)
             case _:
                 actions = self._joined(now_us, self.agreement.handle(now_us, event))
@@ -52,7 +58,7 @@
     def _joined(self, now_us: int, actions: list[Any]) -> list[Any]:
         joined: list[Any] = []
         for action in actions:
-            if isinstance(action, Agreed):
+            if isinstance(action, TableAgreed):
                 joined += self._switched(now_us, action)
             else:
                 joined.append(action)
@@ -62,5 +68,5 @@
         """The switch part waits for a proposal to come to its end: agreement sees to that."""
         joined: list[Any] = []
         for action in actions:
-            joined += self.agreement.finish(now_us) if isinstance(action, Finish) else [action]
+            joined += self.agreement.finish(now_us) if isinstance(action, FinishProposal) else [action]
         return joined
--- /dev/null
+++ b/madderbeam/federation/leases/__init__.py
@@ -0,0 +1,1 @@
+"""Leases by which a member serves, granted by the voters."""
--- a/madderbeam/federation/leasing.py
+++ b/madderbeam/federation/leases/coordination.py
@@ -5,32 +5,37 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from madderbeam.federation.book import Book
-from madderbeam.federation.inquiries import Renew, Renewed, Vouch, Vouched
-from madderbeam.federation.inquiry import Council
-from madderbeam.federation.lease import RENEWALS, Ends, Holder, Voter
-from madderbeam.federation.switch_settings import SwitchSettings
+from madderbeam.federation.leases.lease import RENEWALS, LeaseEnds, LeaseGrantor, LeaseHolder
+from madderbeam.federation.switchover.inquiry import ConsensusView
+from madderbeam.federation.switchover.messages import (
+    LeaseEndConfirmation,
+    LeaseEndRequest,
+    LeaseReply,
+    LeaseRequest,
+)
+from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
+from madderbeam.federation.switchover.pending_writes import ActionBuffer
+from madderbeam.federation.switchover.settings import SwitchoverSettings
 from madderbeam.federation.table import MEMBERS_MOST
 from madderbeam.federation.values import Release
-from madderbeam.federation.writes import Out
-from madderbeam.membership.values import Life, MemberId, ToLink
+from madderbeam.membership.values import Incarnation, MemberId, SendMessage
 
 
-class Leasing:
+class LeaseCoordination:
     """With leases off it neither asks nor renews nor vouches."""
 
     def __init__(
         self,
-        settings: SwitchSettings,
-        book: Book,
-        out: Out,
-        life: Life,
-        holder: Holder,
-        council: Council,
+        settings: SwitchoverSettings,
+        book: OwnershipRegistry,
+        out: ActionBuffer,
+        life: Incarnation,
+        holder: LeaseHolder,
+        council: ConsensusView,
         records: Mapping[tuple[str, str], Any],
     ) -> None:
         self.settings, self.book, self.out, self.holder, self.council = settings, book, out, holder, council
-        self.voter, self.ends = Voter(settings, records), Ends(settings)
+        self.voter, self.ends = LeaseGrantor(settings, records), LeaseEnds(settings)
         self.ask = life.start << 24
         self.waiting: dict[MemberId, set[MemberId]] = {}  # who asked for a vouch that is being written
 
@@ -61,16 +66,16 @@
         now_us = self.out.now_us
         self.ask += 1
         self.holder.asked(now_us, self.ask)
-        message = Renew(self.ask, self.book.ledger.number, self.settings.lease_us)
+        message = LeaseRequest(self.ask, self.book.ledger.number, self.settings.lease_us)
         for voter in self.book.table.voters:
             if voter == self.book.me:
                 answer = self.voter.renew(now_us, voter, message, self.book, self.council.may_vote())
                 self.renewed(voter, answer)
             else:
-                self.out.do(ToLink(voter, message))
+                self.out.do(SendMessage(voter, message))
         self.out.timer(now_us + self.settings.lease_us // RENEWALS, "lease")
 
-    def renewed(self, member: MemberId, message: Renewed) -> None:
+    def renewed(self, member: MemberId, message: LeaseReply) -> None:
         until_us = self.holder.until_us
         self.holder.answered(member, message, self.book.table.voters)
         if self.holder.until_us > until_us:
@@ -85,13 +90,13 @@
             self.voter.leased[member] = lease_us
             self.out.write("leased", str(member), [member.site, member.name, lease_us])
 
-    def asked(self, member: MemberId, message: Renew) -> None:
+    def asked(self, member: MemberId, message: LeaseRequest) -> None:
         answer = self.voter.renew(self.out.now_us, member, message, self.book, self.council.may_vote())
-        self.out.do(ToLink(member, answer))
+        self.out.do(SendMessage(member, answer))
         if answer.granted:
             self.serves_by(member, message.lease_us)
 
-    def vouch(self, asker: MemberId, message: Vouch) -> None:
+    def vouch(self, asker: MemberId, message: LeaseEndRequest) -> None:
         ready = []
         for member, number in message.members:
             known = number <= self.book.ledger.number
@@ -118,9 +123,9 @@
 
     def _say(self, asker: MemberId, members: tuple[tuple[MemberId, int], ...]) -> None:
         if asker == self.book.me:
-            self.vouched(asker, Vouched(members))
+            self.vouched(asker, LeaseEndConfirmation(members))
         else:
-            self.out.do(ToLink(asker, Vouched(members)))
+            self.out.do(SendMessage(asker, LeaseEndConfirmation(members)))
 
     # Waiting for the end of another's lease
 
@@ -131,9 +136,9 @@
             if voter == self.book.me:
                 self.vouch(voter, message)
             else:
-                self.out.do(ToLink(voter, message))
+                self.out.do(SendMessage(voter, message))
 
-    def vouched(self, voter: MemberId, message: Vouched) -> None:
+    def vouched(self, voter: MemberId, message: LeaseEndConfirmation) -> None:
         for member, number in message.members:
             self.ends.vouched(voter, member, number, self.book)
 
--- a/madderbeam/federation/lease.py
+++ b/madderbeam/federation/leases/lease.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from madderbeam.federation.book import Book
-from madderbeam.federation.inquiries import Renew, Renewed, Vouch
-from madderbeam.federation.ledger import named
-from madderbeam.federation.switch_settings import SwitchSettings
+from madderbeam.federation.switchover.ledger import named
+from madderbeam.federation.switchover.messages import LeaseEndRequest, LeaseReply, LeaseRequest
+from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
+from madderbeam.federation.switchover.settings import SwitchoverSettings
 from madderbeam.federation.table import MEMBERS_MOST
 from madderbeam.membership.values import MemberId
 
@@ -27,10 +27,10 @@
     return sum(v in voters for v in set(of)) > len(voters) // 2
 
 
-class Holder:
+class LeaseHolder:
     """The lease of this member: it runs until `until_us`."""
 
-    def __init__(self, settings: SwitchSettings) -> None:
+    def __init__(self, settings: SwitchoverSettings) -> None:
         self.settings = settings
         self.until_us = 0
         self._asks: dict[int, tuple[int, set[MemberId]]] = {}
@@ -44,7 +44,7 @@
         while len(self._asks) > ASKS_MOST:
             del self._asks[next(iter(self._asks))]
 
-    def answered(self, member: MemberId, message: Renewed, voters: tuple[MemberId, ...]) -> None:
+    def answered(self, member: MemberId, message: LeaseReply, voters: tuple[MemberId, ...]) -> None:
         if not message.granted or message.ask not in self._asks:
             return
         asked_us, granted = self._asks[message.ask]
@@ -58,12 +58,12 @@
         self._asks.clear()
 
 
-class Voter:
+class LeaseGrantor:
     """What this member said to others as a voter. `refused`: the table below which a member is not renewed,
     because its lease was vouched to be over. `leased`: the span of the leases that a member serves by; both
     are on disk."""
 
-    def __init__(self, settings: SwitchSettings, records: Mapping[tuple[str, str], Any]) -> None:
+    def __init__(self, settings: SwitchoverSettings, records: Mapping[tuple[str, str], Any]) -> None:
         self.settings = settings
         self.refused: dict[MemberId, int] = {}
         self.leased: dict[MemberId, int] = {}
@@ -81,7 +81,9 @@
         """`before_us`: a lease's longest span, as it was set until now: what was said then may still run."""
         self.ready_us = now_us + max(self.settings.lease_over_us, before_us)
 
-    def renew(self, now_us: int, member: MemberId, message: Renew, book: Book, votes: bool) -> Renewed:
+    def renew(
+        self, now_us: int, member: MemberId, message: LeaseRequest, book: OwnershipRegistry, votes: bool
+    ) -> LeaseReply:
         why = ""
         if not votes:
             why = "this member takes no part in votes"
@@ -93,7 +95,7 @@
             why = f"it was vouched for that its lease by a table below {self.refused[member]} is over"
         else:
             self.renewed[member] = now_us
-        return Renewed(message.ask, not why, book.table.number, why)
+        return LeaseReply(message.ask, not why, book.table.number, why)
 
     def vouches(self, now_us: int, member: MemberId, votes: bool) -> bool:
         """Nothing that this voter said lets the member serve still, and the member does serve by leases."""
@@ -109,7 +111,7 @@
         self.refused[member] = max(number, self.refused.get(member, 0))
         return True
 
-    def forget(self, now_us: int, book: Book) -> list[tuple[str, MemberId]]:
+    def forget(self, now_us: int, book: OwnershipRegistry) -> list[tuple[str, MemberId]]:
         """What was vouched for binds until the member has that table in force, also if it is not named for
         a while; what was renewed counts until it is over."""
         owing = {m for owed in book.ledger.debts.values() for m in owed}
@@ -123,15 +125,15 @@
         return gone
 
 
-class Ends:
+class LeaseEnds:
     """Voters' words on the ends of leases of members that have not released what this member waits for."""
 
-    def __init__(self, settings: SwitchSettings) -> None:
+    def __init__(self, settings: SwitchoverSettings) -> None:
         self.settings = settings
         self.words: dict[MemberId, dict[MemberId, int]] = {}
         self.off_us: dict[MemberId, int] = {}  # since when a voter is known to be off
 
-    def asks(self, book: Book) -> dict[MemberId, Vouch]:
+    def asks(self, book: OwnershipRegistry) -> dict[MemberId, LeaseEndRequest]:
         """By voter, what it is to be asked."""
         owed: dict[MemberId, int] = {}
         for _, member, number in book.gains_missing():
@@ -141,14 +143,14 @@
             for voter in {v for council in self._councils(member, book) for v in council}:
                 if self.words.get(member, {}).get(voter, 0) < number:
                     asks.setdefault(voter, []).append((member, number))
-        return {voter: Vouch(tuple(members)) for voter, members in sorted(asks.items())}
+        return {voter: LeaseEndRequest(tuple(members)) for voter, members in sorted(asks.items())}
 
-    def vouched(self, voter: MemberId, member: MemberId, number: int, book: Book) -> None:
+    def vouched(self, voter: MemberId, member: MemberId, number: int, book: OwnershipRegistry) -> None:
         if any(member in owed for owed in book.ledger.debts.values()):
             words = self.words.setdefault(member, {})
             words[voter] = max(number, words.get(voter, 0))
 
-    def ended(self, now_us: int, member: MemberId, number: int, book: Book) -> bool:
+    def ended(self, now_us: int, member: MemberId, number: int, book: OwnershipRegistry) -> bool:
         """By no table that it may have in force can the member still hold a lease to serve by one below
         `number`."""
         words = self.words.get(member, {})
@@ -160,13 +162,13 @@
         """A voter that is off renews nothing any more."""
         self.off_us.setdefault(member, now_us)
 
-    def forget(self, book: Book) -> None:
+    def forget(self, book: OwnershipRegistry) -> None:
         owing = {m for owed in book.ledger.debts.values() for m in owed}
         self.words = {m: words for m, words in self.words.items() if m in owing}
         voting = {v for _, council in book.ledger.councils for v in council}
         self.off_us = {m: at for m, at in self.off_us.items() if m in voting}
 
-    def _councils(self, member: MemberId, book: Book) -> list[tuple[MemberId, ...]]:
+    def _councils(self, member: MemberId, book: OwnershipRegistry) -> list[tuple[MemberId, ...]]:
         """The sets of voters of all tables that the member may have in force."""
         standing = book.standings.get(member)
         low = standing.number if standing is not None else 0
--- /dev/null
+++ b/madderbeam/federation/switchover/__init__.py
@@ -0,0 +1,1 @@
+"""The switch to an agreed table: what is served here, released, and in force elsewhere."""
--- a/madderbeam/federation/adoption.py
+++ b/madderbeam/federation/switchover/activation.py
@@ -4,40 +4,47 @@
 
 from dataclasses import replace
 
-from madderbeam.federation.book import Book, Standing
 from madderbeam.federation.errors import FederationError, TableRefused, TablesDiffer
-from madderbeam.federation.inquiries import InForceIs
-from madderbeam.federation.learning import standing_body
-from madderbeam.federation.ledger import COUNCILS_MOST, DEBTS_MOST, Ledger, debts_after
-from madderbeam.federation.moves import version
-from madderbeam.federation.switch_settings import SwitchSettings
+from madderbeam.federation.switchover.ledger import COUNCILS_MOST, DEBTS_MOST, Ledger, debts_after
+from madderbeam.federation.switchover.messages import InForceReply
+from madderbeam.federation.switchover.moves import version
+from madderbeam.federation.switchover.ownership_registry import MemberStanding, OwnershipRegistry
+from madderbeam.federation.switchover.pending_writes import ActionBuffer
+from madderbeam.federation.switchover.release_learning import standing_body
+from madderbeam.federation.switchover.settings import SwitchoverSettings
 from madderbeam.federation.values import Table
-from madderbeam.federation.writes import Out
-from madderbeam.membership.values import Life, Note, Spread
+from madderbeam.membership.values import Disseminate, Incarnation, LogLine
 
 AGREED_MOST = 64  # tables that are agreed and wait for those between
 
 
-class Adoption:
+class TableActivation:
     """`fresh`: nothing is on disk, and what the file says may be old. `candidate`: the ledger that is being
     written, and whether tables between were skipped."""
 
-    def __init__(self, settings: SwitchSettings, book: Book, out: Out, life: Life, fresh: bool) -> None:
+    def __init__(
+        self,
+        settings: SwitchoverSettings,
+        book: OwnershipRegistry,
+        out: ActionBuffer,
+        life: Incarnation,
+        fresh: bool,
+    ) -> None:
         self.settings, self.book, self.out, self.life, self.fresh = settings, book, out, life, fresh
         self.agreed: dict[int, Table] = {}
         self.candidate: tuple[Ledger, bool] | None = None
-        self._told: Standing | None = None
+        self._told: MemberStanding | None = None
 
     def add(self, table: Table) -> None:
         """It is agreed; known before or older ones change nothing."""
         mine = self.book.table
         if table.number == mine.number and table.digest != mine.digest:
             what = f"table {mine.number} is {mine.digest} here, and {table.digest} was agreed"
-            self.out.do(Note(what, TablesDiffer(what)))
+            self.out.do(LogLine(what, TablesDiffer(what)))
         if table.number > mine.number and len(self.agreed) < AGREED_MOST:
             self.agreed.setdefault(table.number, table)
 
-    def told(self, message: InForceIs) -> None:
+    def told(self, message: InForceReply) -> None:
         """Take what a member with newer tables told: those that come next, else its ledger."""
         whole = message.whole
         if whole is not None and self.candidate is None:
@@ -81,11 +88,11 @@
         if self.fresh:
             return
         settled = next(self.book.all_missing(), None) is None
-        standing = Standing(self.book.ledger.number, settled, self.settings.lease_us)
+        standing = MemberStanding(self.book.ledger.number, settled, self.settings.lease_us)
         if standing != self._told or again:
             self._told = standing
             at = version(standing.number, self.life, int(settled))
-            self.out.do(Spread("force", at, standing_body(standing), self.settings.keep_us))
+            self.out.do(Disseminate("force", at, standing_body(standing), self.settings.keep_us))
 
     def objection(self, table: Table) -> FederationError | None:
         """What stands against staging this table here."""
--- a/madderbeam/federation/council.py
+++ b/madderbeam/federation/switchover/consensus_view.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Sequence
 
-from madderbeam.federation.agreement import Agreement
+from madderbeam.federation.consensus.agreement import Agreement
 from madderbeam.federation.values import ProposalId, Table
 
 
-class FromAgreement:
+class AgreementView:
     """inquiry.Council by the agreement of the same member."""
 
     def __init__(self, agreement: Agreement) -> None:
--- a/madderbeam/federation/inquiry.py
+++ b/madderbeam/federation/switchover/inquiry.py
@@ -10,17 +10,22 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from madderbeam.federation.book import Book
-from madderbeam.federation.inquiries import PENDING_MOST, InForceIs, Pending, WhatIsInForce
-from madderbeam.federation.lease import majority
-from madderbeam.federation.ledger import named
-from madderbeam.federation.switch_settings import SwitchSettings
+from madderbeam.federation.leases.lease import majority
+from madderbeam.federation.switchover.ledger import named
+from madderbeam.federation.switchover.messages import (
+    PENDING_MOST,
+    InForceQuery,
+    InForceReply,
+    PendingProposal,
+)
+from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
+from madderbeam.federation.switchover.settings import SwitchoverSettings
 from madderbeam.federation.table import MEMBERS_MOST
 from madderbeam.federation.values import ProposalId, Table
-from madderbeam.membership.values import Life, MemberId
+from madderbeam.membership.values import Incarnation, MemberId
 
 
-class Council(Protocol):
+class ConsensusView(Protocol):
     """What the agreement part tells the switch part when it is asked, from what is on disk."""
 
     def pending(self) -> Sequence[tuple[ProposalId, Table | None]]:
@@ -36,7 +41,7 @@
         ...
 
 
-class Alone:
+class NoConsensus:
     """No agreement: nothing is ever pending."""
 
     def pending(self) -> Sequence[tuple[ProposalId, Table | None]]:
@@ -49,32 +54,32 @@
         return ()
 
 
-def pending_of(council: Council, table: Table) -> tuple[Pending, ...]:
+def pending_of(council: ConsensusView, table: Table) -> tuple[PendingProposal, ...]:
     """What each proposal would change against the table in force."""
     found = []
     for proposal, other in list(council.pending())[:PENDING_MOST]:
         if proposal.number <= table.number:
             continue
         if other is None:
-            found.append(Pending(proposal, None))
+            found.append(PendingProposal(proposal, None))
             continue
         moves = frozenset(d for d, site in table.owners.items() if other.owners.get(d) != site)
         members = [m for site in table.sites for m in table.members(site)]
-        found.append(Pending(proposal, moves, frozenset(m for m in members if not named(other, m))))
+        found.append(PendingProposal(proposal, moves, frozenset(m for m in members if not named(other, m))))
     return tuple(found)
 
 
-class Inquiry:
+class InForceInquiry:
     """`holding`: all that another site could serve is held until the answer; `held`: only these are, because
     a proposal that is pending would move them."""
 
-    def __init__(self, settings: SwitchSettings, me: MemberId, life: Life) -> None:
+    def __init__(self, settings: SwitchoverSettings, me: MemberId, life: Incarnation) -> None:
         self.settings, self.me = settings, me
         self.asking = False
         self.holding = False
         self.held: frozenset[int] = frozenset()
         self.since_us = 0
-        self.answers: dict[MemberId, InForceIs] = {}
+        self.answers: dict[MemberId, InForceReply] = {}
         self.newest = 0  # table that any of them knows to be agreed
         self.heard_us: dict[MemberId, int] = {}
         self.ask = life.start << 24
@@ -100,8 +105,8 @@
             self.heard_us[member] = now_us
             self.heard_us = self.heard_us if len(self.heard_us) <= MEMBERS_MOST else {member: now_us}
 
-    def question(self, number: int, fresh: bool) -> WhatIsInForce:
-        return WhatIsInForce(self.ask, number, fresh)
+    def question(self, number: int, fresh: bool) -> InForceQuery:
+        return InForceQuery(self.ask, number, fresh)
 
     def sent(self, now_us: int) -> None:
         self.next_us = now_us + self._wait_us
@@ -110,7 +115,7 @@
     def unanswered(self, table: Table) -> list[MemberId]:
         return [v for v in table.voters if v not in self.answers]
 
-    def answered(self, member: MemberId, message: InForceIs, table: Table) -> None:
+    def answered(self, member: MemberId, message: InForceReply, table: Table) -> None:
         """One that knows of a newer table is asked again until that is in force here."""
         if self.asking and message.ask == self.ask and member in table.voters:
             self.newest = max(self.newest, message.number)
@@ -121,21 +126,21 @@
         """A majority has answered, each with no newer table (one of the others may know of one)."""
         return majority(table.voters, self.answers)
 
-    def differing(self, book: Book) -> list[MemberId]:
+    def differing(self, book: OwnershipRegistry) -> list[MemberId]:
         """Who has another table under the number in force here."""
         here = (book.table.number, book.table.digest)
         return [m for m, a in self.answers.items() if a.number == here[0] and a.digest != here[1]]
 
-    def pending(self) -> list[Pending]:
+    def pending(self) -> list[PendingProposal]:
         """Told by any of the voters that have answered, once each."""
-        found: dict[ProposalId, Pending] = {}
+        found: dict[ProposalId, PendingProposal] = {}
         for answer in self.answers.values():
             for p in answer.pending:
                 if p.proposal not in found or found[p.proposal].moves is None:
                     found[p.proposal] = p
         return [found[proposal] for proposal in sorted(found)]
 
-    def would_lose(self, pending: list[Pending], table: Table) -> frozenset[int]:
+    def would_lose(self, pending: list[PendingProposal], table: Table) -> frozenset[int]:
         """What this member serves and another could, once one of these is agreed."""
         mine = frozenset(d for d, site in table.owners.items() if site == self.me.site)
         lost: frozenset[int] = frozenset()
--- a/madderbeam/federation/ledger.py
+++ b/madderbeam/federation/switchover/ledger.py
@@ -14,7 +14,14 @@
 from typing import Any
 
 from madderbeam.federation.errors import TableUnfit
-from madderbeam.federation.handed import DEST_MOST, NUMBER_MOST, listed, member_of, number, text
+from madderbeam.federation.switchover.release_records import (
+    DEST_MOST,
+    NUMBER_MOST,
+    listed,
+    member_of,
+    number,
+    text,
+)
 from madderbeam.federation.table import MEMBERS_MOST
 from madderbeam.federation.table import read as table_of
 from madderbeam.federation.values import Table
@@ -24,7 +31,7 @@
 DEBTS_MOST = 100_000  # (destination, member) pairs: no further table is staged beyond
 COUNCILS_MOST = 64  # different sets of voters kept, likewise
 
-Debts = Mapping[int, Mapping[MemberId, int]]
+Outstanding = Mapping[int, Mapping[MemberId, int]]
 
 
 @dataclass(frozen=True)
@@ -34,7 +41,7 @@
 
     table: Table
     history: tuple[Table, ...]
-    debts: Debts
+    debts: Outstanding
     councils: tuple[tuple[int, tuple[MemberId, ...]], ...]
 
     @property
--- a/madderbeam/federation/inquiries.py
+++ b/madderbeam/federation/switchover/messages.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from madderbeam.federation.handed import (
+from madderbeam.federation.switchover.ledger import DEBTS_MOST, Ledger, debts_of, read, tables_of
+from madderbeam.federation.switchover.release_records import (
     DEST_MOST,
     NUMBER_MOST,
     flag,
@@ -17,7 +18,6 @@
     release_row,
     text,
 )
-from madderbeam.federation.ledger import DEBTS_MOST, Ledger, debts_of, read, tables_of
 from madderbeam.federation.table import MEMBERS_MOST
 from madderbeam.federation.values import ProposalId, Release, Table
 from madderbeam.membership.values import MemberId, Row
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Pending:
+class PendingProposal:
     """A proposal that a voter has accepted something of. `moves`: the destinations that change hands by it,
     None where the voter does not know its table."""
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class WhatIsInForce:
+class InForceQuery:
     """Asked of a voter: what is in force beyond `number`? `fresh`: nothing is kept here, tell all."""
 
     ask: int
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class InForceIs:
+class InForceReply:
     """An answer. `number`, `digest`: of the newest agreed table that is known there; `in_force`: the number
     of the one in force. `fresh`: it has itself no more than the table in its file. `tables`: those after the
     number asked, one after the other, at most eight, more with a further question. `whole`: the ledger before
@@ -64,7 +64,7 @@
     fresh: bool = False
     tables: tuple[Table, ...] = ()
     whole: Ledger | None = None
-    pending: tuple[Pending, ...] = ()
+    pending: tuple[PendingProposal, ...] = ()
     debts: tuple[tuple[int, MemberId, int], ...] = ()
     complete: bool = True
     off: tuple[tuple[MemberId, int], ...] = ()
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class Renew:
+class LeaseRequest:
     """Asked of a voter: may this member, with this table in force, serve for so long from now on?"""
 
     ask: int
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True)
-class Renewed:
+class LeaseReply:
     """A voter's answer; `why` if it does not renew, `number` the table that it has in force."""
 
     ask: int
@@ -91,14 +91,14 @@
 
 
 @dataclass(frozen=True)
-class Vouch:
+class LeaseEndRequest:
     """Asked of a voter: have these members no lease any more by a table below the number beside each?"""
 
     members: tuple[tuple[MemberId, int], ...]
 
 
 @dataclass(frozen=True)
-class Vouched:
+class LeaseEndConfirmation:
     """A voter's word, kept on disk: it renewed no lease of these members that could still run, and renews
     none by a table below the number beside each."""
 
@@ -122,15 +122,15 @@
     return unpack(*fields[1:])
 
 
-def _asked(m: WhatIsInForce) -> Row:
+def _asked(m: InForceQuery) -> Row:
     return [m.ask, m.number, m.fresh]
 
 
-def _asked_of(ask: Any, table: Any, fresh: Any) -> WhatIsInForce:
-    return WhatIsInForce(_ask(ask), number(table, "number", NUMBER_MOST), flag(fresh, "fresh"))
+def _asked_of(ask: Any, table: Any, fresh: Any) -> InForceQuery:
+    return InForceQuery(_ask(ask), number(table, "number", NUMBER_MOST), flag(fresh, "fresh"))
 
 
-def _told(m: InForceIs) -> Row:
+def _told(m: InForceReply) -> Row:
     return [
         m.ask,
         m.number,
@@ -147,10 +147,10 @@
     ]
 
 
-def _told_of(ask: Any, table: Any, digest: Any, in_force: Any, *rest: Any) -> InForceIs:
+def _told_of(ask: Any, table: Any, digest: Any, in_force: Any, *rest: Any) -> InForceReply:
     fresh, tables, whole, pending, debts, complete, off, releases = rest
     owed = debts_of(debts)
-    return InForceIs(
+    return InForceReply(
         _ask(ask),
         number(table, "number", NUMBER_MOST),
         text(digest, "digest", 16),
@@ -166,12 +166,12 @@
     )
 
 
-def _pending(p: Pending) -> Row:
+def _pending(p: PendingProposal) -> Row:
     moves = None if p.moves is None else sorted(p.moves)
     return [p.proposal.number, p.proposal.digest, moves, [[m.site, m.name] for m in sorted(p.off)]]
 
 
-def _pending_of(row: Any) -> Pending:
+def _pending_of(row: Any) -> PendingProposal:
     if not isinstance(row, (list, tuple)) or len(row) != 4:
         raise ValueError("pending: allowed: lists of four")
     table, digest, moves, off = row
@@ -182,36 +182,38 @@
         )
     gone = frozenset(member_of(m, "pending.off") for m in listed(off, "pending.off", MEMBERS_MOST))
     proposal = ProposalId(number(table, "pending.number", NUMBER_MOST), text(digest, "pending.digest", 16))
-    return Pending(proposal, dests, gone)
+    return PendingProposal(proposal, dests, gone)
 
 
-def _renew(m: Renew) -> Row:
+def _renew(m: LeaseRequest) -> Row:
     return [m.ask, m.number, m.lease_us]
 
 
-def _renew_of(ask: Any, table: Any, lease_us: Any) -> Renew:
-    return Renew(_ask(ask), number(table, "number", NUMBER_MOST), number(lease_us, "lease_us", LEASE_MOST_US))
+def _renew_of(ask: Any, table: Any, lease_us: Any) -> LeaseRequest:
+    return LeaseRequest(
+        _ask(ask), number(table, "number", NUMBER_MOST), number(lease_us, "lease_us", LEASE_MOST_US)
+    )
 
 
-def _renewed(m: Renewed) -> Row:
+def _renewed(m: LeaseReply) -> Row:
     return [m.ask, m.granted, m.number, m.why]
 
 
-def _renewed_of(ask: Any, granted: Any, table: Any, why: Any) -> Renewed:
+def _renewed_of(ask: Any, granted: Any, table: Any, why: Any) -> LeaseReply:
     granted = flag(granted, "granted")
-    return Renewed(_ask(ask), granted, number(table, "number", NUMBER_MOST), text(why, "why", WHY_MOST))
+    return LeaseReply(_ask(ask), granted, number(table, "number", NUMBER_MOST), text(why, "why", WHY_MOST))
 
 
-def _members(m: Vouch | Vouched) -> Row:
+def _members(m: LeaseEndRequest | LeaseEndConfirmation) -> Row:
     return [_pairs(m.members)]
 
 
-def _vouch_of(members: Any) -> Vouch:
-    return Vouch(_pairs_of(members, "members"))
+def _vouch_of(members: Any) -> LeaseEndRequest:
+    return LeaseEndRequest(_pairs_of(members, "members"))
 
 
-def _vouched_of(members: Any) -> Vouched:
-    return Vouched(_pairs_of(members, "members"))
+def _vouched_of(members: Any) -> LeaseEndConfirmation:
+    return LeaseEndConfirmation(_pairs_of(members, "members"))
 
 
 def _pairs(pairs: tuple[tuple[MemberId, int], ...]) -> Row:
@@ -232,12 +234,12 @@
 
 
 _BY_TYPE: dict[type, tuple[str, Callable[[Any], Row], Callable[..., Any]]] = {
-    WhatIsInForce: ("wq", _asked, _asked_of),
-    InForceIs: ("wa", _told, _told_of),
-    Renew: ("lq", _renew, _renew_of),
-    Renewed: ("la", _renewed, _renewed_of),
-    Vouch: ("vq", _members, _vouch_of),
-    Vouched: ("va", _members, _vouched_of),
+    InForceQuery: ("wq", _asked, _asked_of),
+    InForceReply: ("wa", _told, _told_of),
+    LeaseRequest: ("lq", _renew, _renew_of),
+    LeaseReply: ("la", _renewed, _renewed_of),
+    LeaseEndRequest: ("vq", _members, _vouch_of),
+    LeaseEndConfirmation: ("va", _members, _vouched_of),
 }
 _COUNTS = {"wq": 3, "wa": 12, "lq": 3, "la": 4, "vq": 1, "va": 1}
 _BY_KIND = {kind: (unpack, _COUNTS[kind]) for kind, _, unpack in _BY_TYPE.values()}
--- a/madderbeam/federation/moves.py
+++ b/madderbeam/federation/switchover/moves.py
@@ -9,17 +9,24 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from madderbeam.federation.book import Book
-from madderbeam.federation.handed import Handed, body
-from madderbeam.federation.values import Begin, Release, Relinquish
-from madderbeam.federation.writes import Out
-from madderbeam.membership.values import Life, Spread
+from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
+from madderbeam.federation.switchover.pending_writes import ActionBuffer
+from madderbeam.federation.switchover.release_records import ReleaseRecord, body
+from madderbeam.federation.values import BeginServing, Release, Relinquish
+from madderbeam.membership.values import Disseminate, Incarnation
 
 
-class Moves:
+class DestinationMoves:
     """`settle` brings destinations to where the book says they are; it may be called at any time."""
 
-    def __init__(self, book: Book, out: Out, life: Life, wall_ms: Callable[[int], int], keep_us: int) -> None:
+    def __init__(
+        self,
+        book: OwnershipRegistry,
+        out: ActionBuffer,
+        life: Incarnation,
+        wall_ms: Callable[[int], int],
+        keep_us: int,
+    ) -> None:
         self.book, self.out, self.life, self.wall_ms, self.keep_us = book, out, life, wall_ms, keep_us
         self.served: set[int] = set()
         self.leaving: dict[int, int] = {}  # the table by which it is let go of
@@ -41,7 +48,7 @@
         number = max(self.leaving[dest], self.book.owes(dest))
         self._write(replace(release, member=self.book.me, table=number))
 
-    def written(self, handed: Handed) -> None:
+    def written(self, handed: ReleaseRecord) -> None:
         """A release of one's own is on disk."""
         dest = handed.release.dest
         self.leaving.pop(dest, None)
@@ -53,13 +60,13 @@
         """To all, with what is left of it now."""
         release = self.book.own[dest].left(self.out.now_us)
         self.out.do(
-            Spread(f"release/{dest}", version(release.table, self.life, 0), body(release), self.keep_us)
+            Disseminate(f"release/{dest}", version(release.table, self.life, 0), body(release), self.keep_us)
         )
 
     def forget(self, dest: int) -> None:
         """Everyone knows the release."""
         number = self.book.own.pop(dest).release.table
-        self.out.do(Spread(f"release/{dest}", version(number, self.life, 1), b""))
+        self.out.do(Disseminate(f"release/{dest}", version(number, self.life, 1), b""))
         self.out.forget("release", str(dest))
 
     def _settle(self, dest: int) -> None:
@@ -75,7 +82,7 @@
                 self._write(book.unbegun(dest, owed, self.out.now_us))
         elif entitled and not book.missing(dest):
             self.served.add(dest)
-            self.out.do(Begin(dest, book.passed_on(dest, self.out.now_us)))
+            self.out.do(BeginServing(dest, book.passed_on(dest, self.out.now_us)))
 
     def _relinquish(self, dest: int) -> None:
         self.served.discard(dest)
@@ -84,9 +91,11 @@
 
     def _write(self, release: Release) -> None:
         now_us = self.out.now_us
-        self.out.write("release", str(release.dest), Handed(release, now_us, self.wall_ms(now_us)).row())
+        self.out.write(
+            "release", str(release.dest), ReleaseRecord(release, now_us, self.wall_ms(now_us)).row()
+        )
 
 
-def version(number: int, life: Life, last: int) -> int:
+def version(number: int, life: Incarnation, last: int) -> int:
     """Of a rumour: by the table, then the start of its owner, then whether it is its end."""
     return number << 25 | (life.start & 0xFFFFFF) << 1 | last
--- a/madderbeam/federation/book.py
+++ b/madderbeam/federation/switchover/ownership_registry.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from madderbeam.federation.handed import Handed, merged
-from madderbeam.federation.ledger import Ledger, after, everyone, named
+from madderbeam.federation.switchover.ledger import Ledger, after, everyone, named
+from madderbeam.federation.switchover.release_records import ReleaseRecord, merged
 from madderbeam.federation.values import Release, Table
 from madderbeam.membership.values import MemberId
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class MemberStanding:
     """What a member said of itself: it has this table in force, on disk. `settled`: it misses no release of
     that table or one before. `lease_us`: it serves by leases of this span (0: without)."""
 
@@ -27,18 +27,18 @@
     lease_us: int
 
 
-class Book:
+class OwnershipRegistry:
     """`facts`: by destination and member, on disk here; `own`: this member's releases, likewise; `words`:
     the table up to which a member was called off."""
 
     def __init__(self, me: MemberId, ledger: Ledger) -> None:
         self.me, self.ledger = me, ledger
-        self.facts: dict[int, dict[MemberId, Handed]] = {}
+        self.facts: dict[int, dict[MemberId, ReleaseRecord]] = {}
         self.count = 0  # of facts
         self.since_us = 0  # when the table came in force, in this process
-        self.own: dict[int, Handed] = {}
+        self.own: dict[int, ReleaseRecord] = {}
         self.words: dict[MemberId, int] = {}
-        self.standings: dict[MemberId, Standing] = {}
+        self.standings: dict[MemberId, MemberStanding] = {}
 
     @property
     def table(self) -> Table:
@@ -92,7 +92,7 @@
         owed = self.ledger.debts.get(dest, {}).get(member)
         return owed is not None and number >= owed
 
-    def learn(self, fact: Handed) -> None:
+    def learn(self, fact: ReleaseRecord) -> None:
         """It is on disk here."""
         facts = self.facts.setdefault(fact.release.dest, {})
         self.count += fact.release.member not in facts
@@ -143,7 +143,7 @@
             debts.setdefault(dest, {})[member] = number
         return replace(self.ledger, debts=debts)
 
-    def stand(self, member: MemberId, standing: Standing) -> None:
+    def stand(self, member: MemberId, standing: MemberStanding) -> None:
         if member in self.standings or len(self.standings) < STANDINGS_MOST:
             self.standings[member] = standing
 
--- a/madderbeam/federation/writes.py
+++ b/madderbeam/federation/switchover/pending_writes.py
@@ -8,12 +8,12 @@
 
 from typing import Any
 
-from madderbeam.membership.values import Due, Persist, SetTimer
+from madderbeam.membership.values import Persist, SetTimer, TimerDue
 
 PREFIX = "switch/"  # of all tokens of this part's timers
 
 
-class Writes:
+class PendingWrites:
     """One record of a kind and key at a time: a later one takes the place of the one before it."""
 
     def __init__(self, retry_us: int) -> None:
@@ -38,7 +38,7 @@
         self.latest[kind, key] = self._count
         return self._issue(now_us, self._count)
 
-    def due(self, now_us: int, event: Due) -> tuple[Persist | None, list[Any]]:
+    def due(self, now_us: int, event: TimerDue) -> tuple[Persist | None, list[Any]]:
         """The record that is now on disk, if it is one's own timer that came; what is to be done else."""
         what, _, count = event.token.removeprefix(PREFIX).partition("/")
         if not count.isdigit() or int(count) not in self.open:
@@ -57,13 +57,13 @@
         return [self.open[count], SetTimer(now_us, f"{PREFIX}written/{count}")]
 
 
-class Out:
+class ActionBuffer:
     """What a turn gives: all else stands before the records, so that a record that fails takes nothing along
     but records and their own timers."""
 
     def __init__(self, retry_us: int) -> None:
         self.now_us = 0
-        self.writes = Writes(retry_us)
+        self.writes = PendingWrites(retry_us)
         self._first: list[Any] = []
         self._then: list[Any] = []
         self._last: list[Any] = []
@@ -87,7 +87,7 @@
         """No word hangs on it: if it is lost, the next start forgets it."""
         self._last.append(Persist(kind, key, None))
 
-    def due(self, event: Due) -> Persist | None:
+    def due(self, event: TimerDue) -> Persist | None:
         record, actions = self.writes.due(self.now_us, event)
         self._then += actions
         return record
--- a/madderbeam/federation/asking.py
+++ b/madderbeam/federation/switchover/queries.py
@@ -2,34 +2,34 @@
 
 from __future__ import annotations
 
-from madderbeam.federation import inquiries as q
-from madderbeam.federation.adoption import Adoption
-from madderbeam.federation.book import Book
 from madderbeam.federation.errors import TablesDiffer
-from madderbeam.federation.inquiry import Council, Inquiry
-from madderbeam.federation.learning import Learning
-from madderbeam.federation.ledger import everyone
-from madderbeam.federation.switch_settings import SwitchSettings
-from madderbeam.federation.telling import answer, paid_there
-from madderbeam.federation.values import Finish
-from madderbeam.federation.writes import Out
+from madderbeam.federation.switchover import messages as q
+from madderbeam.federation.switchover.activation import TableActivation
+from madderbeam.federation.switchover.inquiry import ConsensusView, InForceInquiry
+from madderbeam.federation.switchover.ledger import everyone
+from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
+from madderbeam.federation.switchover.pending_writes import ActionBuffer
+from madderbeam.federation.switchover.release_learning import ReleaseLearning
+from madderbeam.federation.switchover.replies import answer, paid_there
+from madderbeam.federation.switchover.settings import SwitchoverSettings
+from madderbeam.federation.values import FinishProposal
 from madderbeam.membership import values as v
 
 FACT_ASK = 0  # of a question that is asked for the facts alone
 
 
-class Asking:
+class InForceQueries:
     """Joins the inquiry with what its answers bring: tables, releases, words."""
 
     def __init__(
         self,
-        settings: SwitchSettings,
-        book: Book,
-        out: Out,
-        adoption: Adoption,
-        learning: Learning,
-        inquiry: Inquiry,
-        council: Council,
+        settings: SwitchoverSettings,
+        book: OwnershipRegistry,
+        out: ActionBuffer,
+        adoption: TableActivation,
+        learning: ReleaseLearning,
+        inquiry: InForceInquiry,
+        council: ConsensusView,
     ) -> None:
         self.settings, self.me, self.book, self.out = settings, book.me, book, out
         self.adoption, self.learning, self.inquiry, self.council = adoption, learning, inquiry, council
@@ -50,11 +50,11 @@
         if not self.adoption.advance():
             self.behind()
 
-    def answer(self, asked: q.WhatIsInForce) -> q.InForceIs:
+    def answer(self, asked: q.InForceQuery) -> q.InForceReply:
         adoption = self.adoption
         return answer(self.out.now_us, asked, self.book, adoption.agreed, self.council, adoption.fresh)
 
-    def told(self, member: v.MemberId, message: q.InForceIs) -> None:
+    def told(self, member: v.MemberId, message: q.InForceReply) -> None:
         if member not in everyone(self.book.table) and member not in self.book.table.voters:
             return
         for gone, number in message.off:
@@ -74,7 +74,7 @@
                 if self.council.may_vote():
                     self.told(self.me, self.answer(question))
             else:
-                self.out.do(v.ToLink(member, question))
+                self.out.do(v.SendMessage(member, question))
 
     def conclude(self) -> None:
         """The inquiry ends once a majority has told, and nothing is under way."""
@@ -86,7 +86,7 @@
             for member in differing:
                 del inquiry.answers[member]
             what = f"{', '.join(map(str, differing))} have another table {table.number} than the one here"
-            self.out.do(v.Note(what, TablesDiffer(what)))
+            self.out.do(v.LogLine(what, TablesDiffer(what)))
             return
         if self.adoption.fresh:
             self.adoption.put(self.book.ledger, False)
@@ -98,7 +98,7 @@
                 inquiry.done()
                 return
         for p in pending:
-            self.out.do(Finish(p.proposal))
+            self.out.do(FinishProposal(p.proposal))
         inquiry.round(self.out.now_us)  # and asked again, until it is in force, agreed or over
         inquiry.next_us += self.settings.ask_us
 
@@ -111,4 +111,4 @@
         owing = {m for _, m, _ in self.book.all_missing()}
         for member in sorted(owing | set(self.book.table.voters)):
             if member != self.me:
-                self.out.do(v.ToLink(member, q.WhatIsInForce(FACT_ASK, self.book.ledger.number)))
+                self.out.do(v.SendMessage(member, q.InForceQuery(FACT_ASK, self.book.ledger.number)))
--- a/madderbeam/federation/learning.py
+++ b/madderbeam/federation/switchover/release_learning.py
@@ -7,10 +7,13 @@
 from hashlib import blake2b
 from typing import Any
 
-from madderbeam.federation.book import Book, Standing
-from madderbeam.federation.handed import (
+from madderbeam.federation.switchover.messages import LEASE_MOST_US
+from madderbeam.federation.switchover.moves import version
+from madderbeam.federation.switchover.ownership_registry import MemberStanding, OwnershipRegistry
+from madderbeam.federation.switchover.pending_writes import ActionBuffer
+from madderbeam.federation.switchover.release_records import (
     NUMBER_MOST,
-    Handed,
+    ReleaseRecord,
     flag,
     listed,
     member_of,
@@ -19,18 +22,22 @@
     of_row,
     revived,
 )
-from madderbeam.federation.inquiries import LEASE_MOST_US
-from madderbeam.federation.moves import version
 from madderbeam.federation.table import MEMBERS_MOST
 from madderbeam.federation.values import Release
-from madderbeam.federation.writes import Out
-from madderbeam.membership.values import Life, MemberId, Note, Rumour, Spread
+from madderbeam.membership.values import Disseminate, GossipEntry, Incarnation, LogLine, MemberId
 
 
-class Learning:
+class ReleaseLearning:
     """`wall_ms(now_us)`: Unix time in milliseconds."""
 
-    def __init__(self, book: Book, out: Out, life: Life, wall_ms: Callable[[int], int], keep_us: int) -> None:
+    def __init__(
+        self,
+        book: OwnershipRegistry,
+        out: ActionBuffer,
+        life: Incarnation,
+        wall_ms: Callable[[int], int],
+        keep_us: int,
+    ) -> None:
         self.book, self.out, self.life, self.wall_ms, self.keep_us = book, out, life, wall_ms, keep_us
         self.said: dict[MemberId, int] = {}  # called off by a word that was spoken here
 
@@ -54,10 +61,10 @@
         if on_its_way is not None and of_row(on_its_way).release.table >= release.table:
             return
         now_us = self.out.now_us
-        lies = Handed(self.book.joined(release, now_us), now_us, self.wall_ms(now_us), how)
+        lies = ReleaseRecord(self.book.joined(release, now_us), now_us, self.wall_ms(now_us), how)
         self.out.write("heard", key, lies.row())
 
-    def heard(self, rumour: Rumour) -> MemberId | None:
+    def heard(self, rumour: GossipEntry) -> MemberId | None:
         """Returns who told that it has another table in force."""
         try:
             if not rumour.body:
@@ -72,7 +79,7 @@
             elif rumour.key == "force":
                 return self._stands(rumour)
         except ValueError as error:
-            self.out.do(Note(f"rumour {rumour.key} of {rumour.owner} is not understood: {error}"))
+            self.out.do(LogLine(f"rumour {rumour.key} of {rumour.owner} is not understood: {error}"))
         return None
 
     def off(self, member: MemberId, table: int, mine: bool) -> None:
@@ -82,7 +89,7 @@
         value = [[member.site, member.name], table, mine]
         on_its_way = self.out.writes.value("off", str(member))
         if mine and member not in known:
-            self.out.do(Note(f"{member} is no member that the tables since {self._oldest()} name"))
+            self.out.do(LogLine(f"{member} is no member that the tables since {self._oldest()} name"))
             return
         news = table > self.book.words.get(member, 0) or (mine and member not in self.said)
         if news and member in known and on_its_way != value and len(self.book.words) < MEMBERS_MOST:
@@ -100,7 +107,7 @@
     def tell_off(self, member: MemberId) -> None:
         table = self.said[member]
         packed = json.dumps([[member.site, member.name], table], separators=(",", ":")).encode()
-        self.out.do(Spread(_off_key(member), version(table, self.life, 0), packed, self.keep_us))
+        self.out.do(Disseminate(_off_key(member), version(table, self.life, 0), packed, self.keep_us))
 
     def forget(self) -> None:
         """What no table needs any more."""
@@ -113,11 +120,11 @@
                 del self.book.words[member]
                 self.out.forget("off", str(member))
                 if self.said.pop(member, None) is not None:
-                    self.out.do(Spread(_off_key(member), version(table, self.life, 1), b""))
+                    self.out.do(Disseminate(_off_key(member), version(table, self.life, 1), b""))
 
-    def _stands(self, rumour: Rumour) -> MemberId:
+    def _stands(self, rumour: GossipEntry) -> MemberId:
         table, settled, lease_us = listed(json.loads(rumour.body), "force", 3)
-        standing = Standing(
+        standing = MemberStanding(
             number(table, "force.number", NUMBER_MOST),
             flag(settled, "force.settled"),
             number(lease_us, "force.lease_us", LEASE_MOST_US),
@@ -129,7 +136,7 @@
         return self.book.ledger.history[0].number
 
 
-def standing_body(standing: Standing) -> bytes:
+def standing_body(standing: MemberStanding) -> bytes:
     return json.dumps([standing.number, standing.settled, standing.lease_us], separators=(",", ":")).encode()
 
 
--- a/madderbeam/federation/handed.py
+++ b/madderbeam/federation/switchover/release_records.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from madderbeam.federation.values import Release, Wait
+from madderbeam.federation.values import Release, RemainingSpan
 from madderbeam.membership.values import NAME_MOST, RUMOUR_MOST, MemberId, Row
 
 WAITS_MOST = 1_000  # of a release
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Handed:
+class ReleaseRecord:
     """A release as it was at `at_us`. `how` it is known: by the release itself, by the end of a lease, by an
     operator's word, or as a voter told it."""
 
@@ -49,17 +49,17 @@
         return [self.how, release_row(self.release), self.at_us, self.wall_ms]
 
 
-def of_row(row: Row) -> Handed:
+def of_row(row: Row) -> ReleaseRecord:
     """As it was kept, within the same process."""
     how, inner, at_us, wall_ms = row
-    return Handed(release_of(inner), at_us, wall_ms, how)
+    return ReleaseRecord(release_of(inner), at_us, wall_ms, how)
 
 
-def revived(row: Row, now_us: int, wall_ms: int) -> Handed:
+def revived(row: Row, now_us: int, wall_ms: int) -> ReleaseRecord:
     """What is left of a kept one after a restart. Raises ValueError."""
     how, inner, at_us, was_ms = row
     lain_us = max(0, min(now_us - at_us, (wall_ms - was_ms) * 1_000))
-    return Handed(shrunk(release_of(inner), lain_us), now_us, wall_ms, how)
+    return ReleaseRecord(shrunk(release_of(inner), lain_us), now_us, wall_ms, how)
 
 
 def shrunk(release: Release, lain_us: int) -> Release:
@@ -157,30 +157,32 @@
     return MemberId(text(row[0], f"{field}.site"), text(row[1], f"{field}.name"))
 
 
-def _spans(value: Any, field: str) -> tuple[Wait, ...]:
+def _spans(value: Any, field: str) -> tuple[RemainingSpan, ...]:
     found = []
     for row in listed(value, field, WAITS_MOST):
         if not isinstance(row, (list, tuple)) or len(row) != 2:
             raise ValueError(f"{field}: allowed: [uid, microseconds]")
         uid, left_us = row
-        found.append(Wait(text(uid, field, UID_MOST), min(number(left_us, field, 2**62), SPAN_MOST_US)))
+        found.append(
+            RemainingSpan(text(uid, field, UID_MOST), min(number(left_us, field, 2**62), SPAN_MOST_US))
+        )
     return tuple(found)
 
 
-def _less(spans: tuple[Wait, ...], lain_us: int) -> tuple[Wait, ...]:
-    return tuple(Wait(w.uid, w.left_us - lain_us) for w in spans if w.left_us > lain_us)
+def _less(spans: tuple[RemainingSpan, ...], lain_us: int) -> tuple[RemainingSpan, ...]:
+    return tuple(RemainingSpan(w.uid, w.left_us - lain_us) for w in spans if w.left_us > lain_us)
 
 
-def _longest(spans: Iterable[Wait]) -> tuple[Wait, ...]:
+def _longest(spans: Iterable[RemainingSpan]) -> tuple[RemainingSpan, ...]:
     most: dict[str, int] = {}
     for w in spans:
         most[w.uid] = max(w.left_us, most.get(w.uid, 0))
     kept = sorted(most.items(), key=lambda item: -item[1])
-    return tuple(Wait(uid, left) for uid, left in sorted(kept[:WAITS_MOST]))
+    return tuple(RemainingSpan(uid, left) for uid, left in sorted(kept[:WAITS_MOST]))
 
 
 def _gathered(release: Release, drains: bool) -> Release:
     """One wait for the whole destination in place of those of its endpoints (and of what drains)."""
     spans = release.waits + (release.draining if drains else ())
-    waits = (Wait("", max(w.left_us for w in spans)),) if spans else ()
+    waits = (RemainingSpan("", max(w.left_us for w in spans)),) if spans else ()
     return replace(release, waits=waits, draining=() if drains else release.draining)
--- a/madderbeam/federation/telling.py
+++ b/madderbeam/federation/switchover/replies.py
@@ -4,21 +4,21 @@
 
 from collections.abc import Iterator, Mapping
 
-from madderbeam.federation.book import Book
-from madderbeam.federation.inquiries import RELEASES_MOST, InForceIs, WhatIsInForce
-from madderbeam.federation.inquiry import Council, pending_of
-from madderbeam.federation.ledger import DEBTS_MOST, HISTORY_MOST
+from madderbeam.federation.switchover.inquiry import ConsensusView, pending_of
+from madderbeam.federation.switchover.ledger import DEBTS_MOST, HISTORY_MOST
+from madderbeam.federation.switchover.messages import RELEASES_MOST, InForceQuery, InForceReply
+from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
 from madderbeam.federation.values import Release, Table
 
 
 def answer(
     now_us: int,
-    asked: WhatIsInForce,
-    book: Book,
+    asked: InForceQuery,
+    book: OwnershipRegistry,
     agreed: Mapping[int, Table],
-    council: Council,
+    council: ConsensusView,
     fresh: bool,
-) -> InForceIs:
+) -> InForceReply:
     """`agreed`: tables that are agreed and not in force here yet. `fresh`: nothing is on disk here yet."""
     ledger = book.ledger
     newest = agreed[max(agreed)] if agreed else ledger.table
@@ -28,7 +28,7 @@
     above = ledger.number if whole is not None else asked.number
     owed = list(book.all_missing())
     binding = [r for r in _releases(now_us, book) if r.waits or r.draining or r.cold]
-    return InForceIs(
+    return InForceReply(
         asked.ask,
         newest.number,
         newest.digest,
@@ -44,7 +44,7 @@
     )
 
 
-def paid_there(message: InForceIs, book: Book) -> Iterator[Release]:
+def paid_there(message: InForceReply, book: OwnershipRegistry) -> Iterator[Release]:
     """Releases that are missed here and not there: as they were told, else with nothing left to heed."""
     if message.fresh or not message.complete or message.in_force < book.ledger.number:
         return
@@ -62,7 +62,7 @@
         yield agreed[number]
 
 
-def _releases(now_us: int, book: Book) -> Iterator[Release]:
+def _releases(now_us: int, book: OwnershipRegistry) -> Iterator[Release]:
     for facts in book.facts.values():
         for fact in facts.values():
             yield fact.left(now_us)
--- a/madderbeam/federation/switch_settings.py
+++ b/madderbeam/federation/switchover/settings.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class SwitchSettings:
+class SwitchoverSettings:
     """Raises ValueError, naming the field and what it may be. `lease_us` 0: no leases; it must be the same at
     all members."""
 
--- a/madderbeam/federation/holds.py
+++ b/madderbeam/federation/switchover/suspension.py
@@ -2,27 +2,32 @@
 
 from __future__ import annotations
 
-from madderbeam.federation.book import Book
 from madderbeam.federation.errors import FederationError, LeaseLost, LeftOut, NoWord, ReleaseMissing
-from madderbeam.federation.inquiry import Inquiry
-from madderbeam.federation.lease import Holder
-from madderbeam.federation.switch_settings import SwitchSettings
-from madderbeam.federation.values import Hold
-from madderbeam.federation.writes import Out
-from madderbeam.membership.values import MemberId, Note
+from madderbeam.federation.leases.lease import LeaseHolder
+from madderbeam.federation.switchover.inquiry import InForceInquiry
+from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
+from madderbeam.federation.switchover.pending_writes import ActionBuffer
+from madderbeam.federation.switchover.settings import SwitchoverSettings
+from madderbeam.federation.values import SuspendServing
+from madderbeam.membership.values import LogLine, MemberId
 
 NAMED_MOST = 5  # members or destinations named in one line
 
 
-class Holds:
+class ServingSuspension:
     """`gate` is what was told last: nothing, some destinations, or all are held."""
 
     def __init__(
-        self, settings: SwitchSettings, book: Book, out: Out, inquiry: Inquiry, holder: Holder
+        self,
+        settings: SwitchoverSettings,
+        book: OwnershipRegistry,
+        out: ActionBuffer,
+        inquiry: InForceInquiry,
+        holder: LeaseHolder,
     ) -> None:
         self.settings, self.book, self.out = settings, book, out
         self.inquiry, self.holder = inquiry, holder
-        self.gate = Hold(True, "has not started")
+        self.gate = SuspendServing(True, "has not started")
         self.leased_us = 0  # since when there is no lease; 0: there is one
         self._reported_us: dict[str, int] = {}
 
@@ -44,7 +49,7 @@
             last = self._reported_us.get(error.code)
             if last is None or now_us - last >= self.settings.report_us:
                 self._reported_us[error.code] = now_us
-                self.out.do(Note(error.what, error))
+                self.out.do(LogLine(error.what, error))
 
     def errors(self) -> list[FederationError]:
         """What stands against serving all that the table gives to this site, long enough to be told."""
@@ -58,23 +63,25 @@
             found.append(self._lease_lost())
         return found + self._missing()
 
-    def _gate(self) -> Hold:
+    def _gate(self) -> SuspendServing:
         now_us, table = self.out.now_us, self.book.table
         runs = self.holder.runs(now_us)
         self.leased_us = 0 if runs else self.leased_us or now_us
         if self.book.left_out:
-            return Hold(True, LeftOut(f"table {table.number} does not name {self.book.me}").line())
+            return SuspendServing(True, LeftOut(f"table {table.number} does not name {self.book.me}").line())
         if self.inquiry.holding:
             asks = f"asks the voters of table {table.number} what is in force"
             long = self._long(self.inquiry.since_us)
-            return Hold(True, self._no_word().line() if long else asks)
+            return SuspendServing(True, self._no_word().line() if long else asks)
         if not runs:
             long = self._long(self.leased_us)
-            return Hold(True, self._lease_lost().line() if long else "waits for its lease to be renewed")
+            return SuspendServing(
+                True, self._lease_lost().line() if long else "waits for its lease to be renewed"
+            )
         if self.inquiry.held:
             why = f"a table after {table.number} is pending that would move them"
-            return Hold(True, why, self.inquiry.held)
-        return Hold(False, "")
+            return SuspendServing(True, why, self.inquiry.held)
+        return SuspendServing(False, "")
 
     def _long(self, since_us: int) -> bool:
         return self.out.now_us - since_us >= self.settings.report_us
--- a/madderbeam/federation/switch.py
+++ b/madderbeam/federation/switchover/switchover.py
@@ -9,58 +9,67 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from madderbeam.federation import inquiries as q
-from madderbeam.federation.adoption import Adoption
-from madderbeam.federation.asking import Asking
-from madderbeam.federation.book import Book
 from madderbeam.federation.errors import FederationError, NotInForce
-from madderbeam.federation.handed import of_row
-from madderbeam.federation.holds import Holds
-from madderbeam.federation.inquiry import Alone, Council, Inquiry
-from madderbeam.federation.learning import Learning
-from madderbeam.federation.lease import Holder
-from madderbeam.federation.leasing import Leasing
-from madderbeam.federation.ledger import everyone, first, read
-from madderbeam.federation.moves import Moves
-from madderbeam.federation.switch_settings import SwitchSettings
-from madderbeam.federation.switch_status import status
-from madderbeam.federation.values import Agreed, InForce, Paused, Released, SaidOff, Table
-from madderbeam.federation.writes import PREFIX, Out
+from madderbeam.federation.leases.coordination import LeaseCoordination
+from madderbeam.federation.leases.lease import LeaseHolder
+from madderbeam.federation.switchover import messages as q
+from madderbeam.federation.switchover.activation import TableActivation
+from madderbeam.federation.switchover.inquiry import ConsensusView, InForceInquiry, NoConsensus
+from madderbeam.federation.switchover.ledger import everyone, first, read
+from madderbeam.federation.switchover.moves import DestinationMoves
+from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
+from madderbeam.federation.switchover.pending_writes import PREFIX, ActionBuffer
+from madderbeam.federation.switchover.queries import InForceQueries
+from madderbeam.federation.switchover.release_learning import ReleaseLearning
+from madderbeam.federation.switchover.release_records import of_row
+from madderbeam.federation.switchover.settings import SwitchoverSettings
+from madderbeam.federation.switchover.status import status
+from madderbeam.federation.switchover.suspension import ServingSuspension
+from madderbeam.federation.values import (
+    DestinationReleased,
+    MemberCalledOff,
+    ServingPaused,
+    Table,
+    TableAgreed,
+    TableInForce,
+)
 from madderbeam.membership import values as v
 
 AHEAD_MOST = 3  # members with a newer table that are asked besides the voters
 
 
-class Switch:
+class Switchover:
     """`start(now_us)` once, then `handle(now_us, event)`: both give actions. `table`: the one in the file, of
     no account where `records` have one. `wall_ms(now_us)`: Unix time in milliseconds."""
 
     def __init__(
         self,
-        settings: SwitchSettings,
+        settings: SwitchoverSettings,
         me: v.MemberId,
-        life: v.Life,
+        life: v.Incarnation,
         records: Mapping[tuple[str, str], Any],
         table: Table,
-        council: Council | None = None,
+        council: ConsensusView | None = None,
         wall_ms: Callable[[int], int] = lambda now_us: now_us // 1_000,
     ) -> None:
         self.settings, self.me, self.life = settings, me, life
-        self.council = council or Alone()
+        self.council = council or NoConsensus()
         self.records: Mapping[tuple[str, str], Any] | None = records
         kept = records.get(("force", ""))
-        self.book = Book(me, first(table) if kept is None else read(kept))
-        self.out = Out(settings.retry_us)
-        self.adoption = Adoption(settings, self.book, self.out, life, kept is None)
-        self.moves = Moves(self.book, self.out, life, wall_ms, settings.keep_us)
-        self.learning = Learning(self.book, self.out, life, wall_ms, settings.keep_us)
-        self.inquiry = Inquiry(settings, me, life)
-        self.holder = Holder(settings)
-        self.asking = Asking(
+        self.book = OwnershipRegistry(me, first(table) if kept is None else read(kept))
+        self.out = ActionBuffer(settings.retry_us)
+        self.adoption = TableActivation(settings, self.book, self.out, life, kept is None)
+        self.moves = DestinationMoves(self.book, self.out, life, wall_ms, settings.keep_us)
+        self.learning = ReleaseLearning(self.book, self.out, life, wall_ms, settings.keep_us)
+        self.inquiry = InForceInquiry(settings, me, life)
+        self.holder = LeaseHolder(settings)
+        self.asking = InForceQueries(
             settings, self.book, self.out, self.adoption, self.learning, self.inquiry, self.council
         )
-        self.leasing = Leasing(settings, self.book, self.out, life, self.holder, self.council, records)
-        self.holds = Holds(settings, self.book, self.out, self.inquiry, self.holder)
+        self.leasing = LeaseCoordination(
+            settings, self.book, self.out, life, self.holder, self.council, records
+        )
+        self.holds = ServingSuspension(settings, self.book, self.out, self.inquiry, self.holder)
 
     # What others ask
 
@@ -95,7 +104,7 @@
         self.asking.advance()
         self.asking.conclude()
         self.holds.look()
-        self.out.do(InForce(self.book.table, None))
+        self.out.do(TableInForce(self.book.table, None))
         for dest in sorted(self.book.own):
             self.moves.tell(dest)
         self._settle_all()
@@ -103,40 +112,42 @@
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
         if self.records is not None:
-            return self.start(now_us) + ([] if isinstance(event, Paused) else self.handle(now_us, event))
+            return self.start(now_us) + (
+                [] if isinstance(event, ServingPaused) else self.handle(now_us, event)
+            )
         self.out.now_us = now_us
         match event:
-            case v.Due(token) if token.startswith(PREFIX):
+            case v.TimerDue(token) if token.startswith(PREFIX):
                 self._due(event, token.removeprefix(PREFIX))
-            case v.FromLink(member, message):
+            case v.MessageReceived(member, message):
                 self._message(member, message)
-            case Agreed(table):
+            case TableAgreed(table):
                 self.adoption.add(table)
                 self.asking.advance()
-            case v.Heard(rumour):
+            case v.GossipReceived(rumour):
                 if self.learning.heard(rumour) is not None:
                     self._stood(rumour.owner)
-            case Released(release):
+            case DestinationReleased(release):
                 self.moves.released(release)
-            case SaidOff(member, number):
+            case MemberCalledOff(member, number):
                 self.learning.off(member, min(number, self.book.ledger.number), mine=True)
-            case Paused() | v.Resumed():
+            case ServingPaused() | v.PauseDetected():
                 self.holder.drop()
                 self.inquiry.begin(now_us, self.asking.shared())
                 self.leasing.renew()
                 self._turn()
-            case v.LifeRaised(life):
+            case v.IncarnationRaised(life):
                 self._raised(life)
             case v.LinkUp(member):
                 if self.inquiry.asking and member in self.inquiry.unanswered(self.book.table):
                     self.asking.ask([member])
-            case v.Unwritten(kind, _):
+            case v.WriteFailed(kind, _):
                 self._unwritten(kind)
         self.asking.conclude()
         self.holds.look()
         return self._done()
 
-    def _raised(self, life: v.Life) -> None:
+    def _raised(self, life: v.Incarnation) -> None:
         """What is said bears this life: an earlier one, which a folder does not know, may have said more."""
         if life == self.life:
             return
@@ -147,7 +158,7 @@
         for member in self.learning.said:
             self.learning.tell_off(member)
 
-    def _due(self, event: v.Due, what: str) -> None:
+    def _due(self, event: v.TimerDue, what: str) -> None:
         record = self.out.due(event)
         if record is not None:
             self._written(record)
@@ -188,7 +199,7 @@
         self.leasing.again()
         if kind == "force":
             what = f"the disk did not take the table after {self.book.ledger.number}; it is tried again"
-            self.out.do(v.Note(what, NotInForce(what)))
+            self.out.do(v.LogLine(what, NotInForce(what)))
 
     # Tables
 
@@ -196,7 +207,7 @@
         before, skipped = self.adoption.written()
         ledger = self.book.ledger
         if ledger.table.proposal != before.proposal:
-            self.out.do(InForce(ledger.table, before))
+            self.out.do(TableInForce(ledger.table, before))
         if ledger.table.voters != before.voters:
             self.holder.drop()
         if skipped:
@@ -242,22 +253,22 @@
     def _message(self, member: v.MemberId, message: Any) -> None:
         self.inquiry.heard(member, self.out.now_us, self.book.table)
         match message:
-            case q.WhatIsInForce(number=number):
+            case q.InForceQuery(number=number):
                 if self.council.may_vote():
-                    self.out.do(v.ToLink(member, self.asking.answer(message)))
+                    self.out.do(v.SendMessage(member, self.asking.answer(message)))
                 if number > self.book.ledger.number:
                     self.asking.behind()
-            case q.InForceIs():
+            case q.InForceReply():
                 self.asking.told(member, message)
-            case q.Renewed(number=number):
+            case q.LeaseReply(number=number):
                 self.leasing.renewed(member, message)
                 if number > self.book.ledger.number:
                     self.asking.behind()
-            case q.Renew():
+            case q.LeaseRequest():
                 self.leasing.asked(member, message)
-            case q.Vouch():
+            case q.LeaseEndRequest():
                 self.leasing.vouch(member, message)
-            case q.Vouched():
+            case q.LeaseEndConfirmation():
                 self.leasing.vouched(member, message)
                 self._ends()
 
--- a/madderbeam/federation/values.py
+++ b/madderbeam/federation/values.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True)
-class Wait:
+class RemainingSpan:
     """A told wait that still runs for a destination ("" as uid) or one endpoint of it."""
 
     uid: str
@@ -92,8 +92,8 @@
     dest: int
     member: MemberId
     table: int
-    waits: tuple[Wait, ...] = ()
-    draining: tuple[Wait, ...] = ()  # endpoints that drain, and what is left of their grace
+    waits: tuple[RemainingSpan, ...] = ()
+    draining: tuple[RemainingSpan, ...] = ()  # endpoints that drain, and what is left of their grace
     cold: bool = False
 
 
@@ -101,14 +101,14 @@
 
 
 @dataclass(frozen=True)
-class Proposed:
+class TableProposed:
     """An operator offers a table here (the document, checked in form only)."""
 
     table: Table
 
 
 @dataclass(frozen=True)
-class SaidOff:
+class MemberCalledOff:
     """An operator's word that a member is off and stays off: it counts as having released everything."""
 
     member: MemberId
@@ -116,12 +116,12 @@
 
 
 @dataclass(frozen=True)
-class Trusted:
+class FolderTrusted:
     """An operator's word that this member's folder, which was found to be older, may vote again."""
 
 
 @dataclass(frozen=True)
-class Checked:
+class TableChecked:
     """The host's answer to `Check`: "" if this site can serve by the table, else what stands against it."""
 
     proposal: ProposalId
@@ -129,14 +129,14 @@
 
 
 @dataclass(frozen=True)
-class Released:
+class DestinationReleased:
     """The host's answer to `Relinquish`: nothing is out at the destination any more."""
 
     release: Release
 
 
 @dataclass(frozen=True)
-class Paused:
+class ServingPaused:
     """This process was paused, or has just started: it asks what is in force before it serves."""
 
 
@@ -144,14 +144,14 @@
 
 
 @dataclass(frozen=True)
-class Check:
+class CheckTable:
     """Can this site serve by this table (endpoints known, classes, capacity)? Answered by `Checked`."""
 
     table: Table
 
 
 @dataclass(frozen=True)
-class InForce:
+class TableInForce:
     """This table is in force at this member from now on; `before` was until now (None at a start)."""
 
     table: Table
@@ -168,7 +168,7 @@
 
 
 @dataclass(frozen=True)
-class Begin:
+class BeginServing:
     """This destination is served here from now on, heeding what the old owners passed on (spans as left
     now)."""
 
@@ -177,7 +177,7 @@
 
 
 @dataclass(frozen=True)
-class Hold:
+class SuspendServing:
     """Serve nothing (or again serve) until it is known what is in force; `why` for clients and the log.
     `dests`: only these are held (None: all). A later Hold takes the place of the one before."""
 
@@ -187,14 +187,14 @@
 
 
 @dataclass(frozen=True)
-class Finish:
+class FinishProposal:
     """This proposal could be agreed on without this member: see that it is finished or turned down."""
 
     proposal: ProposalId
 
 
 @dataclass(frozen=True)
-class Outcome:
+class ProposalOutcome:
     """What became of a proposal that was offered or seen here; `error` is None if it was agreed."""
 
     proposal: ProposalId
@@ -203,7 +203,7 @@
 
 
 @dataclass(frozen=True)
-class Agreed:
+class TableAgreed:
     """This table is agreed and on disk here: never taken back. Agreement's word to the switch part alone; it
     comes at each start for the newest one, and perhaps again."""
 
--- a/madderbeam/host/service.py
+++ b/madderbeam/host/admin_service.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Callable, Sequence
 
-from madderbeam.host.bans import Bans, TooMany
-from madderbeam.host.listing import Listing
+from madderbeam.host.disabled_endpoints import DisabledEndpoints, TooManyDisabledError
+from madderbeam.host.endpoint_registry import EndpointRegistry
 from madderbeam.policy.events import EndpointEntry
 from madderbeam.transport.clients import ClientServer
 from madderbeam.transport.control import Answer
@@ -46,14 +46,14 @@
             self.loop.call_later(LOOK_S, self._clear, since)
 
 
-class Service:
+class AdminService:
     """Answers calls. `relist` shows the decision module entries of the list that changed by hand, `figures`
     gives the text of all figures, `ready` whether this process serves."""
 
     def __init__(
         self,
-        listing: Listing,
-        bans: Bans,
+        listing: EndpointRegistry,
+        bans: DisabledEndpoints,
         drain: Drain,
         ready: Callable[[], bool],
         figures: Callable[[], str],
@@ -116,7 +116,7 @@
             return Answer(404, f"member: no endpoint {uid!r} was ever listed\n")
         try:
             change(uid)
-        except TooMany as error:
+        except TooManyDisabledError as error:
             return Answer(507, f"member: {error}\n")
         except OSError as error:
             log.error("endpoints out by hand are not recorded: %s", error)
--- a/madderbeam/host/admission.py
+++ b/madderbeam/host/admission.py
@@ -7,19 +7,19 @@
 from dataclasses import replace
 
 from madderbeam.host.attempts import Attempts
-from madderbeam.host.ends import Ends
-from madderbeam.host.figures import ABORTED, DECLINED, Figures
-from madderbeam.host.listing import Listing
-from madderbeam.host.parts import Door, Gate
+from madderbeam.host.completions import Completions
+from madderbeam.host.components import AdmissionCheck, MessageInterceptor
+from madderbeam.host.endpoint_registry import EndpointRegistry
+from madderbeam.host.metrics import ABORTED, DECLINED, Metrics
 from madderbeam.host.routing import NOWHERE, Routing
-from madderbeam.journal.message import Held
-from madderbeam.journal.segments import Unsure
-from madderbeam.journal.store import Journal
+from madderbeam.journal.journal import Journal
+from madderbeam.journal.pending_message import PendingMessage
+from madderbeam.journal.segments import UnconfirmedError
 from madderbeam.policy.actions import Action, Fail, Reject
 from madderbeam.policy.events import Event, MessageArrived, MessageWithdrawn
 from madderbeam.policy.settings import Idempotency, Settings
-from madderbeam.transport.answers import Answer
 from madderbeam.transport.clients import BadRequest, Put
+from madderbeam.transport.reply_handle import ReplyHandle
 
 LONGEST = 10  # a message that wants to live longer than so many deadlines of its class is none of ours
 log = logging.getLogger(__name__)
@@ -36,30 +36,32 @@
         self,
         settings: Settings,
         journal: Journal,
-        listing: Listing,
-        ends: Ends,
+        listing: EndpointRegistry,
+        ends: Completions,
         attempts: Attempts,
         cancel: Callable[[int, int], None],
         tell: Callable[[Event], None],
         come_back_us: Callable[[], int],
-        figures: Figures,
+        figures: Metrics,
         routing: Routing,
     ) -> None:
         self.s, self.journal, self.listing = settings, journal, listing
         self.ends, self.attempts = ends, attempts
         self.cancel, self.tell, self.come_back_us = cancel, tell, come_back_us
         self.figures, self.routing = figures, routing
-        self.gates: list[Gate] = []  # those that are on
-        self.doors: list[Door] = []
-        self.taken_up: list[Callable[[Held], None]] = []  # told of each message that has got its number
+        self.gates: list[AdmissionCheck] = []  # those that are on
+        self.doors: list[MessageInterceptor] = []
+        self.taken_up: list[
+            Callable[[PendingMessage], None]
+        ] = []  # told of each message that has got its number
         self.numbers = journal.last
         self.classes = {c.name: n for n, c in enumerate(settings.classes)}
         self.tenants = {t.name: n for n, t in enumerate(settings.tenants)}
-        self.arrived: dict[int, tuple[Held, list[Answer]]] = {}  # not answered yet
+        self.arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]] = {}  # not answered yet
         self.arriving: dict[str, int] = {}  # their ids
         self.arriving_keys: dict[str, int] = {}
 
-    def put(self, put: Put, reply: Answer) -> None:
+    def put(self, put: Put, reply: ReplyHandle) -> None:
         """A message is handed in; BadRequest if it can't be one of ours."""
         if put.dest == NOWHERE and not put.topic:
             put = replace(put, dest=self.routing.destination(put))
@@ -89,7 +91,7 @@
             weight *= verdict.weight
         self.numbers += 1
         until = self.journal.wall() + put.life_ms / 1e3
-        m = Held(
+        m = PendingMessage(
             self.numbers,
             put.id,
             cls,
@@ -134,7 +136,7 @@
             raise BadRequest("dest: no such destination, must be one of the list")
         return cls, tenant
 
-    def arrival(self, m: Held, weight: float = 1.0, restored: bool = False) -> MessageArrived:
+    def arrival(self, m: PendingMessage, weight: float = 1.0, restored: bool = False) -> MessageArrived:
         """The event that tells the decision module of a message. `weight`: by quotas; `restored`: it was
         taken on before this process."""
         ran = m.may_have_run_at
@@ -157,7 +159,7 @@
             self.routing.affinity(m),
         )
 
-    def _replace(self, m: Held) -> None:
+    def _replace(self, m: PendingMessage) -> None:
         """A key that is still open here is handed in again only by a client that gave the older one up. Both
         may come in one turn: taken on side by side, neither would know of the other's attempt."""
         if arrived := self.arriving_keys.pop(m.key, 0):
@@ -178,14 +180,16 @@
 
     # The turn's answers
 
-    def turn(self) -> dict[int, tuple[Held, list[Answer]]]:
+    def turn(self) -> dict[int, tuple[PendingMessage, list[ReplyHandle]]]:
         """What has come in since the turn before, to be answered in this one."""
         arrived, self.arrived = self.arrived, {}
         self.arriving.clear()
         self.arriving_keys.clear()
         return arrived
 
-    def answer(self, arrived: dict[int, tuple[Held, list[Answer]]], actions: Iterable[Action]) -> None:
+    def answer(
+        self, arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]], actions: Iterable[Action]
+    ) -> None:
         """Refuse what the decision module turned down, and take the rest on."""
         for a in actions:
             if isinstance(a, (Reject, Fail)) and a.message in arrived:
@@ -199,7 +203,9 @@
         for m, replies in arrived.values():
             self.take(m, replies)
 
-    def take(self, m: Held, replies: list[Answer], then: Callable[[], None] = lambda: None) -> None:
+    def take(
+        self, m: PendingMessage, replies: list[ReplyHandle], then: Callable[[], None] = lambda: None
+    ) -> None:
         """Take a message on, and answer those who handed it in; `then` is called once it is recorded."""
         if not any(r.wanted for r in replies):
             self.tell(MessageWithdrawn(m.number))  # nobody heard that it was taken on
@@ -215,7 +221,9 @@
             log.error("not taken on: %s", error)
             self.attempts.forget(m.number)
             self.tell(MessageWithdrawn(m.number))
-            if isinstance(error, Unsure):  # its record stands: it has an end, and no promise is made
+            if isinstance(
+                error, UnconfirmedError
+            ):  # its record stands: it has an end, and no promise is made
                 self.ends.end(m, "undeliverable", 0)
                 for reply in replies:
                     reply.failed(str(error))
--- a/madderbeam/host/attempts.py
+++ b/madderbeam/host/attempts.py
@@ -7,11 +7,11 @@
 import sys
 from collections.abc import Callable
 
-from madderbeam.host.ends import Ends
-from madderbeam.host.figures import SUCCEEDED, Figures
-from madderbeam.host.listing import Listing
-from madderbeam.journal.message import Held
-from madderbeam.journal.store import Journal
+from madderbeam.host.completions import Completions
+from madderbeam.host.endpoint_registry import EndpointRegistry
+from madderbeam.host.metrics import SUCCEEDED, Metrics
+from madderbeam.journal.journal import Journal
+from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.policy.actions import Send
 from madderbeam.policy.events import AttemptEnded, AttemptResult, Event, HealthCheckEnded, MessageWithdrawn
 from madderbeam.policy.settings import Idempotency, Settings
@@ -28,11 +28,11 @@
         self,
         settings: Settings,
         journal: Journal,
-        listing: Listing,
-        ends: Ends,
+        listing: EndpointRegistry,
+        ends: Completions,
         tell: Callable[[Event], None],
         over: Callable[[], None],
-        figures: Figures,
+        figures: Metrics,
     ) -> None:
         self.s, self.journal, self.listing, self.ends = settings, journal, listing, ends
         self.figures = figures
@@ -134,7 +134,7 @@
 
         self.journal.attempt([n.number for n in items], self.journal.wall(), recorded, failed)
 
-    def _key_s(self, m: Held, ran_at: float) -> float:
+    def _key_s(self, m: PendingMessage, ran_at: float) -> float:
         """Seconds left of the window of its key, which an attempt began at `ran_at` that may have run."""
         cls = self.s.classes[m.cls]
         if cls.idempotency is not Idempotency.WITH_KEY or not ran_at:
@@ -172,7 +172,7 @@
         )
         self.over()
 
-    def _done(self, m: Held, outcome: Outcome) -> None:
+    def _done(self, m: PendingMessage, outcome: Outcome) -> None:
         if outcome.result is AttemptResult.OK and not m.status:
             self.figures.ended(SUCCEEDED, m.cls)
         self.ends.done(m, outcome.result is AttemptResult.OK)
--- a/madderbeam/host/changes/applying.py
+++ b/madderbeam/host/changes/applying.py
@@ -12,11 +12,11 @@
 from madderbeam.changes.events import Apply
 from madderbeam.changes.values import DRAINING, Endpoint, Snapshot
 from madderbeam.changes.values import READY as IN_SERVICE
-from madderbeam.host.assembly import remembered_s
 from madderbeam.host.changes.reading import settings_of, target_of
-from madderbeam.host.figures import Figures
-from madderbeam.host.turn import Host
-from madderbeam.journal.store import KEYS_S
+from madderbeam.host.composition import remembered_s
+from madderbeam.host.host import Host
+from madderbeam.host.metrics import Metrics
+from madderbeam.journal.journal import KEYS_S
 from madderbeam.policy.events import EndpointEntry, EndpointState, ListUpdateKind
 from madderbeam.policy.settings import Settings
 from madderbeam.ports import Ports
@@ -195,7 +195,7 @@
     return {name: row["number"] for name, row in snapshot.sections[section].items() if not row["retired"]}
 
 
-def _figures(figures: Figures, s: Settings) -> None:
+def _figures(figures: Metrics, s: Settings) -> None:
     """Counts go on; a new class begins at none."""
     figures.classes = tuple(c.name for c in s.classes)
     for counts in figures.ends.values():
--- a/madderbeam/host/changes/room.py
+++ b/madderbeam/host/changes/component.py
@@ -16,17 +16,17 @@
 from madderbeam.host.changes.facts import SAMPLE_S, Gathering
 from madderbeam.host.changes.file import FileSource
 from madderbeam.host.changes.reading import file_rows, opened, snapshot_of
+from madderbeam.host.components import Component
 from madderbeam.host.federation.runner import Runner
-from madderbeam.host.parts import Room
-from madderbeam.host.turn import Host
-from madderbeam.journal.message import Held
+from madderbeam.host.host import Host
+from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.ports import Ports
 
 SWEEP = 1024  # messages whose version is known beyond those that are held: then they are looked through
 log = logging.getLogger(__name__)
 
 
-class ChangesRoom(Room):
+class ChangesComponent(Component):
     """Built where the configuration has `changes`. All of its work is done between two turns."""
 
     def __init__(self, host: Host, ports: Ports) -> None:
@@ -111,7 +111,7 @@
 
     # Messages
 
-    def admitted(self, m: Held) -> None:
+    def admitted(self, m: PendingMessage) -> None:
         """A message is taken up under what is in force now."""
         self.versions[m.number] = self.machine.current.version
         held = self.host.journal.held
@@ -147,7 +147,7 @@
 
 def join(host: Host, ports: Ports) -> None:
     """The courier's configuration changes by way of its room, and its list by that alone."""
-    room = ChangesRoom(host, ports)
+    room = ChangesComponent(host, ports)
     host.watch.told = room.listed
     host.admission.taken_up.append(room.admitted)
     host.service.calls |= room.calls.table()
--- a/madderbeam/host/changes/facts.py
+++ b/madderbeam/host/changes/facts.py
@@ -5,8 +5,8 @@
 from collections import deque
 
 from madderbeam.changes.values import Facts
-from madderbeam.host.figures import DECLINED
-from madderbeam.host.turn import Host
+from madderbeam.host.host import Host
+from madderbeam.host.metrics import DECLINED
 from madderbeam.policy.events import AttemptResult, EndpointState
 from madderbeam.transport.calls import Item, Outcome
 
--- a/madderbeam/host/ends.py
+++ b/madderbeam/host/completions.py
@@ -6,10 +6,10 @@
 import logging
 from collections.abc import Callable
 
-from madderbeam.host.figures import ABORTED, DECLINED, Figures
-from madderbeam.host.parts import Teller
-from madderbeam.journal.message import Held
-from madderbeam.journal.store import Journal
+from madderbeam.host.components import CompletionListener
+from madderbeam.host.metrics import ABORTED, DECLINED, Metrics
+from madderbeam.journal.journal import Journal
+from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.policy.actions import Fail, Reject
 from madderbeam.policy.events import Event, MessageWithdrawn
 from madderbeam.transport.discovery import Notices
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 
-class Ends:
+class Completions:
     """Ends messages by notices, and sees to it that each has an end in time.
 
     `ended` is called with the number of each message that ends, before its notice is sent; `tell` takes
@@ -34,18 +34,18 @@
         notices: Notices | Feed,
         tell: Callable[[Event], None],
         ended: Callable[[int], None],
-        figures: Figures,
+        figures: Metrics,
     ) -> None:
         self.loop, self.journal, self.notices, self.tell, self.ended = loop, journal, notices, tell, ended
         self.figures = figures
         self.guards: dict[int, asyncio.TimerHandle] = {}
         self.closed = False
-        self.unsettled: dict[int, Held] = {}  # ended, and not recorded yet
-        self.tellers: list[Teller] = []  # of ends that no client waits for
+        self.unsettled: dict[int, PendingMessage] = {}  # ended, and not recorded yet
+        self.tellers: list[CompletionListener] = []  # of ends that no client waits for
 
     # Guards
 
-    def guard(self, m: Held) -> None:
+    def guard(self, m: PendingMessage) -> None:
         """End the message by itself if nothing else has once its time is up."""
         delay = max(0.0, m.until + OVERDUE_S - self.journal.wall())
         self.guards[m.number] = self.loop.call_later(delay, self._overdue, m.number)
@@ -79,7 +79,7 @@
         else:
             self.end(m, "undeliverable", 0)
 
-    def end(self, m: Held, status: str, again_ms: int) -> None:
+    def end(self, m: PendingMessage, status: str, again_ms: int) -> None:
         """Owe the notice, then send it."""
         self.figures.ended(DECLINED if status == "deferred" else ABORTED, m.cls)
         self.unguard(m.number)
@@ -87,7 +87,7 @@
         self.journal.end(m, status, again_ms)
         self._settle(m, status, again_ms)
 
-    def _settle(self, m: Held, status: str, again_ms: int) -> None:
+    def _settle(self, m: PendingMessage, status: str, again_ms: int) -> None:
         """Record the end before its notice: after a restart a message that was handed back would go out again
         beside the one that its client brings. While the disk takes nothing it is tried again until the
         message's time is up; from then on a restart sends nothing either, and no promise is made."""
@@ -101,7 +101,7 @@
             lambda error: self._unsettled(m, status, again_ms, error),
         )
 
-    def _unsettled(self, m: Held, status: str, again_ms: int, error: OSError) -> None:
+    def _unsettled(self, m: PendingMessage, status: str, again_ms: int, error: OSError) -> None:
         log.error("journal: %s", error)
         if self.journal.wall() < m.until:
             self.unsettled[m.number] = m
@@ -116,11 +116,11 @@
         for number in numbers:
             self.unsettled.pop(number, None)
 
-    def _notify(self, m: Held) -> None:
+    def _notify(self, m: PendingMessage) -> None:
         self.unsettled.pop(m.number, None)
         self.notify(m)
 
-    def notify(self, m: Held) -> None:
+    def notify(self, m: PendingMessage) -> None:
         """Tell the end that is owed."""
         if not any(told(m, m.status) for told in self.tellers):
             self.notices.add(m.number, m.id, m.status, m.again_ms)
@@ -130,13 +130,13 @@
         self.accepted(numbers)
         self.journal.told(numbers)
 
-    def blocked(self, m: Held) -> bool:
+    def blocked(self, m: PendingMessage) -> bool:
         """A later message of an order waits until the end of the one before is recorded."""
         return bool(m.order) and any(x.order == m.order for x in self.unsettled.values())
 
     # Ends by delivery
 
-    def done(self, m: Held, delivered: bool = False) -> None:
+    def done(self, m: PendingMessage, delivered: bool = False) -> None:
         """Delivered or withdrawn: nothing more is owed."""
         self.unguard(m.number)
         if not any(told(m, "" if delivered else "undeliverable") for told in self.tellers):
--- a/madderbeam/host/parts.py
+++ b/madderbeam/host/components.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 if TYPE_CHECKING:
-    from madderbeam.journal.message import Held
+    from madderbeam.journal.pending_message import PendingMessage
     from madderbeam.quota.gate import Verdict
-    from madderbeam.transport.answers import Answer
     from madderbeam.transport.clients import Put
+    from madderbeam.transport.reply_handle import ReplyHandle
 
 
-class Front(Protocol):
+class ClientListener(Protocol):
     """A server that hands in what its clients bring, in a protocol of its own."""
 
     @property
@@ -49,7 +49,7 @@
     def close(self) -> None: ...
 
 
-class Gate(Protocol):
+class AdmissionCheck(Protocol):
     """Asked for each message before anything is journaled; the decision module comes after all gates."""
 
     def ask(self, tenant: int, cls: int, size: int) -> Verdict:
@@ -57,12 +57,12 @@
         ...
 
 
-class Room:
+class Component:
     """A part that is built where the configuration has it, and that the turn does not know by name. What a
     room does not need does nothing."""
 
     @property
-    def fronts(self) -> Sequence[Front]:
+    def fronts(self) -> Sequence[ClientListener]:
         return ()
 
     def open(self) -> None:
@@ -81,18 +81,18 @@
         return {}
 
 
-class Door(Protocol):
+class MessageInterceptor(Protocol):
     """Takes charge of messages that are not for this courier's decision module now, and answers them."""
 
-    def __call__(self, put: Put, m: Held, reply: Answer) -> bool:
+    def __call__(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> bool:
         """Whether it did. Asked behind the gates, before anything is journaled."""
         ...
 
 
-class Teller(Protocol):
+class CompletionListener(Protocol):
     """Is told the ends of messages that no client of this courier's handed in."""
 
-    def __call__(self, m: Held, status: str) -> bool:
+    def __call__(self, m: PendingMessage, status: str) -> bool:
         """Whether the message is one of its own. The end is recorded; `status`: "" if it was delivered, else
         that of its notice. It calls `Ends.over` once it has kept the end."""
         ...
--- a/madderbeam/host/assembly.py
+++ b/madderbeam/host/composition.py
@@ -7,18 +7,18 @@
 from collections.abc import Callable
 
 from madderbeam.config.platform import Config, dialed_address, parse_address
+from madderbeam.host.admin_service import AdminService, Drain
 from madderbeam.host.admission import Admission
 from madderbeam.host.attempts import Attempts
-from madderbeam.host.bans import RESERVED, Bans
-from madderbeam.host.ends import Ends
-from madderbeam.host.figures import Figures
-from madderbeam.host.listing import Listing
+from madderbeam.host.completions import Completions
+from madderbeam.host.disabled_endpoints import RESERVED, DisabledEndpoints
+from madderbeam.host.endpoint_registry import EndpointRegistry
+from madderbeam.host.engine_trace import TracedEngine
+from madderbeam.host.environment import surroundings
+from madderbeam.host.host import Host
+from madderbeam.host.metrics import Metrics
 from madderbeam.host.routing import Routing
-from madderbeam.host.service import Drain, Service
-from madderbeam.host.surroundings import surroundings
-from madderbeam.host.trace import TracedCourier
-from madderbeam.host.turn import Host
-from madderbeam.journal.store import Journal
+from madderbeam.journal.journal import Journal
 from madderbeam.policy.engine import DeliveryEngine
 from madderbeam.policy.settings import Idempotency, Settings
 from madderbeam.ports import Ports
@@ -32,9 +32,9 @@
 ROOMS = {
     "quota": "madderbeam.host.quota",
     "kafka": "madderbeam.host.kafka",
-    "federation": "madderbeam.host.federation.room",
-    "changes": "madderbeam.host.changes.room",
-    "standby": "madderbeam.host.standby.owner",
+    "federation": "madderbeam.host.federation.component",
+    "changes": "madderbeam.host.changes.component",
+    "standby": "madderbeam.host.standby.primary",
 }
 IN_FORCE = "madderbeam.host.changes.reading"  # where changes are on: what was last in force counts
 
@@ -54,12 +54,12 @@
         config = importlib.import_module(IN_FORCE).in_force(config, ports)
     s = config.settings
     host = Host(loop, config, ports.clock.monotonic_us)
-    host.courier = TracedCourier(s, config.seed, trace) if trace else DeliveryEngine(s, config.seed)
+    host.courier = TracedEngine(s, config.seed, trace) if trace else DeliveryEngine(s, config.seed)
     _state(host, ports)
     network = Sparing(ports.network, lambda: host.clients.make_room() or host.calls.spare())
     around = surroundings(loop, ports.disk, network, config, host.accepted, host.listed)
     host.notices, host.watch = around.notices, around.watch
-    host.ends = Ends(
+    host.ends = Completions(
         loop, host.journal, host.notices, host.tell, lambda n: host.attempts.forget(n), host.figures
     )
     host.attempts = Attempts(
@@ -107,11 +107,11 @@
     """What is known and kept."""
     config, s = host.config, host.s
     room = config.disk_bytes - (RESERVED if config.control else 0)
-    host.bans = Bans(ports.disk, config.state)
-    host.figures = Figures([c.name for c in s.classes])
+    host.bans = DisabledEndpoints(ports.disk, config.state)
+    host.figures = Metrics([c.name for c in s.classes])
     journal: Callable[..., Journal] = Journal
     if config.standby is not None:
-        journal = importlib.import_module("madderbeam.host.standby.journal").WaitingJournal
+        journal = importlib.import_module("madderbeam.host.standby.journal").ReplicatedJournal
     host.journal = journal(
         ports.disk,
         ports.clock,
@@ -122,7 +122,7 @@
         bool(config.sidecar and config.sidecar.sync),
     )
     # Beside one program an endpoint may stand there by its name.
-    host.listing = Listing(
+    host.listing = EndpointRegistry(
         s, config.zones, host.clock, host.bans, parse_address if config.sidecar else dialed_address
     )
     host.routing = Routing(config, host.listing, ports.clock)
@@ -131,7 +131,9 @@
 def _served(host: Host, control: ControlServer) -> None:
     """The second address, for those who run the courier."""
     host.drain = Drain(host.clients)
-    host.service = Service(host.listing, host.bans, host.drain, host.ready, host.all_figures, host.relist)
+    host.service = AdminService(
+        host.listing, host.bans, host.drain, host.ready, host.all_figures, host.relist
+    )
     host.control = control
     control.act = host.service.act
     control.spare = lambda: host.clients.make_room() or host.calls.spare()
--- a/madderbeam/host/reload.py
+++ b/madderbeam/host/config_reload.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 
-class Reloader:
+class ConfigReloader:
     """Reads the file on each SIGHUP and again, with growing waits, while it can't be used: it may be half
     written. Until it can, the old configuration stays in force."""
 
--- a/madderbeam/host/bans.py
+++ b/madderbeam/host/disabled_endpoints.py
@@ -14,11 +14,11 @@
 log = logging.getLogger(__name__)
 
 
-class TooMany(Exception):
+class TooManyDisabledError(Exception):
     """No further endpoint can be taken out."""
 
 
-class Bans:
+class DisabledEndpoints:
     """The set of ids, and its file in the folder that lasts."""
 
     def __init__(self, disk: Disk, folder: str) -> None:
@@ -43,7 +43,9 @@
     def add(self, uid: str) -> None:
         """Take one out, at once. OSError if it would not outlast the process, TooMany if it can't be."""
         if uid not in self.ids and (len(self.ids) >= MOST or len(uid) > LONGEST):
-            raise TooMany(f"at most {MOST} endpoints can be out by hand, with ids of {LONGEST} characters")
+            raise TooManyDisabledError(
+                f"at most {MOST} endpoints can be out by hand, with ids of {LONGEST} characters"
+            )
         self.ids[uid] = None
         self._write()
 
--- a/madderbeam/host/listing.py
+++ b/madderbeam/host/endpoint_registry.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from madderbeam.config.platform import ConfigError, dialed_address
-from madderbeam.host.limits import Limits, told
+from madderbeam.host.rate_limits import ReportedRates, told
 from madderbeam.policy.events import EndpointEntry, EndpointState
 from madderbeam.policy.settings import DestinationKind, Settings
 from madderbeam.ports import Address
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 
-class Listing:
+class EndpointRegistry:
     """Numbers for the endpoints' ids, what each is, and the waits that destinations told.
 
     Times are the monotonic clock's microseconds. `bans`: ids that are out by hand, whatever is told of them.
@@ -53,7 +53,7 @@
         self.dests: set[int] = set()  # that ever stood in a list: its endpoints may only be gone for now
         self.topics: dict[int, str] = {}  # of endpoints that are a Kafka partner's
         self.subscribed: dict[int, tuple[str, ...]] = {}  # topics of the federation that it wants notices of
-        self.limits = Limits()  # by what waits go by
+        self.limits = ReportedRates()  # by what waits go by
         self.waits: dict[tuple[int, int], int] = {}  # told waits, by destination or route: when they end
         # Endpoints that have gone: whose waits they still tell, and until when a call there may be out.
         self.left: dict[int, tuple[tuple[int, int], int]] = {}
--- a/madderbeam/host/trace.py
+++ b/madderbeam/host/engine_trace.py
@@ -10,7 +10,7 @@
 from madderbeam.policy.settings import Settings
 
 
-class TracedCourier(DeliveryEngine):
+class TracedEngine(DeliveryEngine):
     """The decision module, with every turn written down. Off unless MADDERBEAM_TRACE is set: it is far more
     than a log should hold, and costs CPU. bench/fleet.py reads it."""
 
--- a/madderbeam/host/surroundings.py
+++ b/madderbeam/host/environment.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class Surroundings:
+class Environment:
     """The parts that differ from one kind of installation to another."""
 
     notices: Notices | Feed
@@ -38,12 +38,12 @@
     config: Config,
     accepted: Callable[[list[int]], None],
     listed: Callable[[dict[str, Any]], bool],
-) -> Surroundings:
+) -> Environment:
     """`accepted` is told of notices that were, `listed` of news of the list."""
     chance, side = random.Random(f"links {config.seed}"), config.sidecar
     most = max(8, int(config.sockets * CLIENT_SHARE))
     if side is None:
-        return Surroundings(
+        return Environment(
             Notices(loop, network, config.discovery, chance, accepted),
             Watch(loop, network, config.discovery, chance, config.known["rev"], listed),
             Places(most),
@@ -53,7 +53,7 @@
         if side.feed
         else Notices(loop, network, config.discovery, chance, accepted)
     )
-    return Surroundings(
+    return Environment(
         notices,
         ListFile(loop, disk, side.partners, listed),
         Places(min(side.clients, most), 1.0, side.client_idle_s, SIDECAR_PIPELINE),
--- a/madderbeam/host/federation/calls.py
+++ b/madderbeam/host/federation/calls.py
@@ -10,13 +10,20 @@
 
 from madderbeam.config.federation import Federation
 from madderbeam.federation import table as tables
-from madderbeam.federation.agreement import Agreement
+from madderbeam.federation.consensus.agreement import Agreement
 from madderbeam.federation.errors import FederationError
-from madderbeam.federation.switch import Switch
-from madderbeam.federation.values import Outcome, ProposalId, Proposed, SaidOff, Table, Trusted
+from madderbeam.federation.switchover.switchover import Switchover
+from madderbeam.federation.values import (
+    FolderTrusted,
+    MemberCalledOff,
+    ProposalId,
+    ProposalOutcome,
+    Table,
+    TableProposed,
+)
 from madderbeam.host.federation.shared import Shared
-from madderbeam.host.turn import Host
-from madderbeam.membership.machine import Membership
+from madderbeam.host.host import Host
+from madderbeam.membership.membership import Membership
 from madderbeam.membership.values import MemberId, MemberView
 from madderbeam.ports import Disk
 from madderbeam.relay.custody import Custodian
@@ -38,7 +45,7 @@
     config: Federation
     membership: Membership
     agreement: Agreement
-    switch: Switch
+    switch: Switchover
     streams: Streams
     custodian: Custodian
     mesh: Mesh
@@ -52,7 +59,7 @@
 
     def __init__(self, member: Member) -> None:
         self.member, self.me = member, member.config.id
-        self.outcomes: dict[ProposalId, Outcome] = {}
+        self.outcomes: dict[ProposalId, ProposalOutcome] = {}
         service, control = member.host.service, member.host.control
         control.most = max(control.most, CALL_MOST)
         service.calls |= {
@@ -62,7 +69,7 @@
             "/federation/trust": ("POST", self._trust),
         }
 
-    def outcome(self, outcome: Outcome) -> None:
+    def outcome(self, outcome: ProposalOutcome) -> None:
         """What became of a table that was offered here."""
         self.outcomes.pop(outcome.proposal, None)
         self.outcomes[outcome.proposal] = outcome
@@ -117,7 +124,7 @@
         if table.proposal == self.member.table().proposal:
             return Answer(200, f"{proposal} is in force\n")
         self.outcomes.pop(proposal, None)
-        self.member.tell(Proposed(table))
+        self.member.tell(TableProposed(table))
         outcome = self.outcomes.get(proposal)
         if outcome is None:
             return Answer(202, f"{proposal} is offered; GET /federation tells what becomes of it\n")
@@ -132,12 +139,12 @@
         if member == self.me:
             return Answer(409, f"{member} is this member, and it works\n")
         log.warning("federation: an operator says that %s is off", member)
-        self.member.tell(SaidOff(member, self.member.table().number))
+        self.member.tell(MemberCalledOff(member, self.member.table().number))
         return Answer(200, f"{member} counts as off by table {self.member.table().number}\n")
 
     def _trust(self, _: bytes) -> Answer:
         log.warning("federation: an operator says that this member's folder may be trusted")
-        self.member.tell(Trusted())
+        self.member.tell(FolderTrusted())
         return Answer(200, f"{self.me} takes part in votes again\n")
 
     # SIGHUP
--- a/madderbeam/host/federation/room.py
+++ b/madderbeam/host/federation/component.py
@@ -9,26 +9,27 @@
 from typing import Any
 
 from madderbeam.config.federation import Federation as Config
-from madderbeam.federation import inquiries, ledger
-from madderbeam.federation import messages as words
-from madderbeam.federation.agreement import Agreement
-from madderbeam.federation.council import FromAgreement
-from madderbeam.federation.machine import Federation
-from madderbeam.federation.rounds import AgreementSettings
-from madderbeam.federation.switch import Switch
-from madderbeam.federation.switch_settings import SwitchSettings
+from madderbeam.federation.consensus import messages as words
+from madderbeam.federation.consensus.agreement import Agreement
+from madderbeam.federation.consensus.rounds import AgreementSettings
+from madderbeam.federation.federation import Federation
+from madderbeam.federation.switchover import ledger, messages
+from madderbeam.federation.switchover.consensus_view import AgreementView
+from madderbeam.federation.switchover.settings import SwitchoverSettings
+from madderbeam.federation.switchover.switchover import Switchover
 from madderbeam.federation.values import (
-    Begin,
-    Check,
-    Checked,
-    Hold,
-    InForce,
-    Outcome,
-    Paused,
-    Released,
+    BeginServing,
+    CheckTable,
+    DestinationReleased,
+    ProposalOutcome,
     Relinquish,
+    ServingPaused,
+    SuspendServing,
     Table,
+    TableChecked,
+    TableInForce,
 )
+from madderbeam.host.components import Component
 from madderbeam.host.federation.calls import Calls, Member
 from madderbeam.host.federation.custody import Custody
 from madderbeam.host.federation.kept import Kept
@@ -36,34 +37,33 @@
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.federation.serving import Serving
 from madderbeam.host.federation.shared import Shared
-from madderbeam.host.parts import Room
-from madderbeam.host.turn import Host
+from madderbeam.host.host import Host
 from madderbeam.membership import messages as gossip
-from madderbeam.membership.lives import next_life
-from madderbeam.membership.machine import Membership
-from madderbeam.membership.settings import Settings as MembershipSettings
+from madderbeam.membership.incarnations import next_life
+from madderbeam.membership.membership import Membership
+from madderbeam.membership.settings import MembershipSettings as MembershipSettings
 from madderbeam.membership.values import (
-    Arrived,
-    Draining,
-    Due,
-    Exchange,
+    DatagramReceived,
+    Disseminate,
     ExchangeFailed,
-    FolderIsOlder,
-    FromLink,
-    Heard,
-    Leaving,
-    LifeRaised,
+    GossipReceived,
+    IncarnationRaised,
+    Leave,
     LinkDown,
     LinkUp,
     MemberChanged,
     MemberId,
-    Resumed,
+    MessageReceived,
+    PauseDetected,
+    RollbackDetected,
     SendDatagram,
-    Spread,
+    SendMessage,
+    SetDraining,
+    StartStateExchange,
     State,
-    StateCame,
+    StateReceived,
     StateReply,
-    ToLink,
+    TimerDue,
 )
 from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
@@ -89,7 +89,7 @@
 log = logging.getLogger(__name__)
 
 
-class FederationRoom(Room):
+class FederationComponent(Component):
     """One member. Its machines run from `open` on; what they keep lies beside the journal's folder."""
 
     def __init__(self, host: Host, ports: Ports, config: Config) -> None:
@@ -172,14 +172,14 @@
         c = self.config
         agreed = AgreementSettings(agree_within_us=c.agree_within_ms * 1000)
         self.agreement = Agreement(agreed, self.me, self.life, self.chance, self.kept.map, self.table)
-        switched = SwitchSettings(lease_us=(c.lease_ms or 0) * 1000, drift_ppm=c.lease_drift_ppm)
-        self.switch = Switch(
+        switched = SwitchoverSettings(lease_us=(c.lease_ms or 0) * 1000, drift_ppm=c.lease_drift_ppm)
+        self.switch = Switchover(
             switched,
             self.me,
             self.life,
             self.kept.map,
             self.table,
-            FromAgreement(self.agreement),
+            AgreementView(self.agreement),
             self._wall_ms,
         )
         self.machine = Federation(self.agreement, self.switch)
@@ -276,7 +276,7 @@
         self.started = True
         now = self.host.clock()
         if self.kept.damaged:
-            self.federation.tell(FolderIsOlder(self.life, self.life))
+            self.federation.tell(RollbackDetected(self.life, self.life))
         self.federation.run(self.machine.start(now))
         self.members.run(self.membership.start(now))
         self.listed()
@@ -305,14 +305,14 @@
 
     def leave(self) -> None:
         for runner in (self.relay, self.members, *((self.leases,) if self.news is not None else ())):
-            runner.tell(Draining(True))
+            runner.tell(SetDraining(True))
 
     def close(self) -> None:
         if self.started:
             if self.shared is not None:
-                self.leases.tell(Leaving())
+                self.leases.tell(Leave())
                 self.shared.close()
-            self.members.tell(Leaving())
+            self.members.tell(Leave())
         for runner in self.runners:
             runner.close()
         self.custody.close()
@@ -337,17 +337,17 @@
     def _heard(self, channel: str, event: Any) -> None:
         """From the mesh. What can't be read is counted, and does nothing."""
         if self.membership.overdue(self.host.clock()):
-            self.members.tell(Due(""))  # a pause counts before what came meanwhile
+            self.members.tell(TimerDue(""))  # a pause counts before what came meanwhile
         if isinstance(event, (LinkUp, LinkDown)):
             for runner in (self.federation, self.origin, self.relay):
                 runner.tell(event)
             return
         if isinstance(event, heard.Outlived):
-            self.federation.tell(FolderIsOlder(event.seen, self.life))
+            self.federation.tell(RollbackDetected(event.seen, self.life))
             return
         try:
             told = READ[channel, type(event)](event)
-            if isinstance(told, FromLink):
+            if isinstance(told, MessageReceived):
                 told = replace(told, said_us=self._said(event))
         except ValueError as error:
             self.mesh.strange(f"channel {channel}: {error}")
@@ -368,7 +368,7 @@
         else:
             self.federation.tell(told)
 
-    def _said(self, event: FromLink) -> int | None:
+    def _said(self, event: MessageReceived) -> int | None:
         """By the host's clock, read first: a pause between the two makes it earlier."""
         now_us = self.host.clock()
         return None if event.said_us is None else now_us + event.said_us - self.mesh.here.now_us()
@@ -382,21 +382,21 @@
     def _acts(self) -> dict[type, Callable[[Any], None]]:
         return {
             SendDatagram: lambda a: self.mesh.datagram(a.to, M, gossip.to_row(a.message)),
-            Exchange: lambda a: self.mesh.exchange(a.to, gossip.to_row(a.message)),
+            StartStateExchange: lambda a: self.mesh.exchange(a.to, gossip.to_row(a.message)),
             StateReply: lambda a: self.mesh.reply(a.reply, gossip.to_row(a.message)),
             MemberChanged: self._member_changed,
-            Heard: self._rumour,
-            Spread: self.members.tell,
-            LifeRaised: self._life_raised,
-            Resumed: self._resumed,
-            FolderIsOlder: self.federation.tell,
-            ToLink: self._to_link,
-            InForce: self._in_force,
-            Check: self._check,
-            Begin: self.serving.begin,
+            GossipReceived: self._rumour,
+            Disseminate: self.members.tell,
+            IncarnationRaised: self._life_raised,
+            PauseDetected: self._resumed,
+            RollbackDetected: self.federation.tell,
+            SendMessage: self._to_link,
+            TableInForce: self._in_force,
+            CheckTable: self._check,
+            BeginServing: self.serving.begin,
             Relinquish: self.serving.relinquish,
-            Hold: self._hold,
-            Outcome: self._outcome,
+            SuspendServing: self._hold,
+            ProposalOutcome: self._outcome,
             Expand: self.custody.expand,
             Settled: self.custody.settled,
             SiteEnded: self.publications.site_ended,
@@ -430,22 +430,22 @@
         if view.state in (State.ALIVE, State.SUSPECT):
             self._reach(view.id)
 
-    def _rumour(self, action: Heard) -> None:
+    def _rumour(self, action: GossipReceived) -> None:
         self.topics.tell(action)
         self.federation.tell(action)
         if self.news is not None:
             self.news.tell(action)
 
-    def _resumed(self, action: Resumed) -> None:
+    def _resumed(self, action: PauseDetected) -> None:
         log.warning(
             "federation: this process was paused for %.1f s: it asks what is in force", action.paused_us / 1e6
         )
-        self.federation.tell(Paused())
+        self.federation.tell(ServingPaused())
         if self.news is not None:
             self.leases.tell(action)
         self.serving.refresh()  # what was hidden as the pause was noticed
 
-    def _life_raised(self, action: LifeRaised) -> None:
+    def _life_raised(self, action: IncarnationRaised) -> None:
         """All that others hear from here on is of this life."""
         if action.life != self.life:
             self.life = action.life
@@ -455,7 +455,7 @@
             for runner in (self.federation, self.topics, *shared):
                 runner.tell(action)
 
-    def _to_link(self, action: ToLink) -> None:
+    def _to_link(self, action: SendMessage) -> None:
         message = action.message
         kind = type(message).__module__
         if kind == streams.__name__:
@@ -468,7 +468,7 @@
         elif kind == lent.__name__:
             channel, row = L, lent.to_row(message)
         else:
-            channel, row = S, inquiries.to_row(message)
+            channel, row = S, messages.to_row(message)
         said_us = None
         if isinstance(message, streams.Entry):  # its time left is what it was as the machine said it
             now_us = self.mesh.here.now_us()
@@ -497,7 +497,7 @@
 
     # The table
 
-    def _in_force(self, action: InForce) -> None:
+    def _in_force(self, action: TableInForce) -> None:
         self.table = action.table
         self.tables.put(action.table.number, action.table.owners)
         self.serving.changed_us = self.host.clock()
@@ -514,43 +514,43 @@
         if self.started:
             self._want()
 
-    def _check(self, action: Check) -> None:
+    def _check(self, action: CheckTable) -> None:
         error = self.switch.objection(action.table)
         why = error.line() if error else self.serving.why_not(action.table, self.me.site)
-        self.federation.tell(Checked(action.table.proposal, why))
+        self.federation.tell(TableChecked(action.table.proposal, why))
 
-    def _hold(self, action: Hold) -> None:
+    def _hold(self, action: SuspendServing) -> None:
         self.serving.keep(action)
         if not action.on:
             self.host.later(0, self.publications.sweep)
 
-    def _released(self, released: Released) -> None:
+    def _released(self, released: DestinationReleased) -> None:
         self.federation.tell(released)
 
-    def _outcome(self, action: Outcome) -> None:
+    def _outcome(self, action: ProposalOutcome) -> None:
         self.calls.outcome(action)
 
 
-def _came(event: heard.Came) -> Arrived:
-    return Arrived(gossip.from_row(event.row), event.source)
+def _came(event: heard.Came) -> DatagramReceived:
+    return DatagramReceived(gossip.from_row(event.row), event.source)
 
 
 READ: dict[tuple[str, type], Callable[[Any], Any]] = {
     (M, heard.Came): _came,
-    (M, heard.Asked): lambda e: StateCame(gossip.from_row(e.row), e.reply),
-    (M, heard.Answered): lambda e: StateCame(gossip.from_row(e.row)),
+    (M, heard.Asked): lambda e: StateReceived(gossip.from_row(e.row), e.reply),
+    (M, heard.Answered): lambda e: StateReceived(gossip.from_row(e.row)),
     (M, heard.Unanswered): lambda e: ExchangeFailed(e.to),
-    (R, FromLink): lambda e: FromLink(e.member, streams.from_row(e.message)),
-    (T, FromLink): lambda e: FromLink(e.member, words.from_row(e.message)),
-    (S, FromLink): lambda e: FromLink(e.member, inquiries.from_row(e.message)),
-    (L, FromLink): lambda e: FromLink(e.member, lent.from_row(e.message)),
+    (R, MessageReceived): lambda e: MessageReceived(e.member, streams.from_row(e.message)),
+    (T, MessageReceived): lambda e: MessageReceived(e.member, words.from_row(e.message)),
+    (S, MessageReceived): lambda e: MessageReceived(e.member, messages.from_row(e.message)),
+    (L, MessageReceived): lambda e: MessageReceived(e.member, lent.from_row(e.message)),
 }
 
 
 def join(host: Host, ports: Ports) -> None:
     """A member of the federation that the configuration has."""
     assert host.config.federation is not None
-    room = FederationRoom(host, ports, host.config.federation)
+    room = FederationComponent(host, ports, host.config.federation)
     ended = host.ends.ended
 
     def over(number: int) -> None:
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from madderbeam.host.federation.kept import Kept
-from madderbeam.host.turn import Host
-from madderbeam.journal.message import Held
-from madderbeam.membership.values import FromLink, Life, LinkUp, MemberId
+from madderbeam.host.host import Host
+from madderbeam.journal.pending_message import PendingMessage
+from madderbeam.membership.values import Incarnation, LinkUp, MemberId, MessageReceived
 from madderbeam.relay.custody import Custodian
 from madderbeam.relay.derive import delivery_id, delivery_key, held_id
 from madderbeam.relay.messages import BODY_MOST, Ends, EndsAck, Entry, Nak
@@ -86,11 +86,11 @@
         self,
         host: Host,
         me: MemberId,
-        life: Life,
+        life: Incarnation,
         custodian: Custodian,
         tell: Callable[[Any], None],
         streams: Callable[[Any], None],
-        come_home: Callable[[Held], bool],
+        come_home: Callable[[PendingMessage], bool],
         kept: Kept,
     ) -> None:
         """`come_home`: a message of this courier's own is to be served here; False if it can't be now."""
@@ -100,7 +100,7 @@
         # By id: publications and subscriber. The same delivery may come by two ways, under two names.
         self.deliveries: dict[str, set[tuple[str, int]]] = {}
         self.clients: set[str] = set()  # ids of those that a client of this courier waits for as well
-        self.unsettled: dict[tuple[str, int], Held] = {}  # ended, and that is not kept yet
+        self.unsettled: dict[tuple[str, int], PendingMessage] = {}  # ended, and that is not kept yet
         self.settling: set[int] = set()  # their numbers
         self.stream, self.seq = life.start << 32 | 1, 0  # of what this courier hands to itself
         self.own: dict[int, Publication] = {}  # by sequence number
@@ -208,7 +208,7 @@
             work.open.discard(dest)
             self.turned_down(work, dest, str(error))
 
-    def _held_already(self, work: Expansion, dest: int, m: Held) -> None:
+    def _held_already(self, work: Expansion, dest: int, m: PendingMessage) -> None:
         """A client handed it in at this courier: its end is the client's, and is told to who sent it, too.
         A second message would wait for the first, and that for the second."""
         if m.status:
@@ -264,7 +264,7 @@
 
     # Ends
 
-    def ended(self, m: Held, status: str) -> bool:
+    def ended(self, m: PendingMessage, status: str) -> bool:
         """Teller of ends: whether it is a delivery in custody here."""
         found = self.deliveries.get(m.id)
         if found is None:
@@ -306,7 +306,7 @@
         self.own[self.seq] = publication
         now_us = self.host.clock()
         left_us = max(0, publication.until_us - now_us)
-        self.tell(FromLink(self.me, Entry(self.stream, self.seq, publication, left_us), now_us))
+        self.tell(MessageReceived(self.me, Entry(self.stream, self.seq, publication, left_us), now_us))
 
     def to_self(self, message: Any) -> None:
         """A word of the custodian's for its own courier."""
@@ -318,7 +318,7 @@
             for row in message.rows:
                 if not row.left:
                     self.streams(LocalEnded(row.name, row.delivered, row.ends))
-            self.tell(FromLink(self.me, EndsAck(message.number)))
+            self.tell(MessageReceived(self.me, EndsAck(message.number)))
         elif (seq := getattr(message, "seq", None)) is not None:
             for done in [n for n in self.own if n <= seq]:
                 del self.own[done]
--- a/madderbeam/host/federation/kept.py
+++ b/madderbeam/host/federation/kept.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from madderbeam.host import files
+from madderbeam.host import atomic_file
 from madderbeam.journal.records import FRAME, MOST, frame, parse
 from madderbeam.ports import Disk, File
 
@@ -105,7 +105,7 @@
         data = self._rows()
         self.live = len(data)
         try:
-            files.replace(self.disk, self.path, data)
+            atomic_file.replace(self.disk, self.path, data)
             file = self.disk.open(self.path)
         except OSError as error:
             log.error("%s is not made smaller: %s", self.path, error)
--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from madderbeam.federation.errors import LimitsMany
-from madderbeam.host.turn import Host
+from madderbeam.host.host import Host
 from madderbeam.policy.events import ListUpdateKind
 from madderbeam.shared.division import rounded
 from madderbeam.shared.leases import Leases
@@ -41,9 +41,9 @@
         self.full = False  # that more are limited than are shared was told
         self.gate: Any = None
         if host.config.quota is not None:
-            from madderbeam.host.quota import Quota  # loaded already where there are quotas
+            from madderbeam.host.quota import QuotaComponent  # loaded already where there are quotas
 
-            self.gate = next(g.gate for g in host.admission.gates if isinstance(g, Quota))
+            self.gate = next(g.gate for g in host.admission.gates if isinstance(g, QuotaComponent))
             if self.gate.leased.unleased:
                 self._many(f"{self.gate.leased.unleased} quotas have equal parts")
         self.meters: dict[str, tuple[Meter, Meter]] = {}  # by quota's node: messages, bytes
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -16,9 +16,9 @@
 from madderbeam.federation.errors import FederationError
 from madderbeam.federation.values import Table
 from madderbeam.host.federation.serving import Serving
-from madderbeam.host.figures import ABORTED, DECLINED, SUCCEEDED
-from madderbeam.host.turn import Host
-from madderbeam.journal.message import Held
+from madderbeam.host.host import Host
+from madderbeam.host.metrics import ABORTED, DECLINED, SUCCEEDED
+from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.membership.values import MemberId
 from madderbeam.policy.events import MessageWithdrawn
 from madderbeam.policy.settings import Idempotency
@@ -35,8 +35,8 @@
     SiteEnded,
     Withdrawn,
 )
-from madderbeam.transport.answers import Answer
 from madderbeam.transport.clients import Put
+from madderbeam.transport.reply_handle import ReplyHandle
 
 SOON_US = 100_000  # the least time to come again where a destination changes hands
 TOPIC = -2  # the destination of a publication, as the journal has it
@@ -70,13 +70,13 @@
         self.numbers: dict[str, int] = {}  # by publication, of its message in the journal
         self.names: dict[int, str] = {}  # the other way round
         self.never_ran: set[str] = set()  # those that may be handed in again
-        self.restored: list[Held] = []
+        self.restored: list[PendingMessage] = []
         self.sent = streams.sent.sites()  # of unsafe ones, before this start
         self.taken = self.refused = 0
 
     # The door
 
-    def door(self, put: Put, m: Held, reply: Answer) -> bool:
+    def door(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> bool:
         """Whether the message is for others; then it is answered here."""
         if put.topic:
             self._topic(put, m, reply)
@@ -96,7 +96,7 @@
             self._take(m, self._single(m), (owner,), reply)
         return True
 
-    def _topic(self, put: Put, m: Held, reply: Answer) -> None:
+    def _topic(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> None:
         if self.serving.hold.on and self.serving.hold.dests is None:
             self._busy(m, reply, self._settling_us())
             return
@@ -114,7 +114,9 @@
         envelope = msgpack.packb([put.topic, table.number, list(sites), m.body])
         self._take(replace(m, dest=TOPIC, body=envelope), publication, sites, reply)
 
-    def _take(self, m: Held, publication: Publication, sites: tuple[str, ...], reply: Answer) -> None:
+    def _take(
+        self, m: PendingMessage, publication: Publication, sites: tuple[str, ...], reply: ReplyHandle
+    ) -> None:
         try:
             after = self.streams.refusal(sites, len(publication.body))
         except FederationError as error:
@@ -132,14 +134,14 @@
         taken_us = self.host.clock() - self.serving.changed_us
         return min(self.wait_us, max(SOON_US, taken_us))
 
-    def _busy(self, m: Held, reply: Answer, after_us: int) -> None:
+    def _busy(self, m: PendingMessage, reply: ReplyHandle, after_us: int) -> None:
         self.refused += 1
         self.host.figures.ended(DECLINED, m.cls)
         reply.busy(after_us)
 
     # On its way
 
-    def _single(self, m: Held) -> Publication:
+    def _single(self, m: PendingMessage) -> Publication:
         """The message as an entry of one. What is in custody here has an id of its own on its further way: it
         may go back to where it came from, which knows its id as that of its own message."""
         s = self.host.s
@@ -162,14 +164,14 @@
             self.table().number,
         )
 
-    def _publish(self, m: Held, publication: Publication, sites: tuple[str, ...]) -> None:
+    def _publish(self, m: PendingMessage, publication: Publication, sites: tuple[str, ...]) -> None:
         self.taken += 1
         self.numbers[publication.name], self.names[m.number] = m.number, publication.name
         self.tell(Published(publication, sites))
         if self.me.site in sites:
             self.local(publication)
 
-    def passed_on(self, m: Held) -> None:
+    def passed_on(self, m: PendingMessage) -> None:
         """A message that was taken on for a destination which another site serves from now on."""
         if m.number in self.names or self.settling(m.number):
             return
@@ -180,7 +182,7 @@
         elif owner != self.me.site:
             self._publish(m, self._single(m), (owner,))
 
-    def _may_go(self, m: Held) -> bool:
+    def _may_go(self, m: PendingMessage) -> bool:
         """Another site may make attempts of it: it never ran, or does no harm twice."""
         cls, ran = self.host.s.classes[m.cls], m.may_have_run_at
         if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
@@ -188,7 +190,7 @@
         # The other site does not know when the first attempt was: the window has to outlast the message.
         return cls.idempotency is Idempotency.WITH_KEY and ran + cls.key_window_us / 1e6 >= m.until
 
-    def come_home(self, m: Held) -> bool:
+    def come_home(self, m: PendingMessage) -> bool:
         """A message of this courier's own is to be served by this site: it goes to the decision module if it
         was on its way to another. False: it is not served here now."""
         if m.number not in self.names:
@@ -203,7 +205,7 @@
 
     # Over a restart
 
-    def claims(self, m: Held) -> bool:
+    def claims(self, m: PendingMessage) -> bool:
         """Whether a message that is restored is a publication, or may be at another site already."""
         home = self.in_custody(m.id) and not m.relayed  # it has come back since
         claimed = m.dest == TOPIC or (
@@ -267,7 +269,7 @@
             self._forget(name)
             self.tell(Withdrawn(name))
 
-    def _forget(self, name: str) -> Held | None:
+    def _forget(self, name: str) -> PendingMessage | None:
         self.never_ran.discard(name)
         number = self.numbers.pop(name, 0)
         self.names.pop(number, None)
