--- a/madderbeam/host/federation/runner.py
+++ b/madderbeam/host/federation/runner.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from madderbeam.host.federation.kept import Kept
-from madderbeam.membership.values import Due, Note, Persist, SetTimer, Unwritten
+from madderbeam.membership.values import LogLine, Persist, SetTimer, TimerDue, WriteFailed
 
 log = logging.getLogger(__name__)
 
@@ -92,7 +92,7 @@
         except OSError as error:
             log.error("%s: %d records are not kept: %s", self.name, len(rows), error)
             self.unwritten += len(rows)
-            self.events.extendleft(Unwritten(r.kind, r.key) for r in reversed(rows))
+            self.events.extendleft(WriteFailed(r.kind, r.key) for r in reversed(rows))
             return False
         return True
 
@@ -102,14 +102,14 @@
                 timer.cancel()
             delay = max(0, action.at_us - self.clock()) / 1e6 + 5e-5
             self.timers[action.token] = self.loop.call_later(delay, self._due, action.token)
-        elif isinstance(action, Note):
+        elif isinstance(action, LogLine):
             note(action, self.name)
         else:
             self.act(action)
 
     def _due(self, token: str) -> None:
         self.timers.pop(token, None)
-        self.tell(Due(token))
+        self.tell(TimerDue(token))
 
     def close(self) -> None:
         self.closed = True
@@ -117,7 +117,7 @@
             timer.cancel()
 
 
-def note(action: Note, name: str = "federation") -> None:
+def note(action: LogLine, name: str = "federation") -> None:
     """A line for the log; what an operator can do something about is an error."""
     line = getattr(action.error, "line", None)
     if line is not None:
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -12,9 +12,17 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from madderbeam.federation.values import Begin, Hold, Release, Released, Relinquish, Table, Wait
-from madderbeam.host.turn import Host
-from madderbeam.journal.message import Held
+from madderbeam.federation.values import (
+    BeginServing,
+    DestinationReleased,
+    Release,
+    Relinquish,
+    RemainingSpan,
+    SuspendServing,
+    Table,
+)
+from madderbeam.host.host import Host
+from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.membership.values import MemberId
 from madderbeam.policy.events import EndpointEntry, EndpointState, ListUpdateKind
 
@@ -34,13 +42,13 @@
         host: Host,
         me: MemberId,
         may_call: Callable[[int], bool],
-        told: Callable[[Released], None],
-        passed_on: Callable[[Held], None],
+        told: Callable[[DestinationReleased], None],
+        passed_on: Callable[[PendingMessage], None],
         leased: bool,
     ) -> None:
         self.host, self.me, self.may_call, self.told, self.passed_on = host, me, may_call, told, passed_on
         self.leased = leased
-        self.hold = Hold(True, "has not started")
+        self.hold = SuspendServing(True, "has not started")
         self.begun: set[int] = set()
         self.leaving: dict[int, tuple[int, int]] = {}  # the table, and looks that found no call out
         self.looking = False
@@ -71,7 +79,7 @@
 
     # What the machine has decided
 
-    def begin(self, action: Begin) -> None:
+    def begin(self, action: BeginServing) -> None:
         """Served from now on, with what its old owners passed on."""
         dest, listing = action.dest, self.host.listing
         self.leaving.pop(dest, None)
@@ -107,7 +115,7 @@
         self._hide([action.dest])
         self._look_again()
 
-    def keep(self, hold: Hold) -> None:
+    def keep(self, hold: SuspendServing) -> None:
         """Another hold takes the place of the one before."""
         before, self.hold = self.hold, hold
         if before.on is not hold.on:
@@ -156,16 +164,18 @@
                 self.leaving[dest] = (table, quiet + 1)
             else:
                 del self.leaving[dest]
-                self.told(Released(self._release(dest, table)))
+                self.told(DestinationReleased(self._release(dest, table)))
                 self.hand_over(dest)
         if self.leaving:
             self._look_again()
 
     def _release(self, dest: int, table: int) -> Release:
         listing, now = self.host.listing, self.host.clock()
-        waits = tuple(Wait(uid, until - now) for d, uid, until in listing.waits_by_name() if d == dest)
+        waits = tuple(
+            RemainingSpan(uid, until - now) for d, uid, until in listing.waits_by_name() if d == dest
+        )
         drains = tuple(
-            Wait(listing.names[e.endpoint], DRAIN_US)
+            RemainingSpan(listing.names[e.endpoint], DRAIN_US)
             for e in self._entries(dest)
             if e.state is EndpointState.DRAINING
         )
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/shared.py
@@ -16,8 +16,8 @@
 from madderbeam.federation.values import Table
 from madderbeam.host.federation.limits import Limits
 from madderbeam.host.federation.serving import Serving
-from madderbeam.host.turn import Host
-from madderbeam.membership.values import Life, MemberId
+from madderbeam.host.host import Host
+from madderbeam.membership.values import Incarnation, MemberId
 from madderbeam.policy.events import AttemptResult, EndpointEntry, EndpointState, ListUpdateKind
 from madderbeam.policy.state import Destination
 from madderbeam.shared.leases import Leases
@@ -64,7 +64,7 @@
         self,
         host: Host,
         me: MemberId,
-        life: Life,
+        life: Incarnation,
         serving: Serving,
         partners: Partners,
         leases: Leases,
--- a/madderbeam/host/turn.py
+++ b/madderbeam/host/host.py
@@ -8,17 +8,17 @@
 from typing import Any
 
 from madderbeam.config.platform import Config
+from madderbeam.host.admin_service import AdminService, Drain
 from madderbeam.host.admission import Admission
 from madderbeam.host.attempts import Attempts
-from madderbeam.host.bans import Bans
-from madderbeam.host.ends import Ends
-from madderbeam.host.figures import Figures
-from madderbeam.host.listing import Listing
-from madderbeam.host.parts import Front, Room
+from madderbeam.host.completions import Completions
+from madderbeam.host.components import ClientListener, Component
+from madderbeam.host.disabled_endpoints import DisabledEndpoints
+from madderbeam.host.endpoint_registry import EndpointRegistry
+from madderbeam.host.metrics import Metrics
 from madderbeam.host.routing import Routing
-from madderbeam.host.service import Drain, Service
-from madderbeam.journal.message import Held
-from madderbeam.journal.store import Journal
+from madderbeam.journal.journal import Journal
+from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.policy.actions import (
     Action,
     CancelAttempt,
@@ -41,12 +41,12 @@
     TimerDue,
 )
 from madderbeam.ports import Address
-from madderbeam.transport.answers import Answer
 from madderbeam.transport.calls import Calls, Item
 from madderbeam.transport.clients import ClientServer
 from madderbeam.transport.control import ControlServer
 from madderbeam.transport.discovery import Notices, Watch
 from madderbeam.transport.local import Feed, ListFile
+from madderbeam.transport.reply_handle import ReplyHandle
 
 MOST_TURNS = 50  # in one go; an attempt that can't be made is one, and a message has few
 # A planned restart, in seconds from SIGTERM: new clients come until LISTEN_S, calls may last until CALLS_S.
@@ -63,22 +63,22 @@
     """One courier, on whatever loop and ports it is given."""
 
     first: asyncio.TimerHandle | None = None  # at the latest then work begins
-    # Its rooms, which the assembly makes (host/assembly.py).
+    # Its rooms, which the assembly makes (host/composition.py).
     courier: DeliveryEngine
-    bans: Bans
-    figures: Figures
+    bans: DisabledEndpoints
+    figures: Metrics
     journal: Journal
-    listing: Listing
+    listing: EndpointRegistry
     routing: Routing
     notices: Notices | Feed
     watch: Watch | ListFile
-    ends: Ends
+    ends: Completions
     attempts: Attempts
     calls: Calls
     admission: Admission
     clients: ClientServer
     drain: Drain
-    service: Service
+    service: AdminService
     control: ControlServer
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, clock: Callable[[], int]) -> None:
@@ -91,10 +91,10 @@
         self.handed = False  # another process has charge of everything
         self.alone = False  # and that one has died
         self.closed: asyncio.Future[None] = loop.create_future()
-        self.fronts: list[Front] = []
-        self.rooms: list[Room] = []  # what the configuration has beside
+        self.fronts: list[ClientListener] = []
+        self.rooms: list[Component] = []  # what the configuration has beside
         # Asked for each message that is restored: whether a room takes charge of it.
-        self.claims: list[Callable[[Held], bool]] = []
+        self.claims: list[Callable[[PendingMessage], bool]] = []
         self.on_list: list[Callable[[], None]] = []  # called when the list has changed
 
     def later(self, seconds: float, action: Callable[[], None]) -> None:
@@ -148,7 +148,7 @@
         for m in list(self.journal.held.values()):
             self.restore(m)
 
-    def restore(self, m: Held) -> None:
+    def restore(self, m: PendingMessage) -> None:
         if m.status:
             self.ends.notify(m)
             return
@@ -210,7 +210,9 @@
         finally:
             self.journal.commit()
 
-    def _carry_out(self, actions: list[Action], arrived: dict[int, tuple[Held, list[Answer]]]) -> None:
+    def _carry_out(
+        self, actions: list[Action], arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]]
+    ) -> None:
         self.admission.answer(arrived, actions)
         bundles: dict[int, list[Item]] = {}
         for a in actions:
--- a/madderbeam/host/kafka.py
+++ b/madderbeam/host/kafka.py
@@ -11,22 +11,22 @@
 from typing import Any
 
 from madderbeam.config.platform import Config, Kafka
-from madderbeam.host import files
-from madderbeam.host.parts import Front as Served
-from madderbeam.host.parts import Room
-from madderbeam.host.turn import Host
+from madderbeam.host import atomic_file
+from madderbeam.host.components import ClientListener as Served
+from madderbeam.host.components import Component
+from madderbeam.host.host import Host
 from madderbeam.ports import Clock, Disk, Network, Ports
-from madderbeam.transport.answers import Answer
 from madderbeam.transport.clients import ClientServer, Places, Put
 from madderbeam.transport.kafka.connection import connections
 from madderbeam.transport.kafka.front import Front, Setup
 from madderbeam.transport.local import Feed
+from madderbeam.transport.reply_handle import ReplyHandle
 
 KEPT_S = 60.0  # a connection that was of use is kept for so long with no request open
 log = logging.getLogger(__name__)
 
 
-class KafkaRoom(Room):
+class KafkaComponent(Component):
     """Built where the configuration has `kafka`. Gets what admission takes, and hands nothing else on."""
 
     def __init__(
@@ -37,7 +37,7 @@
         clock: Clock,
         config: Config,
         kafka: Kafka,
-        hand_in: Callable[[Put, Answer], None],
+        hand_in: Callable[[Put, ReplyHandle], None],
         feed: Feed | None,
     ) -> None:
         self.disk, self.kafka, self.feed = disk, kafka, feed
@@ -121,7 +121,7 @@
             return
         text = json.dumps({"base": self.first, "groups": self.front.groups.offsets}).encode()
         try:
-            files.replace(self.disk, self.path, text)
+            atomic_file.replace(self.disk, self.path, text)
         except OSError as error:
             log.error("kafka: offsets are not saved: %s", error)
 
@@ -131,7 +131,7 @@
     assert host.config.kafka is not None
     feed = host.notices if isinstance(host.notices, Feed) else None
     host.rooms.append(
-        KafkaRoom(
+        KafkaComponent(
             host.loop,
             ports.network,
             ports.disk,
--- a/madderbeam/host/figures.py
+++ b/madderbeam/host/metrics.py
@@ -8,7 +8,7 @@
 PREFIX = "app"
 
 
-class Figures:
+class Metrics:
     """Counts of ends by class, and of messages written whole to endpoints."""
 
     def __init__(self, classes: Sequence[str]) -> None:
--- a/madderbeam/host/graph.py
+++ b/madderbeam/host/object_graph.py
@@ -17,7 +17,7 @@
 PLAIN = (type(None), bool, int, float, str, bytes)
 
 
-class Unknown(ValueError):
+class UnknownStateError(ValueError):
     """Data that does not stand for objects of the known classes."""
 
 
@@ -69,7 +69,7 @@
     if cls is random.Random:
         return ["random"]
     if cls not in known:
-        raise Unknown(f"{cls.__name__} is not of the state's classes")
+        raise UnknownStateError(f"{cls.__name__} is not of the state's classes")
     if isinstance(value, Enum):
         return ["enum", cls.__name__, value.name]
     return ["object", cls.__name__, *(point(part) for pair in _fields(value) for part in pair)]
@@ -85,10 +85,10 @@
     """The root. Random numbers go on from `chance`. Unknown if the data can't be what `encode` gave."""
     try:
         return _Reader(nodes, {cls.__name__: cls for cls in classes}, chance).root()
-    except Unknown:
+    except UnknownStateError:
         raise
     except (KeyError, TypeError, ValueError, IndexError, AttributeError, RecursionError) as error:
-        raise Unknown(f"state that can't be read: {error!r}") from None
+        raise UnknownStateError(f"state that can't be read: {error!r}") from None
 
 
 class _Reader:
--- a/madderbeam/host/process.py
+++ b/madderbeam/host/process.py
@@ -14,11 +14,11 @@
 from dataclasses import replace
 
 from madderbeam.config.platform import Config, ConfigError, load
-from madderbeam.host import upgrade
-from madderbeam.host.assembly import assemble
-from madderbeam.host.handover import Passed, adopt
-from madderbeam.host.reload import Reloader
-from madderbeam.host.turn import Host
+from madderbeam.host import process_upgrade
+from madderbeam.host.composition import assemble
+from madderbeam.host.config_reload import ConfigReloader
+from madderbeam.host.host import Host
+from madderbeam.host.state_transfer import TransferredState, adopt
 from madderbeam.ports import Clock, Ports
 from madderbeam.ports.real import RealClock, RealDisk, open_at_most, real_ports
 from madderbeam.transport.control import ControlServer
@@ -30,7 +30,7 @@
 log = logging.getLogger(__name__)
 
 
-class Bounded(logging.Filter):
+class LineRateFilter(logging.Filter):
     """At most so many lines a second: a flood of them would stall the loop."""
 
     def __init__(self, clock: Clock, a_second: int) -> None:
@@ -51,7 +51,7 @@
     env: Mapping[str, str],
     config: Config,
     control: ControlServer | None = None,
-    passed: Passed | None = None,
+    passed: TransferredState | None = None,
 ) -> Host:
     """Start one courier on this loop; it is to be closed once its `closed` is done.
 
@@ -71,11 +71,11 @@
     ports: Ports,
     env: Mapping[str, str],
     host: Host,
-    passed: Passed | None = None,
+    passed: TransferredState | None = None,
 ) -> None:
     """Let a courier that is assembled begin its work; OSError as of `start`."""
     config = host.config
-    reloader = Reloader(
+    reloader = ConfigReloader(
         loop, env, ports.disk, host.move, random.Random(f"reload {config.seed}"), host.figures.reloaded
     )
     # Unhandled, SIGHUP would end the process. A sidecar looks at its partner list at once.
@@ -120,13 +120,13 @@
         control.listen(config.control)
     again = True
     while again:
-        takeover = await upgrade.take(config, ports.disk)
+        takeover = await process_upgrade.take(config, ports.disk)
         with collector_rests():
             host = start(loop, ports, env, config, control, takeover.passed)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came meanwhile is heeded now
         takeover.done()
         if config.control:
-            upgrade.Incumbent(host, takeover.lock)
+            process_upgrade.StateTransferServer(host, takeover.lock)
         await host.closed
         again = host.alone
         if not again:
@@ -137,7 +137,7 @@
 def log_to_stderr() -> None:
     """Plain lines, a bounded number of them a second."""
     handler = logging.StreamHandler()
-    handler.addFilter(Bounded(RealClock(), 50))
+    handler.addFilter(LineRateFilter(RealClock(), 50))
     logging.basicConfig(
         level=logging.INFO, handlers=[handler], format="%(asctime)s %(levelname)s %(message)s"
     )
--- a/madderbeam/host/upgrade.py
+++ b/madderbeam/host/process_upgrade.py
@@ -10,8 +10,8 @@
 import time
 
 from madderbeam.config.platform import Config
-from madderbeam.host import graph, handover
-from madderbeam.host.turn import Host
+from madderbeam.host import object_graph, state_transfer
+from madderbeam.host.host import Host
 from madderbeam.ports import Disk, Lock
 from madderbeam.transport import passing
 from madderbeam.transport.passing import Broken
@@ -24,11 +24,11 @@
 log = logging.getLogger(__name__)
 
 
-class Refused(Exception):
+class TransferRefusedError(Exception):
     """The process in charge goes on."""
 
 
-class Incumbent:
+class StateTransferServer:
     """The side in charge: offers a hand-over, and goes on until it is taken."""
 
     def __init__(self, host: Host, lock: Lock) -> None:
@@ -61,12 +61,12 @@
     def _when_ready(self, wanted: str, until: float) -> None:
         if self.host.closing_at:
             self._refuse()
-        elif handover.ready(self.host):
+        elif state_transfer.ready(self.host):
             self._pass(wanted)
         elif self.loop.time() < until:
             self.loop.call_later(0.005, self._when_ready, wanted, until)
         else:
-            handover.settle(self.host)
+            state_transfer.settle(self.host)
             self._pass(wanted)
 
     def _refuse(self) -> None:
@@ -79,11 +79,11 @@
         assert self.conn is not None
         self.conn.settimeout(PATIENCE_S)
         try:
-            passing.send(self.conn, *handover.snapshot(self.host, wanted))
+            passing.send(self.conn, *state_transfer.snapshot(self.host, wanted))
             reply, _ = passing.receive(self.conn)
             if reply.get("say") != "take":
-                raise Refused(str(reply.get("why", "no reason told")))
-        except (Broken, Refused) as error:
+                raise TransferRefusedError(str(reply.get("why", "no reason told")))
+        except (Broken, TransferRefusedError) as error:
             log.error("hand-over: it was not taken, this process goes on: %s", error)
             self._refuse()
             return
@@ -130,7 +130,10 @@
     """The side that asks: has the lock of its folder, and what another process passed on, if one did."""
 
     def __init__(
-        self, lock: Lock, conn: socket.socket | None = None, passed: handover.Passed | None = None
+        self,
+        lock: Lock,
+        conn: socket.socket | None = None,
+        passed: state_transfer.TransferredState | None = None,
     ) -> None:
         self.lock, self.conn, self.passed = lock, conn, passed
 
@@ -154,7 +157,7 @@
         if conn is not None:
             try:
                 return await _asked(conn, config, disk)
-            except (Broken, Refused) as error:
+            except (Broken, TransferRefusedError) as error:
                 conn.close()
                 log.warning("hand-over: %s", error)
         with contextlib.suppress(BlockingIOError):
@@ -167,22 +170,22 @@
 
 async def _asked(conn: socket.socket, config: Config, disk: Disk) -> Takeover:
     conn.settimeout(PATIENCE_S)
-    passing.send(conn, {"say": "hello", "form": handover.form()})
+    passing.send(conn, {"say": "hello", "form": state_transfer.form()})
     await _readable(conn, SETTLE_S + PATIENCE_S)
     message, socks = passing.receive(conn)
     try:
-        passed = handover.Passed(message, socks, config.settings, config.seed)
-    except graph.Unknown as error:
+        passed = state_transfer.TransferredState(message, socks, config.settings, config.seed)
+    except object_graph.UnknownStateError as error:
         for sock in socks:
             sock.close()
         with contextlib.suppress(Broken):
             passing.send(conn, {"say": "no", "why": str(error)})
-        raise Refused(str(error)) from None
+        raise TransferRefusedError(str(error)) from None
     try:
         passing.send(conn, {"say": "take"})
         passing.receive(conn)
         lock = _locked(disk, f"{config.state}/{LOCK}")
-    except (Broken, Refused):
+    except (Broken, TransferRefusedError):
         passed.close()
         raise
     return Takeover(lock, conn, passed)
@@ -196,7 +199,7 @@
             return disk.lock(path)
         except BlockingIOError:
             if time.monotonic() > until:
-                raise Refused("the folder's lock is held by a third process") from None
+                raise TransferRefusedError("the folder's lock is held by a third process") from None
             time.sleep(0.001)
 
 
--- a/madderbeam/host/quota.py
+++ b/madderbeam/host/quota.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from madderbeam.config.platform import Config
-from madderbeam.host import files
-from madderbeam.host.parts import Room
-from madderbeam.host.turn import Host
+from madderbeam.host import atomic_file
+from madderbeam.host.components import Component
+from madderbeam.host.host import Host
 from madderbeam.ports import Clock, Disk, Ports
 from madderbeam.quota.gate import Gate, Verdict
 
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 
-class Quota(Room):
+class QuotaComponent(Component):
     """A gate, built where the configuration has `quota`; admission asks it before anything is journaled."""
 
     def __init__(
@@ -61,7 +61,7 @@
         self.saved_at = now
         text = json.dumps({"form": 1, "at": self.clock.wall(), "rows": self.gate.dump(now)}).encode()
         try:
-            files.replace(self.disk, self.path, text)
+            atomic_file.replace(self.disk, self.path, text)
         except OSError as error:
             log.error("quota: its state is not saved: %s", error)
 
@@ -85,6 +85,6 @@
 def join(host: Host, ports: Ports) -> None:
     """Admission asks the quotas that the configuration has."""
     assert host.config.quota is not None
-    quota = Quota(host.config, host.config.quota, ports.disk, ports.clock, lambda: host.journal.open)
+    quota = QuotaComponent(host.config, host.config.quota, ports.disk, ports.clock, lambda: host.journal.open)
     host.admission.gates.append(quota)
     host.rooms.append(quota)
--- a/madderbeam/host/limits.py
+++ b/madderbeam/host/rate_limits.py
@@ -15,7 +15,7 @@
     return load[at] if at < len(load) and load[at] > 0 else 0.0
 
 
-class Limits:
+class ReportedRates:
     """The rates in force, in calls a second, by whatever has a limit of its own."""
 
     def __init__(self) -> None:
--- a/madderbeam/host/routing.py
+++ b/madderbeam/host/routing.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING, Any
 
 from madderbeam.config.platform import Config
-from madderbeam.host.listing import Listing
-from madderbeam.journal.message import Held
+from madderbeam.host.endpoint_registry import EndpointRegistry
+from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.policy.events import EndpointEntry, EndpointState
 from madderbeam.ports import Address, Clock
 from madderbeam.transport.clients import BadRequest, Put
@@ -24,7 +24,7 @@
 class Routing:
     """Gets the list's news from the turn, and hands candidates to the decision module as its Preference."""
 
-    def __init__(self, config: Config, listing: Listing, clock: Clock) -> None:
+    def __init__(self, config: Config, listing: EndpointRegistry, clock: Clock) -> None:
         self.config, self.listing, self.clock = config, listing, clock
         self.router: Router | None = None
         self.addresses: dict[int, str] = {}
@@ -74,7 +74,7 @@
             raise BadRequest(f"{field}: no route" if field != "dest" else "dest: must be a whole number")
         return found
 
-    def affinity(self, m: Held) -> str:
+    def affinity(self, m: PendingMessage) -> str:
         """What the message shares with those that are to go to the same endpoint."""
         if self.router is None:
             return ""
--- a/madderbeam/host/sidecar.py
+++ b/madderbeam/host/standalone.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 
 from madderbeam.config.platform import Config, ConfigError, load_sidecar
-from madderbeam.host import files
+from madderbeam.host import atomic_file
+from madderbeam.host.host import Host
 from madderbeam.host.process import collector_rests, log_to_stderr, start, within_limits
-from madderbeam.host.turn import Host
 from madderbeam.ports import Address, Disk, Lock, Network, Ports, Socket
 from madderbeam.ports.real import RealDisk, real_ports
 from madderbeam.transport.clients import BACKLOG
@@ -26,12 +26,12 @@
 log = logging.getLogger(__name__)
 
 
-class Held(Exception):
+class ResourceHeldError(Exception):
     """Something that the courier needs is another's; one line."""
 
 
 @dataclass
-class Guarded:
+class PreboundNetwork:
     """A network whose listening socket was had before anything else was done."""
 
     network: Network
@@ -59,17 +59,19 @@
         lock = _lock(config, ports.disk)
         try:
             sock = _listen(config, ports, where)
-        except Held:
+        except ResourceHeldError:
             lock.close()
             raise
-    return Ports(ports.clock, Guarded(ports.network, config.listen, sock), ports.disk), lock
+    return Ports(ports.clock, PreboundNetwork(ports.network, config.listen, sock), ports.disk), lock
 
 
 def _listen(config: Config, ports: Ports, where: str) -> Socket:
     try:
         return ports.network.listen(config.listen, BACKLOG)
     except OSError as error:
-        raise Held(f"{config.name}: listen: {where} can't be had: {error.strerror or error}") from None
+        raise ResourceHeldError(
+            f"{config.name}: listen: {where} can't be had: {error.strerror or error}"
+        ) from None
 
 
 def hold(config: Config, disk: Disk) -> Lock:
@@ -83,28 +85,34 @@
     try:
         lock = disk.lock(f"{config.state}/{LOCK}")
     except BlockingIOError:
-        raise Held(f"{config.name}: state: {config.state} is held by a courier that runs") from None
+        raise ResourceHeldError(
+            f"{config.name}: state: {config.state} is held by a courier that runs"
+        ) from None
     except OSError as error:
-        raise Held(f"{config.name}: state: {config.state} can't be used: {error.strerror}") from None
+        raise ResourceHeldError(
+            f"{config.name}: state: {config.state} can't be used: {error.strerror}"
+        ) from None
     try:
         owner = disk.read(f"{config.state}/{OWNER}").decode("utf-8", "replace").strip()
     except FileNotFoundError:
         owner = ""
     if owner and owner != config.name:
         lock.close()
-        raise Held(f"{config.name}: state: {config.state} holds the journal of {owner}")
+        raise ResourceHeldError(f"{config.name}: state: {config.state} holds the journal of {owner}")
     if not owner:
         try:
             _own(config, disk)
         except OSError as error:
             lock.close()
-            raise Held(f"{config.name}: state: {config.state} can't be used: {error.strerror}") from None
+            raise ResourceHeldError(
+                f"{config.name}: state: {config.state} can't be used: {error.strerror}"
+            ) from None
     return lock
 
 
 def _own(config: Config, disk: Disk) -> None:
     """Write the owner's name, whole or not at all: a part of it would be another's name."""
-    files.replace(disk, f"{config.state}/{OWNER}", config.name.encode() + b"\n")
+    atomic_file.replace(disk, f"{config.state}/{OWNER}", config.name.encode() + b"\n")
 
 
 async def _serve(config: Config, follow: bool) -> None:
@@ -139,7 +147,7 @@
             serve = importlib.import_module("madderbeam.host.standby.process").serve
             return int(asyncio.run(serve(config, follow)))
         asyncio.run(_serve(config, follow))
-    except (ConfigError, Held) as error:
+    except (ConfigError, ResourceHeldError) as error:
         print(f"madderbeam: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/madderbeam/host/standby/copy.py
+++ b/madderbeam/host/standby/copy.py
@@ -7,11 +7,11 @@
 import os
 import zlib
 
-from madderbeam.journal.damage import Doubt
+from madderbeam.journal.damage import SuspectMessages
+from madderbeam.journal.journal import Journal
 from madderbeam.journal.records import frame
 from madderbeam.journal.recovery import read
 from madderbeam.journal.segments import name, number
-from madderbeam.journal.store import Journal
 from madderbeam.ports import Clock, Disk, File
 
 
@@ -73,7 +73,7 @@
     times = [t for part in read(disk, folder).parts for _, record in part.records if (t := _time(record))]
     journal = Journal(disk, clock, folder, limit)
     since = (max(times) if exact else min(times)) if times else journal.wall()
-    journal.doubt = Doubt(journal.last, since, {})
+    journal.doubt = SuspectMessages(journal.last, since, {})
     journal.files.fresh()
     journal.files.append(frame(["known", journal.last, {}, {}]))
     if journal.sync:
--- a/madderbeam/host/standby/journal.py
+++ b/madderbeam/host/standby/journal.py
@@ -10,17 +10,17 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from madderbeam.journal.message import Held
-from madderbeam.journal.segments import Unsure, number
-from madderbeam.journal.store import Journal, _nothing, _raise
+from madderbeam.journal.journal import Journal, _nothing, _raise
+from madderbeam.journal.pending_message import PendingMessage
+from madderbeam.journal.segments import UnconfirmedError, number
 from madderbeam.ports import Clock, Disk, File, Lock
 from madderbeam.replication.values import Sort
 
 FINAL_S = 0.2  # past its message's time a notice waits no more: then it tells that nothing is promised
-Told = Callable[[int, int, bytes], None]  # segment, offset, bytes
+AppendListener = Callable[[int, int, bytes], None]  # segment, offset, bytes
 
 
-class Room(Protocol):
+class ReplicationGate(Protocol):
     """Who decides what may follow from a record."""
 
     def ask(self, sort: Sort, go: Callable[[], None], deny: Callable[[], None], until: float) -> None:
@@ -39,7 +39,7 @@
 class _File:
     """A segment that tells what was written to it, once that is whole or will not be cut off any more."""
 
-    def __init__(self, file: File, segment: int, size: int, told: Told) -> None:
+    def __init__(self, file: File, segment: int, size: int, told: AppendListener) -> None:
         self.file, self.segment, self.size, self.told = file, segment, size, told
         self.part = b""  # of a record that the disk did not take whole
 
@@ -65,12 +65,12 @@
         self.file.close()
 
 
-class WatchedDisk:
+class ReportingDisk:
     """A disk that tells of each write to a journal's segments and of their removal."""
 
     def __init__(self, disk: Disk, folder: str) -> None:
         self.disk, self.prefix = disk, f"{folder}/"
-        self.appended: Told | None = None
+        self.appended: AppendListener | None = None
         self.dropped: Callable[[int], None] | None = None
         self.read, self.stamp, self.rename, self.names = disk.read, disk.stamp, disk.rename, disk.names
         self.is_folder, self.make_folder = disk.is_folder, disk.make_folder
@@ -97,21 +97,21 @@
         return self.disk.lock(path)
 
 
-class WaitingJournal(Journal):
+class ReplicatedJournal(Journal):
     """A journal whose room decides when what its records make true may be said."""
 
-    room: Room | None = None
+    room: ReplicationGate | None = None
     safe: frozenset[int] = frozenset()  # classes whose attempts may be repeated
     windows: Mapping[int, float] = {}  # of keyed classes, in seconds from the first attempt that may have run
     fenced = False  # another courier has taken over: nothing more is written
 
     def __init__(self, disk: Disk, clock: Clock, folder: str, *more: Any) -> None:
-        self.watched = WatchedDisk(disk, folder)
+        self.watched = ReportingDisk(disk, folder)
         self.taking: set[int] = set()  # messages whose `+OK` waits
         self.told_later: dict[str, list[tuple[Callable[[], None], Callable[[], None]]]] = {}
         super().__init__(self.watched, clock, folder, *more)
 
-    def attach(self, room: Room, safe: frozenset[int], windows: Mapping[int, float]) -> None:
+    def attach(self, room: ReplicationGate, safe: frozenset[int], windows: Mapping[int, float]) -> None:
         self.room, self.safe, self.windows = room, safe, windows
         self.watched.appended, self.watched.dropped = room.appended, room.dropped
 
@@ -130,7 +130,10 @@
         return not self.fenced and super().step()
 
     def take(
-        self, m: Held, done: Callable[[], None] = _nothing, failed: Callable[[OSError], None] | None = None
+        self,
+        m: PendingMessage,
+        done: Callable[[], None] = _nothing,
+        failed: Callable[[OSError], None] | None = None,
     ) -> None:
         room = self.room
         if room is None:
@@ -145,7 +148,7 @@
 
         def unsure() -> None:
             self.taking.discard(m.number)
-            (failed or _raise)(Unsure("the standby does not confirm it"))
+            (failed or _raise)(UnconfirmedError("the standby does not confirm it"))
             for _, lost in self.told_later.pop(m.id, ()):
                 lost()
 
@@ -180,7 +183,7 @@
             super().attempt(numbers, at, done, failed)
             return
         if not room.may_attempt():
-            (failed or _raise)(Unsure("the standby is silent"))
+            (failed or _raise)(UnconfirmedError("the standby is silent"))
             return
         held = [self.held.get(n) for n in numbers]
         light = all(m is None or (m.cls in self.safe and m.number not in self.taking) for m in held)
@@ -197,7 +200,7 @@
         def deny(why: str = "the standby does not confirm it") -> None:
             for n in numbers:
                 self.missed(n)
-            (failed or _raise)(Unsure(why))
+            (failed or _raise)(UnconfirmedError(why))
 
         def go() -> None:
             if closes and self.wall() >= closes:
@@ -223,6 +226,6 @@
         until = m.until + FINAL_S
 
         def deny() -> None:
-            (failed or _raise)(Unsure("the standby does not confirm an end"))
+            (failed or _raise)(UnconfirmedError("the standby does not confirm an end"))
 
         super().final(number, status, again_ms, lambda: room.ask(Sort.FINAL, done, deny, until), failed)
--- a/madderbeam/host/standby/owner.py
+++ b/madderbeam/host/standby/primary.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from typing import Any
 
+from madderbeam.host.components import Component
 from madderbeam.host.federation.kept import Kept
-from madderbeam.host.parts import Room
-from madderbeam.host.standby.journal import WaitingJournal
+from madderbeam.host.host import Host
+from madderbeam.host.standby.journal import ReplicatedJournal
 from madderbeam.host.standby.shared import Watched, kept_folder, read_keys, settings, told
-from madderbeam.host.turn import Host
 from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
 from madderbeam.quota.gate import Verdict
@@ -47,12 +47,12 @@
 log = logging.getLogger(__name__)
 
 
-class OwnerRoom(Room):
+class PrimaryComponent(Component):
     """Joins the machine to the journal, the link and the host."""
 
     def __init__(self, host: Host, ports: Ports) -> None:
         """OSError if the folder of what is kept can't be used."""
-        assert isinstance(host.journal, WaitingJournal)
+        assert isinstance(host.journal, ReplicatedJournal)
         self.host, self.ports, self.journal = host, ports, host.journal
         mine, self.loop, self.clock = told(host.config), host.loop, ports.clock.monotonic_us
         self.kept = Kept(ports.disk, kept_folder(host.config), host.journal.sync)
@@ -250,7 +250,7 @@
     """A courier with a standby; one that was a standby itself and has none has nothing to add."""
     if told(host.config).to is None:
         return
-    room = OwnerRoom(host, ports)
+    room = PrimaryComponent(host, ports)
     host.rooms.append(room)
     host.admission.gates.append(_Gate(room))
     host.service.calls["/standby"] = ("GET", lambda _: Answer(200, json.dumps(room.status()) + "\n"))
@@ -259,7 +259,7 @@
 class _Gate:
     """The front's question, as a gate of admission."""
 
-    def __init__(self, room: OwnerRoom) -> None:
+    def __init__(self, room: PrimaryComponent) -> None:
         self.room = room
 
     def ask(self, tenant: int, cls: int, size: int) -> Verdict:
--- a/madderbeam/host/standby/process.py
+++ b/madderbeam/host/standby/process.py
@@ -12,12 +12,12 @@
 
 from madderbeam.config.platform import Config
 from madderbeam.host import process
-from madderbeam.host.assembly import assemble
+from madderbeam.host.composition import assemble
 from madderbeam.host.federation.kept import Kept
-from madderbeam.host.sidecar import STDIN, guard, hold
+from madderbeam.host.standalone import STDIN, guard, hold
 from madderbeam.host.standby.copy import doubt
 from madderbeam.host.standby.keeper import Keeper
-from madderbeam.host.standby.owner import OwnerRoom
+from madderbeam.host.standby.primary import PrimaryComponent
 from madderbeam.host.standby.shared import kept_folder, told
 from madderbeam.ports import Ports
 from madderbeam.ports.real import real_ports
@@ -114,7 +114,7 @@
         return _fenced(fence)
     with process.collector_rests():
         host = assemble(loop, ports, config, control)
-    room = next((r for r in host.rooms if isinstance(r, OwnerRoom)), None)
+    room = next((r for r in host.rooms if isinstance(r, PrimaryComponent)), None)
     if room is not None:
         if config.control and host.control.sock is None:
             host.control.listen(config.control)
--- a/madderbeam/host/handover.py
+++ b/madderbeam/host/state_transfer.py
@@ -12,8 +12,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from madderbeam.host import graph
-from madderbeam.host.turn import Host
+from madderbeam.host import object_graph
+from madderbeam.host.host import Host
 from madderbeam.policy.admission import Admission, QuotaBucket
 from madderbeam.policy.circuit_breaker import CircuitBreakers
 from madderbeam.policy.completion import MessageCompleter
@@ -80,7 +80,7 @@
 
 def form() -> str:
     """What both processes must have in common for the decision module to go on."""
-    return f"{SERIES} {graph.form(CLASSES)}"
+    return f"{SERIES} {object_graph.form(CLASSES)}"
 
 
 def ready(host: Host) -> bool:
@@ -129,8 +129,8 @@
         state = host.courier.state
         router, state.endpoint_preference = state.endpoint_preference, None  # the next process makes its own
         try:
-            message["nodes"] = graph.encode(whole, CLASSES)
-        except graph.Unknown as error:
+            message["nodes"] = object_graph.encode(whole, CLASSES)
+        except object_graph.UnknownStateError as error:
             log.error("hand-over: messages go by the journal, as over a restart: %s", error)
         finally:
             state.endpoint_preference = router
@@ -145,7 +145,7 @@
     return message, socks
 
 
-class Passed:
+class TransferredState:
     """What came from the process before: read, and nothing begun with it yet. graph.Unknown if it can't be
     read, which the process before must be told, so that it goes on."""
 
@@ -155,10 +155,10 @@
         """`seed`: of the random numbers that the decision module goes on with."""
         self.message, self.socks = message, socks
         if message.get("series") != SERIES:
-            raise graph.Unknown(f"series {message.get('series')!r} of what is passed on")
+            raise object_graph.UnknownStateError(f"series {message.get('series')!r} of what is passed on")
         self.whole: dict[str, Any] | None = None
         if message["nodes"] is not None:
-            self.whole = graph.decode(
+            self.whole = object_graph.decode(
                 message["nodes"], CLASSES, random.Random(f"passed {seed} {message['numbers']}")
             )
             message["nodes"] = None
@@ -167,7 +167,7 @@
                 self.whole = None
         calls = len(message["calls"])
         if len(socks) != message["listens"] + calls + len(message["clients"]):
-            raise graph.Unknown("sockets lack")
+            raise object_graph.UnknownStateError("sockets lack")
         self.listen = socks[0] if message["listens"] else None
         self.calls = socks[message["listens"] :][:calls]
         self.clients = socks[message["listens"] + calls :]
@@ -178,7 +178,7 @@
             sock.close()
 
 
-def adopt(host: Host, passed: Passed) -> int:
+def adopt(host: Host, passed: TransferredState) -> int:
     """Go on from there, with a host that has just been made. Returns the port."""
     whole, message = passed.whole, passed.message
     host.bans.ids.update(dict.fromkeys(message.get("bans", ())))  # also those that the disk did not take
--- a/madderbeam/journal/damage.py
+++ b/madderbeam/journal/damage.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any
 
-from madderbeam.journal.records import FRAME, Bad, torn
+from madderbeam.journal.records import FRAME, InvalidRange, torn
 
 
 class Meaning(Enum):
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class Doubt:
+class SuspectMessages:
     """Damage was found: each message numbered up to `last` may have run, since then (wall seconds).
 
     `known`: of the damaged files, by the numbers in their names, the checksum of what was read. What a later
@@ -88,16 +88,16 @@
 
 
 @dataclass
-class Part:
+class SegmentFile:
     """One segment's file as it was read; `number` is that of its name, `data` None if it can't be read."""
 
     number: int
     name: str
     size: int
     records: list[tuple[int, list[Any]]] = field(default_factory=list)
-    bad: list[Bad] = field(default_factory=list)
+    bad: list[InvalidRange] = field(default_factory=list)
     end: int = 0  # of its last record
-    rest: Bad = field(default=Bad(0, 0))  # what follows that
+    rest: InvalidRange = field(default=InvalidRange(0, 0))  # what follows that
     error: str = ""  # why it can't be read
 
     @property
@@ -123,11 +123,11 @@
         )
 
     @property
-    def doubt(self) -> Doubt | None:
+    def doubt(self) -> SuspectMessages | None:
         """What an earlier start has made of damage that it found."""
         match self.header[8:9]:
             case [[int(last), float(since), dict(known)]]:
-                return Doubt(last, since, known)
+                return SuspectMessages(last, since, known)
         return None
 
     def listed(self) -> dict[int, int] | None:
@@ -138,13 +138,13 @@
             return None
 
 
-def judge(parts: Sequence[Part]) -> tuple[list[Part], list[Finding]]:
+def judge(parts: Sequence[SegmentFile]) -> tuple[list[SegmentFile], list[Finding]]:
     """The segments to go by, in their order, and all that was found; each file's own matter first.
 
     Of two files of one number the one whose name says so counts, else the first; the other is left alone.
     """
     findings: list[Finding] = []
-    used: dict[int, Part] = {}
+    used: dict[int, SegmentFile] = {}
     for part in sorted(parts, key=lambda p: (p.told != p.number, p.number, p.name)):
         if part.error:
             findings.append(Finding(Kind.UNREADABLE, part.name, detail=part.error))
@@ -167,7 +167,7 @@
     return row, findings
 
 
-def _sizes(row: Sequence[Part]) -> dict[int, int]:
+def _sizes(row: Sequence[SegmentFile]) -> dict[int, int]:
     """What the newest word on each closed segment's size is."""
     found: dict[int, int] = {}
     for part in row:
@@ -175,7 +175,7 @@
     return found
 
 
-def _own(part: Part, newest: bool, closed: int) -> Iterable[Finding]:
+def _own(part: SegmentFile, newest: bool, closed: int) -> Iterable[Finding]:
     """What is the matter with one file; `closed`: its size as it was closed, -1 if nothing tells."""
     if not part.size:
         if newest:
@@ -208,7 +208,7 @@
         yield _bad(part, part.rest)
 
 
-def _bad(part: Part, bad: Bad) -> Finding:
+def _bad(part: SegmentFile, bad: InvalidRange) -> Finding:
     """What stands where a record should."""
     head = bad.start[: FRAME.size]
     size = FRAME.unpack(head)[0] if len(head) == FRAME.size else -1
@@ -219,7 +219,7 @@
     return Finding(Kind.NOISE, part.name, bad.at, bad.end)
 
 
-def _order(row: Sequence[Part]) -> Iterable[Finding]:
+def _order(row: Sequence[SegmentFile]) -> Iterable[Finding]:
     """Neither messages' numbers nor time go back from one segment to the next."""
     last, time = -1, 0.0
     for part in row:
@@ -229,7 +229,7 @@
             last, time = max(last, head[3]), max(time, head[6])
 
 
-def _missing(row: Sequence[Part], unreadable: set[int], damaged: bool) -> Iterable[Finding]:
+def _missing(row: Sequence[SegmentFile], unreadable: set[int], damaged: bool) -> Iterable[Finding]:
     """The segments that should be there. Where anything else is damaged, the record that one was removed may
     be what is lost: nothing is called missing then."""
     there = {part.told for part in row} | unreadable
@@ -246,7 +246,7 @@
             yield Finding(Kind.LEFT, part.name)
 
 
-def _named(row: Sequence[Part], kind: str) -> set[int]:
+def _named(row: Sequence[SegmentFile], kind: str) -> set[int]:
     """The segments that records of this kind name."""
     found = (record for part in row for _, record in part.records if record[0] == kind and len(record) > 1)
     return {record[1] for record in found if isinstance(record[1], int)}
--- a/madderbeam/journal/memory.py
+++ b/madderbeam/journal/expiring_set.py
@@ -11,7 +11,7 @@
 Entry = tuple[float, float, int]
 
 
-class Memory:
+class ExpiringSet:
     """Remembers a text's time until it expires, by buckets of a second: nothing is ever searched for.
 
     `moved` is called with each text whose home changes: text, old home, new home; 0 is none, as of a text
--- a/madderbeam/journal/inspect.py
+++ b/madderbeam/journal/inspect.py
@@ -10,15 +10,15 @@
 from typing import Any
 
 from madderbeam.journal.damage import Finding
+from madderbeam.journal.journal import Journal
 from madderbeam.journal.records import blocks
-from madderbeam.journal.recovery import Folder, read
-from madderbeam.journal.store import Journal
+from madderbeam.journal.recovery import FolderContents, read
 from madderbeam.ports import Clock, Disk
 
 AGAIN = 5  # times that a folder which changes is read
 
 
-class ReadOnly:
+class ReadOnlyDisk:
     """A disk on which nothing can be changed: whatever tries to is a fault of this module."""
 
     def __init__(self, disk: Disk) -> None:
@@ -32,14 +32,14 @@
     open = rename = unlink = make_folder = lock = _refuse
 
 
-class Looked(Journal):
+class InspectedJournal(Journal):
     """A journal restored from what was read, with nothing written."""
 
-    def __init__(self, disk: Disk, clock: Clock, folder: str, found: Folder) -> None:
+    def __init__(self, disk: Disk, clock: Clock, folder: str, found: FolderContents) -> None:
         self.found = found
-        super().__init__(ReadOnly(disk), clock, folder, 1 << 62)
+        super().__init__(ReadOnlyDisk(disk), clock, folder, 1 << 62)
 
-    def _restore(self, found: Folder) -> None:
+    def _restore(self, found: FolderContents) -> None:
         if self.found.has_old and not self.found.parts:
             for record in self.found.old:
                 if record[0] != "clock":
@@ -49,7 +49,7 @@
         super()._restore(self.found)
 
 
-def look(disk: Disk, folder: str) -> Folder:
+def look(disk: Disk, folder: str) -> FolderContents:
     """The folder as it is; OSError if it can't be read."""
     for left in reversed(range(AGAIN)):
         try:
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class Segment:
+class SegmentSummary:
     """One segment's figures."""
 
     name: str
@@ -85,7 +85,7 @@
     bytes: int  # of all files, in whole blocks
     live: int
     damaged: int  # places
-    segments: tuple[Segment, ...]
+    segments: tuple[SegmentSummary, ...]
     messages: tuple[dict[str, Any], ...]  # open and owed, without their bodies
 
     def json(self) -> dict[str, Any]:
@@ -95,9 +95,9 @@
 def summary(disk: Disk, clock: Clock, folder: str) -> Summary:
     """The figures of a folder; OSError if it can't be read or is of a newer format."""
     found = look(disk, folder)
-    journal = Looked(disk, clock, folder, found)
+    journal = InspectedJournal(disk, clock, folder, found)
     segments = tuple(
-        Segment(p.name, p.size, len(p.records), s.live, len(s.messages), p.size - p.end)
+        SegmentSummary(p.name, p.size, len(p.records), s.live, len(s.messages), p.size - p.end)
         for p in found.parts
         if (s := journal.files.all.get(p.told)) is not None
     )
--- a/madderbeam/journal/store.py
+++ b/madderbeam/journal/journal.py
@@ -17,14 +17,14 @@
 from itertools import islice
 from typing import Any
 
-from madderbeam.journal import plan
-from madderbeam.journal.clock import SteadyWall, boot_id
-from madderbeam.journal.damage import Doubt, Kind, Meaning
-from madderbeam.journal.memory import MEMO, Memory
-from madderbeam.journal.message import Held
+from madderbeam.journal import space_budget
+from madderbeam.journal.damage import Kind, Meaning, SuspectMessages
+from madderbeam.journal.expiring_set import MEMO, ExpiringSet
+from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.journal.records import blocks, frame
-from madderbeam.journal.recovery import FIRST, Folder, forget_old, read
-from madderbeam.journal.segments import Files, JournalFull, Segment, header, name
+from madderbeam.journal.recovery import FIRST, FolderContents, forget_old, read
+from madderbeam.journal.segments import JournalFullError, Segment, SegmentFiles, header, name
+from madderbeam.journal.steady_clock import SteadyClock, boot_id
 from madderbeam.ports import Clock, Disk
 
 KNOWN = 32  # damaged files that a header names at most: more are doubted anew at each start
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Staged:
+class StagedRecord:
     """A record that is to be written, and what follows from it."""
 
     record: list[Any]
@@ -70,9 +70,9 @@
         sync: bool = False,
     ) -> None:
         self.disk, self.folder, self.limit, self.key_s = disk, folder, limit_bytes, key_window_s + KEYS_S
-        self.wall = SteadyWall(clock, boot_id(disk))
+        self.wall = SteadyClock(clock, boot_id(disk))
         self.later, self.sync = later, sync
-        self.held: dict[int, Held] = {}
+        self.held: dict[int, PendingMessage] = {}
         self.ids: dict[str, int] = {}
         self.open = 0  # messages held whose end is still owed
         self.untried = 0  # of them those with no attempt yet
@@ -81,23 +81,25 @@
         self.homes: dict[int, tuple[int, int]] = {}  # of messages: newest whole record, its bytes
         self.places: dict[int, set[int]] = {}  # of messages: all segments that have records of them
         self.ending: dict[int, str] = {}  # ids of messages that are over, until that is written
-        self.over = Memory(functools.partial(self._moved, "ids"))
+        self.over = ExpiringSet(functools.partial(self._moved, "ids"))
         # Keys, by when the first attempt with one that may have run was sent.
-        self.keys = Memory(functools.partial(self._moved, "keys"))
+        self.keys = ExpiringSet(functools.partial(self._moved, "keys"))
         # Of keys that further messages came with: the first attempt of each that may have run, 0 if none.
         # Proofs that an attempt never ran come in its own process alone, so no record tells these.
         self.further: dict[str, dict[int, float]] = {}
-        self.staged: list[Staged] = []
+        self.staged: list[StagedRecord] = []
         self.staged_bytes = 0
-        self.unwritten: deque[Staged] = deque()
+        self.unwritten: deque[StagedRecord] = deque()
         self.grouping = self.flushing = self.compacting = False
         self.victim: Segment | None = None
         self.checked_at = 0  # bytes written when it was last looked for one
         self.damage = 0  # places that were found damaged at the start
-        self.doubt: Doubt | None = None
+        self.doubt: SuspectMessages | None = None
         self.rests_until = self.expired_at = 0.0
         self.copied = 0  # bytes of its records so far
-        self.files = Files(disk, folder, limit_bytes, plan.segment_bytes(limit_bytes), self._header)
+        self.files = SegmentFiles(
+            disk, folder, limit_bytes, space_budget.segment_bytes(limit_bytes), self._header
+        )
         self._restore(read(disk, folder))
         with contextlib.suppress(OSError):
             self.files.ready()
@@ -110,7 +112,7 @@
         listed, doubt = self.files.listed(number), self.doubt and self.doubt.row()
         return header(number, self.last, self.wall.base, self.wall.boot, self.wall(), listed, doubt)
 
-    def _restore(self, found: Folder) -> None:
+    def _restore(self, found: FolderContents) -> None:
         if found.has_old and not found.parts:
             self._take_over(found)
             return
@@ -148,7 +150,7 @@
         self._tell(found)
         self._careful(found, oldest)
 
-    def _tell(self, found: Folder) -> None:
+    def _tell(self, found: FolderContents) -> None:
         self.damage = len(found.damage)
         for finding in found.damage:
             log.error("journal: damage: %s", finding)
@@ -178,7 +180,7 @@
             log.warning("journal: the clock is %.0f s behind the newest record", newest - self.wall())
             self.wall.base += newest - self.wall()
 
-    def _careful(self, found: Folder, oldest: float) -> None:
+    def _careful(self, found: FolderContents, oldest: float) -> None:
         """A record was lost, perhaps an attempt of any message of that time, found at this start or an
         earlier one: each header tells so until they are over. `oldest`: the earliest time of any record."""
         before = self.doubt.known if self.doubt else {}
@@ -187,7 +189,7 @@
         if told - {name(n) for n in known}:
             since = min(oldest or self.wall(), self.doubt.since if self.doubt else self.wall())
             kept = dict(sorted(found.digests.items())[:KNOWN])
-            self.doubt = Doubt(self.last, since, kept)
+            self.doubt = SuspectMessages(self.last, since, kept)
             if self.files.all and self.files.active.size:
                 self.files.fresh()
             log.error("journal: each of %d open messages is taken for one that may have run", self.open)
@@ -197,7 +199,7 @@
             if self.doubt and not m.status and m.number <= self.doubt.last:
                 m.ran_at = m.ran_at or m.trying_at or self.doubt.since
 
-    def _take_over(self, found: Folder) -> None:
+    def _take_over(self, found: FolderContents) -> None:
         """A folder of format 1: its content goes to a first segment, whole, before the old file goes."""
         records = found.old
         for record in records:
@@ -224,7 +226,7 @@
         file = self.disk.open(fresh, empty=True)
         try:
             if file.append(data) != len(data):
-                raise JournalFull("the disk is full")
+                raise JournalFullError("the disk is full")
         finally:
             file.close()
         self.disk.rename(fresh, path)
@@ -267,7 +269,7 @@
             self._one_by_one(rows[written:])
         self._compact()
 
-    def _part(self, rows: list[Staged]) -> list[Staged]:
+    def _part(self, rows: list[StagedRecord]) -> list[StagedRecord]:
         """The first of these, as many as one segment holds, and one at least: a larger segment could not be
         copied beside itself."""
         if sum(len(row.data) for row in rows) <= self.files.full // 2:  # as nearly always
@@ -279,7 +281,7 @@
                 return rows[:n]
         return rows
 
-    def _written(self, rows: list[Staged]) -> OSError | None:
+    def _written(self, rows: list[StagedRecord]) -> OSError | None:
         """Write these in one piece; what kept the disk from it, if anything did."""
         try:
             self.files.append(b"".join(row.data for row in rows), self.spare)
@@ -292,7 +294,7 @@
             self._place(row.record, number)
         return None
 
-    def _one_by_one(self, rows: list[Staged]) -> None:
+    def _one_by_one(self, rows: list[StagedRecord]) -> None:
         """The group did not fit: each by itself, up to the first that fails. Those behind it fail too: a
         "miss" that came behind a later "try" would say that the wrong attempt never ran."""
         error: OSError | None = None
@@ -314,10 +316,10 @@
     def _of_one_held(self, record: list[Any]) -> None:
         """An attempt of a message that was to be taken on in the same group, and was not, is not made."""
         if record[0] == "try" and any(n not in self.held for n in record[1]):
-            raise JournalFull("the message was not taken on")
+            raise JournalFullError("the message was not taken on")
 
-    def _failed(self, row: Staged, error: OSError) -> None:
-        if isinstance(error, JournalFull):
+    def _failed(self, row: StagedRecord, error: OSError) -> None:
+        if isinstance(error, JournalFullError):
             self.checked_at = -self.files.full  # look for a segment to rewrite at once
         if row.failed is not None:
             row.failed(error)
@@ -342,7 +344,7 @@
     ) -> None:
         data = frame(record)
         self.staged_bytes += len(data)
-        self.staged.append(Staged(record, data, done, failed))
+        self.staged.append(StagedRecord(record, data, done, failed))
         if self.grouping:
             return
         if failed is None and self.later is not None:  # with what else comes in this look at sockets
@@ -360,14 +362,17 @@
     # Records
 
     def take(
-        self, m: Held, done: Callable[[], None] = _nothing, failed: Callable[[OSError], None] | None = None
+        self,
+        m: PendingMessage,
+        done: Callable[[], None] = _nothing,
+        failed: Callable[[OSError], None] | None = None,
     ) -> None:
         """The message is taken on once `done` is called; until then it counts as held. JournalFull, at once
         or to `failed`, if there is no room for it to come to its end."""
         if not self._room(m):
             self._look()
             if not self._room(m):
-                raise JournalFull(f"no room for {m.size} bytes")
+                raise JournalFullError(f"no room for {m.size} bytes")
         record = m.record()
         self._effect(record, 0, m)
 
@@ -399,7 +404,7 @@
         if not self._room_again(numbers):
             self._look()
             if not self._room_again(numbers):
-                (failed or _raise)(JournalFull("no room for another attempt"))
+                (failed or _raise)(JournalFullError("no room for another attempt"))
                 return
         for n in numbers:
             if (m := self.held.get(n)) and m.key in self.keys:
@@ -411,7 +416,7 @@
 
         self._stage(record, written, failed or _raise)
 
-    def _further(self, m: Held, at: float) -> None:
+    def _further(self, m: PendingMessage, at: float) -> None:
         """An attempt of a message whose key may have run, which counts where no other of its own does."""
         known = self.further.get(m.key, {})
         if not m.tries or not m.may_have_run_at or m.number in known:
@@ -467,11 +472,11 @@
 
     # What records say
 
-    def _effect(self, record: list[Any], home: int, m: Held | None = None) -> None:
+    def _effect(self, record: list[Any], home: int, m: PendingMessage | None = None) -> None:
         """What a record makes true, whichever way it came."""
         kind = record[0]
         if kind == "take":
-            found = m or Held(*record[1:])
+            found = m or PendingMessage(*record[1:])
             self._hold(found)
             if found.key and found.may_have_run_at:  # a copy tells of its key as well
                 self._remember_key(found.key, found.may_have_run_at, home)
@@ -509,7 +514,7 @@
         elif kind == "segment":
             self.last = max(self.last, record[3])
 
-    def _hold(self, m: Held) -> None:
+    def _hold(self, m: PendingMessage) -> None:
         if m.number in self.held:  # a copy: it tells the whole state
             self._remove(self.held[m.number])
         self.held[m.number], self.ids[m.id] = m, m.number
@@ -523,10 +528,10 @@
                 self.open_keys[m.key] = m.number
 
     @staticmethod
-    def _name_bytes(m: Held) -> int:
+    def _name_bytes(m: PendingMessage) -> int:
         return len(m.id) + MEMO + (len(m.key) + MEMO if m.key else 0)
 
-    def _remove(self, m: Held) -> None:
+    def _remove(self, m: PendingMessage) -> None:
         del self.held[m.number]
         self.ids.pop(m.id, None)
         self._ended(m)
@@ -544,14 +549,14 @@
         for ident, expires in ids.items():
             self.over.add(ident, record[2], expires, home)
 
-    def end(self, m: Held, status: str, again_ms: int) -> None:
+    def end(self, m: PendingMessage, status: str, again_ms: int) -> None:
         """Only the notice is owed from now on."""
         self._ended(m)
         self.open_bytes -= len(m.body)
         m.size -= len(m.body)
         m.status, m.again_ms, m.body = status, again_ms, b""
 
-    def _ended(self, m: Held) -> None:
+    def _ended(self, m: PendingMessage) -> None:
         """Its end is owed no more; before its status is set."""
         if not m.status:
             self.open -= 1
@@ -647,18 +652,18 @@
     def spare(self) -> int:
         """Bytes that are left free for compaction, which could not free anything else: what a copy that goes
         on has taken of them is not asked for a second time, or an end would not find the room kept for it."""
-        return plan.headroom(self.limit) - self.copied
+        return space_budget.headroom(self.limit) - self.copied
 
     @property
     def needed(self) -> int:
         """Bytes that all that was taken on may still need."""
-        return plan.reserve(self.open, self.untried, len(self.held) - self.open, self.names)
+        return space_budget.reserve(self.open, self.untried, len(self.held) - self.open, self.names)
 
-    def _room(self, m: Held) -> bool:
+    def _room(self, m: PendingMessage) -> bool:
         """For a new message, beside some further attempts of those that are open."""
-        more = m.size + plan.reserve(1, 1, 0, self._name_bytes(m))
-        needed = self.needed + (self.open + 1) * plan.AGAIN
-        return plan.admits(self.limit, self.files.used + blocks(self.staged_bytes), needed, more)
+        more = m.size + space_budget.reserve(1, 1, 0, self._name_bytes(m))
+        needed = self.needed + (self.open + 1) * space_budget.AGAIN
+        return space_budget.admits(self.limit, self.files.used + blocks(self.staged_bytes), needed, more)
 
     def _room_again(self, numbers: list[int]) -> bool:
         """For an attempt of these, where not each one's first."""
@@ -670,7 +675,9 @@
         used = self.files.used + blocks(self.staged_bytes)
         # Their keys may be told anew by the attempt, and by what it comes to.
         keys = sum(2 * (len(m.key) + MEMO) for n in numbers if (m := self.held.get(n)) and m.key)
-        return plan.admits(self.limit, used, self.needed, plan.TRY + 9 * len(numbers) + plan.MISS + keys)
+        return space_budget.admits(
+            self.limit, used, self.needed, space_budget.TRY + 9 * len(numbers) + space_budget.MISS + keys
+        )
 
     def _compact(self) -> None:
         """Look whether a segment is worth rewriting, now and then, and where room is short."""
@@ -696,14 +703,16 @@
 
     def _choose(self) -> Segment | None:
         # A damaged one stays to be looked at for as long as there is room.
-        short = plan.crowded(self.limit, self.files.used, self.needed)
+        short = space_budget.crowded(self.limit, self.files.used, self.needed)
         views = [
-            plan.View(s.number, s.size - s.fixed, s.live, any(v in self.files.all for v in s.voids))
+            space_budget.SegmentUsage(
+                s.number, s.size - s.fixed, s.live, any(v in self.files.all for v in s.voids)
+            )
             for s in self.files.all.values()
             if s.number != self.files.newest and (short or not s.damaged)
         ]
-        most = plan.copyable(self.limit, self.files.used, self.files.head)
-        view = plan.victim(views, plan.bound(self.limit, self.files.used, self.needed), most)
+        most = space_budget.copyable(self.limit, self.files.used, self.files.head)
+        view = space_budget.victim(views, space_budget.bound(self.limit, self.files.used, self.needed), most)
         return self.files.all[view.number] if view else None
 
     def step(self) -> bool:
@@ -732,20 +741,20 @@
         rows: list[list[Any]] = []
         over: list[int] = []
         size = 0
-        for n in islice(segment.messages, plan.STEP_RECORDS):
+        for n in islice(segment.messages, space_budget.STEP_RECORDS):
             if (m := self.held.get(n)) is None:
                 over.append(n)
                 continue
             rows.append(m.record())
             size += m.size
-            if size >= plan.STEP_BYTES:
+            if size >= space_budget.STEP_BYTES:
                 break
         # Of those that are over, which is not written yet, nothing else would tell the ids.
         ids = {t: self.over.expires(t) for n in over if (t := self.ending[n]) in self.over}
         keys: dict[str, float] = {}
         if not rows and not over:
-            ids = {t: self.over.expires(t) for t in islice(segment.ids, plan.STEP_RECORDS)}
-            keys = {t: self.keys.at(t) for t in islice(segment.keys, plan.STEP_RECORDS)}
+            ids = {t: self.over.expires(t) for t in islice(segment.ids, space_budget.STEP_RECORDS)}
+            keys = {t: self.keys.at(t) for t in islice(segment.keys, space_budget.STEP_RECORDS)}
         if ids or keys:
             rows.append(["known", self.last, ids, keys])
         if rows:
--- a/madderbeam/journal/message.py
+++ b/madderbeam/journal/pending_message.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class PendingMessage:
     """A message that the courier owes something: its end, or a notice of it. Times are wall seconds."""
 
     number: int
--- a/madderbeam/journal/records.py
+++ b/madderbeam/journal/records.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class Bad:
+class InvalidRange:
     """Bytes that are no record: from `at` up to `end`, where a record begins again or the file ends."""
 
     at: int
@@ -86,7 +86,7 @@
     return bool(zlib.crc32(memoryview(data)[at + FRAME.size : end]) == FRAME.unpack_from(data, at)[1])
 
 
-def torn(rest: Bad, head: bool = False) -> bool:
+def torn(rest: InvalidRange, head: bool = False) -> bool:
     """Whether these bytes at a file's end may be a part of a record that was being written: what SIGKILL
     leaves. A record that is whole and wrong, or noise, never is. `head`: the record would be a header."""
     size, start = rest.end - rest.at, rest.start
@@ -103,7 +103,7 @@
     return (HEAD if head else BEGINS).match(begun) is not None
 
 
-def scan(data: bytes) -> tuple[list[tuple[int, list[Any]]], list[Bad], int]:
+def scan(data: bytes) -> tuple[list[tuple[int, list[Any]]], list[InvalidRange], int]:
     """All records with their offsets, the bad parts between them, and where the last record ends.
 
     What follows the last record is for `torn` to judge; what lies between two is damage. Behind it the next
@@ -111,7 +111,7 @@
     once, whatever stands there.
     """
     records: list[tuple[int, list[Any]]] = []
-    bad: list[Bad] = []
+    bad: list[InvalidRange] = []
     at = end = 0
     while at < len(data):
         found = _at(data, at)
@@ -135,6 +135,6 @@
     return -1
 
 
-def made_bad(data: bytes, at: int, end: int) -> Bad:
+def made_bad(data: bytes, at: int, end: int) -> InvalidRange:
     """These bytes, which are no record."""
-    return Bad(at, end, data[at : at + SHOWN], fits(data, at, end))
+    return InvalidRange(at, end, data[at : at + SHOWN], fits(data, at, end))
--- a/madderbeam/journal/recovery.py
+++ b/madderbeam/journal/recovery.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from madderbeam.journal.damage import Finding, Kind, Part, judge
+from madderbeam.journal.damage import Finding, Kind, SegmentFile, judge
 from madderbeam.journal.records import FORMAT, blocks, made_bad, scan, torn
 from madderbeam.journal.segments import PREFIX, name, number
 from madderbeam.ports import Disk
@@ -17,15 +17,15 @@
 FIRST = "first.new"  # the first segment, while a folder of format 1 is taken over
 
 
-class NewerFormat(OSError):
+class NewerFormatError(OSError):
     """The folder was written by a newer version; it is left as it is."""
 
 
 @dataclass
-class Folder:
+class FolderContents:
     """A journal's folder as it was read."""
 
-    parts: list[Part] = field(default_factory=list)  # to go by, in their order
+    parts: list[SegmentFile] = field(default_factory=list)  # to go by, in their order
     findings: list[Finding] = field(default_factory=list)
     digests: dict[int, int] = field(default_factory=dict)  # of damaged files: name's number, checksum of all
     others: int = 0  # bytes, in whole blocks, of files that are named like segments and are not gone by
@@ -39,10 +39,10 @@
         return [f for f in self.findings if f.damage]
 
 
-def read(disk: Disk, folder: str) -> Folder:
+def read(disk: Disk, folder: str) -> FolderContents:
     """All that is there. NewerFormat, with one line, if a newer version wrote it; nothing is changed. OSError
     if the folder itself can't be read; a file that can't be is a finding."""
-    found = Folder()
+    found = FolderContents()
     names = disk.names(folder)
     read_, foreign = [], []
     for each in sorted(n for n in names if n.startswith(PREFIX)):
@@ -52,7 +52,7 @@
             foreign.append(Finding(Kind.FOREIGN, each))
     for part in read_:
         if part.header and part.header[1] > FORMAT:
-            raise NewerFormat(
+            raise NewerFormatError(
                 f"{folder}: was written in format {part.header[1]}; this version reads up to {FORMAT}"
             )
     found.parts, found.findings = judge(read_)
@@ -69,7 +69,7 @@
     return found
 
 
-def _part(disk: Disk, folder: str, file: str) -> Part:
+def _part(disk: Disk, folder: str, file: str) -> SegmentFile:
     for left in reversed(range(AGAIN)):
         try:
             data = disk.read(f"{folder}/{file}")
@@ -78,9 +78,9 @@
             raise  # it was there a moment ago: a courier that works has removed it
         except OSError as error:
             if not left:
-                return Part(number(file), file, 0, error=error.strerror or str(error))
+                return SegmentFile(number(file), file, 0, error=error.strerror or str(error))
     records, bad, end = scan(data)
-    return Part(number(file), file, len(data), records, bad, end, made_bad(data, end, len(data)))
+    return SegmentFile(number(file), file, len(data), records, bad, end, made_bad(data, end, len(data)))
 
 
 def _digest(disk: Disk, path: str) -> int:
@@ -98,7 +98,7 @@
         return 0
 
 
-def _old(disk: Disk, folder: str, found: Folder) -> None:
+def _old(disk: Disk, folder: str, found: FolderContents) -> None:
     """Format 1: one file, with no header."""
     data = disk.read(f"{folder}/{OLD}")
     records, bad, end = scan(data)
--- a/madderbeam/journal/segments.py
+++ b/madderbeam/journal/segments.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from madderbeam.journal import plan
+from madderbeam.journal import space_budget
 from madderbeam.journal.records import FORMAT, blocks, frame
 from madderbeam.ports import Disk, File
 
@@ -14,11 +14,11 @@
 log = logging.getLogger(__name__)
 
 
-class JournalFull(OSError):
+class JournalFullError(OSError):
     """The record would take more than the disk limit allows."""
 
 
-class Unsure(OSError):
+class UnconfirmedError(OSError):
     """The record stands here; whether it does where it has to stand as well is not known."""
 
 
@@ -52,7 +52,7 @@
         return not self.messages and not self.ids and not self.keys
 
 
-class Files:
+class SegmentFiles:
     """Appends to the newest segment and begins new ones; within the limit, and never behind a torn record."""
 
     def __init__(
@@ -96,22 +96,22 @@
         there, if that can't be."""
         self.ready()
         if self.active.size and (self.stale or self.active.size + len(data) > self.full):
-            if self.used + plan.begun(self.head, len(data)) > self.limit - spare:
-                raise JournalFull("the disk limit is reached")
+            if self.used + space_budget.begun(self.head, len(data)) > self.limit - spare:
+                raise JournalFullError("the disk limit is reached")
             self._roll()
         segment = self.active
         head = b"" if segment.size else frame(self.header(segment.number))
         data = head + data
         more = blocks(segment.size + len(data)) - blocks(segment.size)
         if self.used + more > self.limit - spare:
-            raise JournalFull("the disk limit is reached")
+            raise JournalFullError("the disk limit is reached")
         self._cut()
         assert self.file is not None
         self.torn = True
         self.writes += 1
         if self.file.append(data) != len(data):
             self._cut()
-            raise JournalFull("the disk is full")
+            raise JournalFullError("the disk is full")
         self.torn = False
         self.written += len(data)
         segment.size += len(data)
--- a/madderbeam/journal/plan.py
+++ b/madderbeam/journal/space_budget.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class View:
+class SegmentUsage:
     """A segment as the plan sees it."""
 
     number: int
@@ -92,7 +92,7 @@
     return HALF if 2 * (used + needed) > limit else FREE
 
 
-def victim(views: Iterable[View], bound: float, most: float = math.inf) -> View | None:
+def victim(views: Iterable[SegmentUsage], bound: float, most: float = math.inf) -> SegmentUsage | None:
     """The full segment to rewrite next, None if that is not worth it: the one with the least that lives, if
     at most `bound` of it does. An old segment may hold many dead ones behind it: where that is true of all
     together, the oldest goes. `most`: bytes of it that may live."""
--- a/madderbeam/journal/clock.py
+++ b/madderbeam/journal/steady_clock.py
@@ -7,7 +7,7 @@
 BOOT = "/proc/sys/kernel/random/boot_id"  # the monotonic clock goes on over processes while this is the same
 
 
-class SteadyWall:
+class SteadyClock:
     """Wall time that does not step: where it stood once, carried on by the monotonic clock.
 
     Deadlines and key windows are kept in it, so that a step of the system's wall clock neither ends a message
--- a/madderbeam/membership/digest.py
+++ b/madderbeam/membership/digest.py
@@ -5,15 +5,15 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-from madderbeam.membership.values import Life, MemberId, Rumour
+from madderbeam.membership.values import GossipEntry, Incarnation, MemberId
 
 
-def member_digest(member: MemberId, life: Life, word: int) -> int:
+def member_digest(member: MemberId, life: Incarnation, word: int) -> int:
     """Of a live member, as 64 bits; the digests of a set are put together by exclusive or."""
     return _bits(member.site, member.name, life.start, life.nonce, word)
 
 
-def rumour_digest(rumour: Rumour) -> int:
+def rumour_digest(rumour: GossipEntry) -> int:
     return _bits(rumour.owner.site, rumour.owner.name, rumour.key, rumour.version)
 
 
--- a/madderbeam/membership/speech.py
+++ b/madderbeam/membership/dissemination.py
@@ -12,26 +12,26 @@
 
 from madderbeam.federation.errors import FolderOlder, MembersFull, RumourRefused
 from madderbeam.membership.digest import member_digest, together
-from madderbeam.membership.gossip import Gossip, times
-from madderbeam.membership.health import Health
-from madderbeam.membership.lives import KIND, OWN, Lives
-from madderbeam.membership.messages import Ack, Full, Ping, Report, Way, report_row
-from madderbeam.membership.own import Own, Said
-from madderbeam.membership.rumours import Rumours
-from madderbeam.membership.settings import Settings
-from madderbeam.membership.size import packed_size
-from madderbeam.membership.table import Member, Table
+from madderbeam.membership.gossip_entries import GossipEntries
+from madderbeam.membership.gossip_queue import GossipQueue, times
+from madderbeam.membership.incarnations import KIND, OWN, Incarnations
+from madderbeam.membership.local_health import LocalHealth
+from madderbeam.membership.local_member import LocalMember, Said
+from madderbeam.membership.member_table import Member, MemberTable
+from madderbeam.membership.messages import Ack, FullState, MemberReport, Ping, ReachableVia, report_row
+from madderbeam.membership.packed_size import packed_size
+from madderbeam.membership.settings import MembershipSettings
 from madderbeam.membership.values import (
     Address,
-    FolderIsOlder,
-    Heard,
-    Life,
-    LifeRaised,
+    GossipEntry,
+    GossipReceived,
+    Incarnation,
+    IncarnationRaised,
+    LogLine,
     MemberChanged,
     MemberId,
-    Note,
     Persist,
-    Rumour,
+    RollbackDetected,
     SendDatagram,
     State,
 )
@@ -41,21 +41,21 @@
 NOWHERE = ("0.0.0.0", 1)  # where the address of a life is not known
 
 
-class Speech:
+class Dissemination:
     """Knowledge and voice of one member."""
 
     def __init__(
         self,
-        settings: Settings,
-        own: Own,
+        settings: MembershipSettings,
+        own: LocalMember,
         via: Mapping[MemberId, Address],
         chance: random.Random,
-        lives: Lives,
+        lives: Incarnations,
     ) -> None:
         self.settings, self.own, self.via, self.chance, self.lives = settings, own, via, chance, lives
-        self.table = Table(settings, own.id)
-        self.gossip, self.health = Gossip(), Health(settings.health_most)
-        self.rumours = Rumours(settings, self.table)
+        self.table = MemberTable(settings, own.id)
+        self.gossip, self.health = GossipQueue(), LocalHealth(settings.health_most)
+        self.rumours = GossipEntries(settings, self.table)
         self.heard_us = 0  # when anybody was heard
         self.alone_us = settings.alone_periods * settings.probe_period_us
         self.raised_us: int | None = None  # when the own start was last raised
@@ -67,12 +67,12 @@
         self.first: list[Any] = []  # actions that wait for nothing, and come before
         self.before: list[Any] = []  # these
         self.sends: list[Any] = []
-        self.row: Report | None = None
+        self.row: MemberReport | None = None
         self.row_size = 0
 
     # saying
 
-    def me(self) -> Report:
+    def me(self) -> MemberReport:
         if self.row is None:
             self.row = self.own.report()
             self.row_size = packed_size(report_row(self.row))
@@ -85,8 +85,8 @@
         self.sends.append(SendDatagram(to, message))
 
     def items(
-        self, to: MemberId, life: Life | None = None, more: int = 0
-    ) -> tuple[tuple[Report, ...], tuple[Rumour, ...]]:
+        self, to: MemberId, life: Incarnation | None = None, more: int = 0
+    ) -> tuple[tuple[MemberReport, ...], tuple[GossipEntry, ...]]:
         """What goes along in a datagram: first what is thought of the receiver itself (Lifeguard, "buddy
         system"), then news. `life`: the one it claims; `more`: bytes besides sender, receiver and numbers."""
         first = self.about(to, life)
@@ -98,10 +98,10 @@
         settings = self.settings
         room = settings.datagram_bytes - settings.frame_bytes - self.row_size - HEAD - more
         room -= 4 * (len(to.site) + len(to.name))
-        reports: list[Report] = []
-        rumours: list[Rumour] = []
+        reports: list[MemberReport] = []
+        rumours: list[GossipEntry] = []
         for item in self.gossip.take(room, times(self.settings.spread_factor, self.table.count)):
-            if isinstance(item, Rumour):
+            if isinstance(item, GossipEntry):
                 rumours.append(item)
             elif item.id != to:
                 reports.append(item)
@@ -113,15 +113,15 @@
         live = [m for m in self.table.members.values() if m.live]
         return [m for m in live if m.heard_us >= since] or live
 
-    def about(self, to: MemberId, life: Life | None = None) -> Report | None:
+    def about(self, to: MemberId, life: Incarnation | None = None) -> MemberReport | None:
         """What a member should know of itself: that it is not thought alive, or of a higher life."""
         highest = self.lives.highest.get(to)
         if life is not None and highest is not None and life < highest:
-            return Report(to, highest, 0, State.DEAD, NOWHERE, by=self.own.id)
+            return MemberReport(to, highest, 0, State.DEAD, NOWHERE, by=self.own.id)
         member = self.table.members.get(to)
         over = self.table.over.get(to)
         if member is None and over is not None:
-            return Report(to, over[0], over[1], State.DEAD, NOWHERE, by=self.own.id)
+            return MemberReport(to, over[0], over[1], State.DEAD, NOWHERE, by=self.own.id)
         if member is None or member.state is State.ALIVE or member.alone:
             return None
         return self.table.report(0, member)
@@ -130,7 +130,7 @@
         to = self.address(member.id, member.address)
         self.send(to, Ping(seq, self.me(), member.id, silent, *self.items(member.id)))
 
-    def at_once(self, now_us: int, rumour: Rumour) -> None:
+    def at_once(self, now_us: int, rumour: GossipEntry) -> None:
         """Tell the own site's members that live, in a datagram that answers nothing."""
         settings = self.settings
         self.at_once_us = [at for at in self.at_once_us if now_us - at < settings.probe_period_us]
@@ -148,20 +148,20 @@
         members = together(member_digest(m.id, m.life, m.word) for m in live)
         return self.rumours.digest ^ members ^ member_digest(own.id, own.life, own.word)
 
-    def ask(self) -> Full:
-        return Full(self.me(), self.digest(), True)
+    def ask(self) -> FullState:
+        return FullState(self.me(), self.digest(), True)
 
-    def nothing(self, to: Report) -> Full:
+    def nothing(self, to: MemberReport) -> FullState:
         """An answer with no more than what the receiver should know of itself."""
         first = self.about(to.id, to.life)
-        return Full(self.me(), self.digest(), False, (first,) if first else ())
+        return FullState(self.me(), self.digest(), False, (first,) if first else ())
 
-    def full(self, now_us: int, to: Report) -> Full:
+    def full(self, now_us: int, to: MemberReport) -> FullState:
         """The whole state."""
         first = self.about(to.id, to.life)
         reports = [first] if first else []
         reports += [self.table.report(now_us, m) for m in self.table.members.values()]
-        return Full(self.me(), self.digest(), False, tuple(reports), tuple(self.rumours.held.values()))
+        return FullState(self.me(), self.digest(), False, tuple(reports), tuple(self.rumours.held.values()))
 
     def announce(self) -> None:
         """The own word has changed."""
@@ -170,7 +170,7 @@
 
     # hearing
 
-    def hear(self, now_us: int, sender: Report, silent: bool = False) -> Member | None:
+    def hear(self, now_us: int, sender: MemberReport, silent: bool = False) -> Member | None:
         """A datagram came from this member itself; None if its life is over or it is not to be known."""
         self.heard(now_us)
         if not self.learn(now_us, sender):
@@ -186,7 +186,7 @@
             self.back = True
         self.heard_us = now_us
 
-    def learn(self, now_us: int, report: Report) -> bool:
+    def learn(self, now_us: int, report: MemberReport) -> bool:
         """One word on a member; False if it is of a life that is over."""
         member = self.table.members.get(report.id)
         if member is not None and report.life == member.life:
@@ -210,17 +210,17 @@
             self.trouble(MembersFull(f"no room for {report.id} beside {len(self.table.members)} members"))
         return True
 
-    def learn_all(self, now_us: int, reports: Iterable[Report], rumours: Iterable[Rumour]) -> None:
+    def learn_all(self, now_us: int, reports: Iterable[MemberReport], rumours: Iterable[GossipEntry]) -> None:
         for report in reports:
             self.learn(now_us, report)
         for rumour in rumours:
             self.hear_rumour(now_us, rumour)
 
-    def hear_rumour(self, now_us: int, rumour: Rumour) -> None:
+    def hear_rumour(self, now_us: int, rumour: GossipEntry) -> None:
         if self.rumours.hear(now_us, rumour):
             if not self.quiet:
                 self.gossip.rumour(rumour)
-            self.before.append(Heard(rumour))
+            self.before.append(GossipReceived(rumour))
         elif self.rumours.full is not None:
             self.rumours.full = None
             held = len(self.rumours.held)
@@ -238,9 +238,9 @@
         self.ping(member, 0, False)
         other = self.table.members.get(accuser)
         if other is not None:
-            self.send(self.address(accuser, other.address), Way(self.me(), member.id))
+            self.send(self.address(accuser, other.address), ReachableVia(self.me(), member.id))
 
-    def _on_me(self, now_us: int, report: Report) -> None:
+    def _on_me(self, now_us: int, report: MemberReport) -> None:
         said = self.own.hear(report)
         if said is Said.REFUTED:
             if report.state is not State.ALIVE:
@@ -249,13 +249,13 @@
         elif said is Said.OLDER:
             self._older(now_us, report.life)
 
-    def _older(self, now_us: int, seen: Life) -> None:
+    def _older(self, now_us: int, seen: Incarnation) -> None:
         """Not more often than once an exchange period: two processes with one folder outbid each other."""
         if self.raised_us is not None and now_us - self.raised_us < self.settings.exchange_period_us:
             return
         mine, self.raised_us = self.own.life, now_us
         what = f"{self.own.id} has start {mine.start}, and another process of it had start {seen.start}"
-        self.before += [Note("an older folder", FolderOlder(what)), FolderIsOlder(seen, mine)]
+        self.before += [LogLine("an older folder", FolderOlder(what)), RollbackDetected(seen, mine)]
         self.own.raise_life(seen)
         self.persist_own()
         self.announce()
@@ -263,13 +263,13 @@
     def persist_own(self) -> None:
         """What is said after this in the turn waits for the disk."""
         self.unwritten = False
-        self.sends += [Persist(KIND, OWN, self.own.life.start), LifeRaised(self.own.life)]
+        self.sends += [Persist(KIND, OWN, self.own.life.start), IncarnationRaised(self.own.life)]
 
     def trouble(self, error: RumourRefused | MembersFull) -> None:
         """Told once, until the next sweep."""
         if type(error) not in self.noted:
             self.noted.add(type(error))
-            self.before.append(Note("a bound is reached", error))
+            self.before.append(LogLine("a bound is reached", error))
 
     # the end of a turn
 
--- a/madderbeam/membership/exchanges.py
+++ b/madderbeam/membership/exchanges.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from madderbeam.membership.messages import Full, report_row
-from madderbeam.membership.size import packed_size
-from madderbeam.membership.speech import Speech
-from madderbeam.membership.table import Member
-from madderbeam.membership.values import Address, Exchange, State, StateReply
+from madderbeam.membership.dissemination import Dissemination
+from madderbeam.membership.member_table import Member
+from madderbeam.membership.messages import FullState, report_row
+from madderbeam.membership.packed_size import packed_size
+from madderbeam.membership.values import Address, StartStateExchange, State, StateReply
 
 STRETCH_MOST = 20  # times the exchange period, where much is handed over
 MEND_PERIODS = 5  # between two exchanges with dead ones that answered
 
 
-class Exchanges:
+class StateExchanges:
     """Three reasons, three times: seeds that are not among the live, one's turn, asking after a pause."""
 
-    def __init__(self, speech: Speech, seeds: tuple[Address, ...]) -> None:
+    def __init__(self, speech: Dissemination, seeds: tuple[Address, ...]) -> None:
         self.speech, self.seeds = speech, tuple(s for s in seeds if s != speech.own.address)
         self.seed_us: int | None = None
         self.seed_wait_us = 0
@@ -111,16 +111,16 @@
 
     def _exchange(self, to: Address) -> None:
         self.owing = True
-        self.speech.sends.append(Exchange(to, self.speech.ask()))
+        self.speech.sends.append(StartStateExchange(to, self.speech.ask()))
 
-    def asked(self, now_us: int, asker: Full, reply: int) -> None:
+    def asked(self, now_us: int, asker: FullState, reply: int) -> None:
         """Another hands its digest or state over. After a pause what is known here is old, and not told."""
         speech = self.speech
         same = not asker.ask or self.asking or asker.digest == speech.digest()
         answer = speech.nothing(asker.sender) if same else speech.full(now_us, asker.sender)
         speech.sends.append(StateReply(reply, answer))
 
-    def answered(self, now_us: int, answer: Full) -> None:
+    def answered(self, now_us: int, answer: FullState) -> None:
         """What is known here beyond the answer is handed over in turn."""
         speech = self.speech
         if self.asking:
@@ -128,7 +128,9 @@
         elif self.owing and answer.digest != speech.digest() and answer.sender.id != speech.own.id:
             self.owing = False  # once a question: bounds may keep two digests apart
             message = speech.full(now_us, answer.sender)
-            speech.sends.append(Exchange(speech.address(answer.sender.id, answer.sender.address), message))
+            speech.sends.append(
+                StartStateExchange(speech.address(answer.sender.id, answer.sender.address), message)
+            )
             self.bytes += speech.rumours.bytes + sum(packed_size(report_row(r)) for r in message.reports)
 
     def _live(self) -> list[Member]:
--- a/madderbeam/membership/probing.py
+++ b/madderbeam/membership/failure_detector.py
@@ -5,9 +5,9 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from madderbeam.membership.messages import Ack, IndirectAck, Nack, Ping, PingReq
-from madderbeam.membership.speech import Speech
-from madderbeam.membership.table import Member
+from madderbeam.membership.dissemination import Dissemination
+from madderbeam.membership.member_table import Member
+from madderbeam.membership.messages import Ack, IndirectAck, Nack, Ping, PingRequest
 from madderbeam.membership.values import Address, MemberId, State
 
 HELPING_MOST = 1_024  # pings for others at once
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Helping:
+class IndirectProbe:
     """A ping for another member."""
 
     asker: MemberId
@@ -38,17 +38,17 @@
     target: MemberId
 
 
-class Prober:
+class FailureDetector:
     """One probe a period; the period grows with local health."""
 
-    def __init__(self, speech: Speech) -> None:
+    def __init__(self, speech: Dissemination) -> None:
         self.speech = speech
         self.next_probe_us: int | None = None
         self.next_word_us: int | None = None  # news and suspects do not wait for a stretched period
         self.probe: Probe | None = None
         self.round: list[MemberId] = []  # the rest of the shuffled list
         self.urgent: deque[MemberId] = deque(maxlen=64)
-        self.helping: dict[int, Helping] = {}
+        self.helping: dict[int, IndirectProbe] = {}
         self.nack_due: deque[tuple[int, int]] = deque()  # time, own number
         self.missed = False  # the last probe was not answered
         self.seq = 0
@@ -178,7 +178,7 @@
             if helper.heard_us >= lately:  # one that has died itself says nothing of this member
                 probe.expected.add(helper.id)
             items = self.speech.items(helper.id, more=_size(target))
-            message = PingReq(probe.seq, self.speech.me(), target.id, target.address, *items)
+            message = PingRequest(probe.seq, self.speech.me(), target.id, target.address, *items)
             self.speech.send(self.speech.address(helper.id, helper.address), message)
 
     def _helpers(self, lately_us: int, target: Member) -> list[Member]:
@@ -237,13 +237,13 @@
         to = self.speech.address(sender.id, sender.address)
         self.speech.send(to, Ack(ping.seq, self.speech.me(), *self.speech.items(sender.id, sender.life)))
 
-    def asked(self, now_us: int, req: PingReq) -> None:
+    def asked(self, now_us: int, req: PingRequest) -> None:
         if len(self.helping) >= HELPING_MOST or req.target == self.speech.own.id:
             return
         settings = self.speech.settings
         self.seq += 1
         back = self.speech.address(req.sender.id, req.sender.address)
-        self.helping[self.seq] = Helping(req.sender.id, back, req.seq, req.target)
+        self.helping[self.seq] = IndirectProbe(req.sender.id, back, req.seq, req.target)
         self.nack_due.append((now_us + settings.probe_timeout_us * 4 // 5, self.seq))
         known = self.speech.table.members.get(req.target)
         to = self.speech.address(req.target, known.address if known else req.address)
--- a/madderbeam/membership/gossip.py
+++ b/madderbeam/membership/gossip_queue.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from madderbeam.membership.messages import Report, report_row, rumour_row
-from madderbeam.membership.size import packed_size
-from madderbeam.membership.values import MemberId, Rumour, State
+from madderbeam.membership.messages import MemberReport, report_row, rumour_row
+from madderbeam.membership.packed_size import packed_size
+from madderbeam.membership.values import GossipEntry, MemberId, State
 
 SMALLEST = 40  # bytes; with less room left nothing more is looked for
 
@@ -23,21 +23,21 @@
 
 
 @dataclass(slots=True)
-class Entry:
-    item: Report | Rumour
+class QueuedItem:
+    item: MemberReport | GossipEntry
     size: int
     rank: tuple[int, int, int]  # times sent, urgency, minus the number
 
 
-class Gossip:
+class GossipQueue:
     """Bounded by what is kept: an entry a member and accuser, one a rumour."""
 
     def __init__(self) -> None:
-        self.reports: dict[MemberId, dict[MemberId | None, Entry]] = {}
-        self.rumours: dict[tuple[MemberId, str], Entry] = {}
+        self.reports: dict[MemberId, dict[MemberId | None, QueuedItem]] = {}
+        self.rumours: dict[tuple[MemberId, str], QueuedItem] = {}
         self.number = 0
 
-    def report(self, report: Report) -> None:
+    def report(self, report: MemberReport) -> None:
         """News of a member replaces what was said of it before, but for other accusers of one suspicion."""
         if report.state is State.SUSPECT:
             accusers = self.reports.setdefault(report.id, {})
@@ -48,18 +48,18 @@
         urgency = 1 if report.state is State.ALIVE else 0
         accusers[by] = self._entry(report, packed_size(report_row(report)), urgency)
 
-    def rumour(self, rumour: Rumour) -> None:
+    def rumour(self, rumour: GossipEntry) -> None:
         self.rumours[rumour.owner, rumour.key] = self._entry(rumour, packed_size(rumour_row(rumour)), 2)
 
-    def _entry(self, item: Report | Rumour, size: int, urgency: int) -> Entry:
+    def _entry(self, item: MemberReport | GossipEntry, size: int, urgency: int) -> QueuedItem:
         self.number += 1
-        return Entry(item, size, (0, urgency, -self.number))
+        return QueuedItem(item, size, (0, urgency, -self.number))
 
     def drop(self, member: MemberId) -> None:
         """Nothing of this member's state any more."""
         self.reports.pop(member, None)
 
-    def drop_rumour(self, rumour: Rumour) -> None:
+    def drop_rumour(self, rumour: GossipEntry) -> None:
         self.rumours.pop((rumour.owner, rumour.key), None)
 
     def forget_old(self, me: MemberId) -> None:
@@ -67,7 +67,7 @@
         self.reports = {m: e for m, e in self.reports.items() if m == me}
         self.rumours = {k: e for k, e in self.rumours.items() if k[0] == me}
 
-    def _entries(self) -> Iterator[Entry]:
+    def _entries(self) -> Iterator[QueuedItem]:
         for accusers in self.reports.values():
             yield from accusers.values()
         yield from self.rumours.values()
@@ -76,10 +76,10 @@
     def pending(self) -> bool:
         return bool(self.reports or self.rumours)
 
-    def take(self, room: int, most: int) -> list[Report | Rumour]:
+    def take(self, room: int, most: int) -> list[MemberReport | GossipEntry]:
         """Items for one datagram with this many bytes left; each is let go after `most` times. One that is
         larger than that goes alone."""
-        taken: list[Report | Rumour] = []
+        taken: list[MemberReport | GossipEntry] = []
         for entry in sorted(self._entries(), key=lambda e: e.rank):
             if entry.size > room and taken:
                 continue
@@ -93,8 +93,8 @@
                 break
         return taken
 
-    def _over(self, item: Report | Rumour) -> None:
-        if isinstance(item, Rumour):
+    def _over(self, item: MemberReport | GossipEntry) -> None:
+        if isinstance(item, GossipEntry):
             self.drop_rumour(item)
             return
         accusers = self.reports[item.id]
--- a/madderbeam/membership/lives.py
+++ b/madderbeam/membership/incarnations.py
@@ -5,32 +5,32 @@
 from collections.abc import Mapping
 from typing import Any
 
-from madderbeam.membership.values import Life, MemberId, Persist
+from madderbeam.membership.values import Incarnation, MemberId, Persist
 
 KIND = "life"
 OWN = "own"  # the own start count; other keys are "site/name"
 
 
-def next_life(records: Mapping[tuple[str, str], Any], nonce: int) -> Life:
+def next_life(records: Mapping[tuple[str, str], Any], nonce: int) -> Incarnation:
     """The life that a process begins which found these records; `nonce`: 64 random bits."""
     start = records.get((KIND, OWN))
-    return Life(start + 1 if isinstance(start, int) else 1, nonce)
+    return Incarnation(start + 1 if isinstance(start, int) else 1, nonce)
 
 
-class Lives:
+class Incarnations:
     """Bounded: the one that has been longest unchanged goes first, and its record with it."""
 
     def __init__(self, most: int, records: Mapping[tuple[str, str], Any]) -> None:
         self.most = most
-        self.highest: dict[MemberId, Life] = {}
+        self.highest: dict[MemberId, Incarnation] = {}
         self.due: dict[MemberId, None] = {}  # to be written
         self.late: dict[MemberId, None] = {}  # that the disk did not take: not at once again
         for (kind, key), value in records.items():
             site, slash, name = key.partition("/")
             if kind == KIND and slash and isinstance(value, (list, tuple)) and len(value) == 2:
-                self.highest[MemberId(site, name)] = Life(*value)
+                self.highest[MemberId(site, name)] = Incarnation(*value)
 
-    def see(self, member: MemberId, life: Life) -> bool:
+    def see(self, member: MemberId, life: Incarnation) -> bool:
         """False if a higher life of this member is known."""
         known = self.highest.get(member)
         if known is not None and life <= known:
--- a/madderbeam/membership/health.py
+++ b/madderbeam/membership/local_health.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Health:
+class LocalHealth:
     """0 is well; a sign that this member is slow or cut off adds one, an answered probe takes one off."""
 
     def __init__(self, most: int) -> None:
--- a/madderbeam/membership/own.py
+++ b/madderbeam/membership/local_member.py
@@ -4,8 +4,8 @@
 
 from enum import Enum
 
-from madderbeam.membership.messages import WORD_MOST, Report
-from madderbeam.membership.values import Address, Life, MemberId, State
+from madderbeam.membership.messages import WORD_MOST, MemberReport
+from madderbeam.membership.values import Address, Incarnation, MemberId, State
 
 
 class Said(Enum):
@@ -16,19 +16,19 @@
     OLDER = 2  # another life of this id, not below this one: the folder is older, or there are two
 
 
-class Own:
+class LocalMember:
     """Only this member raises its word."""
 
-    def __init__(self, me: MemberId, life: Life, address: Address) -> None:
+    def __init__(self, me: MemberId, life: Incarnation, address: Address) -> None:
         self.id, self.life, self.address = me, life, address
         self.word = 0
         self.state = State.ALIVE
         self.draining = False
 
-    def report(self) -> Report:
-        return Report(self.id, self.life, self.word, self.state, self.address, self.draining)
+    def report(self) -> MemberReport:
+        return MemberReport(self.id, self.life, self.word, self.state, self.address, self.draining)
 
-    def hear(self, report: Report) -> Said:
+    def hear(self, report: MemberReport) -> Said:
         if report.life.nonce != self.life.nonce:
             return Said.OLDER if report.life.start >= self.life.start else Said.NOTHING
         if report.life != self.life or self.state is State.LEFT or report.word < self.word:
@@ -41,5 +41,5 @@
     def raise_word(self, above: int) -> None:
         self.word = min(WORD_MOST, above + 1)
 
-    def raise_life(self, above: Life) -> None:
-        self.life, self.word = Life(above.start + 1, self.life.nonce), 0
+    def raise_life(self, above: Incarnation) -> None:
+        self.life, self.word = Incarnation(above.start + 1, self.life.nonce), 0
--- a/madderbeam/membership/table.py
+++ b/madderbeam/membership/member_table.py
@@ -8,10 +8,10 @@
 
 from dataclasses import dataclass, field
 
-from madderbeam.membership.messages import Report
-from madderbeam.membership.settings import Settings
+from madderbeam.membership.messages import MemberReport
+from madderbeam.membership.settings import MembershipSettings
 from madderbeam.membership.suspicion import Suspicion, shortest_us, timeout_us
-from madderbeam.membership.values import Address, Life, MemberId, MemberView, SiteView, State
+from madderbeam.membership.values import Address, Incarnation, MemberId, MemberView, SiteView, State
 
 NEVER = -(1 << 62)
 
@@ -21,7 +21,7 @@
     """Another member as it is seen here. `heard_us`: a datagram of its own came, and it was not silent."""
 
     id: MemberId
-    life: Life
+    life: Incarnation
     word: int
     state: State
     address: Address
@@ -37,7 +37,7 @@
     def live(self) -> bool:
         return self.state <= State.SUSPECT
 
-    def knows(self, report: Report) -> bool:
+    def knows(self, report: MemberReport) -> bool:
         """Nothing new in a word on the same incarnation."""
         if self.suspicion is None:
             return report.state is self.state and not self.alone
@@ -51,15 +51,17 @@
         )
 
 
-class Table:
+class MemberTable:
     """All others. `changed` holds what the machine has to tell and clears it; `full` is set once no room was
     left for a live member."""
 
-    def __init__(self, settings: Settings, me: MemberId) -> None:
+    def __init__(self, settings: MembershipSettings, me: MemberId) -> None:
         self.settings, self.me = settings, me
         self.members: dict[MemberId, Member] = {}
         self.suspects: dict[MemberId, Member] = {}
-        self.over: dict[MemberId, tuple[Life, int]] = {}  # incarnations of the dead that were let go of
+        self.over: dict[
+            MemberId, tuple[Incarnation, int]
+        ] = {}  # incarnations of the dead that were let go of
         self.changed: list[Member] = []
         self.fresh: list[MemberId] = []  # newly alive, for the prober
         self.count = 1  # live members, this one included
@@ -67,7 +69,7 @@
 
     # what is heard
 
-    def merge(self, now_us: int, report: Report) -> bool:
+    def merge(self, now_us: int, report: MemberReport) -> bool:
         """Take a word on another member; True if it is news that others should have as well."""
         member = self.members.get(report.id)
         if member is None:
@@ -88,7 +90,7 @@
             return True
         return False
 
-    def _first(self, now_us: int, report: Report) -> bool:
+    def _first(self, now_us: int, report: MemberReport) -> bool:
         since = now_us - report.ago_ms * 1_000
         gone = report.state >= State.DEAD
         over = self.over.get(report.id)
@@ -110,7 +112,7 @@
             self.accuse(now_us, member, report.by or self.me)
         return not gone
 
-    def _newer(self, now_us: int, member: Member, report: Report) -> bool:
+    def _newer(self, now_us: int, member: Member, report: MemberReport) -> bool:
         """A word on an incarnation that was not known yet (or that was given up only for oneself)."""
         if report.life != member.life:
             member.heard_us = NEVER
@@ -132,7 +134,7 @@
             self.accuse(now_us, member, report.by or self.me)
         return True
 
-    def _told_dead(self, now_us: int, member: Member, report: Report) -> bool:
+    def _told_dead(self, now_us: int, member: Member, report: MemberReport) -> bool:
         by = report.by or self.me
         suspicion = member.suspicion
         if suspicion is None:
@@ -226,7 +228,7 @@
 
     # what is told
 
-    def report(self, now_us: int, member: Member) -> Report:
+    def report(self, now_us: int, member: Member) -> MemberReport:
         """As others are told of it."""
         state, by, ago = member.state, member.by, 0
         if member.alone:
@@ -237,7 +239,9 @@
             ago = max(0, now_us - member.since_us) // 1_000
         if state in (State.ALIVE, State.LEFT):
             by = None
-        return Report(member.id, member.life, member.word, state, member.address, member.draining, by, ago)
+        return MemberReport(
+            member.id, member.life, member.word, state, member.address, member.draining, by, ago
+        )
 
     def sites(self, own: MemberId | None) -> dict[str, SiteView]:
         """By name; `own`: this member, where it has not left."""
--- a/madderbeam/membership/machine.py
+++ b/madderbeam/membership/membership.py
@@ -8,31 +8,31 @@
 from typing import Any
 
 from madderbeam.federation.errors import RumourRefused
-from madderbeam.membership.exchanges import Exchanges
-from madderbeam.membership.lives import KIND, OWN, Lives
-from madderbeam.membership.messages import Ack, Full, IndirectAck, Nack, Ping, PingReq, Way
-from madderbeam.membership.own import Own
-from madderbeam.membership.probing import Prober
-from madderbeam.membership.settings import Settings
-from madderbeam.membership.speech import Speech
+from madderbeam.membership.dissemination import Dissemination
+from madderbeam.membership.exchanges import StateExchanges
+from madderbeam.membership.failure_detector import FailureDetector
+from madderbeam.membership.incarnations import KIND, OWN, Incarnations
+from madderbeam.membership.local_member import LocalMember
+from madderbeam.membership.messages import Ack, FullState, IndirectAck, Nack, Ping, PingRequest, ReachableVia
+from madderbeam.membership.settings import MembershipSettings
 from madderbeam.membership.values import (
     Address,
-    Arrived,
-    Draining,
-    Due,
+    DatagramReceived,
+    Disseminate,
     ExchangeFailed,
-    Leaving,
-    Life,
+    GossipEntry,
+    Incarnation,
+    Leave,
     MemberId,
     MemberView,
-    Resumed,
-    Rumour,
+    PauseDetected,
+    SetDraining,
     SetTimer,
     SiteView,
-    Spread,
     State,
-    StateCame,
-    Unwritten,
+    StateReceived,
+    TimerDue,
+    WriteFailed,
 )
 
 TOKEN = "membership"  # its one timer
@@ -46,9 +46,9 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: MembershipSettings,
         me: MemberId,
-        life: Life,
+        life: Incarnation,
         address: Address,
         seeds: tuple[Address, ...],
         via: Mapping[MemberId, Address],
@@ -56,31 +56,33 @@
         records: Mapping[tuple[str, str], Any],
     ) -> None:
         self.settings = settings
-        self.own = Own(me, life, address)
-        self.speech = Speech(settings, self.own, via, chance, Lives(settings.lives_most, records))
-        self.prober = Prober(self.speech)
-        self.exchanges = Exchanges(self.speech, seeds)
+        self.own = LocalMember(me, life, address)
+        self.speech = Dissemination(
+            settings, self.own, via, chance, Incarnations(settings.lives_most, records)
+        )
+        self.prober = FailureDetector(self.speech)
+        self.exchanges = StateExchanges(self.speech, seeds)
         self.armed_us: int | None = None
         self.sweep_us = 0
         self.farewells = 0  # periods in which it still says that it leaves
         self.farewell_us: int | None = None
         self._events: dict[type, Callable[[int, Any], None]] = {
-            Arrived: self._arrived,
-            StateCame: self._state_came,
-            Spread: self._spread,
-            Draining: self._drain,
-            Leaving: self._leave,
-            Unwritten: self._unwritten,
-            Due: self._due,
+            DatagramReceived: self._arrived,
+            StateReceived: self._state_came,
+            Disseminate: self._spread,
+            SetDraining: self._drain,
+            Leave: self._leave,
+            WriteFailed: self._unwritten,
+            TimerDue: self._due,
             ExchangeFailed: self._failed,
         }
         self._messages: dict[type, Callable[[int, Any], None]] = {
             Ping: self._ping,
             Ack: self._ack,
-            PingReq: self._ping_req,
+            PingRequest: self._ping_req,
             IndirectAck: self._indirect_ack,
             Nack: self._nack,
-            Way: self._way,
+            ReachableVia: self._way,
         }
 
     # what others ask
@@ -107,7 +109,7 @@
         return self.speech.health.score
 
     @property
-    def life(self) -> Life:
+    def life(self) -> Incarnation:
         return self.own.life
 
     def overdue(self, now_us: int) -> bool:
@@ -139,7 +141,7 @@
             self._back(now_us)
         return self._actions(now_us)
 
-    def _due(self, now_us: int, event: Due) -> None:
+    def _due(self, now_us: int, event: TimerDue) -> None:
         if event.token != TOKEN or self.armed_us is None or now_us < self.armed_us:
             return
         if self.speech.unwritten:
@@ -172,7 +174,7 @@
     def _resumed(self, now_us: int, paused_us: int) -> None:
         """This process stood still: its timers are void, it accuses nobody and passes nothing old on."""
         speech = self.speech
-        speech.first.append(Resumed(paused_us))
+        speech.first.append(PauseDetected(paused_us))
         speech.heard_us = now_us
         speech.table.void(now_us)
         speech.gossip.forget_old(self.own.id)
@@ -223,8 +225,8 @@
 
     # what comes from the own side
 
-    def _spread(self, now_us: int, event: Spread) -> None:
-        rumour = Rumour(self.own.id, event.key, event.version, event.body, event.keep_us)
+    def _spread(self, now_us: int, event: Disseminate) -> None:
+        rumour = GossipEntry(self.own.id, event.key, event.version, event.body, event.keep_us)
         why = self.speech.rumours.why_not(rumour)
         if why:
             self.speech.trouble(RumourRefused(f"{event.key[:40]}: {why}"))
@@ -236,13 +238,13 @@
             self.speech.rumours.full = None
             self.speech.trouble(RumourRefused(f"no room for {event.key} of this member"))
 
-    def _drain(self, now_us: int, event: Draining) -> None:
+    def _drain(self, now_us: int, event: SetDraining) -> None:
         if event.on != self.own.draining and self.own.state is State.ALIVE:
             self.own.draining = event.on
             self.own.raise_word(self.own.word)
             self.speech.announce()
 
-    def _leave(self, now_us: int, event: Leaving) -> None:
+    def _leave(self, now_us: int, event: Leave) -> None:
         if self.own.state is State.LEFT:
             return
         self.own.state = State.LEFT
@@ -264,7 +266,7 @@
         self.farewells -= 1
         self.farewell_us = now_us + self.settings.probe_period_us if self.farewells else None
 
-    def _unwritten(self, now_us: int, event: Unwritten) -> None:
+    def _unwritten(self, now_us: int, event: WriteFailed) -> None:
         if event.kind != KIND:
             return
         if event.key == OWN:
@@ -274,7 +276,7 @@
 
     # what comes from others
 
-    def _arrived(self, now_us: int, event: Arrived) -> None:
+    def _arrived(self, now_us: int, event: DatagramReceived) -> None:
         message = event.message
         if message.sender.id == self.own.id:
             self.speech.learn(now_us, message.sender)
@@ -295,7 +297,7 @@
             self.prober.answered(now_us, m)
             self.exchanges.mend(now_us, sender)
 
-    def _ping_req(self, now_us: int, m: PingReq) -> None:
+    def _ping_req(self, now_us: int, m: PingRequest) -> None:
         if self.speech.hear(now_us, m.sender) is not None:
             self._items(now_us, m)
             self.prober.asked(now_us, m)
@@ -310,18 +312,18 @@
         if self.speech.hear(now_us, m.sender) is not None:
             self.prober.nacked(m.seq, m.sender.id)
 
-    def _way(self, now_us: int, m: Way) -> None:
+    def _way(self, now_us: int, m: ReachableVia) -> None:
         if self.speech.hear(now_us, m.sender) is not None:
             member = self.speech.table.members.get(m.target)
             if member is not None:
                 self.prober.way(member, m.sender.id)
 
-    def _items(self, now_us: int, m: Ping | Ack | PingReq) -> None:
+    def _items(self, now_us: int, m: Ping | Ack | PingRequest) -> None:
         if m.reports or m.rumours:
             self.speech.learn_all(now_us, m.reports, m.rumours)
 
-    def _state_came(self, now_us: int, event: StateCame) -> None:
-        m: Full = event.message
+    def _state_came(self, now_us: int, event: StateReceived) -> None:
+        m: FullState = event.message
         self.speech.learn(now_us, m.sender)
         if m.sender.id != self.own.id:
             self.speech.heard(now_us)
--- a/madderbeam/membership/messages.py
+++ b/madderbeam/membership/messages.py
@@ -10,10 +10,10 @@
     NAME_MOST,
     RUMOUR_MOST,
     Address,
-    Life,
+    GossipEntry,
+    Incarnation,
     MemberId,
     Row,
-    Rumour,
     State,
 )
 
@@ -27,11 +27,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class MemberReport:
     """A word on a member. `by`: who accuses it (SUSPECT, DEAD); `ago_ms`: how long it is dead or gone."""
 
     id: MemberId
-    life: Life
+    life: Incarnation
     word: int
     state: State
     address: Address
@@ -45,11 +45,11 @@
     """Are you there? `silent`: the sender has heard nobody for a while."""
 
     seq: int
-    sender: Report
+    sender: MemberReport
     target: MemberId
     silent: bool = False
-    reports: tuple[Report, ...] = ()
-    rumours: tuple[Rumour, ...] = ()
+    reports: tuple[MemberReport, ...] = ()
+    rumours: tuple[GossipEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,21 +57,21 @@
     """I am."""
 
     seq: int
-    sender: Report
-    reports: tuple[Report, ...] = ()
-    rumours: tuple[Rumour, ...] = ()
+    sender: MemberReport
+    reports: tuple[MemberReport, ...] = ()
+    rumours: tuple[GossipEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class PingReq:
+class PingRequest:
     """Ping this member for me."""
 
     seq: int
-    sender: Report
+    sender: MemberReport
     target: MemberId
     address: Address
-    reports: tuple[Report, ...] = ()
-    rumours: tuple[Rumour, ...] = ()
+    reports: tuple[MemberReport, ...] = ()
+    rumours: tuple[GossipEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,9 +79,9 @@
     """The member that you asked me to ping has answered."""
 
     seq: int
-    sender: Report
+    sender: MemberReport
     target: MemberId
-    reports: tuple[Report, ...] = ()
+    reports: tuple[MemberReport, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,41 +89,41 @@
     """It has not answered yet, but I hear you (Lifeguard)."""
 
     seq: int
-    sender: Report
+    sender: MemberReport
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class ReachableVia:
     """I heard lately from the member that you accuse: ask me next time."""
 
-    sender: Report
+    sender: MemberReport
     target: MemberId
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
+class FullState:
     """A state, on a stream connection: the question with its digest alone, the answer or what is handed over
     with all that the sender knows (nothing where the digests are one)."""
 
-    sender: Report
+    sender: MemberReport
     digest: int  # of what the sender knows, 64 bits
     ask: bool = False
-    reports: tuple[Report, ...] = ()
-    rumours: tuple[Rumour, ...] = ()
+    reports: tuple[MemberReport, ...] = ()
+    rumours: tuple[GossipEntry, ...] = ()
 
 
-Message = Ping | Ack | PingReq | IndirectAck | Nack | Way | Full
+Message = Ping | Ack | PingRequest | IndirectAck | Nack | ReachableVia | FullState
 T = TypeVar("T")
 
 
-def report_row(r: Report) -> Row:
+def report_row(r: MemberReport) -> Row:
     row: Row = [r.id.site, r.id.name, r.life.start, r.life.nonce, r.word, int(r.state), *r.address]
     if r.by is not None or r.ago_ms:
         return [*row, r.draining, *((r.by.site, r.by.name) if r.by else ("", "")), r.ago_ms]
     return [*row, True] if r.draining else row
 
 
-def rumour_row(r: Rumour) -> Row:
+def rumour_row(r: GossipEntry) -> Row:
     return [r.owner.site, r.owner.name, r.key, r.version, r.body, r.keep_us]
 
 
@@ -132,7 +132,7 @@
     sender = report_row(m.sender)
     if isinstance(m, Nack):
         return ["n", m.seq, sender]
-    if isinstance(m, Way):
+    if isinstance(m, ReachableVia):
         return ["w", sender, m.target.site, m.target.name]
     reports = [report_row(r) for r in m.reports]
     if isinstance(m, IndirectAck):
@@ -142,7 +142,7 @@
         return ["p", m.seq, sender, m.target.site, m.target.name, m.silent, reports, rumours]
     if isinstance(m, Ack):
         return ["a", m.seq, sender, reports, rumours]
-    if isinstance(m, PingReq):
+    if isinstance(m, PingRequest):
         return ["q", m.seq, sender, m.target.site, m.target.name, *m.address, reports, rumours]
     return ["f", sender, m.digest, m.ask, reports, rumours]
 
@@ -209,7 +209,7 @@
     def address(self) -> Address:
         return self.text("host", HOST_MOST), self.number("port", 65_535, 1)
 
-    def report(self) -> Report:
+    def report(self) -> MemberReport:
         return _report(self._next("sender"))
 
     def many(self, name: str, most: int, read: Callable[[Any], T]) -> tuple[T, ...]:
@@ -218,13 +218,13 @@
             raise ValueError(f"{self.what}: {name} is not a list of at most {most}")
         return tuple(read(one) for one in value)
 
-    def items(self, most: int = ITEMS_MOST) -> tuple[tuple[Report, ...], tuple[Rumour, ...]]:
+    def items(self, most: int = ITEMS_MOST) -> tuple[tuple[MemberReport, ...], tuple[GossipEntry, ...]]:
         return self.many("reports", most, _report), self.many("rumours", most, _rumour)
 
 
-def _report(row: Any) -> Report:
+def _report(row: Any) -> MemberReport:
     f = _Fields(row, "report")
-    member, life = f.member("member"), Life(f.number("start"), f.number("nonce", BITS))
+    member, life = f.member("member"), Incarnation(f.number("start"), f.number("nonce", BITS))
     word, state, address = f.number("word", WORD_MOST), State(f.number("state", 3)), f.address()
     draining = f.flag("draining") if f.more() else False
     by, ago = None, 0
@@ -234,12 +234,12 @@
     f.end()
     if by is None and state in (State.SUSPECT, State.DEAD):
         raise ValueError("report: by is missing, and nobody is accused by nobody")
-    return Report(member, life, word, state, address, draining, by, ago)
+    return MemberReport(member, life, word, state, address, draining, by, ago)
 
 
-def _rumour(row: Any) -> Rumour:
+def _rumour(row: Any) -> GossipEntry:
     f = _Fields(row, "rumour")
-    rumour = Rumour(
+    rumour = GossipEntry(
         f.member("owner"),
         f.text("key", KEY_MOST),
         f.number("version"),
@@ -253,11 +253,11 @@
 _READ: dict[str, Callable[[_Fields], Message]] = {
     "p": lambda f: Ping(f.number("seq"), f.report(), f.member("target"), f.flag("silent"), *f.items()),
     "a": lambda f: Ack(f.number("seq"), f.report(), *f.items()),
-    "q": lambda f: PingReq(f.number("seq"), f.report(), f.member("target"), f.address(), *f.items()),
+    "q": lambda f: PingRequest(f.number("seq"), f.report(), f.member("target"), f.address(), *f.items()),
     "i": lambda f: IndirectAck(
         f.number("seq"), f.report(), f.member("target"), f.many("reports", ITEMS_MOST, _report)
     ),
     "n": lambda f: Nack(f.number("seq"), f.report()),
-    "w": lambda f: Way(f.report(), f.member("target")),
-    "f": lambda f: Full(f.report(), f.number("digest", BITS), f.flag("ask"), *f.items(STATE_MOST)),
+    "w": lambda f: ReachableVia(f.report(), f.member("target")),
+    "f": lambda f: FullState(f.report(), f.number("digest", BITS), f.flag("ask"), *f.items(STATE_MOST)),
 }
--- a/madderbeam/membership/settings.py
+++ b/madderbeam/membership/settings.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class Settings:
+class MembershipSettings:
     """Raises ValueError, naming the field and what it may be. Lifeguard's names: alpha, beta, K, S."""
 
     probe_period_us: int = 1_000_000
--- a/madderbeam/membership/suspicion.py
+++ b/madderbeam/membership/suspicion.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from madderbeam.membership.settings import Settings
+from madderbeam.membership.settings import MembershipSettings
 from madderbeam.membership.values import MemberId
 
 
@@ -18,12 +18,12 @@
     deadline_us: int = 0
 
 
-def shortest_us(settings: Settings, members: int) -> int:
+def shortest_us(settings: MembershipSettings, members: int) -> int:
     """alpha * max(1, log10(members)) probe periods."""
     return int(settings.suspicion_alpha * max(1.0, math.log10(members)) * settings.probe_period_us)
 
 
-def timeout_us(settings: Settings, members: int, accusers: int) -> int:
+def timeout_us(settings: MembershipSettings, members: int, accusers: int) -> int:
     """max(min, max - (max - min) * log(C + 1) / log(K + 1)) with C confirmations; K is never more than
     there are members who could confirm (all but the accused and the first accuser)."""
     least = shortest_us(settings, members)
--- a/madderbeam/membership/values.py
+++ b/madderbeam/membership/values.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, order=True)
-class Life:
+class Incarnation:
     """One run of a member's process. `start` is durable and grows by one with each start; `nonce` is drawn at
     the start: two lives with one start and two nonces come from a folder that was copied."""
 
@@ -55,7 +55,7 @@
     state was entered, by the viewer's clock."""
 
     id: MemberId
-    life: Life
+    life: Incarnation
     word: int
     state: State
     address: Address
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True)
-class Rumour:
+class GossipEntry:
     """News that reaches all: the highest version of a key counts. `owner` alone makes versions of it, and
     the rumour is let go of `keep_us` after its owner is dead or left (0: at once)."""
 
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True)
-class Note:
+class LogLine:
     """A line for the log; `error` has one of federation/errors.py where there is something to be done."""
 
     text: str
@@ -107,14 +107,14 @@
 
 
 @dataclass(frozen=True)
-class Due:
+class TimerDue:
     """A timer's time has come, perhaps long ago."""
 
     token: str
 
 
 @dataclass(frozen=True)
-class Unwritten:
+class WriteFailed:
     """The disk did not take this record, and nothing that stood behind it was carried out."""
 
     kind: str
@@ -140,7 +140,7 @@
 
 
 @dataclass(frozen=True)
-class FromLink:
+class MessageReceived:
     """A message of the machine's own (its messages.py) came from this member, in the order in which it was
     sent, whole and within bounds. `said_us`: the earliest moment at which it can have been said, by the clock
     of whoever is told; None: as it is told."""
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True)
-class ToLink:
+class SendMessage:
     """Send this to a member by the link that is up; lost where none is: a timer sends it again."""
 
     member: MemberId
@@ -162,7 +162,7 @@
 
 
 @dataclass(frozen=True)
-class Arrived:
+class DatagramReceived:
     """A message of membership's (messages.py) has come, whole and within bounds."""
 
     message: Any
@@ -170,7 +170,7 @@
 
 
 @dataclass(frozen=True)
-class Spread:
+class Disseminate:
     """News of this member's, for all. `at_once`: the members of its site are told without waiting for the
     probes, as far as the settings let; whom that does not reach hears of it with them."""
 
@@ -182,14 +182,14 @@
 
 
 @dataclass(frozen=True)
-class Draining:
+class SetDraining:
     """This member wants nothing new (or again does)."""
 
     on: bool
 
 
 @dataclass(frozen=True)
-class Leaving:
+class Leave:
     """This member goes on purpose: it says so before it ends."""
 
 
@@ -202,7 +202,7 @@
 
 
 @dataclass(frozen=True)
-class Exchange:
+class StartStateExchange:
     """Hand one's whole state over on a stream connection, and take the other's."""
 
     to: Address
@@ -217,14 +217,14 @@
 
 
 @dataclass(frozen=True)
-class Heard:
+class GossipReceived:
     """A rumour that is new here; relay and federation are told of it."""
 
-    rumour: Rumour
+    rumour: GossipEntry
 
 
 @dataclass(frozen=True)
-class Resumed:
+class PauseDetected:
     """This process was paused for so long: what it knew may be over. Federation asks before it serves."""
 
     paused_us: int
@@ -234,7 +234,7 @@
 
 
 @dataclass(frozen=True)
-class StateCame:
+class StateReceived:
     """Another's state (messages.Full) came whole and within bounds. `reply` names the connection where the
     other opened it (answered by `StateReply` at once); 0: this is the answer to our `Exchange`."""
 
@@ -258,20 +258,20 @@
 
 
 @dataclass(frozen=True)
-class FolderIsOlder:
+class RollbackDetected:
     """Action: this member's durable folder is older than one that it ran with before, or another process
     has a copy of it. Federation is told: no votes until an operator says `Trusted`."""
 
-    seen: Life
-    mine: Life = Life(0, 0)
+    seen: Incarnation
+    mine: Incarnation = Incarnation(0, 0)
 
 
 @dataclass(frozen=True)
-class LifeRaised:
+class IncarnationRaised:
     """Action: this member goes on in a life above all that were seen of it; what it says from now on bears
     this one, or others take it for what is over. Behind the record of it, at each start as well."""
 
-    life: Life
+    life: Incarnation
 
 
 @dataclass(frozen=True)
--- a/madderbeam/policy/admission.py
+++ b/madderbeam/policy/admission.py
@@ -45,7 +45,8 @@
 
     def change_quotas(self) -> None:
         """Go by the quotas of changed settings; tenants keep their tokens."""
-        settings, old = self.state.settings, self.quotas
+        settings = self.state.settings
+        old = self.quotas
         self.quotas = [
             QuotaBucket(tenant.quota_per_s / settings.courier_count) for tenant in settings.tenants
         ]
@@ -105,7 +106,8 @@
         """Return what a message counts for: traffic over its tenant's quota counts little."""
         if tenant >= len(self.quotas):
             return 1.0
-        quota, now_us = self.quotas[tenant], self.state.now_us
+        quota = self.quotas[tenant]
+        now_us = self.state.now_us
         refill = quota.rate_per_s * (now_us - quota.updated_at_us) / 1e6
         quota.tokens = min(max(1.0, quota.rate_per_s), quota.tokens + refill)
         quota.updated_at_us = now_us
@@ -116,7 +118,8 @@
 
     def _report_capacity(self) -> None:
         """Log when all places are taken, and when there is capacity again."""
-        state, settings = self.state, self.state.settings
+        state = self.state
+        settings = self.state.settings
         is_full = len(state.messages) >= settings.max_pending - 1
         if is_full == self.is_full:
             return
@@ -127,7 +130,8 @@
 
     def _has_no_attempt_left(self, message: Message) -> bool:
         """Whether a restored message has used its attempts up: its outcome is due at once."""
-        state, message_class = self.state, message.message_class
+        state = self.state
+        message_class = message.message_class
         if message.attempts_used >= state.attempts_per_message:
             return True
         if message.possibly_executed_at_us < 0 or message_class.idempotency is Idempotency.IDEMPOTENT:
@@ -142,9 +146,9 @@
         What was accepted counts for more, and is rejected where all its time is too short, unless it was
         restored: what a restart found unattempted is attempted.
         """
-        state = self.state
-        pace_per_s = sum(scope.pace_per_s for scope in destination.scopes)
-        if not pace_per_s or not all(scope.pace_per_s for scope in destination.scopes):
+        paces = [scope.pace_per_s for scope in destination.scopes]
+        pace_per_s = sum(paces)
+        if not pace_per_s or not all(paces):
             return
         ahead = 1 - sum(self.pacer.available_tokens(scope) for scope in destination.scopes)
         new = {message for message in destination.queue if self._is_new(message)}
@@ -153,14 +157,16 @@
             return -message.priority_weight * (1 if message in new else ACCEPTED_WEIGHT), message.sequence
 
         for message in sorted(destination.queue, key=rank):
-            wait_us = ahead / pace_per_s * 1e6
-            share = MAX_WAIT_SHARE if message in new else 1
-            is_late = wait_us > share * (message.deadline_us - state.now_us)
+            is_late = self._is_late(message, message in new, ahead / pace_per_s * 1e6)
             if is_late and (message.attempts_used or not message.restored):
                 self.completer.complete(message, self.retry_after_us())
             else:
                 ahead += 1
 
+    def _is_late(self, message: Message, is_new: bool, wait_us: float) -> bool:
+        share = MAX_WAIT_SHARE if is_new else 1
+        return wait_us > share * (message.deadline_us - self.state.now_us)
+
     def _is_new(self, message: Message) -> bool:
         is_of_this_cycle = message.retry_at_us == self.state.now_us
         return is_of_this_cycle and not message.attempts_used and not message.restored
@@ -170,7 +176,7 @@
         state = self.state
         while len(state.messages) > max(1, state.settings.max_pending - FREE_PLACES):
             evictable = (
-                [m for m in destination.queue if m.attempts_used or not m.restored]
+                [message for message in destination.queue if message.attempts_used or not message.restored]
                 for destination in state.destinations.values()
             )
             longest_queue = max(evictable, key=len)
--- a/madderbeam/policy/circuit_breaker.py
+++ b/madderbeam/policy/circuit_breaker.py
@@ -29,7 +29,8 @@
 
     def needs_shared_circuit(self, rate_per_s: float) -> bool:
         """Whether two calls of each courier, if over four, overload a scope of that rate as it recovers."""
-        state, settings = self.state, self.state.settings
+        state = self.state
+        settings = self.state.settings
         cold_rate_per_s = settings.overload_multiple * settings.cold_capacity_share * rate_per_s
         calls = cold_rate_per_s * settings.rates_listed * settings.overload_window_us / 1e6
         bearable = max(8.0, calls + RATE_MARGIN * math.sqrt(calls) + 2)
@@ -37,7 +38,9 @@
 
     def open(self, endpoint: Endpoint, cause: str) -> None:
         """Allow only half-open probes, at growing jittered intervals."""
-        state, scope, circuit = self.state, endpoint.scope, endpoint.circuit
+        state = self.state
+        scope = endpoint.scope
+        circuit = endpoint.circuit
         if not circuit.is_open:
             circuit.closed_by_server_at_us = state.now_us if cause == CLOSED_BY_SERVER else 0
             # A short fault amid a slow start does not end it.
@@ -72,7 +75,8 @@
 
     def record_success(self, endpoint: Endpoint, call: Call, was_short_fault: bool) -> None:
         """Close an open circuit, or end a slow start that is over."""
-        circuit, scope = endpoint.circuit, endpoint.scope
+        circuit = endpoint.circuit
+        scope = endpoint.scope
         sent_while_open = call.sent_at_us >= circuit.closed_by_server_at_us
         if circuit.is_open and (sent_while_open or scope.shared_circuit):
             self._close(endpoint, was_short_fault)
@@ -80,7 +84,9 @@
             circuit.slow_start_since_us = -1
 
     def _close(self, endpoint: Endpoint, was_short_fault: bool) -> None:
-        state, scope, circuit = self.state, endpoint.scope, endpoint.circuit
+        state = self.state
+        scope = endpoint.scope
+        circuit = endpoint.circuit
         circuit.is_open = False
         if was_short_fault and not scope.shared_circuit:
             circuit.slow_start_since_us = circuit.interrupted_slow_start_since_us
--- a/madderbeam/policy/completion.py
+++ b/madderbeam/policy/completion.py
@@ -26,7 +26,8 @@
 
     def complete(self, message: Message, retry_after_us: int) -> None:
         """Reject the message if its attempts prove that a new one is harmless, else fail it."""
-        state, message_class = self.state, message.message_class
+        state = self.state
+        message_class = message.message_class
         longest_us = state.settings.max_retry_after_us
         remaining_us = message.deadline_us - state.now_us
         if self._is_retry_harmless(message):
--- a/madderbeam/policy/dispatch.py
+++ b/madderbeam/policy/dispatch.py
@@ -58,7 +58,8 @@
 
     def _send(self, message: Message, endpoint: Endpoint) -> None:
         """Start a call with the message, and with others of its destination where calls are batched."""
-        state, scope = self.state, endpoint.scope
+        state = self.state
+        scope = endpoint.scope
         call = Call(endpoint, state.now_us, was_only_call=not endpoint.calls)
         state.calls_in_flight += 1
         scope.in_flight += 1
@@ -81,7 +82,8 @@
 
     def _assign_connection(self, call: Call, message: Message) -> None:
         """Take the newest idle connection, if it may be used; close those that are too old."""
-        state, endpoint = self.state, call.endpoint
+        state = self.state
+        endpoint = call.endpoint
         is_non_idempotent = message.message_class.idempotency is Idempotency.NON_IDEMPOTENT
         call.requires_new_connection = is_non_idempotent and self.connections.reset_rate > MAX_RESET_RATE
         oldest_us = self.connections.oldest_usable_us(endpoint)
@@ -97,7 +99,8 @@
 
     @staticmethod
     def _consume_tokens(endpoint: Endpoint, call: Call) -> None:
-        scope, circuit = endpoint.scope, endpoint.circuit
+        scope = endpoint.scope
+        circuit = endpoint.circuit
         if scope.pace_per_s:
             scope.tokens -= 1.0
         if circuit.is_open:
@@ -106,7 +109,8 @@
             circuit.tokens -= 1.0
 
     def _start_attempt(self, message: Message, call: Call) -> None:
-        state, endpoint = self.state, call.endpoint
+        state = self.state
+        endpoint = call.endpoint
         timeout_us, new_connection_timeout_us = self._attempt_timeouts_us(message, endpoint)
         message.destination.queue.remove(message)
         state.calls[(message.id, message.attempts)] = (call, message)
@@ -126,7 +130,8 @@
 
     def _attempt_timeouts_us(self, message: Message, endpoint: Endpoint) -> tuple[int, int]:
         """Return how long an attempt is waited for on a kept connection, and on a new one."""
-        state, scope = self.state, endpoint.scope
+        state = self.state
+        scope = endpoint.scope
         remaining_us = int(min(message.deadline_us, state.attempts_until_us))
         remaining_us -= state.now_us + state.deadline_margin_us
         if scope.mean_latency_us:
--- a/madderbeam/policy/eligibility.py
+++ b/madderbeam/policy/eligibility.py
@@ -43,7 +43,8 @@
 
         `has_quick_retry`: a message waits that failed quickly, and may go through a shared open circuit.
         """
-        state, scope = self.state, endpoint.scope
+        state = self.state
+        scope = endpoint.scope
         if not self._has_capacity(endpoint):
             return False
         if state.now_us < scope.retry_after_until_us:
@@ -63,7 +64,8 @@
         return True
 
     def _has_capacity(self, endpoint: Endpoint) -> bool:
-        state, scope = self.state, endpoint.scope
+        state = self.state
+        scope = endpoint.scope
         is_busy = (
             state.calls_in_flight >= state.settings.max_in_flight
             or scope.destination.in_flight >= state.destination_window
@@ -91,11 +93,7 @@
         remaining_us = (
             min(message.deadline_us, state.attempts_until_us) - state.now_us - state.deadline_margin_us
         )
-        if state.attempts_until_us < math.inf and self._may_be_cut_off(endpoint, remaining_us):
-            return False
-        if message.is_completed or message.in_flight or remaining_us <= 0:
-            return False
-        if message.attempts_used >= state.attempts_per_message or self._waits_for_probe(message, endpoint):
+        if not self._is_attemptable(message, endpoint, remaining_us):
             return False
         if state.now_us < message.retry_at_us:
             state.wake_at(message.retry_at_us)
@@ -108,6 +106,16 @@
             return self._is_safe_enough(endpoint, remaining_us)
         return True
 
+    def _is_attemptable(self, message: Message, endpoint: Endpoint, remaining_us: float) -> bool:
+        """Whether the message has attempts and time left, and none in flight."""
+        state = self.state
+        if state.attempts_until_us < math.inf and self._may_be_cut_off(endpoint, remaining_us):
+            return False
+        if message.is_completed or message.in_flight or remaining_us <= 0:
+            return False
+        has_attempts = message.attempts_used < state.attempts_per_message
+        return has_attempts and not self._waits_for_probe(message, endpoint)
+
     def _may_be_cut_off(self, endpoint: Endpoint, remaining_us: float) -> bool:
         """Whether a call might last past the shutdown."""
         return remaining_us < self.timeouts.call_timeout_us(endpoint.scope)
@@ -132,7 +140,8 @@
 
     def _is_next_in_order(self, message: Message) -> bool:
         """Whether no earlier message of its order key is pending, and the key does not cool down."""
-        state, is_first_attempt = self.state, message.attempts == 0
+        state = self.state
+        is_first_attempt = message.attempts == 0
         cooldown_until_us = state.order_cooldowns.get(message.order_key, 0) if is_first_attempt else 0
         if state.order_queues[message.order_key][0] is message and state.now_us >= cooldown_until_us:
             return True
--- a/madderbeam/policy/endpoint_list.py
+++ b/madderbeam/policy/endpoint_list.py
@@ -73,7 +73,8 @@
             scope.overload_pace_per_s = scope.pace_per_s
 
     def _add(self, entry: EndpointEntry) -> Endpoint:
-        state, settings = self.state, self.state.settings
+        state = self.state
+        settings = self.state.settings
         destination = state.destination(entry.destination)
         destination.kind = min(entry.kind, len(settings.kinds) - 1)
         if not destination.scopes or settings.kinds[destination.kind].limits_per_endpoint:
@@ -92,7 +93,8 @@
         """Forget an endpoint that has gone and has no call in flight: replacements would pile up."""
         if endpoint.state is not EndpointState.GONE or endpoint.calls:
             return
-        state, scope = self.state, endpoint.scope
+        state = self.state
+        scope = endpoint.scope
         if state.endpoints.get(endpoint.id) is endpoint:
             del state.endpoints[endpoint.id]
         scope.endpoints.pop(endpoint.id, None)
--- a/madderbeam/policy/engine.py
+++ b/madderbeam/policy/engine.py
@@ -172,8 +172,10 @@
 
     def _record_outcome(self, call: Call, event: AttemptEnded) -> None:
         """Let the outcome of a call be judged, once for all of its messages."""
-        state, endpoint = self.state, call.endpoint
-        scope, circuit = endpoint.scope, endpoint.circuit
+        state = self.state
+        endpoint = call.endpoint
+        scope = endpoint.scope
+        circuit = endpoint.circuit
         if event.result not in DID_NOT_TAKE_A_SLOT:
             scope.mean_slot_time_us += (event.latency_us - scope.mean_slot_time_us) / SCOPE_SLOT_TIME_MEMORY
             state.mean_slot_time_us += (event.latency_us - state.mean_slot_time_us) / SLOT_TIME_MEMORY
--- a/madderbeam/policy/outlier_detection.py
+++ b/madderbeam/policy/outlier_detection.py
@@ -118,7 +118,8 @@
 
     def _record_failure(self, endpoint: Endpoint, result: AttemptResult, call: Call) -> None:
         """Raise the failure rates; open the circuit where they are too high."""
-        circuit, now_us = endpoint.circuit, self.state.now_us
+        circuit = endpoint.circuit
+        now_us = self.state.now_us
         if result in (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET):
             rate = self.indeterminate_rate(endpoint)
             endpoint.indeterminate_rate = rate + FAILURE_MEMORY * (1 - rate)
@@ -154,7 +155,9 @@
 
     def record_success(self, endpoint: Endpoint, call: Call, latency_us: int) -> None:
         """Lower the failure rates, end an outage, grow window and pace, close the circuit."""
-        state, scope, circuit = self.state, endpoint.scope, endpoint.circuit
+        state = self.state
+        scope = endpoint.scope
+        circuit = endpoint.circuit
         was_short_fault = state.now_us - endpoint.last_success_at_us < SHORT_FAULT_US
         self.connections.record_success(endpoint, call)
         endpoint.last_success_at_us = state.now_us
--- a/madderbeam/policy/selection.py
+++ b/madderbeam/policy/selection.py
@@ -54,16 +54,11 @@
     def next_candidate(self, destination: Destination) -> Candidate | None:
         """Return the message that loses most by waiting, with its endpoint."""
         now_us = self.state.now_us
-        has_quick_retry = any(m.failed_quickly and m.retry_at_us <= now_us for m in destination.queue)
-        preference = self._preference(destination)
-        callable_endpoints = (
-            endpoint
-            for scope in destination.scopes
-            for endpoint in scope.endpoints.values()
-            if self.eligibility.endpoint_may_be_called(endpoint, has_quick_retry)
+        has_quick_retry = any(
+            message.failed_quickly and message.retry_at_us <= now_us for message in destination.queue
         )
-        # With a preference one is enough to know: the preference tells which to ask for.
-        endpoints = list(itertools.islice(callable_endpoints, 1 if preference else None))
+        preference = self._preference(destination)
+        endpoints = self._callable_endpoints(destination, preference, has_quick_retry)
         if not endpoints:
             return None
         soon_us, late_us = self._delivery_times(destination)
@@ -84,6 +79,21 @@
                 best = Candidate(loss, message.sequence, message, endpoint)
         return best
 
+    def _callable_endpoints(
+        self, destination: Destination, preference: EndpointPreference | None, has_quick_retry: bool
+    ) -> list[Endpoint]:
+        """Return the endpoints that may be called.
+
+        With a preference one is enough to know: the preference tells which to ask for.
+        """
+        found = (
+            endpoint
+            for scope in destination.scopes
+            for endpoint in scope.endpoints.values()
+            if self.eligibility.endpoint_may_be_called(endpoint, has_quick_retry)
+        )
+        return list(itertools.islice(found, 1 if preference else None))
+
     def _preference(self, destination: Destination) -> EndpointPreference | None:
         preference = self.state.endpoint_preference
         return preference if preference is not None and preference.covers(destination.number) else None
@@ -143,10 +153,8 @@
         for waits_for_first, tier in tiers:
             is_usable = False
             for number in tier:
-                endpoint = state.endpoints.get(number)
-                if endpoint is None or endpoint.state is not EndpointState.READY:
-                    continue
-                if state.now_us < endpoint.scope.retry_after_until_us:
+                endpoint = self._reachable_endpoint(number)
+                if endpoint is None:
                     continue
                 if self.eligibility.endpoint_may_be_called(
                     endpoint, has_quick_retry
@@ -159,6 +167,14 @@
                 return None
         return None
 
+    def _reachable_endpoint(self, number: int) -> Endpoint | None:
+        """Return the endpoint, if it is ready and under no Retry-After."""
+        endpoint = self.state.endpoints.get(number)
+        if endpoint is None or endpoint.state is not EndpointState.READY:
+            return None
+        is_waiting = self.state.now_us < endpoint.scope.retry_after_until_us
+        return None if is_waiting else endpoint
+
     def reject_unservable(self, preference: EndpointPreference) -> None:
         """Reject at once what expires before any endpoint of its pool may be used."""
         state = self.state
@@ -167,6 +183,9 @@
                 continue
             if recovers_at_us := preference.recovers_at_us(destination.number, state.now_us):
                 last_deadline_us = recovers_at_us + state.deadline_margin_us
-                for message in [m for m in destination.queue if m.deadline_us <= last_deadline_us]:
+                expiring = [
+                    message for message in destination.queue if message.deadline_us <= last_deadline_us
+                ]
+                for message in expiring:
                     self.completer.complete(message, recovers_at_us - state.now_us)
                 state.wake_at(recovers_at_us)
--- a/madderbeam/policy/slow_start.py
+++ b/madderbeam/policy/slow_start.py
@@ -63,7 +63,8 @@
 
     def rate_per_s(self, endpoint: Endpoint) -> float:
         """Return the rate that an endpoint may get from this courier as it recovers: its part of all."""
-        scope, circuit = endpoint.scope, endpoint.circuit
+        scope = endpoint.scope
+        circuit = endpoint.circuit
         ready = sum(other.state is EndpointState.READY for other in scope.endpoints.values()) or 1
         endpoints = 1 if scope.shared_circuit else ready
         rate = self.capacity_multiple(circuit) * circuit.base_rate_per_s / endpoints
@@ -71,7 +72,8 @@
 
     def has_token(self, endpoint: Endpoint) -> bool:
         """Whether a call of the slow start is due; if not, the engine is woken when it is."""
-        circuit, now_us = endpoint.circuit, self.state.now_us
+        circuit = endpoint.circuit
+        now_us = self.state.now_us
         rate = self.rate_per_s(endpoint)
         gained = rate * (now_us - circuit.tokens_updated_at_us) / 1e6
         circuit.tokens = min(1.0, circuit.tokens + gained)
--- a/madderbeam/relay/custody.py
+++ b/madderbeam/relay/custody.py
@@ -12,16 +12,16 @@
 from typing import Any
 
 from madderbeam.membership.values import (
-    Draining,
-    Due,
-    FromLink,
-    Life,
+    Incarnation,
     LinkDown,
     LinkUp,
+    LogLine,
     MemberId,
-    Note,
-    ToLink,
-    Unwritten,
+    MessageReceived,
+    SendMessage,
+    SetDraining,
+    TimerDue,
+    WriteFailed,
 )
 from madderbeam.relay.inbound import Inbound, share
 from madderbeam.relay.kept import Kept
@@ -53,7 +53,7 @@
         self,
         settings: CustodySettings,
         own: MemberId,
-        life: Life,
+        life: Incarnation,
         expand: Callable[[Publication], tuple[int, ...] | None],
         wall_ms: Callable[[int], int],
         records: Mapping[tuple[str, str], Any],
@@ -89,7 +89,7 @@
         self.out.begin(now_us)
         if not self.begun:
             self._begin()
-        if isinstance(event, FromLink):
+        if isinstance(event, MessageReceived):
             if isinstance(event.message, Entry):
                 self._entry(event.member, event.message, event.said_us)
             elif isinstance(event.message, EndsAck):
@@ -104,15 +104,15 @@
             self._resting(event)
         elif isinstance(event, Credit):
             self._credit(event)
-        elif isinstance(event, Draining):
+        elif isinstance(event, SetDraining):
             self.draining = event.on
         elif isinstance(event, LinkUp):
             self._up(event.member)
         elif isinstance(event, LinkDown):
             self._down(event.member)
-        elif isinstance(event, Due) and event.token == TIMER:
+        elif isinstance(event, TimerDue) and event.token == TIMER:
             self._due()
-        elif isinstance(event, Unwritten) and event.kind == CUSTODY:
+        elif isinstance(event, WriteFailed) and event.kind == CUSTODY:
             self._unwritten(event.key)
         return self.out.take()
 
@@ -236,7 +236,7 @@
 
     # Credit
 
-    def _ack(self, stream: Inbound) -> ToLink:
+    def _ack(self, stream: Inbound) -> SendMessage:
         return stream.ack(*self._share())
 
     def _share(self) -> tuple[int, int]:
@@ -296,7 +296,7 @@
                 self.kept.forget(name)
         if gone:
             text = f"ends of {gone} publications were not heard by their origins, or not known, in their time"
-            self.out.free.append(Note(text))
+            self.out.free.append(LogLine(text))
 
     def _unwritten(self, name: str) -> None:
         """What stood behind it is lost as well: the last writes are told anew, and no stream is acked on."""
--- a/madderbeam/relay/inbound.py
+++ b/madderbeam/relay/inbound.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from madderbeam.membership.values import MemberId, ToLink
+from madderbeam.membership.values import MemberId, SendMessage
 from madderbeam.relay.messages import BODY_MOST, Ack, Entry, Nak
 
 
@@ -43,13 +43,13 @@
             self.done.discard(self.acked)
         return self.acked > before
 
-    def ack(self, entries: int, size: int) -> ToLink:
+    def ack(self, entries: int, size: int) -> SendMessage:
         """With the credit beyond it."""
         self.told = (entries, size)
-        return ToLink(self.member, Ack(self.number, self.acked, entries, size))
+        return SendMessage(self.member, Ack(self.number, self.acked, entries, size))
 
-    def nak(self, seq: int, after_us: int, why: str, keep_out: bool = False) -> ToLink:
-        return ToLink(self.member, Nak(self.number, seq, after_us, why[:200], keep_out))
+    def nak(self, seq: int, after_us: int, why: str, keep_out: bool = False) -> SendMessage:
+        return SendMessage(self.member, Nak(self.number, seq, after_us, why[:200], keep_out))
 
 
 def share(entries: int, size: int, streams: int) -> tuple[int, int]:
--- a/madderbeam/relay/origin.py
+++ b/madderbeam/relay/origin.py
@@ -12,15 +12,15 @@
 
 from madderbeam.federation.errors import FederationError, PublicationTooLarge
 from madderbeam.membership.values import (
-    Due,
-    FromLink,
-    Life,
+    Incarnation,
     LinkDown,
     LinkUp,
     MemberChanged,
     MemberId,
-    ToLink,
-    Unwritten,
+    MessageReceived,
+    SendMessage,
+    TimerDue,
+    WriteFailed,
 )
 from madderbeam.relay.door import Use, why_not
 from madderbeam.relay.legs import Leg, Site, Stage
@@ -66,7 +66,7 @@
         self,
         settings: StreamSettings,
         own: MemberId,
-        life: Life,
+        life: Incarnation,
         wall_ms: Callable[[int], int],
         records: Mapping[tuple[str, str], Any],
     ) -> None:
@@ -122,7 +122,7 @@
             self._withdrawn(event.name)
         elif isinstance(event, LocalEnded):
             self._local(event)
-        elif isinstance(event, FromLink):
+        elif isinstance(event, MessageReceived):
             self._from_link(event.member, event.message)
         elif isinstance(event, MemberChanged):
             self.sending.member(event.view)
@@ -130,9 +130,9 @@
             self.sending.up(event)
         elif isinstance(event, LinkDown):
             self.sending.link_down(event.member)
-        elif isinstance(event, Due) and event.token == TIMER:
+        elif isinstance(event, TimerDue) and event.token == TIMER:
             self._due()
-        elif isinstance(event, Unwritten) and event.kind == SENT:
+        elif isinstance(event, WriteFailed) and event.kind == SENT:
             self.sending.unwritten(self._leg(event.key))
             self.sent.unwritten(self.settings.retry_us)
         return self.out.take()
@@ -145,7 +145,7 @@
 
     def _from_link(self, member: MemberId, message: Any) -> None:
         if isinstance(message, Ends):
-            self.out.free.append(ToLink(member, EndsAck(message.number)))
+            self.out.free.append(SendMessage(member, EndsAck(message.number)))
             for row in message.rows:
                 self._row(member, row)
         elif isinstance(message, Ack | Nak):
--- a/madderbeam/relay/sending.py
+++ b/madderbeam/relay/sending.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from madderbeam.membership.values import Life, LinkUp, MemberId, MemberView, ToLink
+from madderbeam.membership.values import Incarnation, LinkUp, MemberId, MemberView, SendMessage
 from madderbeam.relay.choice import choose, lives
 from madderbeam.relay.door import Room
 from madderbeam.relay.legs import Leg, Outbound, Site, Stage
@@ -33,7 +33,9 @@
 class Sending:
     """Legs come in by `add` and go by `close`; between them they are queued, out, in custody or at rest."""
 
-    def __init__(self, settings: StreamSettings, own: MemberId, life: Life, out: Outlet, sent: Sent) -> None:
+    def __init__(
+        self, settings: StreamSettings, own: MemberId, life: Incarnation, out: Outlet, sent: Sent
+    ) -> None:
         self.settings, self.own, self.out, self.sent = settings, own, out, sent
         self.members: dict[MemberId, MemberView] = {}
         self.links: dict[MemberId, Outbound] = {}
@@ -113,7 +115,7 @@
             stream.moved_us = self.out.now
         site.move(leg, Stage.OUT)
         entry = Entry(stream.number, stream.push(leg), replace(publication, until_us=0), left_us)
-        self.out.bound.append(ToLink(stream.member, entry))
+        self.out.bound.append(SendMessage(stream.member, entry))
         self.out.alarms.sooner(f"stall:{stream.member}", stream.moved_us + stream.stall_us + stream.rtt_us)
         return True
 
--- a/madderbeam/relay/subscriptions.py
+++ b/madderbeam/relay/subscriptions.py
@@ -15,17 +15,17 @@
 
 from madderbeam.membership.values import (
     RUMOUR_MOST,
-    Due,
-    Heard,
-    Life,
-    LifeRaised,
+    Disseminate,
+    GossipReceived,
+    Incarnation,
+    IncarnationRaised,
+    LogLine,
     MemberChanged,
     MemberId,
     MemberView,
-    Note,
     SetTimer,
-    Spread,
     State,
+    TimerDue,
 )
 from madderbeam.relay.messages import DESTS_MOST
 from madderbeam.relay.values import Subscribed
@@ -114,7 +114,7 @@
     """A machine; `keep_us`: how long a site's word outlasts its members, so that publications wait for a site
     that is away and are not dropped in silence."""
 
-    def __init__(self, own: MemberId, life: Life, keep_us: int = 3_600_000_000) -> None:
+    def __init__(self, own: MemberId, life: Incarnation, keep_us: int = 3_600_000_000) -> None:
         self.own, self.keep_us = own, keep_us
         self.topics: Mapping[str, Collection[int]] = {}
         self.version = 0  # as the host told
@@ -139,23 +139,23 @@
     def handle(self, now_us: int, event: Any) -> list[Any]:
         if isinstance(event, Subscribed):
             return self._subscribed(event)
-        if isinstance(event, Heard):
+        if isinstance(event, GossipReceived):
             return self._heard(now_us, event)
         if isinstance(event, MemberChanged):
             return self._member(now_us, event.view)
-        if isinstance(event, LifeRaised):
+        if isinstance(event, IncarnationRaised):
             return self._raised(event.life)
-        if isinstance(event, Due) and event.token == TIMER:
+        if isinstance(event, TimerDue) and event.token == TIMER:
             return self._due(now_us)
         return []
 
-    def _raised(self, life: Life) -> list[Any]:
+    def _raised(self, life: Incarnation) -> list[Any]:
         """What was said is said anew, above all that an earlier life said."""
         self.said = max(self.said, life.start << 32)
         actions: list[Any] = []
         for key, body in self.bodies.items():
             self.said += 1
-            actions.append(Spread(key, self.said, body, self.keep_us))
+            actions.append(Disseminate(key, self.said, body, self.keep_us))
         return actions
 
     def _subscribed(self, event: Subscribed) -> list[Any]:
@@ -172,14 +172,14 @@
             if self.bodies.get(key) != body:
                 self.said += 1
                 self.bodies[key] = body
-                actions.append(Spread(key, self.said, body, self.keep_us))
+                actions.append(Disseminate(key, self.said, body, self.keep_us))
         return actions + self._warnings()
 
     def _warnings(self) -> list[Any]:
         found: list[Any] = []
         if len(self.topics) > TOPICS_MOST:
             found.append(
-                Note(
+                LogLine(
                     f"{len(self.topics)} topics at {self.own.site}, filters are made for {TOPICS_MOST}: "
                     "other sites send more publications here that no one subscribed to"
                 )
@@ -187,21 +187,23 @@
         for topic, dests in self.topics.items():
             if len(dests) > DESTS_MOST:
                 found.append(
-                    Note(
+                    LogLine(
                         f"topic {topic} has {len(dests)} subscribers at {self.own.site}, at most "
                         f"{DESTS_MOST} can be reached: its publications are turned away here"
                     )
                 )
         return found[:8]
 
-    def _heard(self, now_us: int, event: Heard) -> list[Any]:
+    def _heard(self, now_us: int, event: GossipReceived) -> list[Any]:
         rumour = event.rumour
         if not rumour.key.startswith(PREFIX) or rumour.owner == self.own:
             return []
         if not sound(rumour.key, rumour.body):
-            return [Note(f"a rumour of {rumour.owner} about topics can't be read: {rumour.key!r:.40}")]
+            return [LogLine(f"a rumour of {rumour.owner} about topics can't be read: {rumour.key!r:.40}")]
         if rumour.owner not in self.told and len(self.told) >= MEMBERS_MOST:
-            return [Note(f"topics of {rumour.owner} are not kept: {MEMBERS_MOST} members have told theirs")]
+            return [
+                LogLine(f"topics of {rumour.owner} are not kept: {MEMBERS_MOST} members have told theirs")
+            ]
         told = self.told.setdefault(rumour.owner, Told())
         number = int(rumour.key.removeprefix(PREFIX))
         if rumour.version <= told.shards.get(number, (-1, b""))[0]:
@@ -230,5 +232,7 @@
             del self.told[member]
         lost = sorted({m.site for m in over} - {m.site for m in self.told})
         keep_s = self.keep_us // 1_000_000
-        notes = [Note(f"topics of {site} are let go of: no member was there for {keep_s} s") for site in lost]
+        notes = [
+            LogLine(f"topics of {site} are let go of: no member was there for {keep_s} s") for site in lost
+        ]
         return [*notes, *self._timer()]
--- a/madderbeam/relay/telling.py
+++ b/madderbeam/relay/telling.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from madderbeam.membership.values import Life, MemberId, ToLink
+from madderbeam.membership.values import Incarnation, MemberId, SendMessage
 from madderbeam.relay.kept import Kept
 from madderbeam.relay.messages import ROWS_MOST, TOLD_MOST, EndRow, Ends
 from madderbeam.relay.outlet import Outlet
@@ -30,7 +30,7 @@
 class Telling:
     """Batches have numbers of the relay's own. A batch that is lost goes again as what is known by then."""
 
-    def __init__(self, settings: CustodySettings, life: Life, out: Outlet, kept: Kept) -> None:
+    def __init__(self, settings: CustodySettings, life: Incarnation, out: Outlet, kept: Kept) -> None:
         self.settings, self.out, self.kept = settings, out, kept
         self.links: set[MemberId] = set()
         self.changed: dict[str, None] = {}  # records with something to write or to tell, in their order
@@ -98,7 +98,7 @@
         self.number += 1
         told = tuple((row.name, row.total - row.left) for row in batch)
         self.batches[self.number] = (origin, self.out.now, told)
-        self.out.bound.append(ToLink(origin, Ends(self.number, tuple(batch))))
+        self.out.bound.append(SendMessage(origin, Ends(self.number, tuple(batch))))
         self.out.alarms.sooner("resend", self.out.now + self.settings.resend_us)
 
     def heard(self, member: MemberId, number: int) -> None:
--- a/madderbeam/replication/commands.py
+++ b/madderbeam/replication/commands.py
@@ -63,7 +63,7 @@
             file=sys.stderr,
         )
         return 2
-    from madderbeam.host.sidecar import main
+    from madderbeam.host.standalone import main
 
     return main(args.config)
 
--- a/madderbeam/replication/owner.py
+++ b/madderbeam/replication/owner.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from madderbeam.membership.values import Due, Note, Persist, Row, SetTimer, Unwritten
+from madderbeam.membership.values import LogLine, Persist, Row, SetTimer, TimerDue, WriteFailed
 from madderbeam.replication import errors, messages
 from madderbeam.replication.cursor import Cursor, ahead
 from madderbeam.replication.values import (
@@ -134,14 +134,14 @@
                 return self._dropped(now_us, event.segment)
             case Checked():
                 return self._checked(now_us, event)
-            case Due():
+            case TimerDue():
                 return self._due(now_us, event.token)
             case Down():
                 return self._down()
             case Ended():
                 self.ending = True
                 return [*self._leave(now_us), SetTimer(now_us + LEAVE_US, "leave")]
-            case Unwritten(kind="fenced"):  # it holds in this process
+            case WriteFailed(kind="fenced"):  # it holds in this process
                 return [] if self.ending else [Stop(True)]
         return []
 
@@ -238,7 +238,7 @@
         actions: list[Any] = [Deny(w.token) for w in due]
         if silent and self.trouble is None:
             self.trouble = errors.Silent(f"no word for {self.s.silent_us / 1e6:g} s")
-            actions.append(Note("", self.trouble))
+            actions.append(LogLine("", self.trouble))
         return actions
 
     def _go_alone(self) -> list[Any]:
@@ -246,7 +246,7 @@
             return []
         self.alone = True
         self.trouble = self.trouble or errors.Silent("no word in time; this courier goes on alone")
-        return [Note("", self.trouble), *(Go(w.token) for w in self.waiting.clear())]
+        return [LogLine("", self.trouble), *(Go(w.token) for w in self.waiting.clear())]
 
     # The standby speaks
 
@@ -254,7 +254,7 @@
         try:
             row = messages.check(e.channel, e.row)
         except messages.Odd as error:
-            return [Note(f"the standby says what is no message: {error}"), Close()]
+            return [LogLine(f"the standby says what is no message: {error}"), Close()]
         if self.state == "fenced":
             return []
         if e.channel == "ack":
@@ -268,9 +268,12 @@
             return self._apart(known.get(row[0], errors.StandbyError)(row[1]))
         if e.channel == "full":
             self.trouble = errors.DiskFull("it says that its disk is full")
-            return [Note("", self.trouble), Close()]
+            return [LogLine("", self.trouble), Close()]
         if e.channel == "yield":
-            return [Note("the standby is promoted in order: this courier ends and hands over"), Stop(False)]
+            return [
+                LogLine("the standby is promoted in order: this courier ends and hands over"),
+                Stop(False),
+            ]
         return []
 
     def _fence(self, number: int) -> list[Any]:
@@ -278,13 +281,13 @@
         self.lease_until = 0
         self.trouble = errors.Fenced(f"the standby took over, with fence {number}; this one has {self.fence}")
         denied = [Deny(w.token) for w in self.waiting.clear() if w.sort is not Sort.FINAL]
-        return [Note("", self.trouble), *denied, Persist("fenced", "", number), Stop(True)]
+        return [LogLine("", self.trouble), *denied, Persist("fenced", "", number), Stop(True)]
 
     def _apart(self, error: errors.StandbyError) -> list[Any]:
         """The pair can't work until somebody does something."""
         told = type(self.trouble) is type(error)
         self.state, self.trouble = "apart", error
-        return [*([] if told else [Note("", error)]), Close()]
+        return [*([] if told else [LogLine("", error)]), Close()]
 
     def _welcome(self, now: int, theirs: list[list[int]]) -> list[Any]:
         found = {n: (size, digest) for n, size, digest in theirs}
@@ -348,14 +351,14 @@
             return []
         self.reading = False
         if e.data is None and e.segment in self.sizes:
-            return [Note(f"segment {e.segment} can't be read"), Close()]
+            return [LogLine(f"segment {e.segment} can't be read"), Close()]
         if not e.data or e.segment not in self.sizes or self.cursor.sent.get(e.segment, 0) != e.at:
             return self._pump(now)
         return [self._say_block(now, e.segment, e.at, e.data, self.confirmed), *self._pump(now)]
 
     def _ack(self, now: int, position: int, acked: int, stamp: int) -> list[Any]:
         if stamp > now or acked > self.out or position > self.position:
-            return [Note("the standby confirms what it was never sent"), Close()]
+            return [LogLine("the standby confirms what it was never sent"), Close()]
         self.heard = now
         self.acked = max(self.acked, acked)
         if self.state in ("live", "stream"):
@@ -363,7 +366,7 @@
             self.lease_until = max(self.lease_until, stamp + self.s.silent_us)
         if self.in_step and (self.alone or self.trouble):
             self.alone, self.trouble = False, None
-            return [Note("the standby is in step"), *self._confirmed(now)]
+            return [LogLine("the standby is in step"), *self._confirmed(now)]
         return [*self._confirmed(now), *self._pump(now), *self._leave(now)]
 
     # Time
--- a/madderbeam/replication/standby.py
+++ b/madderbeam/replication/standby.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from madderbeam.membership.values import Due, Note, Persist, Row, SetTimer, Unwritten
+from madderbeam.membership.values import LogLine, Persist, Row, SetTimer, TimerDue, WriteFailed
 from madderbeam.replication import errors, messages
 from madderbeam.replication.values import (
     Close,
@@ -105,15 +105,15 @@
                 return self._done(now)
             case Promote():
                 return self._promote(now)
-            case Due(token="look"):
+            case TimerDue(token="look"):
                 if self.over is not None:
                     return []
                 # The timer first: what stands behind a record that is not written is dropped.
                 return [SetTimer(now + LOOK_US, "look"), *self._look(now)]
-            case Unwritten(kind="over"):  # nothing was done: it is tried again
+            case WriteFailed(kind="over"):  # nothing was done: it is tried again
                 self.over = None
                 self.fence -= 1
-            case Unwritten():  # nothing was said: the owner comes again
+            case WriteFailed():  # nothing was said: the owner comes again
                 link, self.link = self.link, 0
                 return [Close(link)] if link else []
         return []
@@ -124,9 +124,9 @@
         try:
             fence, form, strict, lease_us, limit, name = messages.check("hello", row)
         except messages.Odd as error:
-            return [Note(f"an owner says what is no message: {error}"), Close(link)]
+            return [LogLine(f"an owner says what is no message: {error}"), Close(link)]
         if self.over is not None or fence < self.fence:
-            return [Say("fenced", [self.fence], link), Note(f"{name} is told that it was taken over")]
+            return [Say("fenced", [self.fence], link), LogLine(f"{name} is told that it was taken over")]
         if self.promoting and not self.yielded:
             return [Close(link)]  # its lease runs out
         if form != self.s.form or limit > self.s.limit:
@@ -136,7 +136,7 @@
                 else (f"the owner's folder may take {limit} bytes, here it is {self.s.limit}")
             )
             self.trouble = errors.Unlike(what)
-            return [Note("", self.trouble), Say("refused", [errors.Unlike.code, what], link)]
+            return [LogLine("", self.trouble), Say("refused", [errors.Unlike.code, what], link)]
         if now < self.full_until:
             return [Say("full", [], link)]
         return self._followed(link, fence, strict, lease_us, name)
@@ -207,11 +207,11 @@
 
     def _gap(self, what: str) -> list[Any]:
         self.trouble = errors.Gap(what)
-        return [Note("", self.trouble), *self._end("")]
+        return [LogLine("", self.trouble), *self._end("")]
 
     def _end(self, why: str) -> list[Any]:
         link, self.link = self.link, 0
-        return [*([Note(why)] if why else []), Close(link)]
+        return [*([LogLine(why)] if why else []), Close(link)]
 
     def _wrote(self, now: int, e: Wrote) -> list[Any]:
         if e.ok:
@@ -222,7 +222,7 @@
         self.trouble = errors.DiskFull(f"{len(e.data)} bytes of segment {e.segment} are not written")
         self.full_until = now + FULL_US
         link = self.link
-        return [Note("", self.trouble), Say("full", [], link), *self._end("")]
+        return [LogLine("", self.trouble), Say("full", [], link), *self._end("")]
 
     def _done(self, now: int) -> list[Any]:
         self.writing = max(0, self.writing - 1)
@@ -261,8 +261,8 @@
         self.promoting = True
         if self.link:  # its owner may live: it ends in order, and hands over
             self.yielded, self.yield_until = True, now + YIELD_US
-            return [Note("promoted: the owner is asked to end in order"), Say("yield", [], self.link)]
-        return [Note("promoted: the owner's lease is waited for"), *self._look(now)]
+            return [LogLine("promoted: the owner is asked to end in order"), Say("yield", [], self.link)]
+        return [LogLine("promoted: the owner's lease is waited for"), *self._look(now)]
 
     def _look(self, now: int) -> list[Any]:
         """Whether the owner's lease is over. An owner that is not strict has none, and may go on: its unsafe
@@ -284,7 +284,7 @@
             Persist("over", "", doubt),
             Persist("fence", "", self.fence),
             *close,
-            Note(
+            LogLine(
                 f"this courier takes over with fence {self.fence}"
                 + ("; what may have run is taken for having run" if doubt else "")
             ),
--- a/madderbeam/shared/leases.py
+++ b/madderbeam/shared/leases.py
@@ -14,18 +14,18 @@
 
 from madderbeam.federation.errors import LimitsUnshared, LimitUnfit
 from madderbeam.membership.values import (
-    Draining,
-    Due,
-    FromLink,
-    Leaving,
-    Life,
+    Incarnation,
+    Leave,
     MemberChanged,
     MemberId,
     MemberView,
+    MessageReceived,
+    PauseDetected,
     Persist,
-    Resumed,
+    SetDraining,
     SetTimer,
-    Unwritten,
+    TimerDue,
+    WriteFailed,
 )
 from madderbeam.shared.candidacy import TICKS
 from madderbeam.shared.holder import Holder
@@ -53,7 +53,7 @@
         self,
         settings: LeaseSettings,
         me: MemberId,
-        life: Life,
+        life: Incarnation,
         chance: Random,
         records: Mapping[tuple[str, str], Any],
         uses: Callable[[str], float] = nothing,
@@ -75,10 +75,17 @@
             for n in range(settings.slots)
         ]
         self._by_event: dict[type, Callable[[Any], None]] = {
-            Site: self._site, Limit: self._limit, Need: self._need, MemberChanged: self._changed,
-            FromLink: self._from_link, Due: self._due, Resumed: self._resumed, Draining: self._drain,
-            Leaving: self._leave, Unwritten: self._unwritten,
-        }  # fmt: skip
+            Site: self._site,
+            Limit: self._limit,
+            Need: self._need,
+            MemberChanged: self._changed,
+            MessageReceived: self._from_link,
+            TimerDue: self._due,
+            PauseDetected: self._resumed,
+            SetDraining: self._drain,
+            Leave: self._leave,
+            WriteFailed: self._unwritten,
+        }
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
         """Other events are none of its own."""
@@ -153,7 +160,7 @@
         if view.id != self.me and (view.id in self.views or len(self.views) < VIEWS_MOST):
             self.views[view.id] = view
 
-    def _from_link(self, event: FromLink) -> None:
+    def _from_link(self, event: MessageReceived) -> None:
         self._message(event.member, event.message)
 
     def _message(self, member: MemberId, message: Any) -> None:
@@ -166,7 +173,7 @@
     def _tick_us(self) -> int:
         return max(1, self.settings.turn_us // TICKS)
 
-    def _due(self, event: Due) -> None:
+    def _due(self, event: TimerDue) -> None:
         if event.token == "lease/tick" and self._started:
             self.out.timer(self.out.now_us + self._tick_us(), "tick")
             self._tick()
@@ -191,7 +198,7 @@
             what = f"no lease on {len(unshared)} of {len(lots)} limits, {unshared[0]} among them"
             self.out.note("limits are not shared", LimitsUnshared(what))
 
-    def _resumed(self, event: Resumed) -> None:
+    def _resumed(self, event: PauseDetected) -> None:
         """What was known may be over: no lease is used that was given before."""
         for resource in self.holder.lots:
             lot = self.holder.lots[resource]
@@ -222,18 +229,18 @@
             self.out.last(Persist("lease", "joined", True), SetTimer(now_us, "lease/joined"))
         return False
 
-    def _unwritten(self, event: Unwritten) -> None:
+    def _unwritten(self, event: WriteFailed) -> None:
         """It is written with the next question. Of another record: this one may have stood behind it."""
         self._writing = False
 
     # Handing back
 
-    def _drain(self, event: Draining) -> None:
+    def _drain(self, event: SetDraining) -> None:
         if event.on and not self._draining:
             self._hand_back()
         self._draining = self.holder.idle = event.on
 
-    def _leave(self, event: Leaving) -> None:
+    def _leave(self, event: Leave) -> None:
         self._hand_back()
 
     def _hand_back(self) -> None:
--- a/madderbeam/shared/news.py
+++ b/madderbeam/shared/news.py
@@ -14,16 +14,16 @@
 
 from madderbeam.federation.errors import NewsRefused
 from madderbeam.membership.values import (
-    Due,
-    Heard,
-    Life,
-    LifeRaised,
+    Disseminate,
+    GossipReceived,
+    Incarnation,
+    IncarnationRaised,
+    LogLine,
     MemberChanged,
     MemberId,
-    Note,
     SetTimer,
-    Spread,
     State,
+    TimerDue,
 )
 from madderbeam.shared.values import Heed, Kind, Lapsed, Learnt, News, Site
 
@@ -69,7 +69,7 @@
     and Note out. Waits, full tables: the longest holds; drains: the earliest; limits: the least. Doubts and
     outages are kept, and left to whoever asks `counting`."""
 
-    def __init__(self, me: MemberId, life: Life) -> None:
+    def __init__(self, me: MemberId, life: Incarnation) -> None:
         self.me, self.version = me, life.start << 32
         self.members: frozenset[MemberId] = frozenset({me})
         self.owners: dict[MemberId, Owner] = {me: Owner()}
@@ -81,9 +81,9 @@
         self._events: dict[type, Callable[[int, Any], list[Any]]] = {
             Learnt: self._learnt,
             Site: self._site,
-            Heard: self._heard,
+            GossipReceived: self._heard,
             MemberChanged: self._member,
-            LifeRaised: self._raised,
+            IncarnationRaised: self._raised,
         }
 
     # What others ask
@@ -143,7 +143,7 @@
     def handle(self, now_us: int, event: Any) -> list[Any]:
         take = self._events.get(type(event))
         actions = take(now_us, event) if take else []
-        if isinstance(event, Due) and event.token != TIMER:
+        if isinstance(event, TimerDue) and event.token != TIMER:
             return []
         return actions + self._fold(now_us)
 
@@ -154,7 +154,7 @@
         self.keys = {k: s for k, s in self.keys.items() if k[0] in self.members}
         return []
 
-    def _raised(self, now_us: int, event: LifeRaised) -> list[Any]:
+    def _raised(self, now_us: int, event: IncarnationRaised) -> list[Any]:
         """An earlier life, which this folder does not know, may have told more."""
         self.version = max(self.version, event.life.start << 32)
         return []
@@ -205,14 +205,14 @@
         ]
         return len(others) < WITNESSES
 
-    def _spread(self, subject: Subject, left_us: int, value: float, at_once: bool) -> Spread:
+    def _spread(self, subject: Subject, left_us: int, value: float, at_once: bool) -> Disseminate:
         kind, dest, uid = subject
         self.version += 1
         place = f"/{_short(uid)}" if uid else ""
         body = FORM.pack(len(uid.encode()), max(0, left_us), value) + uid.encode()
-        return Spread(f"{PREFIX}{kind.value}/{dest}{place}", self.version, body, left_us, at_once)
+        return Disseminate(f"{PREFIX}{kind.value}/{dest}{place}", self.version, body, left_us, at_once)
 
-    def _heard(self, now_us: int, event: Heard) -> list[Any]:
+    def _heard(self, now_us: int, event: GossipReceived) -> list[Any]:
         rumour = event.rumour
         if not rumour.key.startswith(PREFIX) or rumour.owner not in self.members or rumour.owner == self.me:
             return []
@@ -220,7 +220,9 @@
             kind, dest, uid, left_us, value = _read(rumour.key, rumour.body)
         except (ValueError, struct.error) as error:
             self.refused += 1
-            return [Note(f"news of {rumour.owner} can't be read", NewsRefused(f"{rumour.key[:60]}: {error}"))]
+            return [
+                LogLine(f"news of {rumour.owner} can't be read", NewsRefused(f"{rumour.key[:60]}: {error}"))
+            ]
         told = self.owners.setdefault(rumour.owner, Owner()).told
         subject = (kind, dest, uid)
         if subject not in told and len(told) >= EACH_MOST:
@@ -230,7 +232,7 @@
         if left_us > (longest := _longest(kind)):
             self.cut += 1
             notes.append(
-                Note(
+                LogLine(
                     "news are cut",
                     NewsRefused(
                         f"{rumour.owner} tells a {kind.value} of {left_us // 1_000_000} s for destination "
--- a/madderbeam/shared/outgoing.py
+++ b/madderbeam/shared/outgoing.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from madderbeam.federation.errors import FederationError
-from madderbeam.membership.values import MemberId, Note, SetTimer, ToLink
+from madderbeam.membership.values import LogLine, MemberId, SendMessage, SetTimer
 
 
 class Outgoing:
@@ -34,13 +34,13 @@
         if member == self.me:
             self.to_self.append(message)
         else:
-            self._actions.append(ToLink(member, message))
+            self._actions.append(SendMessage(member, message))
 
     def timer(self, at_us: int, what: str) -> None:
         self._actions.append(SetTimer(at_us, "lease/" + what))
 
     def note(self, text: str, error: FederationError | None = None) -> None:
-        self._actions.append(Note(text, error))
+        self._actions.append(LogLine(text, error))
 
     def count(self, what: str) -> None:
         self.figures[what] += 1
--- a/madderbeam/shared/returning.py
+++ b/madderbeam/shared/returning.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from madderbeam.federation.errors import OutAlone
-from madderbeam.membership.values import Life, MemberId, Note, SetTimer
+from madderbeam.membership.values import Incarnation, LogLine, MemberId, SetTimer
 from madderbeam.relay.choice import score
 from madderbeam.shared.news import WITNESSED, WITNESSES, NewsBoard, Told
 from madderbeam.shared.values import Answered, Failed, Heed, Kind, Lapsed, Learnt, News, TryFor
@@ -55,7 +55,7 @@
     """NewsBoard's events in, with Failed and Answered; its actions out, with TryFor beside. An outage (or a
     doubt, for a moment) is heeded by those alone that do not try."""
 
-    def __init__(self, me: MemberId, life: Life) -> None:
+    def __init__(self, me: MemberId, life: Incarnation) -> None:
         self.me, self.board = me, NewsBoard(me, life)
         self.trying: dict[int, int] = {}  # destinations that this one tries for all: since when
         self.turns: dict[int, int] = {}  # turns that it had without an answer
@@ -151,7 +151,7 @@
         elif len(said) == 1 and dest not in self.alone and now_us - mine.since_us >= TURN_US:
             self.alone.add(dest)
             what = f"destination {dest} answers no call of {self.me}, for {TURN_US // 1_000_000} s"
-            return [Note("out for this one alone", OutAlone(what))] if self.board.living > 1 else []
+            return [LogLine("out for this one alone", OutAlone(what))] if self.board.living > 1 else []
         return []
 
     def _tries(self, now_us: int, dest: int, tries: bool) -> list[Any]:
--- a/madderbeam/sidecar/demo.py
+++ b/madderbeam/sidecar/demo.py
@@ -118,7 +118,7 @@
     courier = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "madderbeam.host.sidecar",
+        "madderbeam.host.standalone",
         str(folder / "out" / "demo.json"),
         stderr=asyncio.subprocess.PIPE,
     )
--- a/madderbeam/sidecar/up.py
+++ b/madderbeam/sidecar/up.py
@@ -27,7 +27,7 @@
 from madderbeam.config.render import MANIFEST, File, file_digest, render, write
 from madderbeam.config.rendered import Unfit, read
 from madderbeam.config.sites import first_line
-from madderbeam.host.sidecar import FOLLOW
+from madderbeam.host.standalone import FOLLOW
 from madderbeam.ports.real import RealDisk, RealLock, RealNetwork
 from madderbeam.sidecar.supervisor import Action, Start, Stop, Supervisor
 
@@ -105,7 +105,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "madderbeam.host.sidecar",
+                "madderbeam.host.standalone",
                 str(self.out / f"{name}.json"),
                 FOLLOW,
                 stderr=asyncio.subprocess.PIPE,
--- a/madderbeam/simhost.py
+++ b/madderbeam/simhost.py
@@ -7,7 +7,7 @@
 from typing import Any, BinaryIO
 
 from madderbeam import wire
-from madderbeam.host.limits import Limits, told
+from madderbeam.host.rate_limits import ReportedRates, told
 from madderbeam.policy.engine import DeliveryEngine
 from madderbeam.policy.events import EndpointEntry, EndpointListUpdate, ListUpdateKind
 from madderbeam.policy.settings import Settings
@@ -17,7 +17,7 @@
     """An instance's list of endpoints, with the rates that answers tell where it has none."""
 
     def __init__(self, settings: Settings) -> None:
-        self.s, self.limits = settings, Limits()
+        self.s, self.limits = settings, ReportedRates()
         self.entries: dict[int, EndpointEntry] = {}
 
     def heard(self, event: Any) -> list[Any]:
--- a/madderbeam/simulation/books.py
+++ b/madderbeam/simulation/books.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from madderbeam.host.listing import STATES
-from madderbeam.host.turn import Host
-from madderbeam.journal.memory import MEMO
+from madderbeam.host.endpoint_registry import STATES
+from madderbeam.host.host import Host
+from madderbeam.journal.expiring_set import MEMO
+from madderbeam.journal.journal import Journal
 from madderbeam.journal.records import blocks
-from madderbeam.journal.store import Journal
 from madderbeam.policy.engine import DeliveryEngine
 from madderbeam.policy.engine_state import EngineState
 from madderbeam.policy.events import EndpointState
--- a/madderbeam/simulation/changes.py
+++ b/madderbeam/simulation/changes.py
@@ -15,8 +15,8 @@
 
 from madderbeam.changes.events import Apply
 from madderbeam.changes.values import DRAINING, READY, Key, Snapshot
-from madderbeam.host.changes.room import ChangesRoom
-from madderbeam.host.turn import Host
+from madderbeam.host.changes.component import ChangesComponent
+from madderbeam.host.host import Host
 from madderbeam.policy.events import EndpointState
 from madderbeam.simulation.couriers import Machine
 from madderbeam.simulation.endpoints import Endpoint
@@ -55,7 +55,7 @@
         self.world.checker.broken("changes", f"{self.machine.name}: {text}")
 
     @property
-    def room(self) -> ChangesRoom:
+    def room(self) -> ChangesComponent:
         assert self.machine.host is not None
         return _room(self.machine.host)
 
@@ -88,7 +88,7 @@
         host.calls.hooks.may_write = writes
         host.admission.taken_up.append(lambda m: self._hold(host, "an admission"))
 
-    def _apply(self, room: ChangesRoom, action: Apply) -> None:
+    def _apply(self, room: ChangesComponent, action: Apply) -> None:
         """One version follows another, by the rows of changes that were handed in."""
         m, before, after = room.machine, action.before, action.after
         if not _same(before, self.seen[self.version]):
@@ -289,8 +289,8 @@
     return machine.host
 
 
-def _room(host: Host) -> ChangesRoom:
-    return next(room for room in host.rooms if isinstance(room, ChangesRoom))
+def _room(host: Host) -> ChangesComponent:
+    return next(room for room in host.rooms if isinstance(room, ChangesComponent))
 
 
 def _differing(one: Snapshot, other: Snapshot) -> set[Key]:
@@ -306,7 +306,7 @@
     return not _differing(one, other)
 
 
-def _wrong(host: Host, room: ChangesRoom) -> str:
+def _wrong(host: Host, room: ChangesComponent) -> str:
     """What the parts of a courier go by that is not of the version in force, '' if all is."""
     m, listing = room.machine, host.listing
     entries = {listing.names[number]: entry for number, entry in listing.entries.items()}
--- a/madderbeam/simulation/couriers.py
+++ b/madderbeam/simulation/couriers.py
@@ -14,13 +14,13 @@
 
 from madderbeam.config.platform import ConfigError, load, load_sidecar
 from madderbeam.config.rendered import seal
-from madderbeam.host import handover, process
-from madderbeam.host.sidecar import Held, guard
-from madderbeam.host.turn import Host
-from madderbeam.host.upgrade import SETTLE_S
-from madderbeam.journal.clock import BOOT
+from madderbeam.host import process, state_transfer
+from madderbeam.host.host import Host
+from madderbeam.host.process_upgrade import SETTLE_S
+from madderbeam.host.standalone import ResourceHeldError, guard
+from madderbeam.journal.journal import KEYS_S, Journal
 from madderbeam.journal.records import parse
-from madderbeam.journal.store import KEYS_S, Journal
+from madderbeam.journal.steady_clock import BOOT
 from madderbeam.ports import Address, Ports
 from madderbeam.simulation import local
 from madderbeam.simulation.agent import Agent
@@ -193,7 +193,7 @@
                 return
             self.kernel.checker.broken("crash", f"{self.name} cannot start: {error}")
             return
-        except (OSError, Held) as error:
+        except (OSError, ResourceHeldError) as error:
             if self.name not in self.kernel.checker.troubled:
                 self.kernel.checker.broken("crash", f"{self.name} cannot start: {error}")
             self.die()
@@ -311,20 +311,20 @@
         if old is None or self.loop.dead or old.closing_at:
             return
         with contextlib.suppress(Killed):
-            if not handover.ready(old):
+            if not state_transfer.ready(old):
                 if self.kernel.now_us < until:
                     self.kernel.scheduler.after(5_000, self._hand_over, how, until, loop=self.loop)
                     return
-                handover.settle(old)
+                state_transfer.settle(old)
             self._pass(old, how)
 
     def _pass(self, old: Host, how: str) -> None:
-        message, socks = handover.snapshot(old, "" if how == "form" else handover.form())
+        message, socks = state_transfer.snapshot(old, "" if how == "form" else state_transfer.form())
         message = msgpack.unpackb(msgpack.packb(message), strict_map_key=False)
         self.kernel.note(
             self.name, "is upgraded", how=how, clients=len(message["clients"]), calls=len(message["calls"])
         )
-        passed = handover.Passed(message, socks, old.s, old.config.seed)
+        passed = state_transfer.TransferredState(message, socks, old.s, old.config.seed)
         if how == "before":
             return
         before, self.loop = self.loop, process_loop(self.kernel.scheduler)
--- a/madderbeam/simulation/federation.py
+++ b/madderbeam/simulation/federation.py
@@ -15,10 +15,10 @@
 from madderbeam.config.rendered import seal
 from madderbeam.federation import table as tables
 from madderbeam.host import process
-from madderbeam.host.federation.room import FederationRoom
-from madderbeam.host.sidecar import guard
-from madderbeam.host.turn import Host
-from madderbeam.journal.clock import BOOT
+from madderbeam.host.federation.component import FederationComponent
+from madderbeam.host.host import Host
+from madderbeam.host.standalone import guard
+from madderbeam.journal.steady_clock import BOOT
 from madderbeam.membership.values import MemberId
 from madderbeam.ports import Address, Ports
 from madderbeam.simulation.clients import command
@@ -73,7 +73,7 @@
         self.loop: ProcessLoop
         self.network: SimNetwork
         self.host: Host
-        self.room: FederationRoom
+        self.room: FederationComponent
         self.up = False
 
     def _disk(self) -> SimDisk:
@@ -128,7 +128,7 @@
             self.die()
             return
         self.host.closed.add_done_callback(lambda _: self._closed())
-        self.room = next(r for r in self.host.rooms if isinstance(r, FederationRoom))
+        self.room = next(r for r in self.host.rooms if isinstance(r, FederationComponent))
         send = self.room.mesh.send
 
         def tapped(member: MemberId, channel: str, row: list[Any], said_us: int | None = None) -> bool:
--- a/madderbeam/simulation/fedjudge.py
+++ b/madderbeam/simulation/fedjudge.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeAlias
 
-from madderbeam.federation import inquiries
-from madderbeam.federation import messages as words
 from madderbeam.federation import table as tables
-from madderbeam.federation.lease import majority
-from madderbeam.federation.messages import ballot_of, slot_of
+from madderbeam.federation.consensus import messages as words
+from madderbeam.federation.consensus.messages import ballot_of, slot_of
+from madderbeam.federation.leases.lease import majority
+from madderbeam.federation.switchover import messages
 from madderbeam.federation.values import Table
 from madderbeam.journal.records import parse
 from madderbeam.membership.values import MemberId, State
@@ -274,7 +274,7 @@
             self._stream(member, other, streams.from_row(row))
         elif channel == "t":
             self._word(member, words.from_row(row))
-        elif channel == "s" and isinstance(inquiries.from_row(row), inquiries.InForceIs):
+        elif channel == "s" and isinstance(messages.from_row(row), messages.InForceReply):
             self.told[other].add(member.id)
 
     def _word(self, member: Member, message: Any) -> None:
@@ -284,7 +284,7 @@
             if vote is None or _vote(vote) < (message.slot, message.ballot):
                 self.broken("F2", f"{member.name} gives a {type(message).__name__} that it has not written")
         elif (
-            isinstance(message, words.Answer)
+            isinstance(message, words.VoteReply)
             and message.word.staged
             and ((member.site, message.digest) not in self.staged or ("staged", "") not in kept)
         ):
--- a/madderbeam/simulation/mutants.py
+++ b/madderbeam/simulation/mutants.py
@@ -24,8 +24,8 @@
 LEFT_OUT = frozenset(
     {
         "host/process.py",
-        "host/sidecar.py",
-        "host/upgrade.py",
+        "host/standalone.py",
+        "host/process_upgrade.py",
         "journal/commands.py",
         "journal/inspect.py",
         "transport/passing.py",
--- a/madderbeam/simulation/sharefaults.py
+++ b/madderbeam/simulation/sharefaults.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, TypeAlias
 
-from madderbeam.membership.values import Spread
+from madderbeam.membership.values import Disseminate
 from madderbeam.shared.news import FORM
 from madderbeam.simulation import fedfaults
 from madderbeam.simulation.fedfaults import Faults
@@ -161,7 +161,7 @@
     ]
     f.world.note(member.name, "tells nonsense")
     for n, (key, body) in enumerate(told):
-        member.room.members.tell(Spread(key, (1 << 50) + f.world.scheduler.steps + n, body, 5 * S))
+        member.room.members.tell(Disseminate(key, (1 << 50) + f.world.scheduler.steps + n, body, 5 * S))
 
 
 def _told_and_gone(f: Troubles) -> None:
--- a/madderbeam/transport/clients.py
+++ b/madderbeam/transport/clients.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 from madderbeam.ports import Network, Socket
-from madderbeam.transport.answers import Answer
 from madderbeam.transport.descriptors import NO_FILES
 from madderbeam.transport.reading import read
+from madderbeam.transport.reply_handle import ReplyHandle
 from madderbeam.transport.resp import FramingError, RequestReader
 
 BACKLOG = 512  # connections that wait to be taken up
@@ -544,7 +544,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         network: Network,
-        put: Callable[[Put, Answer], None],
+        put: Callable[[Put, ReplyHandle], None],
         places: Places,
         make: type[Client] = Client,
     ) -> None:
--- a/madderbeam/transport/kafka/front.py
+++ b/madderbeam/transport/kafka/front.py
@@ -15,7 +15,6 @@
 from typing import Any
 
 from madderbeam.policy.settings import MessageClass
-from madderbeam.transport.answers import Answer
 from madderbeam.transport.clients import BadRequest, Put
 from madderbeam.transport.kafka.finals import Finals
 from madderbeam.transport.kafka.groups import Groups
@@ -30,6 +29,7 @@
     Code,
 )
 from madderbeam.transport.kafka.topics import ANY, Topic, put, topic
+from madderbeam.transport.reply_handle import ReplyHandle
 
 BAD = {
     "corrupt": Code.CORRUPT_MESSAGE,
@@ -73,7 +73,7 @@
     def __init__(
         self,
         setup: Setup,
-        hand_in: Callable[[Put, Answer], None],
+        hand_in: Callable[[Put, ReplyHandle], None],
         now: Callable[[], float],
         wall_ms: Callable[[], int],
         later: Callable[[float, Callable[[], None]], None],
--- a/madderbeam/transport/mesh/events.py
+++ b/madderbeam/transport/mesh/events.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from madderbeam.membership.values import Address, Life, MemberId, Row
+from madderbeam.membership.values import Address, Incarnation, MemberId, Row
 
 ALL = ""  # the channel of what concerns each: LinkUp, LinkDown, Outlived
 
@@ -21,7 +21,7 @@
     """A datagram."""
 
     sender: MemberId
-    life: Life
+    life: Incarnation
     row: Row
     source: Address
 
@@ -31,7 +31,7 @@
     """A member hands its row over on a connection of its own, and waits for `Mesh.reply(reply, row)`."""
 
     sender: MemberId
-    life: Life
+    life: Incarnation
     row: Row
     reply: int
 
@@ -42,7 +42,7 @@
 
     to: Address
     sender: MemberId
-    life: Life
+    life: Incarnation
     row: Row
 
 
@@ -59,7 +59,7 @@
     """Another member has seen a later life of this one than the one that now runs: its folder is older."""
 
     member: MemberId
-    seen: Life
+    seen: Incarnation
 
 
 Told = Callable[[str, Any], None]  # channel and event
