--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -289,7 +289,7 @@
 @bug(6, "repeat", "lost", "design")
 def goes_by_a_wall_clock_that_steps(patch):
     patch.setattr(journal, "boot_id", lambda disk: "")
-    patch.setattr(journal.SteadyWall, "__call__", lambda self: self.clock.wall())
+    patch.setattr(journal.SteadyClock, "__call__", lambda self: self.clock.wall())
 
 
 @bug(2, "crash")
