--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -328,11 +328,11 @@
 # The state, with both sides in this process
 
 
-async def two(fleet, change=lambda message: None, settings_=None):
+async def two(fleet, change=lambda message: None, settings_=None, wanted=None):
     """The host of this fleet passes on to a second one, which is returned with its message."""
     host = fleet.host
     assert state_transfer.ready(host)
-    message, socks = state_transfer.snapshot(host, state_transfer.form())
+    message, socks = state_transfer.snapshot(host, wanted or state_transfer.form())
     left, right = socket.socketpair(socket.AF_UNIX)
     left.settimeout(5)
     right.settimeout(5)
@@ -378,6 +378,18 @@
     assert await client.put("m2") == "+OK" and (await e.call())[1]["x-request-id"] == "m2"
 
 
+@courier
+async def test_a_process_of_another_form_goes_on_by_the_journal(fleet):
+    e = await fleet.endpoint("a", "hang")
+    client = await fleet.inside()
+    assert await client.put("u1", kind="unsafe") == "+OK"
+    await e.call()
+    old = (await two(fleet, wanted="1 of the classes before")).courier
+    assert fleet.host.courier is not old and fleet.host.courier.state is not old.state
+    assert await fleet.discovery.final() == {"id": "u1", "status": "undeliverable"}
+    assert await client.put("m2") == "+OK" and (await e.call())[1]["x-request-id"] == "m2"
+
+
 @courier
 async def test_what_can_not_be_read_is_not_taken(fleet):
     await fleet.endpoint("a")
