--- a/madderbeam/policy/connection_reuse.py
+++ b/madderbeam/policy/connection_reuse.py
@@ -54,8 +54,8 @@
 
     def has_idle_connection(self, endpoint: Endpoint) -> bool:
         """Whether there is an idle connection that may be used."""
-        oldest_us = self.oldest_usable_us(endpoint)
-        return any(since_us > oldest_us for since_us in endpoint.idle_since_us)
+        idle_since_us = endpoint.idle_since_us  # the newest comes last
+        return bool(idle_since_us) and idle_since_us[-1] > self.oldest_usable_us(endpoint)
 
     def record_outcome(self, endpoint: Endpoint, result: AttemptResult, call: Call, latency_us: int) -> None:
         """Learn from the outcome of a call, whatever it was."""
--- a/madderbeam/policy/eligibility.py
+++ b/madderbeam/policy/eligibility.py
@@ -120,10 +120,13 @@
         """Whether a call might last past the shutdown."""
         return remaining_us < self.timeouts.call_timeout_us(endpoint.scope)
 
-    def _waits_for_probe(self, message: Message, endpoint: Endpoint) -> bool:
-        circuit = endpoint.circuit
-        is_closed_to_it = circuit.is_open and circuit.tokens < 1.0 and not message.failed_quickly
-        return endpoint.scope.shared_circuit is not None and is_closed_to_it
+    @staticmethod
+    def _waits_for_probe(message: Message, endpoint: Endpoint) -> bool:
+        """Whether the scope's circuit is open, and no probe of it is due."""
+        circuit = endpoint.scope.shared_circuit
+        if circuit is None or not circuit.is_open:
+            return False
+        return circuit.tokens < 1.0 and not message.failed_quickly
 
     def _may_repeat(self, message: Message, endpoint: Endpoint) -> bool:
         """Whether a message that may have run already may run once more."""
