--- a/tests/federation/member_processes.py
+++ b/tests/federation/member_processes.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import os
 import re
@@ -16,17 +17,22 @@
 START_S = 90.0  # until a process says that it is ready, where dozens start at once on a busy machine
 
 
-def free_port(host):
-    """One at which nobody listens, for datagrams and streams both. Hosts are a member's own, so that it
-    stays free until the member takes it."""
-    while True:
-        with socket.socket() as tcp, socket.socket(type=socket.SOCK_DGRAM) as udp:
+def free_ports(host, count):
+    """Different ones at which nobody listens, for datagrams and streams both. Hosts are a member's own, so that
+    they stay free until the member takes them. All are held until the last one is found: a port that was let
+    go of may be drawn a second time."""
+    ports = []
+    with contextlib.ExitStack() as sockets:
+        while len(ports) < count:
+            tcp = sockets.enter_context(socket.socket())
+            udp = sockets.enter_context(socket.socket(type=socket.SOCK_DGRAM))
             tcp.bind((host, 0))
             try:
                 udp.bind(tcp.getsockname())
             except OSError:
                 continue
-            return tcp.getsockname()[1]
+            ports.append(tcp.getsockname()[1])
+    return ports
 
 
 class Program(Client):
@@ -47,7 +53,7 @@
     def __init__(self, name, host, folder):
         self.name, self.host, self.folder = name, host, folder
         self.site, self.short = name.split("/")
-        self.listen, self.control, self.mesh = (free_port(host) for _ in range(3))
+        self.listen, self.control, self.mesh = free_ports(host, 3)
         self.process, self.reading = None, None
         self.lines, self.said = [], asyncio.Event()
         self.life = 0  # lines before this one are an earlier life's
