--- a/tests/federation/member_processes.py
+++ b/tests/federation/member_processes.py
@@ -18,9 +18,9 @@
 
 
 def free_ports(host, count):
-    """Different ones at which nobody listens, for datagrams and streams both. Hosts are a member's own, so that
-    they stay free until the member takes them. All are held until the last one is found: a port that was let
-    go of may be drawn a second time."""
+    """Different ones at which nobody listens, for datagrams and streams both. Hosts are a member's own, so
+    that they stay free until the member takes them. All are held until the last one is found: a port that
+    was let go of may be drawn a second time."""
     ports = []
     with contextlib.ExitStack() as sockets:
         while len(ports) < count:
