--- a/tests/changes/test_room.py
+++ b/tests/changes/test_room.py
@@ -9,7 +9,7 @@
 import pytest
 from estates_changes import Courier, Estate, added, address, endpoints, uid
 from loopback import ROOT, Client, call
-from member_processes import free_port
+from member_processes import free_port, free_ports
 
 from madderbeam.cli import main
 from madderbeam.config.check import check
@@ -248,7 +248,7 @@
         async def inner():
             ends, started = await endpoints(3), []
             for n in range(count):
-                port, control = free_port("127.0.0.1"), free_port("127.0.0.1")
+                port, control = free_ports("127.0.0.1", 2)
                 estate = Estate(
                     tmp_path / f"c{n}",
                     {1: [address(ends[0]), address(ends[1])]},
--- a/tests/federation/member_processes.py
+++ b/tests/federation/member_processes.py
@@ -35,6 +35,11 @@
     return ports
 
 
+def free_port(host):
+    """One such port."""
+    return free_ports(host, 1)[0]
+
+
 class Program(Client):
     """A client that knows topics as well."""
 
