--- a/madderbeam/journal/__init__.py
+++ b/madderbeam/journal/__init__.py
@@ -1,1 +1,1 @@
-"""What outlasts the process."""
+"""The journal: the durable record of accepted messages, and the tools that read it."""
--- a/madderbeam/journal/commands.py
+++ b/madderbeam/journal/commands.py
@@ -1,4 +1,4 @@
-"""`madderbeam journal`: inspect, verify and dump a folder; nothing is changed."""
+"""`madderbeam journal`: inspect, verify and dump a folder. Nothing in it is changed."""
 
 from __future__ import annotations
 
@@ -14,25 +14,31 @@
 
 def add_commands(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
     """Add this package's subcommands to the `madderbeam` command."""
-    top = commands.add_parser("journal", help="look at a courier's folder, also while it runs")
-    parts = top.add_subparsers(dest="part", required=True)
+    journal = commands.add_parser("journal", help="look at a courier's folder, also while it runs")
+    subcommands = journal.add_subparsers(dest="part", required=True)
     for name, text, action in (
-        ("inspect", "messages, owed notices, keys, bytes live and dead, by segment", _inspect),
-        ("verify", "what is damaged, a line each; exit 1 if anything is, 2 if it can't be read", _verify),
-        ("dump", "each record as a line of JSON", _dump),
+        ("inspect", "messages, outstanding notices, keys, live and total bytes, by segment", _inspect),
+        (
+            "verify",
+            "list damage, a line each; exit 1 if there is any, 2 if the folder can't be read",
+            _verify,
+        ),
+        ("dump", "print each record as a line of JSON", _dump),
     ):
-        part = parts.add_parser(name, help=text)
-        part.add_argument("folder", metavar="FOLDER")
+        subcommand = subcommands.add_parser(name, help=text)
+        subcommand.add_argument("folder", metavar="FOLDER")
         if name == "inspect":
-            part.add_argument("--json", action="store_true", help="all of it, with each message")
-        part.set_defaults(action=_told(action))
+            subcommand.add_argument("--json", action="store_true", help="print everything, with each message")
+        subcommand.set_defaults(action=_reporting_errors(action))
 
 
-def _told(action: Callable[[argparse.Namespace], int]) -> Callable[[argparse.Namespace], int]:
+def _reporting_errors(
+    action: Callable[[argparse.Namespace], int],
+) -> Callable[[argparse.Namespace], int]:
     def run(args: argparse.Namespace) -> int:
         logger = logging.getLogger("madderbeam.journal")
-        before = logger.level
-        logger.setLevel(logging.CRITICAL)  # it is told here, not logged
+        level = logger.level
+        logger.setLevel(logging.CRITICAL)  # the command prints the findings itself
         try:
             return action(args)
         except OSError as error:
@@ -42,26 +48,33 @@
             )
             return 2
         finally:
-            logger.setLevel(before)
+            logger.setLevel(level)
 
     return run
 
 
 def _inspect(args: argparse.Namespace) -> int:
-    found = inspect.summary(RealDisk(), RealClock(), args.folder)
+    summary = inspect.summary(RealDisk(), RealClock(), args.folder)
     if args.json:
-        print(json.dumps(found.json(), indent=1))
+        print(json.dumps(summary.json(), indent=1))
         return 0
-    print(f"format {found.format}, {found.bytes} bytes in {len(found.segments)} segments, {found.live} live")
     print(
-        f"open messages {found.open}, of which {found.may_have_run} may have run; notices owed {found.owed}"
+        f"format {summary.format}, {summary.bytes} bytes in {len(summary.segments)} segments, "
+        f"{summary.live} live"
     )
-    print(f"remembered: {found.ids} ids, {found.keys} keys")
-    for s in found.segments:
-        torn = f", {s.torn} bytes torn" if s.torn else ""
-        print(f"  {s.name}: {s.bytes} bytes, {s.records} records, {s.live} live, {s.messages} messages{torn}")
-    if found.damaged:
-        print(f"DAMAGED in {found.damaged} places: madderbeam journal verify {args.folder}")
+    print(
+        f"open messages {summary.open}, of which {summary.may_have_run} may have run; "
+        f"notices owed {summary.owed}"
+    )
+    print(f"remembered: {summary.ids} ids, {summary.keys} keys")
+    for segment in summary.segments:
+        torn = f", {segment.torn} bytes torn" if segment.torn else ""
+        print(
+            f"  {segment.name}: {segment.bytes} bytes, {segment.records} records, {segment.live} live, "
+            f"{segment.messages} messages{torn}"
+        )
+    if summary.damaged:
+        print(f"DAMAGED in {summary.damaged} places: madderbeam journal verify {args.folder}")
     return 0
 
 
@@ -69,10 +82,10 @@
     findings = inspect.verify(RealDisk(), args.folder)
     for finding in findings:
         print(f"{finding.kind.meaning.value}: {finding}")
-    damaged = any(finding.damage for finding in findings)
-    if not damaged:
+    is_damaged = any(finding.is_damage for finding in findings)
+    if not is_damaged:
         print("whole")
-    return 1 if damaged else 0
+    return 1 if is_damaged else 0
 
 
 def _dump(args: argparse.Namespace) -> int:
--- a/madderbeam/journal/damage.py
+++ b/madderbeam/journal/damage.py
@@ -1,7 +1,7 @@
-"""What a reader may meet in a journal's folder, and what each thing means. Pure: no file is touched here.
+"""What a reader may find in a journal's folder, and what each finding means. Pure: no file is accessed here.
 
-One table for the start of a courier, `journal verify` and `inspect`, and the simulation:
-docs/design/journal.md shows it, the operators' page says what to do.
+The start of a courier, `journal verify` and `inspect`, and the simulation share this table of findings.
+docs/design/journal.md lists it; the operators' page says how to react.
 """
 
 from __future__ import annotations
@@ -11,242 +11,271 @@
 from enum import Enum
 from typing import Any
 
-from madderbeam.journal.records import FRAME, InvalidRange, torn
+from madderbeam.journal.records import FRAME, InvalidRange, is_torn
 
 
 class Meaning(Enum):
-    """What a finding says of the messages that the courier has taken on."""
+    """What a finding means for the accepted messages."""
 
-    HARMLESS = "harmless"  # what a kill leaves; nothing that was whole is lost
-    HIDES = "damage"  # a record may be lost: what may have run counts as having run
-    FOREIGN = "not ours"  # left alone
+    HARMLESS = "harmless"  # left by a kill; no complete record is lost
+    DAMAGE = "damage"  # a record may be lost: messages that may have been executed are treated as executed
+    FOREIGN = "not ours"  # ignored
 
 
 class Kind(Enum):
-    """The rows of the table: what was found and its meaning."""
+    """The kinds of findings, each with its text and meaning."""
 
     TORN = "ends in a part of a record", Meaning.HARMLESS
-    BEGUN = "is empty, and the newest", Meaning.HARMLESS
-    LEFT = "was about to be removed", Meaning.HARMLESS
-    HEAD = "has no header", Meaning.HIDES
-    CHECKSUM = "holds a record whose checksum is wrong", Meaning.HIDES
-    LENGTH = "holds a record whose length is wrong", Meaning.HIDES
-    NOISE = "holds what is no record", Meaning.HIDES
-    CUT = "is shorter than it was when it was closed", Meaning.HIDES
-    LONGER = "is longer than it was when it was closed", Meaning.HIDES
-    EMPTY = "is empty, and not the newest", Meaning.HIDES
-    ORDER = "tells of an earlier time than the one before", Meaning.HIDES
-    RENAMED = "is another segment, by its header", Meaning.HIDES
-    DOUBLE = "is a segment that is there already", Meaning.HIDES
-    LACKS = "is missing", Meaning.HIDES
-    UNREADABLE = "can't be read", Meaning.HIDES
+    EMPTY_NEWEST = "is empty, and the newest", Meaning.HARMLESS
+    REMOVAL_PENDING = "was about to be removed", Meaning.HARMLESS
+    NO_HEADER = "has no header", Meaning.DAMAGE
+    WRONG_CHECKSUM = "holds a record whose checksum is wrong", Meaning.DAMAGE
+    WRONG_LENGTH = "holds a record whose length is wrong", Meaning.DAMAGE
+    NOT_A_RECORD = "holds what is no record", Meaning.DAMAGE
+    TRUNCATED = "is shorter than it was when it was closed", Meaning.DAMAGE
+    EXTENDED = "is longer than it was when it was closed", Meaning.DAMAGE
+    EMPTY = "is empty, and not the newest", Meaning.DAMAGE
+    OUT_OF_ORDER = "tells of an earlier time than the one before", Meaning.DAMAGE
+    RENAMED = "is another segment, by its header", Meaning.DAMAGE
+    DUPLICATE = "is a segment that is there already", Meaning.DAMAGE
+    MISSING = "is missing", Meaning.DAMAGE
+    UNREADABLE = "can't be read", Meaning.DAMAGE
     FOREIGN = "is named like a segment and is none", Meaning.FOREIGN
 
     @property
     def text(self) -> str:
+        """What is said of the file in logs and by `journal verify`."""
         return self.value[0]
 
     @property
     def meaning(self) -> Meaning:
+        """Whether it is harmless, damage, or not the courier's file."""
         return self.value[1]
 
 
 @dataclass(frozen=True)
 class Finding:
-    """One place: a file of the folder, bytes from `at` up to `end` where that says anything (else -1)."""
+    """One finding: a file of the folder, and its bytes from `offset` up to `end`, or -1 if no range
+    applies."""
 
     kind: Kind
     file: str
-    at: int = -1
+    offset: int = -1
     end: int = -1
     detail: str = ""
 
     @property
-    def damage(self) -> bool:
-        return self.kind.meaning is Meaning.HIDES
+    def is_damage(self) -> bool:
+        """Whether a record may be lost."""
+        return self.kind.meaning is Meaning.DAMAGE
 
     def __str__(self) -> str:
-        where = f" from byte {self.at} to {self.end}" if self.at >= 0 else ""
+        where = f" from byte {self.offset} to {self.end}" if self.offset >= 0 else ""
         return f"{self.file}: {self.kind.text}{where}{self.detail and f' ({self.detail})'}"
 
 
 @dataclass(frozen=True)
 class SuspectMessages:
-    """Damage was found: each message numbered up to `last` may have run, since then (wall seconds).
+    """After damage: each message numbered up to `last_number` is possibly executed, since then (wall
+    seconds).
 
-    `known`: of the damaged files, by the numbers in their names, the checksum of what was read. What a later
-    start finds in a file that has not changed since is not a new reason to doubt the messages of that time.
+    `checksums`: of the damaged files, by the numbers in their names. If a later start finds such a file
+    unchanged, that is no new reason to suspect the messages accepted since.
     """
 
-    last: int
+    last_number: int
     since: float
-    known: dict[int, int]
+    checksums: dict[int, int]
 
     def row(self) -> list[Any]:
-        """As a header tells it."""
-        return [self.last, self.since, self.known]
+        """As a header stores it."""
+        return [self.last_number, self.since, self.checksums]
 
 
 @dataclass
 class SegmentFile:
-    """One segment's file as it was read; `number` is that of its name, `data` None if it can't be read."""
+    """The content of one segment's file; `file_number` is the number in its name."""
 
-    number: int
+    file_number: int
     name: str
     size: int
     records: list[tuple[int, list[Any]]] = field(default_factory=list)
-    bad: list[InvalidRange] = field(default_factory=list)
+    invalid: list[InvalidRange] = field(default_factory=list)
     end: int = 0  # of its last record
-    rest: InvalidRange = field(default=InvalidRange(0, 0))  # what follows that
+    tail: InvalidRange = field(default=InvalidRange(0, 0))  # the bytes after that
     error: str = ""  # why it can't be read
 
     @property
     def header(self) -> list[Any]:
+        """Its header record, [] if it has no valid one."""
         first = self.records[0] if self.records else (1, [])
-        head = first[1]
-        form = first[0] == 0 and len(head) >= 7 and head[0] == "segment" and isinstance(head[6], (int, float))
-        return head if form and all(isinstance(x, int) for x in head[1:4]) else []
+        header = first[1]
+        is_header = (
+            first[0] == 0
+            and len(header) >= 7
+            and header[0] == "segment"
+            and isinstance(header[6], (int, float))
+        )
+        return header if is_header and all(isinstance(x, int) for x in header[1:4]) else []
 
     @property
-    def told(self) -> int:
-        """The segment's number: by its header if it has one."""
-        return self.header[2] if self.header else self.number
+    def number(self) -> int:
+        """The segment's number: from its header if it has one, else from its name."""
+        return self.header[2] if self.header else self.file_number
 
     @property
     def fixed(self) -> int:
-        """Bytes of its header and of the word on the next segment: a rewritten one has them as well."""
-        starts = [at for at, _ in self.records] + [self.end]
+        """Bytes of its header and its "end" record, which a rewritten segment has as well."""
+        offsets = [offset for offset, _ in self.records] + [self.end]
         return sum(
-            starts[i + 1] - at
-            for i, (at, record) in enumerate(self.records)
+            offsets[i + 1] - offset
+            for i, (offset, record) in enumerate(self.records)
             if record[0] in ("segment", "end")
         )
 
     @property
-    def doubt(self) -> SuspectMessages | None:
-        """What an earlier start has made of damage that it found."""
+    def suspects(self) -> SuspectMessages | None:
+        """The messages that an earlier start has marked as suspect because of damage."""
         match self.header[8:9]:
-            case [[int(last), float(since), dict(known)]]:
-                return SuspectMessages(last, since, known)
+            case [[int(last_number), float(since), dict(checksums)]]:
+                return SuspectMessages(last_number, since, checksums)
         return None
 
-    def listed(self) -> dict[int, int] | None:
-        """The segments that were there as this one was begun, with their sizes; None if it does not tell."""
+    def sizes_before(self) -> dict[int, int] | None:
+        """The segments that existed when this one was started, with their sizes; None if not recorded."""
         try:
-            return {self.told - back: int(size) for back, size in self.header[7]}
+            return {self.number - distance: int(size) for distance, size in self.header[7]}
         except (IndexError, TypeError, ValueError):
             return None
 
 
-def judge(parts: Sequence[SegmentFile]) -> tuple[list[SegmentFile], list[Finding]]:
-    """The segments to go by, in their order, and all that was found; each file's own matter first.
+def examine(files: Sequence[SegmentFile]) -> tuple[list[SegmentFile], list[Finding]]:
+    """The segments to restore from, in order, and all findings; those about single files come first.
 
-    Of two files of one number the one whose name says so counts, else the first; the other is left alone.
+    Of two files with one number the one whose name agrees is used, else the first; the other is ignored.
     """
     findings: list[Finding] = []
     used: dict[int, SegmentFile] = {}
-    for part in sorted(parts, key=lambda p: (p.told != p.number, p.number, p.name)):
-        if part.error:
-            findings.append(Finding(Kind.UNREADABLE, part.name, detail=part.error))
-        elif part.told in used:
-            findings.append(Finding(Kind.DOUBLE, part.name, detail=f"segment {part.told}"))
+    for file in sorted(
+        files, key=lambda file: (file.number != file.file_number, file.file_number, file.name)
+    ):
+        if file.error:
+            findings.append(Finding(Kind.UNREADABLE, file.name, detail=file.error))
+        elif file.number in used:
+            findings.append(Finding(Kind.DUPLICATE, file.name, detail=f"segment {file.number}"))
         else:
-            used[part.told] = part
-            if part.told != part.number:
-                findings.append(Finding(Kind.RENAMED, part.name, detail=f"segment {part.told}"))
-    row = [used[n] for n in sorted(used)]
-    newest = max((p.number for p in parts if p.error), default=0)
-    sizes = _sizes(row)
-    for n, part in enumerate(row):
-        last, closed = n == len(row) - 1 and part.told > newest, sizes.get(part.told, -1)
-        findings += _own(part, last, closed)
-        if 0 <= closed < part.size:  # what came behind its end is not of this courier
-            part.records = [found for found in part.records if found[0] < closed]
-    findings += _order(row)
-    findings += _missing(row, {p.number for p in parts if p.error}, bool(findings))
-    return row, findings
-
-
-def _sizes(row: Sequence[SegmentFile]) -> dict[int, int]:
-    """What the newest word on each closed segment's size is."""
-    found: dict[int, int] = {}
-    for part in row:
-        found |= part.listed() or {}
-    return found
-
-
-def _own(part: SegmentFile, newest: bool, closed: int) -> Iterable[Finding]:
-    """What is the matter with one file; `closed`: its size as it was closed, -1 if nothing tells."""
-    if not part.size:
-        if newest:
-            yield Finding(Kind.BEGUN, part.name)
-        elif closed > 0:
-            yield Finding(Kind.CUT, part.name, 0, closed)
+            used[file.number] = file
+            if file.number != file.file_number:
+                findings.append(Finding(Kind.RENAMED, file.name, detail=f"segment {file.number}"))
+    segments = [used[number] for number in sorted(used)]
+    newest_unreadable = max((file.file_number for file in files if file.error), default=0)
+    closed_sizes = _closed_sizes(segments)
+    for index, file in enumerate(segments):
+        is_newest, closed_size = (
+            index == len(segments) - 1 and file.number > newest_unreadable,
+            closed_sizes.get(file.number, -1),
+        )
+        findings += _file_findings(file, is_newest, closed_size)
+        if 0 <= closed_size < file.size:  # this courier did not write what follows the recorded end
+            file.records = [record for record in file.records if record[0] < closed_size]
+    findings += _order_findings(segments)
+    findings += _missing_segments(
+        segments, {file.file_number for file in files if file.error}, bool(findings)
+    )
+    return segments, findings
+
+
+def _closed_sizes(segments: Sequence[SegmentFile]) -> dict[int, int]:
+    """The size of each closed segment, from the newest header that lists it."""
+    sizes: dict[int, int] = {}
+    for segment in segments:
+        sizes |= segment.sizes_before() or {}
+    return sizes
+
+
+def _file_findings(file: SegmentFile, is_newest: bool, closed_size: int) -> Iterable[Finding]:
+    """What is wrong with one file; `closed_size`: its size when it was closed, -1 if not recorded."""
+    if not file.size:
+        if is_newest:
+            yield Finding(Kind.EMPTY_NEWEST, file.name)
+        elif closed_size > 0:
+            yield Finding(Kind.TRUNCATED, file.name, 0, closed_size)
         else:
-            yield Finding(Kind.EMPTY, part.name)
+            yield Finding(Kind.EMPTY, file.name)
         return
-    if not part.header:
-        first = part.bad[0].end if part.bad and not part.bad[0].at else part.size
-        if newest and not part.records and torn(part.rest, head=True):
-            yield Finding(Kind.TORN, part.name, 0, part.size)
+    if not file.header:
+        first = file.invalid[0].end if file.invalid and not file.invalid[0].offset else file.size
+        if is_newest and not file.records and is_torn(file.tail, is_header=True):
+            yield Finding(Kind.TORN, file.name, 0, file.size)
         else:
-            yield Finding(Kind.HEAD, part.name, 0, first if part.records else part.size)
+            yield Finding(Kind.NO_HEADER, file.name, 0, first if file.records else file.size)
         return
-    for bad in part.bad:
-        yield _bad(part, bad)
-    if second := next((at for at, record in part.records if at and record[0] == "segment"), 0):
-        yield Finding(Kind.DOUBLE, part.name, second, part.size, "another begins in it")
-        part.records = [found for found in part.records if found[0] < second]
+    for invalid in file.invalid:
+        yield _invalid_finding(file, invalid)
+    if second := next((offset for offset, record in file.records if offset and record[0] == "segment"), 0):
+        yield Finding(Kind.DUPLICATE, file.name, second, file.size, "another begins in it")
+        file.records = [record for record in file.records if record[0] < second]
         return
-    if part.size < closed:
-        yield Finding(Kind.CUT, part.name, part.end, closed)
-    elif 0 <= closed < part.size:
-        yield Finding(Kind.LONGER, part.name, closed, part.size)
-    elif part.end < part.size and torn(part.rest):  # also one that stood so as the next was begun
-        yield Finding(Kind.TORN, part.name, part.end, part.size)
-    elif part.end < part.size:
-        yield _bad(part, part.rest)
-
-
-def _bad(part: SegmentFile, bad: InvalidRange) -> Finding:
-    """What stands where a record should."""
-    head = bad.start[: FRAME.size]
-    size = FRAME.unpack(head)[0] if len(head) == FRAME.size else -1
-    if bad.whole:
-        return Finding(Kind.LENGTH, part.name, bad.at, bad.end)
-    if size == bad.end - bad.at - FRAME.size:
-        return Finding(Kind.CHECKSUM, part.name, bad.at, bad.end)
-    return Finding(Kind.NOISE, part.name, bad.at, bad.end)
-
-
-def _order(row: Sequence[SegmentFile]) -> Iterable[Finding]:
-    """Neither messages' numbers nor time go back from one segment to the next."""
-    last, time = -1, 0.0
-    for part in row:
-        if head := part.header:
-            if head[3] < last or head[6] < time:
-                yield Finding(Kind.ORDER, part.name)
-            last, time = max(last, head[3]), max(time, head[6])
-
-
-def _missing(row: Sequence[SegmentFile], unreadable: set[int], damaged: bool) -> Iterable[Finding]:
-    """The segments that should be there. Where anything else is damaged, the record that one was removed may
-    be what is lost: nothing is called missing then."""
-    there = {part.told for part in row} | unreadable
-    gone = _named(row, "gone")
-    if not damaged:
-        tells = next((part for part in reversed(row) if part.listed() is not None), None)
-        wanted = set(tells.listed() or ()) if tells else set()
-        # An older word on a next segment does not count: that one may be gone, and the record of it too.
-        wanted |= {number for number in _named(row, "end") if tells is None or number > tells.told}
-        for number in sorted(wanted - gone - there):
-            yield Finding(Kind.LACKS, f"segment {number}")
-    for part in row[:-1]:
-        if part.told in gone:
-            yield Finding(Kind.LEFT, part.name)
-
-
-def _named(row: Sequence[SegmentFile], kind: str) -> set[int]:
+    if file.size < closed_size:
+        yield Finding(Kind.TRUNCATED, file.name, file.end, closed_size)
+    elif 0 <= closed_size < file.size:
+        yield Finding(Kind.EXTENDED, file.name, closed_size, file.size)
+    elif file.end < file.size and is_torn(file.tail):  # also if it was torn when the next was started
+        yield Finding(Kind.TORN, file.name, file.end, file.size)
+    elif file.end < file.size:
+        yield _invalid_finding(file, file.tail)
+
+
+def _invalid_finding(file: SegmentFile, invalid: InvalidRange) -> Finding:
+    """The finding for bytes where a record should be."""
+    frame = invalid.prefix[: FRAME.size]
+    size = FRAME.unpack(frame)[0] if len(frame) == FRAME.size else -1
+    if invalid.checksum_matches:
+        return Finding(Kind.WRONG_LENGTH, file.name, invalid.offset, invalid.end)
+    if size == invalid.end - invalid.offset - FRAME.size:
+        return Finding(Kind.WRONG_CHECKSUM, file.name, invalid.offset, invalid.end)
+    return Finding(Kind.NOT_A_RECORD, file.name, invalid.offset, invalid.end)
+
+
+def _order_findings(segments: Sequence[SegmentFile]) -> Iterable[Finding]:
+    """Segments in which message numbers or time go back from the one before."""
+    last_number, last_time = -1, 0.0
+    for segment in segments:
+        if header := segment.header:
+            if header[3] < last_number or header[6] < last_time:
+                yield Finding(Kind.OUT_OF_ORDER, segment.name)
+            last_number, last_time = max(last_number, header[3]), max(last_time, header[6])
+
+
+def _missing_segments(
+    segments: Sequence[SegmentFile], unreadable: set[int], is_damaged: bool
+) -> Iterable[Finding]:
+    """The segments that should exist and don't, and those whose removal was recorded and not done.
+
+    If anything else is damaged, the lost record may be the one of a removal: none is reported missing then.
+    """
+    present = {segment.number for segment in segments} | unreadable
+    removed = _named_segments(segments, "gone")
+    if not is_damaged:
+        listing = next(
+            (segment for segment in reversed(segments) if segment.sizes_before() is not None), None
+        )
+        expected = set(listing.sizes_before() or ()) if listing else set()
+        # An older "end" record does not count: the segment that it names may have been removed since, and the
+        # record of that as well.
+        expected |= {
+            number
+            for number in _named_segments(segments, "end")
+            if listing is None or number > listing.number
+        }
+        for number in sorted(expected - removed - present):
+            yield Finding(Kind.MISSING, f"segment {number}")
+    for segment in segments[:-1]:
+        if segment.number in removed:
+            yield Finding(Kind.REMOVAL_PENDING, segment.name)
+
+
+def _named_segments(segments: Sequence[SegmentFile], kind: str) -> set[int]:
     """The segments that records of this kind name."""
-    found = (record for part in row for _, record in part.records if record[0] == kind and len(record) > 1)
+    found = (record for s in segments for _, record in s.records if record[0] == kind and len(record) > 1)
     return {record[1] for record in found if isinstance(record[1], int)}
--- a/madderbeam/journal/expiring_set.py
+++ b/madderbeam/journal/expiring_set.py
@@ -1,29 +1,30 @@
-"""Texts that are remembered until their time is up, each in the segment that tells of it."""
+"""Strings that are remembered until they expire, each with the segment that records it."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MEMO = 12  # bytes that a remembered id or key takes in a record, beside itself
+MEMO = 12  # bytes that a remembered id or key takes in a record, besides its own characters
 
-# One text: its time, when it expires, and the segment that it would be read from. A plain tuple of numbers:
-# the garbage collector does not go through hundreds of thousands of them.
+# Of one string: its time, when it expires, and the segment that a restart would read it from. A plain tuple
+# of numbers, because the garbage collector does not traverse hundreds of thousands of those.
 Entry = tuple[float, float, int]
 
 
 class ExpiringSet:
-    """Remembers a text's time until it expires, by buckets of a second: nothing is ever searched for.
+    """Remembers the time of each string until it expires, in buckets of one second, so that nothing is
+    searched.
 
-    `moved` is called with each text whose home changes: text, old home, new home; 0 is none, as of a text
-    that is remembered before its record is written.
+    `on_moved` is called with each string whose segment changes: string, old segment, new segment. Segment 0
+    means none, as for a string that is remembered before its record is written.
     """
 
-    def __init__(self, moved: Callable[[str, int, int], None] = lambda text, old, new: None) -> None:
+    def __init__(self, on_moved: Callable[[str, int, int], None] = lambda text, old, new: None) -> None:
         self.known: dict[str, Entry] = {}
         self.buckets: dict[int, list[str]] = {}
-        self.due: list[str] = []  # whose time is up, and which are still to be looked at
+        self.due: list[str] = []  # of buckets that have passed; each is still to be checked
         self.bytes = 0
-        self.moved = moved
+        self.on_moved = on_moved
 
     def __contains__(self, text: str) -> bool:
         return text in self.known
@@ -31,50 +32,52 @@
     def __len__(self) -> int:
         return len(self.known)
 
-    def at(self, text: str) -> float:
-        """The text's time, 0 if it is not known."""
+    def time_of(self, text: str) -> float:
+        """The string's time, 0 if it is not known."""
         return self.known[text][0] if text in self.known else 0.0
 
-    def expires(self, text: str) -> float:
-        """When the time of a known text is up."""
+    def expires_at(self, text: str) -> float:
+        """When a known string expires; KeyError if it is not known."""
         return self.known[text][1]
 
-    def home(self, text: str) -> int:
-        """The segment that tells a text, 0 if none does."""
+    def segment_of(self, text: str) -> int:
+        """The segment that records the string, 0 if none does."""
         return self.known[text][2] if text in self.known else 0
 
-    def add(self, text: str, at: float, expires: float, home: int = 0) -> None:
+    def add(self, text: str, time: float, expires_at: float, segment: int = 0) -> None:
+        """Remember the string, or replace its time, expiry and segment."""
         old = self.known.get(text)
-        self.known[text] = (at, expires, home)
+        self.known[text] = (time, expires_at, segment)
         if old is None:
             self.bytes += len(text) + MEMO
-        if old is None or old[1] != expires:
-            self.buckets.setdefault(int(expires) + 1, []).append(text)
-        before = old[2] if old else 0
-        if before != home:
-            self.moved(text, before, home)
-
-    def move(self, text: str, home: int) -> None:
-        """It is told by another segment from now on, if it is known."""
-        if (old := self.known.get(text)) and old[2] != home:
-            self.known[text] = (old[0], old[1], home)
-            self.moved(text, old[2], home)
+        if old is None or old[1] != expires_at:
+            self.buckets.setdefault(int(expires_at) + 1, []).append(text)
+        old_segment = old[2] if old else 0
+        if old_segment != segment:
+            self.on_moved(text, old_segment, segment)
+
+    def move(self, text: str, segment: int) -> None:
+        """Note that another segment records the string from now on, if it is known."""
+        if (old := self.known.get(text)) and old[2] != segment:
+            self.known[text] = (old[0], old[1], segment)
+            self.on_moved(text, old[2], segment)
 
     def drop(self, text: str) -> None:
+        """Forget the string, if it is known."""
         if old := self.known.pop(text, None):
             self.bytes -= len(text) + MEMO
             if old[2]:
-                self.moved(text, old[2], 0)
+                self.on_moved(text, old[2], 0)
 
-    def ripen(self, now: float) -> None:
-        """Look which buckets' time is up."""
+    def collect_due(self, now: float) -> None:
+        """Move the strings of all buckets that have passed to `due`."""
         for bucket in [b for b in self.buckets if b <= now]:
             self.due += self.buckets.pop(bucket)
 
-    def expire(self, now: float, most: int = 1 << 60) -> None:
-        """Forget so many of those whose time is up: a second's worth at once would stall a busy loop."""
-        self.ripen(now)
-        for _ in range(min(most, len(self.due))):
+    def expire(self, now: float, limit: int = 1 << 60) -> None:
+        """Forget up to `limit` expired strings: a full bucket at once would stall a busy event loop."""
+        self.collect_due(now)
+        for _ in range(min(limit, len(self.due))):
             text = self.due.pop()
             if text in self.known and self.known[text][1] <= now:
                 self.drop(text)
--- a/madderbeam/journal/inspect.py
+++ b/madderbeam/journal/inspect.py
@@ -1,6 +1,6 @@
-"""Looks at a journal's folder: what it holds and whether it is whole. Only reads, also while a courier runs.
+"""Inspects a journal's folder: what it holds and whether it is intact. Only reads, also while a courier runs.
 
-A courier that writes meanwhile may remove a segment between two reads; then the folder is read once more.
+A running courier may remove a segment between two reads; the folder is then read again.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from madderbeam.journal.recovery import FolderContents, read
 from madderbeam.ports import Clock, Disk
 
-AGAIN = 5  # times that a folder which changes is read
+READ_TRIES = 5  # of a folder that changes while it is read
 
 
 class ReadOnlyDisk:
-    """A disk on which nothing can be changed: whatever tries to is a fault of this module."""
+    """A disk whose writing methods raise PermissionError: a call of one is a fault of this module."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
@@ -27,42 +27,42 @@
         self.stamp = disk.stamp
 
     def _refuse(self, *args: Any, **more: Any) -> Any:
-        raise PermissionError("the journal is only looked at")
+        raise PermissionError("the journal is opened read-only")
 
     open = rename = unlink = make_folder = lock = _refuse
 
 
 class InspectedJournal(Journal):
-    """A journal restored from what was read, with nothing written."""
+    """A journal restored from folder contents, with nothing written."""
 
-    def __init__(self, disk: Disk, clock: Clock, folder: str, found: FolderContents) -> None:
-        self.found = found
+    def __init__(self, disk: Disk, clock: Clock, folder: str, contents: FolderContents) -> None:
+        self.contents = contents
         super().__init__(ReadOnlyDisk(disk), clock, folder, 1 << 62)
 
-    def _restore(self, found: FolderContents) -> None:
-        if self.found.has_old and not self.found.parts:
-            for record in self.found.old:
+    def _restore(self, contents: FolderContents) -> None:
+        if self.contents.has_format_1 and not self.contents.parts:
+            for record in self.contents.format_1_records:
                 if record[0] != "clock":
                     self._effect(record, 0)
             return
-        self.found.has_old = False
-        super()._restore(self.found)
+        self.contents.has_format_1 = False
+        super()._restore(self.contents)
 
 
-def look(disk: Disk, folder: str) -> FolderContents:
-    """The folder as it is; OSError if it can't be read."""
-    for left in reversed(range(AGAIN)):
+def read_consistently(disk: Disk, folder: str) -> FolderContents:
+    """The folder's contents, read again while files vanish; OSError if it can't be read."""
+    for tries_left in reversed(range(READ_TRIES)):
         try:
             return read(disk, folder)
         except FileNotFoundError:
-            if not left:
+            if not tries_left:
                 raise
     raise AssertionError
 
 
 @dataclass(frozen=True)
 class SegmentSummary:
-    """One segment's figures."""
+    """The counts and sizes of one segment."""
 
     name: str
     bytes: int
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True)
 class Summary:
-    """What a journal holds."""
+    """The contents of a journal in numbers."""
 
     format: int
     open: int
@@ -86,68 +86,71 @@
     live: int
     damaged: int  # places
     segments: tuple[SegmentSummary, ...]
-    messages: tuple[dict[str, Any], ...]  # open and owed, without their bodies
+    messages: tuple[dict[str, Any], ...]  # open and ended, without their bodies
 
     def json(self) -> dict[str, Any]:
+        """As `journal inspect --json` prints it."""
         return asdict(self)
 
 
 def summary(disk: Disk, clock: Clock, folder: str) -> Summary:
-    """The figures of a folder; OSError if it can't be read or is of a newer format."""
-    found = look(disk, folder)
-    journal = InspectedJournal(disk, clock, folder, found)
+    """The summary of a folder; OSError if it can't be read or has a newer format."""
+    contents = read_consistently(disk, folder)
+    journal = InspectedJournal(disk, clock, folder, contents)
     segments = tuple(
-        SegmentSummary(p.name, p.size, len(p.records), s.live, len(s.messages), p.size - p.end)
-        for p in found.parts
-        if (s := journal.files.all.get(p.told)) is not None
+        SegmentSummary(
+            part.name, part.size, len(part.records), segment.live, len(segment.messages), part.size - part.end
+        )
+        for part in contents.parts
+        if (segment := journal.files.all.get(part.number)) is not None
     )
     messages = tuple(
         {
-            "number": m.number,
-            "id": m.id,
-            "state": m.state,
-            "class": m.cls,
-            "tenant": m.tenant,
-            "dest": m.dest,
-            "key": m.key,
-            "tries": m.tries,
-            "until": m.until,
-            "bytes": len(m.body),
-            "status": m.status,
+            "number": message.number,
+            "id": message.id,
+            "state": message.state,
+            "class": message.cls,
+            "tenant": message.tenant,
+            "dest": message.dest,
+            "key": message.key,
+            "tries": message.tries,
+            "until": message.until,
+            "bytes": len(message.body),
+            "status": message.status,
         }
-        for m in journal.held.values()
+        for message in journal.held.values()
     )
-    ran = sum(m.state == "trying" for m in journal.held.values())
-    size = sum(blocks(p.size) for p in found.parts)
+    possibly_executed = sum(message.state == "trying" for message in journal.held.values())
+    size = sum(blocks(part.size) for part in contents.parts)
     return Summary(
-        2 if found.parts else 1,
+        2 if contents.parts else 1,
         journal.open,
-        ran,
+        possibly_executed,
         len(journal.held) - journal.open,
         len(journal.over),
         len(journal.keys),
         size,
-        sum(s.live for s in segments),
-        len(found.damage),
+        sum(segment.live for segment in segments),
+        len(contents.damage),
         segments,
         messages,
     )
 
 
 def verify(disk: Disk, folder: str) -> list[Finding]:
-    """All that was found in a folder, harmless or not; OSError if it can't be read or is too new."""
-    return look(disk, folder).findings
+    """All findings of a folder, harmless or not; OSError if it can't be read or has a newer format."""
+    return read_consistently(disk, folder).findings
 
 
 def dump(disk: Disk, folder: str) -> Iterator[dict[str, Any]]:
-    """Each record with its segment and offset; bodies are told by their size."""
-    found = look(disk, folder)
-    for record in found.old if not found.parts else ():
-        yield {"segment": 0, "offset": 0, "record": _shown(record)}
-    for part in found.parts:
-        for at, record in part.records:
-            yield {"segment": part.told, "offset": at, "record": _shown(record)}
+    """Each record with its segment and offset; a body is replaced by its size."""
+    contents = read_consistently(disk, folder)
+    for record in contents.format_1_records if not contents.parts else ():
+        yield {"segment": 0, "offset": 0, "record": _printable(record)}
+    for part in contents.parts:
+        for offset, record in part.records:
+            yield {"segment": part.number, "offset": offset, "record": _printable(record)}
 
 
-def _shown(record: list[Any]) -> list[Any]:
-    return [f"{len(x)} bytes" if isinstance(x, bytes) else x for x in record]
+def _printable(record: list[Any]) -> list[Any]:
+    return [f"{len(value)} bytes" if isinstance(value, bytes) else value for value in record]
--- a/madderbeam/journal/pending_message.py
+++ b/madderbeam/journal/pending_message.py
@@ -1,16 +1,18 @@
-"""A message's life as the journal tells it.
+"""The life cycle of a message as the journal records it.
 
-    state     entered by                      a restart makes of it
-    taken     "take" (tries 0)                goes to the decision module, none of its attempts ran
-    trying    "try"                           may have run since then: unsafe ends, keyed goes in its window,
-                                              safe goes again
-    taken     "miss"                          the newest attempt never ran: as before it
-    ended     "final"                         its notice is owed, and sent
-    over      "over"                          nothing; its id is known until OVER_S past its time
+    state     entered by                   what a restart does with it
+    taken     "take" (tries 0)             goes to the delivery engine; none of its attempts was executed
+    trying    "try"                        possibly executed since then: a non-idempotent message is ended,
+                                           one with a key is retried within the key's window, and an
+                                           idempotent one is retried
+    taken     "miss"                       the newest attempt was never executed: the state before it
+    ended     "final"                      its notice is outstanding, and is sent
+    over      "over"                       nothing; its id is known for ID_RETENTION_S past its deadline
 
-"take" holds all fields, so that a copy of it at any time tells the whole state: that is what compaction
-writes. "known" holds ids of messages that are over and keys that may have run, which outlast their message.
-A "miss" tells the key's first attempt as well where other messages came with it.
+A "take" record holds all fields, so that a later copy of it holds the whole state: compaction writes such
+copies. A "known" record holds the ids of completed messages and the keys of possibly executed attempts, which
+are remembered longer than their messages. A "miss" record also holds the key's first attempt that still
+counts, if other messages came with the same key.
 """
 
 from __future__ import annotations
@@ -18,12 +20,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-EACH = 104  # bytes that a whole record takes beside its body, id and key, at most
+MAX_OVERHEAD_BYTES = 104  # of a whole record besides its body, id and key
 
 
 @dataclass(slots=True)
 class PendingMessage:
-    """A message that the courier owes something: its end, or a notice of it. Times are wall seconds."""
+    """A message whose outcome or final notice is outstanding. Times are wall seconds."""
 
     number: int
     id: str
@@ -36,27 +38,28 @@
     body: bytes
     order: int = 0
     tries: int = 0
-    trying_at: float = 0.0  # start of the newest attempt, 0 once it has proved that it never ran
-    ran_at: float = 0.0  # start of the first attempt that may have run
-    status: str = ""  # of its final notice, which is owed
+    trying_at: float = 0.0  # start of the newest attempt, 0 once it is known that it was never executed
+    ran_at: float = 0.0  # start of the first attempt that was possibly executed
+    status: str = ""  # of its final notice, if that is outstanding
     again_ms: int = 0
-    relayed: bool = False  # another courier's: no client of this one waits for its end
-    size: int = field(init=False, compare=False, repr=False)  # bytes of its whole record, at most
+    relayed: bool = False  # accepted from another courier: no client of this one waits for its outcome
+    size: int = field(init=False, compare=False, repr=False)  # upper bound in bytes of its whole record
 
     def __post_init__(self) -> None:
-        self.size = len(self.body) + len(self.id) + len(self.key) + EACH
+        self.size = len(self.body) + len(self.id) + len(self.key) + MAX_OVERHEAD_BYTES
 
     @property
     def may_have_run_at(self) -> float:
+        """Start of the first attempt that was possibly executed, including the newest; 0 if there is none."""
         return self.ran_at or self.trying_at
 
     @property
     def state(self) -> str:
-        """taken, trying or ended; one that is over is not held."""
+        """The state: taken, trying or ended. A completed message is no longer pending."""
         return "ended" if self.status else "trying" if self.may_have_run_at else "taken"
 
     def record(self) -> list[Any]:
-        """Its fields in their order. Written out: looking them up for each message is a third of its cost."""
+        """Its "take" record. The fields are written out: a generic lookup is a third of the record's cost."""
         fields = [
             "take",
             self.number,
--- a/madderbeam/journal/records.py
+++ b/madderbeam/journal/records.py
@@ -1,7 +1,7 @@
-"""Records on disk: frames with length and checksum, and what is made of bytes that are none.
+"""Records on disk: frames with a length and a checksum, and how bytes that are not a record are classified.
 
-A segment is a row of frames. The first one is its header: ["segment", FORMAT, number, last, base, boot]. The
-kinds of record and what each makes true stand in `message.py`.
+A segment is a sequence of frames. The first one is its header: ["segment", FORMAT, number, last number, clock
+anchor, boot id, ...]. The record kinds and their meaning are described in `pending_message.py`.
 """
 
 from __future__ import annotations
@@ -15,31 +15,32 @@
 import msgpack
 
 FRAME = struct.Struct(">II")  # length, checksum
-FORMAT = 2  # of segments; 1 was one file with no header
-MOST = 1 << 24  # bytes of one record: a length over this is none
-PACK = msgpack.Packer().pack  # one for all: a new one for each record costs as much again
-BLOCK = 512  # files count in whole blocks
+FORMAT = 2  # of segments; format 1 was a single file without a header
+MOST = 1 << 24  # bytes of one record: a larger length is invalid
+PACK = msgpack.Packer().pack  # shared: a new packer for each record costs as much as packing it
+BLOCK_BYTES = 512  # files count against the limit in whole blocks
 
 
 def frame(record: list[Any]) -> bytes:
+    """The record as it is stored: length, checksum and payload."""
     payload = PACK(record)
     return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def blocks(size: int) -> int:
-    """What a file of this size takes of the limit."""
-    return -(-size // BLOCK) * BLOCK
+    """The bytes that a file of this size takes of the limit: rounded up to whole blocks."""
+    return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
 
-def _at(data: bytes, at: int) -> tuple[list[Any], int] | None:
-    """The record that begins there and where it ends; None if none does."""
-    if at + FRAME.size > len(data):
+def _at(data: bytes, offset: int) -> tuple[list[Any], int] | None:
+    """The record at this offset and where it ends; None if there is no valid one."""
+    if offset + FRAME.size > len(data):
         return None
-    size, checksum = FRAME.unpack_from(data, at)
-    end = at + FRAME.size + size
+    size, checksum = FRAME.unpack_from(data, offset)
+    end = offset + FRAME.size + size
     if not 0 < size <= MOST or end > len(data):
         return None
-    payload = data[at + FRAME.size : end]
+    payload = data[offset + FRAME.size : end]
     if zlib.crc32(payload) != checksum:
         return None
     try:
@@ -50,91 +51,97 @@
 
 
 def parse(data: bytes) -> tuple[list[list[Any]], int]:
-    """The whole records at the start of data, and where they end."""
-    records, at = [], 0
-    while (found := _at(data, at)) is not None:
+    """The valid records at the start of the data, and where they end."""
+    records, offset = [], 0
+    while (found := _at(data, offset)) is not None:
         records.append(found[0])
-        at = found[1]
-    return records, at
+        offset = found[1]
+    return records, offset
 
 
 @dataclass(frozen=True)
 class InvalidRange:
-    """Bytes that are no record: from `at` up to `end`, where a record begins again or the file ends."""
+    """Bytes that are not a record: from `offset` up to `end`, where a valid record starts or the file
+    ends."""
 
-    at: int
+    offset: int
     end: int
-    start: bytes = b""  # the first of them
-    whole: bool = False  # all but its length is there: the checksum is right for what stands up to `end`
+    prefix: bytes = b""  # the first of these bytes
+    checksum_matches: bool = False  # only the length is wrong: the checksum fits the payload up to `end`
 
 
-# How a record begins behind its frame: an array, and the name of a kind that this version writes.
-BEGINS = re.compile(
+# How a record starts after its frame: a msgpack array, and the name of a kind that this version writes. The
+# lookahead consumes nothing, so that matches may overlap.
+RECORD_START = re.compile(
     rb"(?=(?:[\x91-\x9f]|\xdc..)(?:\xa7segment|\xa4take|\xa3try|\xa4miss|\xa5final|\xa4over|"
     rb"\xa5known|\xa3end|\xa4gone))",
     re.DOTALL,
-)  # it takes up nothing: finds may overlap
-HEAD = re.compile(rb"[\x91-\x9f]\xa7segment")
-LONGEST_NAME = 11  # bytes of a match of BEGINS at most
-SHOWN = 64  # bytes of what is no record that are kept
+)
+HEADER_START = re.compile(rb"[\x91-\x9f]\xa7segment")
+MAX_RECORD_START_BYTES = 11  # of a match of RECORD_START
+KEPT_PREFIX_BYTES = 64  # of an invalid range
 
 
-def fits(data: bytes, at: int, end: int) -> bool:
-    """The checksum at `at` is that of what stands behind its frame up to `end`."""
-    if end - at <= FRAME.size:
+def checksum_matches(data: bytes, offset: int, end: int) -> bool:
+    """Whether the checksum at `offset` is that of the bytes after its frame up to `end`."""
+    if end - offset <= FRAME.size:
         return False
-    return bool(zlib.crc32(memoryview(data)[at + FRAME.size : end]) == FRAME.unpack_from(data, at)[1])
+    return bool(zlib.crc32(memoryview(data)[offset + FRAME.size : end]) == FRAME.unpack_from(data, offset)[1])
 
 
-def torn(rest: InvalidRange, head: bool = False) -> bool:
-    """Whether these bytes at a file's end may be a part of a record that was being written: what SIGKILL
-    leaves. A record that is whole and wrong, or noise, never is. `head`: the record would be a header."""
-    size, start = rest.end - rest.at, rest.start
-    if rest.whole or start[:1] != b"\0":  # a length of 16 MB or more
+def is_torn(tail: InvalidRange, is_header: bool = False) -> bool:
+    """Whether these bytes at the end of a file may be an incomplete write, as SIGKILL leaves one.
+
+    A complete record with an error, or noise, is not torn. `is_header`: the record would be a header.
+    """
+    size, prefix = tail.end - tail.offset, tail.prefix
+    if tail.checksum_matches or prefix[:1] != b"\0":  # a first byte over 0 is a length of 16 MB or more
         return False
     if size < FRAME.size:
         return True
-    length = FRAME.unpack_from(start)[0]
-    begun = start[FRAME.size :]
+    length = FRAME.unpack_from(prefix)[0]
+    payload = prefix[FRAME.size :]
     if not 0 < length <= MOST or size >= FRAME.size + length:
         return False
-    if len(begun) < LONGEST_NAME:  # its kind may not be whole
-        return begun[:1] in (b"", b"\xdc") or 0x91 <= begun[0] <= 0x9F
-    return (HEAD if head else BEGINS).match(begun) is not None
+    if len(payload) < MAX_RECORD_START_BYTES:  # its kind may be incomplete
+        return payload[:1] in (b"", b"\xdc") or 0x91 <= payload[0] <= 0x9F
+    return (HEADER_START if is_header else RECORD_START).match(payload) is not None
 
 
 def scan(data: bytes) -> tuple[list[tuple[int, list[Any]]], list[InvalidRange], int]:
-    """All records with their offsets, the bad parts between them, and where the last record ends.
+    """All records with their offsets, the invalid ranges between them, and where the last record ends.
 
-    What follows the last record is for `torn` to judge; what lies between two is damage. Behind it the next
-    record is looked for where one of a known kind begins with its checksum right: each byte is looked at
-    once, whatever stands there.
+    Whether the bytes after the last record are torn is decided by `is_torn`; an invalid range between two
+    records is damage. After one, the scan resumes at the next known record kind whose checksum is right. Each
+    byte is visited once, whatever the content.
     """
     records: list[tuple[int, list[Any]]] = []
-    bad: list[InvalidRange] = []
-    at = end = 0
-    while at < len(data):
-        found = _at(data, at)
+    invalid: list[InvalidRange] = []
+    offset = end = 0
+    while offset < len(data):
+        found = _at(data, offset)
         if found is None:
-            at = _next(data, end + 1)
-            if at < 0:
+            offset = _next_record(data, end + 1)
+            if offset < 0:
                 break
             continue
-        if at > end:
-            bad.append(made_bad(data, end, at))
-        records.append((at, found[0]))
-        at = end = found[1]
-    return records, bad, end
+        if offset > end:
+            invalid.append(invalid_range(data, end, offset))
+        records.append((offset, found[0]))
+        offset = end = found[1]
+    return records, invalid, end
 
 
-def _next(data: bytes, start: int) -> int:
-    """Where the next record begins at or behind `start`, -1 if none does."""
-    for match in BEGINS.finditer(data, start + FRAME.size):
+def _next_record(data: bytes, start: int) -> int:
+    """The offset of the first valid record at or after `start`, -1 if there is none."""
+    for match in RECORD_START.finditer(data, start + FRAME.size):
         if _at(data, match.start() - FRAME.size) is not None:
             return match.start() - FRAME.size
     return -1
 
 
-def made_bad(data: bytes, at: int, end: int) -> InvalidRange:
-    """These bytes, which are no record."""
-    return InvalidRange(at, end, data[at : at + SHOWN], fits(data, at, end))
+def invalid_range(data: bytes, offset: int, end: int) -> InvalidRange:
+    """The description of these bytes, which are not a record."""
+    return InvalidRange(
+        offset, end, data[offset : offset + KEPT_PREFIX_BYTES], checksum_matches(data, offset, end)
+    )
--- a/madderbeam/journal/segments.py
+++ b/madderbeam/journal/segments.py
@@ -1,4 +1,4 @@
-"""The files of a journal: segments that only grow, in the order of their numbers."""
+"""The files of a journal: append-only segments, ordered by their numbers."""
 
 from __future__ import annotations
 
@@ -15,93 +15,112 @@
 
 
 class JournalFullError(OSError):
-    """The record would take more than the disk limit allows."""
+    """The record would exceed the disk limit, or the disk is full."""
 
 
 class UnconfirmedError(OSError):
-    """The record stands here; whether it does where it has to stand as well is not known."""
+    """The record was written here, but it is unknown whether the standby has it."""
 
 
 def name(number: int) -> str:
+    """The file name of a segment."""
     return f"{PREFIX}{number:08d}{SUFFIX}"
 
 
 def number(text: str) -> int:
-    """The number of a segment's file, 0 if it is none."""
+    """The number in a segment's file name, 0 if it is not one."""
     middle = text.removeprefix(PREFIX).removesuffix(SUFFIX)
     return int(middle) if text == f"{PREFIX}{middle}{SUFFIX}" and middle.isdigit() else 0
 
 
 class Segment:
-    """One file and what of it lives."""
+    """One file and its live contents."""
 
-    def __init__(self, number_: int, file: str = "") -> None:
-        self.number, self.file = number_, file or name(number_)
+    def __init__(self, number: int, file: str = "") -> None:
+        self.number, self.file = number, file or name(number)
         self.size = 0
-        self.fixed = 0  # bytes of them that any segment has: its header, and the word on the next one
+        self.fixed = 0  # bytes that every segment has: its header and its "end" record
         self.live = 0  # bytes
         self.messages: set[int] = set()  # whose newest whole record is here
-        self.ids: set[str] = set()  # remembered, and told here
-        self.keys: set[str] = set()
-        self.voids: set[int] = set()  # older segments with records that ones here make void
-        self.gone = False  # a record says that it is to be removed
-        self.damaged = False  # kept to be looked at while there is room
+        self.ids: set[str] = set()  # remembered ids that are recorded here
+        self.keys: set[str] = set()  # and keys
+        self.supersedes: set[int] = set()  # older segments with records that records here supersede
+        self.has_removal_record = False
+        self.is_damaged = False  # kept for examination while there is space
 
     @property
-    def dead(self) -> bool:
+    def is_dead(self) -> bool:
+        """Whether nothing in it is live."""
         return not self.messages and not self.ids and not self.keys
 
 
 class SegmentFiles:
-    """Appends to the newest segment and begins new ones; within the limit, and never behind a torn record."""
+    """Appends to the newest segment and starts new ones, within the limit and never after a torn record."""
 
     def __init__(
-        self, disk: Disk, folder: str, limit: int, full: int, header: Callable[[int], list[Any]]
+        self,
+        disk: Disk,
+        folder: str,
+        limit: int,
+        segment_bytes: int,
+        make_header: Callable[[int], list[Any]],
     ) -> None:
-        self.disk, self.folder, self.limit, self.full, self.header = disk, folder, limit, full, header
+        self.disk, self.folder, self.limit, self.segment_bytes, self.make_header = (
+            disk,
+            folder,
+            limit,
+            segment_bytes,
+            make_header,
+        )
         self.all: dict[int, Segment] = {}
         self.used = 0  # bytes of all files, in whole blocks
         self.newest = 0
         self.file: File | None = None
-        self.torn = False  # a part of a record stands at the end, and has to be cut off first
-        self.stale = False  # the next record begins a new segment
+        self.torn = False  # the file may end in a part of a record, which has to be cut off first
+        self.must_roll = False  # the next record starts a new segment
         self.writes = self.written = 0
 
-    def path(self, number_: int) -> str:
-        return f"{self.folder}/{self.all[number_].file if number_ in self.all else name(number_)}"
+    def path(self, number: int) -> str:
+        """The path of a segment's file, whether it exists or not."""
+        return f"{self.folder}/{self.all[number].file if number in self.all else name(number)}"
 
-    def listed(self, below: int) -> list[list[int]]:
-        """What a header tells of the segments before it: how far back each is, and its size."""
-        return [[below - s.number, s.size] for s in self.all.values() if s.number < below and not s.gone]
+    def sizes_before(self, below: int) -> list[list[int]]:
+        """The older segments as a header lists them: the distance of each number, and its size."""
+        return [
+            [below - s.number, s.size]
+            for s in self.all.values()
+            if s.number < below and not s.has_removal_record
+        ]
 
     @property
     def active(self) -> Segment:
+        """The segment that records are appended to."""
         return self.all[self.newest]
 
     @property
-    def head(self) -> int:
+    def header_bytes(self) -> int:
         """Bytes of the next segment's header."""
-        return len(frame(self.header(self.newest + 1)))
+        return len(frame(self.make_header(self.newest + 1)))
 
-    def found(self, number_: int, size: int, file: str = "", fixed: int = 0) -> Segment:
-        """A segment that was there at the start; the newest one is gone on with."""
-        segment = self.all[number_] = Segment(number_, file)
+    def add_existing(self, number: int, size: int, file: str = "", fixed: int = 0) -> Segment:
+        """Register a segment that exists at the start; appends continue in the newest one."""
+        segment = self.all[number] = Segment(number, file)
         segment.size, segment.fixed = size, fixed
         self.used += blocks(size)
-        self.newest = max(self.newest, number_)
+        self.newest = max(self.newest, number)
         return segment
 
     def append(self, data: bytes, spare: int = 0) -> None:
-        """Write behind what is there, leaving so many bytes of the limit; OSError, and nothing of it stands
-        there, if that can't be."""
-        self.ready()
-        if self.active.size and (self.stale or self.active.size + len(data) > self.full):
-            if self.used + space_budget.begun(self.head, len(data)) > self.limit - spare:
+        """Append to the active segment, leaving `spare` bytes of the limit; OSError, with nothing written, if
+        not possible."""
+        self.ensure_open()
+        if self.active.size and (self.must_roll or self.active.size + len(data) > self.segment_bytes):
+            if self.used + space_budget.new_segment_bytes(self.header_bytes, len(data)) > self.limit - spare:
                 raise JournalFullError("the disk limit is reached")
             self._roll()
         segment = self.active
-        head = b"" if segment.size else frame(self.header(segment.number))
-        data = head + data
+        header = b"" if segment.size else frame(self.make_header(segment.number))
+        data = header + data
         more = blocks(segment.size + len(data)) - blocks(segment.size)
         if self.used + more > self.limit - spare:
             raise JournalFullError("the disk limit is reached")
@@ -115,61 +134,61 @@
         self.torn = False
         self.written += len(data)
         segment.size += len(data)
-        segment.fixed += len(head)
+        segment.fixed += len(header)
         self.used += more
 
     def fresh(self, above: int = 0) -> None:
-        """The next record begins a new segment. `above`: with a number above this at once, and the one before
-        is not written to, since it is damaged."""
+        """Start a new segment with the next record. With `above`, its number is `above` + 1 at once, and the
+        segment before it, which is damaged, is not written to."""
         if above:
             self.newest = above + 1
             self.all[self.newest] = Segment(self.newest)
-        self.stale = not above and bool(self.all)
+        self.must_roll = not above and bool(self.all)
 
-    def ready(self) -> None:
-        """Hold the descriptor of the segment to write to: later there may be none left. OSError if not."""
+    def ensure_open(self) -> None:
+        """Open the active segment, since later no descriptor may be left; OSError if that fails."""
         if self.file is None:
-            self._begin()
+            self._open_active()
 
-    def _begin(self) -> None:
-        """Open the segment to write to."""
+    def _open_active(self) -> None:
         if self.newest not in self.all:
             self.newest += 1
             self.all[self.newest] = Segment(self.newest)
         self.file = self.disk.open(self.path(self.newest))
-        self.torn = True  # whatever a failed attempt to write has left there
+        self.torn = True  # an earlier failed write may have left a part of a record
 
     def _cut(self) -> None:
-        """Cut off a part of a record, which would hide all that comes after it. OSError if it can't be."""
+        """Cut off a part of a record, which would hide all records after it; OSError if that fails."""
         if self.torn and self.file is not None:
             self.file.truncate(self.active.size)
             self.torn = False
 
     def sync(self) -> None:
-        """What was written outlasts the machine's loss of power; OSError if that can't be had."""
+        """Sync the written records to the disk, so that they survive a power loss; OSError if that fails."""
         if self.file is not None:
             self.file.sync()
 
     def _roll(self) -> None:
-        """Begin the next segment. One with a torn end is cut first, or it would look damaged; the last record
-        of one says that there is a next: its loss is seen then."""
+        """Start the next segment. A torn end of the old one is cut off first, or it would look damaged. The
+        last record of the old one names the new one, so that a loss of the new one is detected."""
         self._cut()
         assert self.file is not None
         following = Segment(self.newest + 1)
         try:
-            fresh: File | None = self.disk.open(f"{self.folder}/{following.file}")
-        except OSError:  # perhaps there is no descriptor for it beside this one
-            fresh = None
-        if fresh is not None:
-            self._mark(following.number)
+            new_file: File | None = self.disk.open(f"{self.folder}/{following.file}")
+        except OSError:  # perhaps no second descriptor is available
+            new_file = None
+        if new_file is not None:
+            self._write_end_record(following.number)
         self.file.close()
-        self.file, self.torn, self.stale = fresh, True, False
+        self.file, self.torn, self.must_roll = new_file, True, False
         self.newest = following.number
         self.all[self.newest] = following
-        self.ready()
+        self.ensure_open()
 
-    def _mark(self, following: int) -> None:
-        """Say at a segment's end which is the next one. It may lack: then a loss of the next is not seen."""
+    def _write_end_record(self, following: int) -> None:
+        """Name the next segment at the end of this one, if possible: without it a loss of the next segment is
+        not detected."""
         data, segment = frame(["end", following]), self.active
         more = blocks(segment.size + len(data)) - blocks(segment.size)
         if self.used + more > self.limit:
@@ -185,39 +204,43 @@
                 self.torn = False
             self._cut()
         except OSError as error:
-            log.warning("journal: %s does not tell of the next one: %s", segment.file, error)
-            # A part of it may stand there for good. Later headers must tell the size that the file has: what
-            # stands behind it would be taken for another's, and all that is held for what may have run.
+            log.warning("journal: %s does not name the next segment: %s", segment.file, error)
+            # A part of the record may stay in the file for good. Later headers must list the file's real
+            # size: otherwise the rest is taken for foreign bytes, and all pending messages for possibly
+            # executed.
             before = blocks(segment.size)
             segment.size += written
             segment.fixed += written
             self.used += blocks(segment.size) - before
 
-    def drop(self, number_: int) -> None:
-        """Remove a segment's file; OSError if that can't be, and it stays. A record says so first: a file
-        that is missing without one has been lost."""
-        if not self.all[number_].gone:
-            self.append(frame(["gone", number_]))
-            self.all[number_].gone = True
-        self.disk.unlink(self.path(number_))
-        segment = self.all.pop(number_)
+    def remove(self, number: int) -> None:
+        """Remove a segment's file; OSError if that fails, and the segment stays.
+
+        A "gone" record is written first: a file that is missing without one counts as lost.
+        """
+        if not self.all[number].has_removal_record:
+            self.append(frame(["gone", number]))
+            self.all[number].has_removal_record = True
+        self.disk.unlink(self.path(number))
+        segment = self.all.pop(number)
         self.used -= blocks(segment.size)
 
     def close(self) -> None:
+        """Close the active segment's file."""
         if self.file is not None:
             self.file.close()
             self.file = None
 
 
-def header(
-    number_: int,
-    last: int,
-    base: float,
-    boot: str,
+def header_record(
+    number: int,
+    last_number: int,
+    clock_offset_s: float,
+    boot_id: str,
     now: float,
-    listed: list[list[int]],
-    doubt: list[Any] | None,
+    sizes_before: list[list[int]],
+    suspects: list[Any] | None,
 ) -> list[Any]:
-    """The first record of a segment: from which state of the journal it starts, which others are there, and
-    what was made of damage."""
-    return ["segment", FORMAT, number_, last, base, boot, now, listed, doubt]
+    """The first record of a segment: the journal's state when it was started, the segments that existed, and
+    the messages that damage has made suspect."""
+    return ["segment", FORMAT, number, last_number, clock_offset_s, boot_id, now, sizes_before, suspects]
--- a/madderbeam/journal/space_budget.py
+++ b/madderbeam/journal/space_budget.py
@@ -1,10 +1,10 @@
-"""What the journal decides: the size of segments, whether there is room, which segment goes next. No I/O.
+"""The journal's space decisions: segment size, whether there is space, which segment to rewrite. No I/O.
 
-Bounds. While half of the limit is free a segment is rewritten only if at most a quarter of it lives, so that
-each byte written by compaction frees three; else if at most half of it does: then it frees one, and what is
-written in all is at most twice what was taken on. Where room is short any segment of which at most CROWDED
-lives is rewritten: there up to 1 / (1 - CROWDED) bytes are written for each one freed, and admission refuses
-before that goes on for long.
+Write amplification: while half of the limit is free, a segment is rewritten only if at most a quarter of it
+is live, so that each byte that compaction writes frees three. Beyond that, it is rewritten if at most half of
+it is live: each byte frees one, and the bytes written in all are at most twice the bytes accepted. Where
+space is short, any segment of which at most SCARCE_LIVE_SHARE is live is rewritten: up to 1 / (1 - share)
+bytes are written for each byte freed, and admission rejects messages before that continues for long.
 """
 
 from __future__ import annotations
@@ -13,94 +13,121 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from madderbeam.journal.records import BLOCK, blocks
-
-SMALLEST, LARGEST, PARTS = 4096, 8 << 20, 32  # bytes of a segment; a limit has so many of them
-# Shares of a segment that live, at most, for it to be rewritten: while half of the limit is free, at leisure,
-# and where room is short.
-FREE, HALF, CROWDED = 0.25, 0.5, 0.93
-# Bytes that one message's later records take at most, its id and key aside: an attempt, the proof that it
-# never ran, its final, its end.
-TRY, MISS, FINAL, OVER = 36, 24, 44, 52
-MARK, GONE = 24, 24  # a segment's word on the next one, and the word that one has gone
-AGAIN = (TRY + MISS) // 2  # kept free by admission beside them: half of all messages are tried twice
-STEP_BYTES = 1 << 15  # that one step of compaction copies at most, one record more or less
+from madderbeam.journal.records import BLOCK_BYTES, blocks
+
+MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES, SEGMENTS_PER_LIMIT = 4096, 8 << 20, 32
+# The largest live share of a segment that is rewritten: while half of the limit is free, while less is free,
+# and where space is short.
+RELAXED_LIVE_SHARE, HALF_FULL_LIVE_SHARE, SCARCE_LIVE_SHARE = 0.25, 0.5, 0.93
+# The most bytes of a message's later records, without its id and key: "try", "miss", "final" and "over".
+TRY_BYTES, MISS_BYTES, FINAL_BYTES, OVER_BYTES = 36, 24, 44, 52
+END_BYTES, GONE_BYTES = 24, 24  # an "end" record, which names the next segment, and a "gone" record
+# Also kept free by admission for each message: half of all messages are attempted twice.
+RETRY_RESERVE_BYTES = (TRY_BYTES + MISS_BYTES) // 2
+STEP_BYTES = 1 << 15  # copied by one compaction step at most, give or take one record
 STEP_RECORDS = 128
 
 
 @dataclass(frozen=True)
 class SegmentUsage:
-    """A segment as the plan sees it."""
+    """The usage of one segment, as far as compaction needs it."""
 
     number: int
-    size: int  # bytes of its file, without what any segment has: its header, and the word on the next one
+    size: int  # bytes of the file without what every segment has: its header and its "end" record
     live: int  # bytes that would have to be copied
-    held: bool  # an older segment still has records that this one makes void: it can't go yet
+    is_pinned: bool  # an older segment has records that this one supersedes: it can't be removed yet
 
     @property
-    def share(self) -> float:
+    def live_share(self) -> float:
+        """The share of its bytes that is live."""
         return self.live / max(1, self.size)
 
 
 def segment_bytes(limit: int) -> int:
-    """The size at which a segment is full."""
-    return min(LARGEST, max(SMALLEST, limit // PARTS // BLOCK * BLOCK))
+    """The size in bytes at which a segment is full."""
+    return min(
+        MAX_SEGMENT_BYTES, max(MIN_SEGMENT_BYTES, limit // SEGMENTS_PER_LIMIT // BLOCK_BYTES * BLOCK_BYTES)
+    )
 
 
 def headroom(limit: int) -> int:
-    """What is kept free so that one segment can be copied beside itself, with the rounding of two files, the
-    mark at one's end, and the word that the other has gone."""
-    return segment_bytes(limit) + 4 * BLOCK
+    """Bytes kept free so that a segment can be copied before it is removed.
 
+    Includes the rounding of two files, the "end" record of one and the "gone" record of the other.
+    """
+    return segment_bytes(limit) + 4 * BLOCK_BYTES
 
-def begun(head: int, size: int) -> int:
-    """Bytes that a record of this size takes at most where it begins a segment with a header of `head`."""
-    return blocks(MARK) + blocks(head + size)
 
+def new_segment_bytes(header_bytes: int, size: int) -> int:
+    """The most bytes that a record of this size takes where it starts a segment."""
+    return blocks(END_BYTES) + blocks(header_bytes + size)
 
-def copyable(limit: int, used: int, head: int) -> int:
-    """Bytes that may live in a segment for its copy to be begun; 0 or less: nothing may. Such a copy, and the
-    word that the segment goes, begin two files at most, and surely fit, since all others leave the headroom
-    free but for what was copied of it. One that was begun and did not fit would hold the room for good: there
-    would be none even for the word that a dead segment goes. `head`: bytes of a header."""
-    beside = GONE + 2 * (head + MARK) + 3 * BLOCK  # three files are rounded
-    return min(headroom(limit) - beside, limit - used - beside, segment_bytes(limit) - head - GONE)
 
+def max_copyable_bytes(limit: int, used: int, header_bytes: int) -> int:
+    """The most live bytes of a segment whose copy may be started; 0 or less if none may be.
 
-def reserve(open_: int, untried: int, owed: int, names: int) -> int:
-    """Bytes that all messages taken on may still need on the way to their ends: for each open one what its
-    newest attempt came to, its final and its end, for each untried one an attempt as well, for each owed one
-    the end of its notice; `names`: of their ids and keys, remembered after. Further attempts take what room
-    there is."""
-    return open_ * (MISS + FINAL + OVER) + untried * TRY + owed * OVER + names
+    Such a copy and the "gone" record start two files at most, and are sure to fit, because all other writes
+    leave the headroom free except for what was already copied into it. A copy that was started and did not
+    fit would take the space for good: not even the "gone" record of a dead segment would fit any more.
+    """
+    overhead = GONE_BYTES + 2 * (header_bytes + END_BYTES) + 3 * BLOCK_BYTES  # three files are rounded up
+    return min(
+        headroom(limit) - overhead, limit - used - overhead, segment_bytes(limit) - header_bytes - GONE_BYTES
+    )
+
+
+def reserved_bytes(open_count: int, unattempted: int, ended: int, names: int) -> int:
+    """Bytes that all accepted messages may still need until they are completed.
+
+    For each open message the result of its newest attempt, its "final" and its "over" record, for each
+    unattempted one a "try" record as well, for each outstanding notice its "over" record. `names`: bytes of
+    the ids and keys, which are remembered afterwards. Further attempts use what space is left.
+    """
+    return (
+        open_count * (MISS_BYTES + FINAL_BYTES + OVER_BYTES)
+        + unattempted * TRY_BYTES
+        + ended * OVER_BYTES
+        + names
+    )
 
 
 def admits(limit: int, used: int, needed: int, more: int) -> bool:
-    """Whether so many bytes more leave all that was taken on room to end on a disk that gives no more."""
+    """Whether, after `more` bytes, every accepted message can still be completed within the limit."""
     return used + blocks(more) + needed + headroom(limit) <= limit
 
 
-def crowded(limit: int, used: int, needed: int) -> bool:
-    """Whether room is short, so that segments are rewritten before they are mostly dead."""
+def is_space_short(limit: int, used: int, needed: int) -> bool:
+    """Whether space is short, so that segments are rewritten before they are mostly dead."""
     return used + needed + 3 * headroom(limit) > limit
 
 
-def bound(limit: int, used: int, needed: int) -> float:
-    """The share of a segment that may live for it to be rewritten: the less room, the more."""
-    if crowded(limit, used, needed):
-        return CROWDED
-    return HALF if 2 * (used + needed) > limit else FREE
-
-
-def victim(views: Iterable[SegmentUsage], bound: float, most: float = math.inf) -> SegmentUsage | None:
-    """The full segment to rewrite next, None if that is not worth it: the one with the least that lives, if
-    at most `bound` of it does. An old segment may hold many dead ones behind it: where that is true of all
-    together, the oldest goes. `most`: bytes of it that may live."""
-    views = list(views)
-    small = [v for v in views if v.live <= max(0, most)]
-    best = min((v for v in small if not v.held), key=lambda v: (v.share, v.number), default=None)
-    if best is None or best.share <= bound:
+def max_live_share(limit: int, used: int, needed: int) -> float:
+    """The largest live share of a segment that is rewritten: the less space, the larger."""
+    if is_space_short(limit, used, needed):
+        return SCARCE_LIVE_SHARE
+    return HALF_FULL_LIVE_SHARE if 2 * (used + needed) > limit else RELAXED_LIVE_SHARE
+
+
+def choose_victim(
+    usages: Iterable[SegmentUsage], max_share: float, max_bytes: float = math.inf
+) -> SegmentUsage | None:
+    """The full segment to rewrite next, None if no rewrite is worth its cost.
+
+    It is the one with the smallest live share, if that is at most `max_share`. An old segment may pin many
+    dead ones behind it: if the live share of all segments together is within the bound, the oldest is chosen.
+    `max_bytes`: the most live bytes of a segment that may be copied now.
+    """
+    usages = list(usages)
+    copyable = [usage for usage in usages if usage.live <= max(0, max_bytes)]
+    best = min(
+        (usage for usage in copyable if not usage.is_pinned),
+        key=lambda usage: (usage.live_share, usage.number),
+        default=None,
+    )
+    if best is None or best.live_share <= max_share:
         return best
-    if sum(v.live for v in views) <= bound * sum(v.size for v in views):
-        return next((v for v in small if v.number == min(v.number for v in views)), None)
+    if sum(usage.live for usage in usages) <= max_share * sum(usage.size for usage in usages):
+        return next(
+            (usage for usage in copyable if usage.number == min(usage.number for usage in usages)), None
+        )
     return None
--- a/madderbeam/journal/steady_clock.py
+++ b/madderbeam/journal/steady_clock.py
@@ -1,41 +1,42 @@
-"""Wall time that does not step, over processes of one boot."""
+"""Wall time that does not step, across processes of one boot."""
 
 from __future__ import annotations
 
 from madderbeam.ports import Clock, Disk
 
-BOOT = "/proc/sys/kernel/random/boot_id"  # the monotonic clock goes on over processes while this is the same
+# While this file's content is the same, the monotonic clock continues across processes.
+BOOT = "/proc/sys/kernel/random/boot_id"
 
 
 class SteadyClock:
-    """Wall time that does not step: where it stood once, carried on by the monotonic clock.
+    """Wall time that does not step: the wall clock read once, advanced by the monotonic clock.
 
-    Deadlines and key windows are kept in it, so that a step of the system's wall clock neither ends a message
-    early nor keeps it past its time. Its anchor is journaled: on the same boot of the machine the next
-    process goes on from there. After a reboot, or where the system does not tell, it starts from the wall
-    clock anew, but never before the newest time that the journal knows of: windows err on the careful side.
+    Deadlines and key windows use it, so that a step of the system's wall clock neither ends a message early
+    nor keeps it past its deadline. The anchor (`offset_s`) is journaled: on the same boot of the machine the
+    next process continues from it. After a reboot, or where the system has no boot id, the clock starts from
+    the wall clock again, but never before the newest time in the journal: a window may close late, not early.
     """
 
     def __init__(self, clock: Clock, boot: str) -> None:
-        self.clock, self.boot, self.monotonic_us = clock, boot, clock.monotonic_us
-        self.base = clock.wall() - clock.monotonic_us() / 1e6
+        self.clock, self.boot_id, self.monotonic_us = clock, boot, clock.monotonic_us
+        self.offset_s = clock.wall() - clock.monotonic_us() / 1e6
 
     def __call__(self) -> float:
         """Unix time in seconds."""
-        return self.base + self.monotonic_us() / 1e6
+        return self.offset_s + self.monotonic_us() / 1e6
 
     def monotonic(self, at: float) -> int:
         """The monotonic clock's microseconds at this Unix time; negative before its zero."""
-        return int((at - self.base) * 1e6)
+        return int((at - self.offset_s) * 1e6)
 
-    def adopt(self, base: float, boot: str) -> None:
-        """Go on from an anchor, if it is of this boot."""
-        if boot and boot == self.boot:
-            self.base = base
+    def adopt(self, offset_s: float, boot: str) -> None:
+        """Continue from a journaled anchor, if it is of this boot."""
+        if boot and boot == self.boot_id:
+            self.offset_s = offset_s
 
 
 def boot_id(disk: Disk) -> str:
-    """What names this boot of the machine, '' where the system does not tell."""
+    """The id of the machine's current boot, '' where the system has none."""
     try:
         return disk.read(BOOT).decode("ascii", "replace").strip()
     except OSError:
--- a/tests/journal/damages.py
+++ b/tests/journal/damages.py
@@ -1,6 +1,6 @@
-"""A recorded folder of several segments, each kind of damage done to it, and what must be true then.
+"""A recorded folder of several segments, each kind of damage to it, and the checks of what is read then.
 
-Shared by test_damage.py, which plays a drawn part, and bench/journal_damage.py, which plays all.
+Shared by test_damage.py, which runs a sample, and bench/journal_damage.py, which runs all cases.
 """
 
 import random
@@ -19,7 +19,7 @@
 from madderbeam.simulation.loop import Scheduler
 
 LIMIT, FOLDER = 60_000, "/state"
-CUT_NEWEST = "cut newest"  # what a kill leaves: no reader can know of a record that was behind
+CUT_NEWEST = "cut newest"  # as a kill leaves it: no reader can know of a record after the cut
 
 
 def clock():
@@ -35,11 +35,11 @@
 
 
 def recorded(messages=70):
-    """The files of a folder with open, tried, ended and forgotten messages, of which segments have gone."""
-    disk, chance = disk_of({}), random.Random(7)
+    """The files of a folder with open, attempted, ended and completed messages and some removed segments."""
+    disk, rng = disk_of({}), random.Random(7)
     journal = Journal(disk, clock(), FOLDER, LIMIT, 15.0)
     for n in range(1, messages + 1):
-        body = b"x" * chance.choice((10, 100, 700))
+        body = b"x" * rng.choice((10, 100, 700))
         key = f"key{n}" if n % 3 == 0 else ""
         journal.take(PendingMessage(n, f"m{n:04}", n % 3, 0, 7, key, journal.wall() + 600, False, body))
         if n % 2:
@@ -60,9 +60,9 @@
     for file, data in files.items():
         for at in range(0, len(data), step):
             for bits in (0x01, 0xFF):
-                spoilt = bytearray(data)
-                spoilt[at] ^= bits
-                yield f"{file}: byte {at} xor {bits}", files | {file: bytes(spoilt)}
+                damaged = bytearray(data)
+                damaged[at] ^= bits
+                yield f"{file}: byte {at} xor {bits}", files | {file: bytes(damaged)}
 
 
 def cuts(files, step=1) -> Iterator[tuple[str, dict[str, bytes]]]:
@@ -73,50 +73,50 @@
 
 
 def wholes(files) -> Iterator[tuple[str, dict[str, bytes]]]:
-    """Each file removed, doubled, renamed, swapped with another, lengthened, replaced by noise or zeros."""
-    chance, last = random.Random(3), max(files)
+    """Each file removed, duplicated, renamed, swapped with another, extended, replaced by noise or zeros."""
+    rng, last = random.Random(3), max(files)
     order = sorted(files)
     for n, file in enumerate(order):
         data, rest = files[file], {f: d for f, d in files.items() if f != file}
         yield f"{file} removed", rest
-        yield f"{file} doubled", files | {name(90_000_000): data}
+        yield f"{file} duplicated", files | {name(90_000_000): data}
         yield f"{file} renamed", rest | {name(90_000_000): data}
-        yield f"{file} renamed to what is none", rest | {"segment-x.journal": data}
-        yield f"{file} noise", files | {file: chance.randbytes(len(data))}
+        yield f"{file} renamed to no segment", rest | {"segment-x.journal": data}
+        yield f"{file} noise", files | {file: rng.randbytes(len(data))}
         yield f"{file} zeros", files | {file: bytes(len(data))}
-        yield f"{file} twice its content", files | {file: data + data}
-        yield f"{file} and noise behind", files | {file: data + chance.randbytes(300)}
-        yield f"{file} and zeros behind", files | {file: data + bytes(300)}
+        yield f"{file} with its content twice", files | {file: data + data}
+        yield f"{file} with noise appended", files | {file: data + rng.randbytes(300)}
+        yield f"{file} with zeros appended", files | {file: data + bytes(300)}
         other = order[n - 1]
         yield f"{file} swapped with {other}", files | {file: files[other], other: data}
         if file != last:
-            yield f"{file} is the next one", files | {file: files[order[n + 1]]}
+            yield f"{file} replaced by the next", files | {file: files[order[n + 1]]}
 
 
-def held_in(found):
+def record_counts(found):
     return Counter(msgpack.packb(r) for p in found.parts for _, r in p.records)
 
 
 def check(before, title, files):
-    """What must be true of one outcome; the findings. `before`: the Folder as it was."""
+    """Check what is read from damaged files; returns it. `before`: the contents before the damage."""
     disk = disk_of(files)
     found = read(disk, FOLDER)
-    was, is_ = held_in(before), held_in(found)
-    lost, new = was - is_, is_ - was
+    records_before, records_after = record_counts(before), record_counts(found)
+    lost, new = records_before - records_after, records_after - records_before
     for finding in found.findings:
         assert finding.kind in Kind and finding.kind.meaning in Meaning, title
     if title.startswith(CUT_NEWEST):
         assert not found.damage, (title, [str(f) for f in found.findings])
     elif lost:
-        assert found.damage, f"{title}: {sum(lost.values())} records lost, and it is called whole"
-    assert not new, f"{title}: records that nobody wrote"
-    restarted(disk, found, title)
+        assert found.damage, f"{title}: {sum(lost.values())} records lost and no damage found"
+    assert not new, f"{title}: records that were never written"
+    check_restart(disk, found, title)
     return found
 
 
-def restarted(disk, found, title):
-    """A start serves; what may have run counts so, and does at the next start as well; a message that came
-    behind the damage is not doubted, though the damaged file is still there."""
+def check_restart(disk, found, title):
+    """A start succeeds: open messages count as possibly executed, at the next start as well. A message
+    accepted after the damage is not suspect, although the damaged file is still there."""
     journal = Journal(disk, clock(), FOLDER, LIMIT, 15.0)
     assert journal.damage == len(found.damage), title
     if found.damage:
@@ -124,8 +124,10 @@
     first = set(journal.held)
     n = journal.last + 1
     journal.take(PendingMessage(n, "fresh", 0, 0, 7, "", journal.wall() + 60, False, b"fresh"))
-    again = Journal(disk, clock(), FOLDER, LIMIT, 15.0)
-    assert set(again.held) == first | {n}, title
+    restarted_journal = Journal(disk, clock(), FOLDER, LIMIT, 15.0)
+    assert set(restarted_journal.held) == first | {n}, title
     if found.damage:
-        doubted = [m for k, m in again.held.items() if k in first and not m.status]
-        assert all(m.may_have_run_at for m in doubted) and not again.held[n].may_have_run_at, title
+        suspects = [m for k, m in restarted_journal.held.items() if k in first and not m.status]
+        assert all(m.may_have_run_at for m in suspects) and not restarted_journal.held[n].may_have_run_at, (
+            title
+        )
--- a/tests/journal/test_damage.py
+++ b/tests/journal/test_damage.py
@@ -1,4 +1,4 @@
-"""Damage of every kind is told: a drawn part of what bench/journal_damage.py plays in full."""
+"""Damage of every kind is found: a sample of the cases that bench/journal_damage.py runs in full."""
 
 import itertools
 
@@ -17,29 +17,29 @@
 NEWEST = max(FILES)
 
 
-def test_the_recorded_folder_is_whole():
+def test_the_recorded_folder_is_intact():
     assert not BEFORE.findings and len(BEFORE.parts) == len(FILES)
 
 
 @pytest.mark.parametrize("part", range(4))
-def test_every_flipped_byte_is_told(part):
+def test_every_flipped_byte_is_found(part):
     for title, files in itertools.islice(damages.flips(FILES, 61), part, None, 4):
         assert check(BEFORE, title, files).damage, title
 
 
 @pytest.mark.parametrize("part", range(2))
-def test_a_shorter_file_is_told_unless_a_kill_leaves_it(part):
+def test_a_truncated_file_is_found_unless_a_kill_may_leave_it(part):
     for title, files in itertools.islice(damages.cuts(FILES, 67), part, None, 2):
         found = check(BEFORE, title, files)
         assert bool(found.damage) != title.startswith(damages.CUT_NEWEST), title
 
 
-WHOLES = dict(damages.wholes(FILES))
+FILE_DAMAGES = dict(damages.wholes(FILES))
 
 
-@pytest.mark.parametrize("title", WHOLES)
-def test_a_file_removed_doubled_renamed_or_replaced_is_told(title):
-    assert check(BEFORE, title, WHOLES[title]).findings
+@pytest.mark.parametrize("title", FILE_DAMAGES)
+def test_a_file_removed_duplicated_renamed_or_replaced_is_found(title):
+    assert check(BEFORE, title, FILE_DAMAGES[title]).findings
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -67,16 +67,16 @@
     check(BEFORE, ", ".join(titles), files)
 
 
-def test_noise_as_the_only_segment_is_no_whole_folder():
-    # It was called whole, and a start went on as if nothing had been held.
+def test_noise_as_the_only_segment_is_damage():
+    # It passed as intact, and a start continued as if no message had been accepted.
     import random
 
     files = {"segment-00000001.journal": random.Random(1).randbytes(5000)}
     findings = inspect.verify(disk_of(files), FOLDER)
-    assert [(f.kind, f.at, f.end) for f in findings] == [(Kind.HEAD, 0, 5000)]
+    assert [(f.kind, f.offset, f.end) for f in findings] == [(Kind.NO_HEADER, 0, 5000)]
 
 
-def test_an_unreadable_file_is_told_and_the_rest_is_used():
+def test_an_unreadable_file_is_found_and_the_rest_is_used():
     disk = disk_of(FILES)
     whole = disk.read
 
@@ -90,29 +90,29 @@
     assert [f.kind for f in found.damage] == [Kind.UNREADABLE] and len(found.parts) == len(FILES) - 1
 
 
-def silent_stop(data):
-    rows, bad, end = SCAN(data)
-    if bad:
-        stop = bad[0].at
-        return [r for r in rows if r[0] < stop], [], stop
-    return rows, bad, end
+def stops_silently(data):
+    records_, invalid, end = SCAN(data)
+    if invalid:
+        stop = invalid[0].offset
+        return [r for r in records_ if r[0] < stop], [], stop
+    return records_, invalid, end
 
 
-def silent_skip(data):
-    rows, bad, end = SCAN(data)
-    return rows, [], len(data)
+def skips_silently(data):
+    records_, invalid, end = SCAN(data)
+    return records_, [], len(data)
 
 
 SCAN = records.scan
 
 
-@pytest.mark.parametrize("planted", [silent_stop, silent_skip])
-def test_a_reader_that_keeps_silent_is_found(planted, monkeypatch):
+@pytest.mark.parametrize("seeded_fault", [stops_silently, skips_silently])
+def test_a_reader_that_hides_damage_fails_the_checks(seeded_fault, monkeypatch):
     from madderbeam.journal import recovery
 
-    monkeypatch.setattr(recovery, "scan", planted)
-    if planted is silent_stop:  # what it leaves unread at the end looks torn to it
-        monkeypatch.setattr(damage, "torn", lambda *args, **more: True)
+    monkeypatch.setattr(recovery, "scan", seeded_fault)
+    if seeded_fault is stops_silently:  # it takes the unread rest for torn
+        monkeypatch.setattr(damage, "is_torn", lambda *args, **more: True)
     missed = 0
     for title, files in damages.flips(FILES, 301):
         try:
@@ -122,15 +122,15 @@
     assert missed
 
 
-def test_a_part_of_the_last_word_that_the_disk_keeps_is_no_damage():
-    # Seed 5729: the word on the next segment fell short, and the disk would not cut it off. Later headers
-    # told the size without it: the segment was "longer", and all that was held counted as having run.
-    from test_store import Machine, held
+def test_a_torn_end_record_that_cannot_be_cut_off_is_no_damage():
+    # Seed 5729: the "end" record was written in part, and the disk did not truncate it. Later headers listed
+    # the size without it: the segment counted as extended, and all pending messages as possibly executed.
+    from test_store import Machine, pending_message
 
     machine = Machine()
     journal = machine.start()
     files = journal.files
-    journal.take(held(1, machine), lambda: None, lambda error: None)
+    journal.take(pending_message(1, machine), lambda: None, lambda error: None)
     journal.commit()
 
     def fails(size):
@@ -139,7 +139,7 @@
     whole = files.file.append
     files.file.append, files.file.truncate = lambda data: whole(data[:7]), fails
     files._roll()
-    journal.take(held(2, machine), lambda: None, lambda error: None)
+    journal.take(pending_message(2, machine), lambda: None, lambda error: None)
     journal.commit()
     assert not read(machine.disk, "/state").damage
     again = machine.start()
--- a/tests/journal/test_keys.py
+++ b/tests/journal/test_keys.py
@@ -1,19 +1,19 @@
-"""Keys that several messages came with: each keeps the earliest attempt that may have run, of any of them."""
+"""Keys that several messages share: the earliest possibly executed attempt of any of them counts."""
 
 import random
 
 import pytest
-from test_store import KEY_S, Machine, held
+from test_store import KEY_S, Machine, pending_message
 
 from madderbeam.journal.segments import name
 
 KEY = "the-key"
 
 
-def handed_in(machine, number):
-    """A message with the key is taken on; one that is open with it is given up, as its client did."""
+def accept(machine, number):
+    """Accept a message with the key; an open one with it is ended, as its client has given it up."""
     journal = machine.journal
-    m = held(number, machine, KEY, ran_at=journal.key_ran_at(KEY))
+    m = pending_message(number, machine, KEY, ran_at=journal.key_ran_at(KEY))
     if old := journal.held.get(journal.open_keys.get(KEY, 0)):
         m.ran_at = m.ran_at or old.may_have_run_at
         journal.end(old, "deferred", 0)
@@ -21,170 +21,170 @@
     journal.take(m)
 
 
-def tried(machine, number):
-    """An attempt begins, a second after what was before."""
+def attempt(machine, number):
+    """Record an attempt, a second after the last event; returns its time."""
     machine.after(1)
     at = machine.journal.wall()
     machine.journal.attempt([number], at)
     return at
 
 
-def churned(machine):
-    """A message comes and goes, and compaction does what there is to be done."""
+def churn(machine):
+    """Accept and complete a message, and run compaction as far as it goes."""
     journal = machine.journal
     number = journal.last + 1
     machine.after(0.002)
-    journal.take(held(number, machine, size=1500, life=0.1))
+    journal.take(pending_message(number, machine, size=1500, life=0.1))
     journal.done(number)
     journal.commit()
     while journal.step():
         pass
 
 
-def compacted(machine):
-    """All segments that there are go, by copies."""
+def compact_all(machine):
+    """Make compaction copy and remove all present segments."""
     last = machine.journal.files.newest
     while min(machine.journal.files.all) <= last:
-        churned(machine)
+        churn(machine)
 
 
-def keeps(machine, at):
-    """The key's earliest attempt that may have run: now, after a restart, and after a compaction."""
+def check_first_attempt(machine, at):
+    """Check the key's first possibly executed attempt: now, after a restart, and after compaction."""
     assert machine.journal.key_ran_at(KEY) == at
     assert machine.start().key_ran_at(KEY) == at
-    compacted(machine)
+    compact_all(machine)
     assert machine.journal.key_ran_at(KEY) == machine.start().key_ran_at(KEY) == at
 
 
-def begun():
+def started_machine():
     machine = Machine()
-    machine.start(later=lambda seconds, action: None)
+    machine.start(call_later=lambda seconds, action: None)
     return machine
 
 
 @pytest.mark.parametrize("over", [False, True], ids=["open", "over"])
 @pytest.mark.parametrize("copied", [False, True], ids=["", "copied"])
-def test_a_late_proof_that_the_older_one_never_ran_leaves_the_newer_ones_attempt(over, copied):
-    # It took the key away: a third message counted as new and went out when the second one's window was over.
-    machine = begun()
-    handed_in(machine, 1)
-    tried(machine, 1)
-    handed_in(machine, 2)
-    ran = tried(machine, 2)
+def test_a_late_miss_of_the_older_message_leaves_the_newer_ones_attempt(over, copied):
+    # The miss removed the key: a third message counted as new, and was sent after the second one's window.
+    machine = started_machine()
+    accept(machine, 1)
+    attempt(machine, 1)
+    accept(machine, 2)
+    ran = attempt(machine, 2)
     if over:
         machine.journal.done(2)
     if copied:
-        compacted(machine)
+        compact_all(machine)
     machine.journal.missed(1)
     machine.journal.commit()
-    keeps(machine, ran)
+    check_first_attempt(machine, ran)
     assert name(1) not in machine.segments()
 
 
-def test_a_proof_in_the_turn_of_the_newer_ones_attempt():
-    machine = begun()
-    handed_in(machine, 1)
-    tried(machine, 1)
-    handed_in(machine, 2)
+def test_a_miss_in_the_batch_of_the_newer_ones_attempt():
+    machine = started_machine()
+    accept(machine, 1)
+    attempt(machine, 1)
+    accept(machine, 2)
     machine.journal.begin()
-    ran = tried(machine, 2)
+    ran = attempt(machine, 2)
     machine.journal.missed(1)
     machine.journal.commit()
-    keeps(machine, ran)
+    check_first_attempt(machine, ran)
 
 
 @pytest.mark.parametrize("order", [(1, 2), (2, 1)])
-def test_a_key_whose_attempts_all_proved_that_they_never_ran_does_not_count(order):
-    machine = begun()
-    handed_in(machine, 1)
-    first = tried(machine, 1)
-    handed_in(machine, 2)
-    tried(machine, 2)
+def test_a_key_whose_attempts_were_never_executed_does_not_count(order):
+    machine = started_machine()
+    accept(machine, 1)
+    first = attempt(machine, 1)
+    accept(machine, 2)
+    attempt(machine, 2)
     machine.journal.missed(order[0])
     machine.journal.commit()
     assert machine.journal.key_ran_at(KEY) >= first
     machine.journal.missed(order[1])
     machine.journal.commit()
     assert not machine.journal.held[2].may_have_run_at
-    keeps(machine, 0)
+    check_first_attempt(machine, 0)
     assert not machine.journal.held[2].may_have_run_at
 
 
-def test_one_that_came_meanwhile_and_was_not_tried_does_not_count_either():
-    machine = begun()
-    handed_in(machine, 1)
-    tried(machine, 1)
-    handed_in(machine, 2)
+def test_a_later_message_without_an_attempt_does_not_count_either():
+    machine = started_machine()
+    accept(machine, 1)
+    attempt(machine, 1)
+    accept(machine, 2)
     machine.journal.missed(1)
     machine.journal.commit()
     assert not machine.journal.held[2].may_have_run_at
-    keeps(machine, 0)
+    check_first_attempt(machine, 0)
     assert not machine.journal.held[2].may_have_run_at
-    ran = tried(machine, 2)
+    ran = attempt(machine, 2)
     machine.journal.commit()
-    keeps(machine, ran)
+    check_first_attempt(machine, ran)
 
 
-def test_the_older_ones_attempt_that_may_have_run_goes_on_counting():
-    machine = begun()
-    handed_in(machine, 1)
-    ran = tried(machine, 1)
-    handed_in(machine, 2)
-    tried(machine, 2)
+def test_the_older_ones_possibly_executed_attempt_still_counts():
+    machine = started_machine()
+    accept(machine, 1)
+    ran = attempt(machine, 1)
+    accept(machine, 2)
+    attempt(machine, 2)
     machine.journal.missed(2)
     machine.journal.commit()
-    keeps(machine, ran)
+    check_first_attempt(machine, ran)
     assert machine.journal.held[2].may_have_run_at == ran
 
 
-def test_a_second_attempt_that_never_ran_leaves_the_first():
-    machine = begun()
-    handed_in(machine, 1)
-    ran = tried(machine, 1)
-    tried(machine, 1)
+def test_a_second_attempt_that_was_never_executed_leaves_the_first():
+    machine = started_machine()
+    accept(machine, 1)
+    ran = attempt(machine, 1)
+    attempt(machine, 1)
     machine.journal.missed(1)
     machine.journal.commit()
-    keeps(machine, ran)
+    check_first_attempt(machine, ran)
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_any_course_of_attempts_and_proofs(seed):
-    # Exact while the process lives; a restart may take a more careful view, that is an earlier attempt.
-    chance, machine = random.Random(f"keys {seed}"), begun()
-    may, out = {}, {}  # times by message; the newest of each whose proof may come
+def test_any_sequence_of_attempts_and_misses(seed):
+    # Exact while the process lives; a restart may assume an earlier attempt, which is the safe side.
+    rng, machine = random.Random(f"keys {seed}"), started_machine()
+    possibly_executed, unresolved = {}, {}  # times by message; the newest of each, which may still be a miss
     for _ in range(60):
         journal = machine.journal
         machine.after(0.01)
-        mine = [n for n, m in journal.held.items() if m.key]
+        pending = [n for n, m in journal.held.items() if m.key]
         open_ = journal.open_keys.get(KEY)
-        what = chance.choice(("come", "try", "try", "miss", "miss", "over", "copy", "start"))
-        if what == "come":
-            handed_in(machine, journal.last + 1)
-        elif what == "try" and open_:
+        action = rng.choice(("come", "try", "try", "miss", "miss", "over", "copy", "start"))
+        if action == "come":
+            accept(machine, journal.last + 1)
+        elif action == "try" and open_:
             at = journal.wall()
             journal.attempt([open_], at)
-            may.setdefault(open_, []).append(at)
-            out[open_] = at
-        elif what == "miss" and (n := chance.choice([n for n in out if n in journal.held] or [0])):
+            possibly_executed.setdefault(open_, []).append(at)
+            unresolved[open_] = at
+        elif action == "miss" and (n := rng.choice([n for n in unresolved if n in journal.held] or [0])):
             journal.missed(n)
-            may[n].remove(out.pop(n))
-        elif what == "over" and mine:
-            n = chance.choice(mine)
+            possibly_executed[n].remove(unresolved.pop(n))
+        elif action == "over" and pending:
+            n = rng.choice(pending)
             journal.done(n)
-            out.pop(n, None)
-        elif what == "copy":
+            unresolved.pop(n, None)
+        elif action == "copy":
             journal.commit()
             for _ in range(40):
-                churned(machine)
+                churn(machine)
         journal.commit()
-        first = min((at for times in may.values() for at in times), default=0)
-        assert journal.wall() - first < KEY_S or not first, "the course is too long for the window"
+        first = min((at for times in possibly_executed.values() for at in times), default=0)
+        assert journal.wall() - first < KEY_S or not first, "the sequence is longer than the window"
         assert journal.key_ran_at(KEY) == first
-        machine.start(later=lambda seconds, action: None)
+        machine.start(call_later=lambda seconds, action: None)
         found = machine.journal.key_ran_at(KEY)
         assert found == first or (found > 0 and (not first or found < first))
-        if what == "start":
-            out.clear()
-            may = {0: [found]} if found else {}
+        if action == "start":
+            unresolved.clear()
+            possibly_executed = {0: [found]} if found else {}
         else:
             machine.journal = journal
--- a/tests/journal/test_store.py
+++ b/tests/journal/test_store.py
@@ -1,4 +1,4 @@
-"""The journal by itself on a simulated disk: crashes at every operation, full and failing disks, bad data."""
+"""The journal alone on a simulated disk: kills at every operation, full and failing disks, damaged data."""
 
 import contextlib
 import errno
@@ -34,7 +34,7 @@
         self.disk = SimDisk(random.Random(seed), self._operation)
         self.disk.files[BOOT] = bytearray(b"one")
         self.journal = None
-        self.damaged = False  # by the test
+        self.may_be_damaged = False  # set by a test that damages files
 
     def _operation(self, what):
         self.operations += 1
@@ -42,7 +42,7 @@
 
     def start(self, **more):
         self.journal = Journal(self.disk, self.clock, "/state", self.limit, KEY_S, **more)
-        assert not self.journal.damage or self.damaged, "normal work and kills are called damage"
+        assert not self.journal.damage or self.may_be_damaged, "a kill or normal operation counts as damage"
         return self.journal
 
     def after(self, seconds):
@@ -52,91 +52,93 @@
         return sorted(p for p in self.disk.files if p.startswith("/state/segment-"))
 
 
-def held(number, machine, key="", size=100, life=10.0, **more):
+def pending_message(number, machine, key="", size=100, life=10.0, **more):
     return PendingMessage(
         number, f"m{number:06}", 1, 0, 7, key, machine.journal.wall() + life, False, b"x" * size, **more
     )
 
 
 class Model:
-    """What was made true, by what the journal has called back."""
+    """The expected state, by the callbacks that the journal has called."""
 
     def __init__(self):
-        self.open, self.owed, self.over = {}, {}, {}  # number: tries that may have run; status; id
-        self.asked = set()  # that may have been taken on, tried or ended as the process died
+        self.open, self.owed, self.over = {}, {}, {}  # by number: possibly executed; status; id
+        self.uncertain = set()  # numbers whose newest record may or may not be written when the process dies
 
     def agrees(self, journal):
-        """Whether a restored journal holds all that was made true, and nothing that can't be."""
+        """Assert that a restored journal has all that was called back, and nothing that contradicts it."""
         for n, tries in self.open.items():
             m = journal.held.get(n)
             if m is None or m.status:
-                assert n in self.asked, f"{n} was lost"
+                assert n in self.uncertain, f"{n} was lost"
             elif tries:
-                assert m.may_have_run_at, f"{n} may have run"
+                assert m.may_have_run_at, f"{n} is possibly executed"
         for n, status in self.owed.items():
             m = journal.held.get(n)
-            assert (m is not None and m.status == status) or n in self.asked, f"the notice of {n} was lost"
+            assert (m is not None and m.status == status) or n in self.uncertain, (
+                f"the notice of {n} was lost"
+            )
         for n, ident in self.over.items():
-            assert n not in journal.held or n in self.asked, f"{n} is over and came back"
+            assert n not in journal.held or n in self.uncertain, f"{n} was completed and is pending again"
             if n not in journal.held:
                 assert ident in journal.over
 
 
-def drive(machine, model, chance, steps):
-    """Messages come, are tried and end, as in a courier; model keeps what was called back."""
+def drive(machine, model, rng, steps):
+    """Accept, attempt and complete messages at random; the model follows the callbacks."""
     journal = machine.journal
     for _ in range(steps):
         machine.after(0.004)
-        what = chance.random()
+        what = rng.random()
         live = [n for n in model.open if n in journal.held]
         if what < 0.4 or not live:
             n = journal.last + 1
-            m = held(n, machine, f"k{n}" if n % 3 == 0 else "", chance.choice((20, 300, 2000)))
-            model.asked.add(n)
+            m = pending_message(n, machine, f"k{n}" if n % 3 == 0 else "", rng.choice((20, 300, 2000)))
+            model.uncertain.add(n)
             with contextlib.suppress(JournalFullError):
                 journal.take(m, lambda n=n: model.open.__setitem__(n, 0), lambda error: None)
-            model.asked.discard(n)
+            model.uncertain.discard(n)
         elif what < 0.65:
-            n = chance.choice(live)
-            model.asked.add(n)
+            n = rng.choice(live)
+            model.uncertain.add(n)
             journal.attempt([n], journal.wall(), lambda n=n: model.open.__setitem__(n, 1), lambda error: None)
-            model.asked.discard(n)
+            model.uncertain.discard(n)
         elif what < 0.8 and model.owed:
-            n = chance.choice(list(model.owed))
-            model.asked.add(n)
+            n = rng.choice(list(model.owed))
+            model.uncertain.add(n)
             ident = journal.held[n].id
             journal.told([n])
             del model.owed[n]
             model.over[n] = ident
-            model.asked.discard(n)
+            model.uncertain.discard(n)
         elif what < 0.9:
-            n = chance.choice(live)
+            n = rng.choice(live)
             m = journal.held[n]
-            model.asked.add(n)
+            model.uncertain.add(n)
             journal.end(m, "deferred", 5)
             ok = []
             journal.final(n, "deferred", 5, lambda ok=ok: ok.append(1), lambda error: None)
             if ok:
                 del model.open[n]
                 model.owed[n] = "deferred"
-                model.asked.discard(n)
+                model.uncertain.discard(n)
         else:
-            n = chance.choice(live)
-            model.asked.add(n)
+            n = rng.choice(live)
+            model.uncertain.add(n)
             ident = journal.held[n].id
             journal.done(n)
             del model.open[n]
             model.over[n] = ident
-            model.asked.discard(n)
+            model.uncertain.discard(n)
         for n in [n for n in model.over if model.over[n] not in journal.over]:
-            del model.over[n]  # its time is up
+            del model.over[n]  # expired
         assert machine.disk.used() <= machine.limit
 
 
 @pytest.mark.parametrize("part", range(10))
-def test_a_crash_at_a_hundred_random_points_of_compaction(part):
-    # A thousand in all. What was called back outlasts it; what was asked for may have been made true or not.
-    chance = random.Random(f"crash {part}")
+def test_a_kill_at_a_hundred_random_points_of_compaction(part):
+    # A thousand kills in all. What was called back survives; the record being written may or may not.
+    rng = random.Random(f"crash {part}")
     compacted = 0
     for seed in range(10):
         machine, model = Machine(seed=part * 10 + seed), Model()
@@ -144,12 +146,12 @@
             machine.kill_at = 0
             journal = machine.start()
             model.agrees(journal)
-            model.asked.clear()
+            model.uncertain.clear()
             model.open = {n: int(bool(m.may_have_run_at)) for n, m in journal.held.items() if not m.status}
             model.owed = {n: m.status for n, m in journal.held.items() if m.status}
-            machine.kill_at = machine.operations + chance.randrange(20, 400)
+            machine.kill_at = machine.operations + rng.randrange(20, 400)
             with pytest.raises(Killed):
-                drive(machine, model, chance, 10_000)
+                drive(machine, model, rng, 10_000)
             compacted += len(machine.segments()) < journal.files.newest
         machine.kill_at = 0
         model.agrees(machine.start())
@@ -157,11 +159,11 @@
 
 
 def filled(seed=1):
-    """A journal with all kinds of state in a segment that is the next to be rewritten, and who is in it."""
+    """A journal with all kinds of state in the segment that is rewritten next."""
     machine = Machine(seed)
-    journal = machine.start(later=lambda seconds, action: None)  # nothing is done between turns but by hand
+    journal = machine.start(call_later=lambda seconds, action: None)  # only explicit steps
     for n in range(1, 40):
-        journal.take(held(n, machine, f"k{n}", 100))
+        journal.take(pending_message(n, machine, f"k{n}", 100))
         journal.attempt([n], journal.wall())
     journal.end(journal.held[1], "undeliverable", 0)
     journal.final(1, "undeliverable", 0)
@@ -198,7 +200,7 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "eio", "short"])
-def test_a_compaction_that_the_disk_does_not_take_loses_nothing_and_comes_back(fault):
+def test_a_compaction_that_the_disk_fails_loses_nothing_and_resumes(fault):
     machine, journal = filled()
     first = machine.segments()[0]
     journal.step()
@@ -218,11 +220,11 @@
 
 @pytest.mark.parametrize("operation", ["append", "unlink", "truncate", "open"])
 @pytest.mark.parametrize("nth", range(1, 8))
-def test_eio_at_each_call_in_turn(operation, nth):
+def test_eio_at_each_of_the_first_calls(operation, nth):
     machine, model, count = Machine(nth), Model(), [0]
     machine.start()
-    chance = random.Random(nth)
-    drive(machine, model, chance, 150)
+    rng = random.Random(nth)
+    drive(machine, model, rng, 150)
     original = machine.disk.operation
 
     def fails(what):
@@ -233,82 +235,83 @@
         return original(what)
 
     machine.disk.operation = fails
-    drive(machine, model, chance, 300)
+    drive(machine, model, rng, 300)
     machine.disk.operation = original
-    drive(machine, model, chance, 20)
+    drive(machine, model, rng, 20)
     model.agrees(machine.start())
 
 
 @pytest.mark.parametrize("limit", [30_000, 120_000, 1_000_000])
 @pytest.mark.parametrize("size", [10, 300, 3000])
-def test_a_disk_at_its_limit_has_room_for_every_end(limit, size):
+def test_a_disk_at_its_limit_has_room_to_complete_every_message(limit, size):
     machine = Machine(limit=limit)
     journal = machine.start()
-    taken = 0
+    accepted = 0
     with pytest.raises(JournalFullError):
         while True:
-            journal.take(held(taken + 1, machine, f"key-{taken}", size))
-            taken += 1
-    share = (machine.disk.used() + journal.needed) / limit  # messages, and what is kept free for their ends
+            journal.take(pending_message(accepted + 1, machine, f"key-{accepted}", size))
+            accepted += 1
+    share = (machine.disk.used() + journal.needed) / limit  # messages, and the reserve for their completion
     tried = []
-    for n in range(1, taken + 1):  # as many attempts as there is room for, the first always; none of them ran
+    for n in range(1, accepted + 1):  # the first always has room; none was executed
         journal.attempt([n], journal.wall(), lambda: tried.append(1))
         journal.missed(n)
-    assert len(tried) == taken
+    assert len(tried) == accepted
     for _ in range(12):
-        for n in range(1, taken + 1):
+        for n in range(1, accepted + 1):
             journal.attempt([n], journal.wall(), lambda n=n: journal.missed(n), lambda error: None)
-    for n in range(1, taken + 1):  # the end; its notice accepted
+    for n in range(1, accepted + 1):  # outcomes first, then accepted notices
         journal.end(journal.held[n], "deferred", 100)
         journal.final(n, "deferred", 100)
         assert machine.disk.used() <= limit
     assert not journal.unwritten
-    for n in range(1, taken + 1):
+    for n in range(1, accepted + 1):
         journal.told([n])
     assert not journal.held and not journal.unwritten
-    assert machine.disk.used() <= limit and taken > 3 and share > (0.85 if limit > 100_000 else 0.7)
-    machine.after(30)  # what is remembered has expired: taking on resumes by itself
-    journal.take(held(taken + 1, machine, "", size))
+    assert machine.disk.used() <= limit and accepted > 3 and share > (0.85 if limit > 100_000 else 0.7)
+    machine.after(30)  # ids and keys have expired: messages are accepted again
+    journal.take(pending_message(accepted + 1, machine, "", size))
 
 
-def crowd(machine, chance, sizes, most, turns):
-    """Turns of a courier at its limit, compaction between them: how many were taken on, and for how many
-    turns in a row none was. Each end has to be recorded at once."""
-    later, taken, row, longest = [], 0, 0, 0
-    journal = machine.start(later=lambda seconds, action: later.append(action))
+def crowd(machine, rng, sizes, max_arrivals, turns):
+    """Run dispatch cycles of a courier at its limit, with compaction between them. Each outcome has to be
+    recorded at once. Returns how many messages were accepted, and the most cycles in a row that accepted
+    none."""
+    scheduled, accepted, row, longest = [], 0, 0, 0
+    journal = machine.start(call_later=lambda seconds, action: scheduled.append(action))
     for _ in range(turns):
         machine.after(0.01)
         journal.begin()
-        before = taken
-        for _ in range(chance.randrange(most + 1)):
-            m = held(journal.last + 1, machine, "", chance.choice(sizes), chance.uniform(0.1, 2.0))
+        before = accepted
+        for _ in range(rng.randrange(max_arrivals + 1)):
+            m = pending_message(journal.last + 1, machine, "", rng.choice(sizes), rng.uniform(0.1, 2.0))
             with contextlib.suppress(JournalFullError):
                 journal.take(m, lambda: None, lambda error: None)
-                taken += 1
+                accepted += 1
         for m in [m for m in journal.held.values() if not m.status]:
-            if not m.tries and chance.random() < 0.3:
+            if not m.tries and rng.random() < 0.3:
                 journal.attempt([m.number], journal.wall())
-            elif m.until < journal.wall() + 0.05 or chance.random() < 0.05:
-                if chance.random() < 0.5:
+            elif m.until < journal.wall() + 0.05 or rng.random() < 0.05:
+                if rng.random() < 0.5:
                     journal.done(m.number)
                     continue
                 journal.end(m, "deferred", 100)
                 journal.final(m.number, "deferred", 100, lambda n=m.number: journal.told([n]))
         journal.commit()
-        row = 0 if taken > before else row + 1
+        row = 0 if accepted > before else row + 1
         longest = max(longest, row)
         for _ in range(20):
             machine.after(0.001)
-            due, later[:] = list(later), []
+            due, scheduled[:] = list(scheduled), []
             for action in due:
                 action()
         assert not journal.unwritten and machine.disk.used() <= machine.limit
-    return taken, longest
+    return accepted, longest
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize(
-    "limit, sizes, most, row",
+    "limit, sizes, max_arrivals, row",
     [
         (30_000, [100, 300], 4, 8),
         (72_592, [100, 300, 3000, 16_000], 6, 25),
@@ -316,33 +319,33 @@
         (3_000_000, [100, 300, 60_000], 12, 4),
     ],
 )
-def test_beside_compaction_every_end_has_its_room_and_room_comes_back(limit, sizes, most, row, seed):
-    # A copy that was begun and did not fit took the headroom: nothing could be recorded any more, not even
-    # the word that a dead segment goes. Bodies of 64 KB made segments larger than the room that copies have.
-    taken, longest = crowd(Machine(seed, limit), random.Random(seed), sizes, most, 300)
-    assert taken > 200 and longest <= row
+def test_beside_compaction_every_message_can_be_completed(limit, sizes, max_arrivals, row, seed):
+    # A copy that was started and did not fit used up the headroom: nothing could be recorded any more, not
+    # even the removal of a dead segment. Bodies of 64 KB made segments larger than the headroom.
+    accepted, longest = crowd(Machine(seed, limit), random.Random(seed), sizes, max_arrivals, 300)
+    assert accepted > 200 and longest <= row
 
 
-def test_without_the_room_kept_free_ends_would_not_fit(monkeypatch):
+def test_without_the_reserve_outcomes_would_not_fit(monkeypatch):
     monkeypatch.setattr(space_budget, "admits", lambda limit, used, needed, more: used + more <= limit)
     with pytest.raises(OSError):
-        test_a_disk_at_its_limit_has_room_for_every_end(30_000, 300)
+        test_a_disk_at_its_limit_has_room_to_complete_every_message(30_000, 300)
 
 
-def test_without_a_bound_on_further_attempts_ends_would_not_fit(monkeypatch):
-    monkeypatch.setattr(Journal, "_room_again", lambda self, numbers: True)
+def test_without_a_bound_on_retries_outcomes_would_not_fit(monkeypatch):
+    monkeypatch.setattr(Journal, "_has_space_for_retry", lambda self, numbers: True)
     with pytest.raises(OSError):
-        test_a_disk_at_its_limit_has_room_for_every_end(30_000, 3000)
+        test_a_disk_at_its_limit_has_room_to_complete_every_message(30_000, 3000)
 
 
-def test_of_a_disk_of_3_mb_messages_themselves_take_six_tenths():
-    # What was kept free for three attempts and an end was as large as a message of 300 B: 4,000 fitted.
+def test_messages_take_six_tenths_of_a_limit_of_3_mb():
+    # The reserve, for three attempts and an outcome, was as large as a message of 300 B: only 4,000 fitted.
     machine = Machine(limit=3_000_000)
     journal = machine.start()
     with pytest.raises(JournalFullError):
         while True:
             n = journal.last + 1
-            journal.take(held(n, machine, f"{n:016x}" if n % 5 == 0 else "", 300))
+            journal.take(pending_message(n, machine, f"{n:016x}" if n % 5 == 0 else "", 300))
     assert machine.disk.used() > 0.6 * 3_000_000
     assert machine.disk.used() + journal.needed > 0.9 * 3_000_000
 
@@ -354,64 +357,70 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.integers(1, 1 << 40), TEXT, st.just("") | TEXT, TIME, LARGE, st.binary(max_size=300))
-def test_no_record_is_larger_than_the_room_that_is_kept_for_it(number, ident, key, time, order, body):
+def test_no_record_is_larger_than_the_room_reserved_for_it(number, ident, key, time, order, body):
     m = PendingMessage(
         number, ident, 255, 65_535, 1 << 20, key, time, True, body, order, 12, time, time, relayed=True
     )
     assert len(frame(m.record())) <= m.size
-    assert len(frame(["try", [number], time])) <= space_budget.TRY
-    assert not key or len(frame(["try", [number], time, [key]])) <= space_budget.TRY + len(key) + MEMO
-    assert len(frame(["miss", number])) <= space_budget.MISS
-    assert not key or len(frame(["miss", number, key, time])) <= space_budget.MISS + len(key) + MEMO
-    assert len(frame(["final", number, "undeliverable", 1 << 31])) <= space_budget.FINAL
+    assert len(frame(["try", [number], time])) <= space_budget.TRY_BYTES
+    assert not key or len(frame(["try", [number], time, [key]])) <= space_budget.TRY_BYTES + len(key) + MEMO
+    assert len(frame(["miss", number])) <= space_budget.MISS_BYTES
+    assert not key or len(frame(["miss", number, key, time])) <= space_budget.MISS_BYTES + len(key) + MEMO
+    assert len(frame(["final", number, "undeliverable", 1 << 31])) <= space_budget.FINAL_BYTES
     name_bytes = Journal._name_bytes(m)
-    assert len(frame(["over", [number], time, {ident: time}])) <= space_budget.OVER + len(ident) + MEMO
+    assert len(frame(["over", [number], time, {ident: time}])) <= space_budget.OVER_BYTES + len(ident) + MEMO
     assert len(ident) + MEMO <= name_bytes and (not key or name_bytes >= len(ident) + len(key) + 2 * MEMO)
-    many = {f"{n:04x}{ident}"[:256]: time for n in range(128)}  # a step of compaction tells so many at once
-    told = frame(["known", number, many, {}])
-    assert len(told) - len(frame(["known", number, {}, {}])) <= sum(len(t) + MEMO for t in many) + 4
+    many = {f"{n:04x}{ident}"[:256]: time for n in range(128)}  # as many as one step of compaction copies
+    known = frame(["known", number, many, {}])
+    assert len(known) - len(frame(["known", number, {}, {}])) <= sum(len(t) + MEMO for t in many) + 4
 
 
-def test_a_disk_that_others_fill_refuses_new_ones_and_comes_back():
+def test_a_disk_that_others_fill_rejects_messages_until_it_has_room():
     machine = Machine()
     journal = machine.start()
-    journal.take(held(1, machine))
+    journal.take(pending_message(1, machine))
     machine.disk.faults.full = True
-    refused = []
-    journal.take(held(2, machine), lambda: refused.append("taken"), lambda error: refused.append(error.errno))
-    assert refused == [errno.ENOSPC] and sorted(journal.held) == [1] and journal.open == 1
+    rejected = []
+    journal.take(
+        pending_message(2, machine),
+        lambda: rejected.append("accepted"),
+        lambda error: rejected.append(error.errno),
+    )
+    assert rejected == [errno.ENOSPC] and sorted(journal.held) == [1] and journal.open == 1
     machine.disk.faults.full = False
-    journal.take(held(3, machine))
+    journal.take(pending_message(3, machine))
     assert sorted(machine.start().held) == [1, 3]
 
 
-def test_a_record_larger_than_a_segment_and_a_burst_larger_than_all_room():
+def test_a_record_larger_than_a_segment_and_a_burst_larger_than_the_limit():
     machine = Machine(limit=300_000)
     journal = machine.start()
-    full = journal.files.full
-    journal.take(held(1, machine, size=5 * full))
-    journal.take(held(2, machine))
-    refused = []
+    full = journal.files.segment_bytes
+    journal.take(pending_message(1, machine, size=5 * full))
+    journal.take(pending_message(2, machine))
+    rejected = []
     journal.begin()
     for n in range(3, 200):
         try:
-            journal.take(held(n, machine, size=4000), lambda: None, lambda error: refused.append(1))
+            journal.take(
+                pending_message(n, machine, size=4000), lambda: None, lambda error: rejected.append(1)
+            )
         except JournalFullError:
-            refused.append(n)
+            rejected.append(n)
     journal.commit()
-    assert 100 < len(refused) < 197 and machine.disk.used() <= 300_000
+    assert 100 < len(rejected) < 197 and machine.disk.used() <= 300_000
     again = machine.start()
-    assert len(again.held[1].body) == 5 * full and len(again.held) == 199 - len(refused)
+    assert len(again.held[1].body) == 5 * full and len(again.held) == 199 - len(rejected)
 
 
-def test_the_records_of_one_turn_go_in_one_write_and_their_effects_follow_it():
+def test_the_records_of_one_batch_are_one_write_and_callbacks_follow_it():
     machine, order = Machine(), []
-    journal = machine.start(later=lambda seconds, action: None)
+    journal = machine.start(call_later=lambda seconds, action: None)
     machine.disk.wrote = lambda path, data: order.append([r[0] for r in parse(data)[0]])
-    journal.take(held(1, machine))
+    journal.take(pending_message(1, machine))
     order.clear()
     journal.begin()
-    journal.take(held(2, machine), lambda: order.append("+OK"))
+    journal.take(pending_message(2, machine), lambda: order.append("+OK"))
     journal.attempt([2], journal.wall(), lambda: order.append("call"))
     journal.done(1)
     journal.final(2, "deferred", 0, lambda: order.append("notice"))
@@ -420,10 +429,10 @@
     assert order == [["take", "try", "over", "final"], "+OK", "call", "notice"]
 
 
-def test_a_group_that_does_not_fit_is_taken_apart_and_what_was_not_taken_on_is_not_sent():
-    machine, said = Machine(), []
+def test_a_batch_that_does_not_fit_is_split_and_rejected_messages_are_not_sent():
+    machine, events = Machine(), []
     journal = machine.start()
-    journal.take(held(1, machine))
+    journal.take(pending_message(1, machine))
     append, journal.files.append = journal.files.append, None
 
     def small(data, spare=0):
@@ -434,24 +443,30 @@
     journal.files.append = small
     journal.begin()
     journal.take(
-        held(2, machine, size=1000), lambda: said.append("ok 2"), lambda error: said.append("busy 2")
+        pending_message(2, machine, size=1000),
+        lambda: events.append("ok 2"),
+        lambda error: events.append("busy 2"),
     )
     journal.attempt(
-        [2], journal.wall(), lambda: said.append("call 2"), lambda error: said.append("no call 2")
+        [2], journal.wall(), lambda: events.append("call 2"), lambda error: events.append("no call 2")
+    )
+    journal.take(
+        pending_message(3, machine, size=10),
+        lambda: events.append("ok 3"),
+        lambda error: events.append("busy 3"),
     )
-    journal.take(held(3, machine, size=10), lambda: said.append("ok 3"), lambda error: said.append("busy 3"))
     journal.attempt(
-        [3], journal.wall(), lambda: said.append("call 3"), lambda error: said.append("no call 3")
+        [3], journal.wall(), lambda: events.append("call 3"), lambda error: events.append("no call 3")
     )
     journal.commit()
-    assert said == ["busy 2", "no call 2", "ok 3", "call 3"]
+    assert events == ["busy 2", "no call 2", "ok 3", "call 3"]
     assert sorted(machine.start().held) == [1, 3]
 
 
-def test_of_a_group_in_several_parts_nothing_is_sent_that_was_not_taken_on(monkeypatch):
+def test_of_a_batch_in_several_writes_no_rejected_message_is_sent(monkeypatch):
     machine = Machine()
     journal = machine.start()
-    said, append, broken = [], journal.files.append, [errno.EIO]
+    events, append, broken = [], journal.files.append, [errno.EIO]
 
     def once(data, spare=0):
         if broken:
@@ -460,72 +475,82 @@
 
     monkeypatch.setattr(journal.files, "append", once)
     journal.begin()
-    # The first fills a segment: what follows of it in the group goes in another write.
+    # The first message fills a segment: the rest of the batch is another write.
+    journal.take(
+        pending_message(1, machine, size=journal.files.segment_bytes),
+        lambda: events.append("accepted 1"),
+        lambda error: events.append("not 1"),
+    )
+    journal.attempt(
+        [1], journal.wall(), lambda: events.append("sent 1"), lambda error: events.append("unsent 1")
+    )
     journal.take(
-        held(1, machine, size=journal.files.full),
-        lambda: said.append("taken 1"),
-        lambda error: said.append("not 1"),
+        pending_message(2, machine), lambda: events.append("accepted 2"), lambda error: events.append("not 2")
     )
-    journal.attempt([1], journal.wall(), lambda: said.append("sent 1"), lambda error: said.append("unsent 1"))
-    journal.take(held(2, machine), lambda: said.append("taken 2"), lambda error: said.append("not 2"))
     journal.commit()
-    assert said == ["taken 1", "sent 1", "taken 2"]  # each by itself
-    broken.extend([errno.EIO] * 2)  # neither the part nor its first record by itself
-    said.clear()
+    assert events == ["accepted 1", "sent 1", "accepted 2"]  # written one by one
+    broken.extend([errno.EIO] * 2)  # the write fails, and its first record alone as well
+    events.clear()
     journal.begin()
     journal.take(
-        held(3, machine, size=journal.files.full),
-        lambda: said.append("taken 3"),
-        lambda error: said.append("not 3"),
+        pending_message(3, machine, size=journal.files.segment_bytes),
+        lambda: events.append("accepted 3"),
+        lambda error: events.append("not 3"),
+    )
+    journal.attempt(
+        [3], journal.wall(), lambda: events.append("sent 3"), lambda error: events.append("unsent 3")
+    )
+    journal.take(
+        pending_message(4, machine), lambda: events.append("accepted 4"), lambda error: events.append("not 4")
     )
-    journal.attempt([3], journal.wall(), lambda: said.append("sent 3"), lambda error: said.append("unsent 3"))
-    journal.take(held(4, machine), lambda: said.append("taken 4"), lambda error: said.append("not 4"))
     journal.commit()
-    assert said == ["not 3", "unsent 3", "taken 4"] and 3 not in journal.held
+    assert events == ["not 3", "unsent 3", "accepted 4"] and 3 not in journal.held
 
 
-def test_no_attempt_is_recorded_ahead_of_a_proof_in_its_group_that_failed(monkeypatch):
-    # The proof is written later; behind the new attempt's record it would say that this one never ran.
-    machine, said = Machine(), []
+def test_no_attempt_is_recorded_before_a_failed_miss_of_its_batch(monkeypatch):
+    # The miss is written later: after the new attempt's record it would void this attempt.
+    machine, events = Machine(), []
     journal = machine.start()
-    journal.take(held(1, machine))
-    journal.attempt([1], journal.wall(), lambda: said.append("first"))
+    journal.take(pending_message(1, machine))
+    journal.attempt([1], journal.wall(), lambda: events.append("first"))
     append, broken = journal.files.append, [errno.EIO] * 2
 
     def twice(data, spare=0):
-        if broken:  # the group, and its first record by itself
+        if broken:  # the batch, and its first record alone
             raise OSError(broken.pop(), "broken")
         append(data, spare)
 
     monkeypatch.setattr(journal.files, "append", twice)
     journal.begin()
     journal.missed(1)
-    journal.attempt([1], journal.wall(), lambda: said.append("second"), lambda error: said.append("not sent"))
+    journal.attempt(
+        [1], journal.wall(), lambda: events.append("second"), lambda error: events.append("not sent")
+    )
     journal.commit()
-    journal.take(held(2, machine))  # and with it what the disk did not take
+    journal.take(pending_message(2, machine))  # together with the miss, whose write had failed
     ran = machine.start().held[1].may_have_run_at > 0
-    assert (said, ran) == (["first", "not sent"], False)
+    assert (events, ran) == (["first", "not sent"], False)
 
 
-def test_a_sync_for_each_group_where_it_is_set():
+def test_each_batch_is_synced_where_that_is_set():
     machine = Machine()
     journal = machine.start(sync=True)
     count = []
     machine.disk.operation = lambda what: count.append(what) or False
-    journal.take(held(1, machine))
+    journal.take(pending_message(1, machine))
     assert count.count("sync") == 1
 
 
-# Formats, corruption, clocks
+# Formats, damage, clocks
 
 
-def test_a_folder_of_format_1_is_taken_over_killed_at_each_operation():
+def test_a_folder_of_format_1_is_migrated_with_a_kill_at_each_operation():
     def folder():
         machine = Machine()
         machine.disk.files[f"/state/{OLD}"] = bytearray(FORMAT1)
         return machine
 
-    def whole(journal):
+    def check_migrated(journal):
         assert sorted(journal.held) == [1, 2, 3, 4, 7, 8]
         h = journal.held
         assert [h[n].state for n in (1, 2, 3, 4, 7, 8)] == [
@@ -543,20 +568,20 @@
         assert h[8].body == b"body 8" and journal.last == 8 and not journal.key_ran_at("k8")
 
     machine = folder()
-    whole(machine.start())
+    check_migrated(machine.start())
     total = machine.operations
     assert machine.segments() == [f"/state/{name(1)}"] and f"/state/{OLD}" not in machine.disk.files
-    whole(machine.start())
+    check_migrated(machine.start())
     for at in range(1, total + 1):
         machine = folder()
         machine.kill_at = at
         try:
             machine.start()
         except Killed:
-            whole(machine.start())
+            check_migrated(machine.start())
 
 
-def test_a_take_over_that_the_disk_does_not_take_leaves_the_old_folder_for_the_next_start():
+def test_a_failed_migration_leaves_the_old_folder_for_the_next_start():
     machine = Machine()
     machine.disk.files[f"/state/{OLD}"] = bytearray(FORMAT1)
     operation = machine.disk.operation
@@ -568,7 +593,7 @@
             return operation(what)
 
         machine.disk.operation = eio
-        if fails == "unlink":  # the segment stands already: what is left of the old file does no harm
+        if fails == "unlink":  # the segment exists already: the old file is harmless
             assert sorted(machine.start().held) == [1, 2, 3, 4, 7, 8]
         else:
             with pytest.raises(OSError, match="no"):
@@ -580,7 +605,7 @@
 
 def test_a_folder_of_a_newer_format_is_refused_and_left_as_it_is():
     machine = Machine()
-    machine.start().take(held(1, machine))
+    machine.start().take(pending_message(1, machine))
     newer = frame(["segment", 3, 2, 9, 0.0, "", 0.0]) + b"something new"
     machine.disk.files[f"/state/{name(2)}"] = bytearray(newer)
     before = {p: bytes(d) for p, d in machine.disk.files.items()}
@@ -589,31 +614,31 @@
     assert before == {p: bytes(d) for p, d in machine.disk.files.items()}
 
 
-def test_a_torn_tail_is_cut_and_is_no_corruption(caplog):
+def test_a_torn_tail_is_cut_off_and_is_no_damage(caplog):
     machine = Machine()
     journal = machine.start()
-    journal.take(held(1, machine))
-    journal.take(held(2, machine))
+    journal.take(pending_message(1, machine))
+    journal.take(pending_message(2, machine))
     machine.disk.files[machine.segments()[0]] += frame(["over", [1], 1.0, {}])[:-3]
     again = machine.start()
     assert sorted(again.held) == [1, 2] and not again.held[1].may_have_run_at
     assert "torn tail" in caplog.text and "corrupt" not in caplog.text
-    again.take(held(3, machine))
+    again.take(pending_message(3, machine))
     assert sorted(machine.start().held) == [1, 2, 3]
 
 
-def test_a_bad_record_in_the_middle_is_told_and_read_carefully(caplog):
+def test_an_invalid_record_in_the_middle_makes_messages_suspect(caplog):
     machine = Machine()
     journal = machine.start()
     for n in (1, 2, 3):
-        journal.take(held(n, machine))
-    journal.attempt([2], journal.wall())  # this one will be lost
-    journal.take(held(4, machine))
+        journal.take(pending_message(n, machine))
+    journal.attempt([2], journal.wall())  # this record is damaged below
+    journal.take(pending_message(4, machine))
     path = machine.segments()[0]
     data = machine.disk.files[path]
     at = next(offset for offset, r in scan(bytes(data))[0] if r[0] == "try")
     data[at + 9] ^= 0xFF
-    machine.damaged = True
+    machine.may_be_damaged = True
     again = machine.start()
     assert sorted(again.held) == [1, 2, 3, 4] and all(m.may_have_run_at for m in again.held.values())
     assert f"{name(1)}: holds a record whose checksum is wrong from byte {at} to " in caplog.text
@@ -626,22 +651,22 @@
     st.integers(0, 400),
     st.integers(0, 255),
 )
-def test_any_bytes_are_read_without_a_failure_and_whole_records_are_found(bodies, noise, at, value):
+def test_any_bytes_are_read_without_an_error_and_valid_records_are_found(bodies, noise, at, value):
     records = [["take", n, body] for n, body in enumerate(bodies)]
     data = bytearray(b"".join(map(frame, records)))
     assert [r for _, r in scan(bytes(data))[0]] == records
     if data:
         data[at % len(data)] = value
-    found, bad, end = scan(bytes(data) + noise)
-    assert end <= len(data) + len(noise) and all(b.at < b.end for b in bad)
+    found, invalid, end = scan(bytes(data) + noise)
+    assert end <= len(data) + len(noise) and all(r.offset < r.end for r in invalid)
     assert len([r for _, r in found if r in records]) >= len(records) - 1
 
 
 @pytest.mark.parametrize("back_s", [1, 3600])
-def test_a_clock_set_back_between_two_boots_opens_no_window_again(back_s):
+def test_a_clock_set_back_between_two_boots_reopens_no_window(back_s):
     machine = Machine()
     journal = machine.start()
-    journal.take(held(1, machine, "key"))
+    journal.take(pending_message(1, machine, "key"))
     machine.after(5)
     ran = journal.wall()
     journal.attempt([1], ran)
@@ -650,18 +675,18 @@
     again = machine.start()
     assert again.wall() >= ran and again.key_ran_at("key") == ran
     machine.after(KEY_S)
-    assert again.wall() - ran >= KEY_S - 0.01  # and it is not open for longer
+    assert again.wall() - ran >= KEY_S - 0.01  # nor is it open for longer
 
 
-def test_a_key_outlasts_the_segment_that_took_its_message_on():
-    # Taken on in one segment, tried in the next; the first one goes. Its key stood there alone and was
-    # forgotten: handed in again, the message went out past the window.
+def test_a_key_outlasts_the_segment_with_its_take_record():
+    # A message is accepted in one segment and attempted in the next; the first one is removed. Its key was
+    # recorded only there and was lost: when the message came again, it was sent after the window.
     machine = Machine()
-    journal = machine.start(later=lambda seconds, action: None)
-    journal.take(held(1, machine, "the-key"))
+    journal = machine.start(call_later=lambda seconds, action: None)
+    journal.take(pending_message(1, machine, "the-key"))
     while journal.files.newest == 1:
         n = journal.last + 1
-        journal.take(held(n, machine, size=300))
+        journal.take(pending_message(n, machine, size=300))
         journal.done(n)
         journal.commit()
     journal.attempt([1], ran := journal.wall())
@@ -673,27 +698,27 @@
     assert journal.key_ran_at("the-key") == machine.start().key_ran_at("the-key") == ran
 
 
-def test_the_order_in_which_messages_were_taken_on_outlasts_copies():
+def test_the_order_of_acceptance_outlasts_copies():
     machine, journal = filled()
     while journal.step():
         pass
-    journal.take(held(40, machine))
+    journal.take(pending_message(40, machine))
     assert list(machine.start().held) == [1, 2, 40]
 
 
-def test_what_is_read_changes_nothing():
+def test_reading_changes_nothing():
     machine, _ = filled()
     before = {p: bytes(d) for p, d in machine.disk.files.items()}
     read(machine.disk, "/state")
     assert before == {p: bytes(d) for p, d in machine.disk.files.items()}
 
 
-def test_what_is_remembered_goes_with_its_time_and_its_segments_too():
+def test_remembered_ids_and_keys_expire_and_free_their_segments():
     machine = Machine(limit=1_000_000)
     journal = machine.start()
     for n in range(1, 6001):  # 300 a second for 20 s
         machine.after(1 / 300)
-        journal.take(held(n, machine, f"{n:016x}", 200, 5.0))
+        journal.take(pending_message(n, machine, f"{n:016x}", 200, 5.0))
         journal.attempt([n], journal.wall())
         journal.done(n)
         assert machine.disk.used() <= 1_000_000
@@ -701,22 +726,22 @@
     machine.after(40)
     for n in range(6001, 7200):
         machine.after(0.02)
-        journal.take(held(n, machine, "", 200, 5.0))
+        journal.take(pending_message(n, machine, "", 200, 5.0))
         journal.done(n)
     assert len(journal.keys) == 0 and machine.disk.used() < 500_000
     assert len(journal.places) == len(journal.homes) == len(journal.ending) == 0
 
 
-def ended_amid_a_compaction(segment):
-    """A message's end is staged, and compaction lets the segment go that took it on, before it is written:
-    its `final` stands in a later segment, its `over` nowhere."""
+def completed_during_compaction(segment):
+    """A message's "over" record is staged, and before it is written, compaction removes the segment with its
+    "take" record: its "final" record is in a later segment, its "over" record nowhere."""
     machine = Machine()
     waiting = []
-    journal = machine.start(later=lambda delay, action: waiting.append(action))
-    journal.take(held(1, machine, size=20))
+    journal = machine.start(call_later=lambda delay, action: waiting.append(action))
+    journal.take(pending_message(1, machine, size=20))
     journal.attempt([1], journal.wall())
     for n in range(2, 30):
-        journal.take(held(n, machine, size=500))
+        journal.take(pending_message(n, machine, size=500))
     journal.end(journal.held[1], "undeliverable", 0)
     journal.final(1, "undeliverable", 0)
     for n in range(2, 30):
@@ -730,51 +755,53 @@
     return machine, journal
 
 
-def test_the_id_of_a_message_whose_end_is_not_written_outlasts_the_segment_that_took_it_on():
-    # Nothing else tells a restart of it: the same id that comes again would be taken on, and go out again.
-    machine, _ = ended_amid_a_compaction(1)
+def test_the_id_of_a_message_with_an_unwritten_over_record_outlasts_its_segment():
+    # Otherwise a restart would not know the id: the message would be accepted and sent again.
+    machine, _ = completed_during_compaction(1)
     journal = machine.start()
     assert 1 not in journal.held and "m000001" in journal.over
 
 
-def test_of_a_message_whose_end_was_not_written_a_restart_keeps_no_places():
-    # Simulation seed 207581: its later records stand in segments that outlast the one that took it on.
-    machine, _ = ended_amid_a_compaction(1)
+def test_a_restart_tracks_no_segments_of_a_message_with_an_unwritten_over_record():
+    # Simulation seed 207581: its later records are in segments that outlast the one with its "take" record.
+    machine, _ = completed_during_compaction(1)
     journal = machine.start()
     assert set(journal.places) == set(journal.held)
 
 
-def test_an_end_that_is_written_after_its_segment_has_gone_says_the_same():
-    machine, journal = ended_amid_a_compaction(1)
+def test_an_over_record_written_after_its_segment_was_removed_has_the_same_effect():
+    machine, journal = completed_during_compaction(1)
     journal.commit()
     assert not journal.ending and not journal.places and "m000001" in journal.over
     journal = machine.start()
     assert not journal.held and not journal.places and "m000001" in journal.over
 
 
-# The plan
+# The choice of the victim
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(
     st.lists(st.tuples(st.integers(1, 10_000), st.floats(0, 1.5), st.booleans()), max_size=20),
-    st.sampled_from([space_budget.FREE, space_budget.HALF, space_budget.CROWDED]),
+    st.sampled_from(
+        [space_budget.RELAXED_LIVE_SHARE, space_budget.HALF_FULL_LIVE_SHARE, space_budget.SCARCE_LIVE_SHARE]
+    ),
 )
-def test_the_plan_takes_the_one_with_the_least_that_lives_and_none_that_is_held(rows, bound):
-    views = [
-        space_budget.SegmentUsage(n, size, int(size * share), held_ and n > 0)
-        for n, (size, share, held_) in enumerate(rows)
+def test_the_victim_has_the_smallest_live_share_and_is_not_pinned(rows, max_share):
+    usages = [
+        space_budget.SegmentUsage(n, size, int(size * share), is_pinned and n > 0)
+        for n, (size, share, is_pinned) in enumerate(rows)
     ]
-    best = space_budget.victim(views, bound)
-    free = [v for v in views if not v.held]
-    assert not any(v.held for v in views if v.number == 0)  # the oldest makes nothing void that is there
-    if any(v.share <= bound for v in free):
-        assert not best.held and best.share == min(v.share for v in free)
-    elif free and sum(v.live for v in views) <= bound * sum(v.size for v in views):
-        assert best is views[0]  # it holds the dead ones behind it
+    best = space_budget.choose_victim(usages, max_share)
+    free = [v for v in usages if not v.is_pinned]
+    assert not any(v.is_pinned for v in usages if v.number == 0)  # the oldest supersedes nothing that exists
+    if any(v.live_share <= max_share for v in free):
+        assert not best.is_pinned and best.live_share == min(v.live_share for v in free)
+    elif free and sum(v.live for v in usages) <= max_share * sum(v.size for v in usages):
+        assert best is usages[0]  # it pins the dead ones after it
     else:
         assert best is None
-    for most in {v.live for v in views} | {0, -1}:  # none is begun that might not fit, a dead one always
-        best = space_budget.victim(views, bound, most)
-        assert best is None or best.live <= max(0, most)
-        assert best is not None or not any(v.live == 0 and not v.held for v in views)
+    for max_bytes in {v.live for v in usages} | {0, -1}:  # no copy that might not fit; a dead one always
+        best = space_budget.choose_victim(usages, max_share, max_bytes)
+        assert best is None or best.live <= max(0, max_bytes)
+        assert best is not None or not any(v.live == 0 and not v.is_pinned for v in usages)
