--- a/madderbeam/host/__init__.py
+++ b/madderbeam/host/__init__.py
@@ -1,1 +1,1 @@
-"""The turn, the process and its signals: decisions and transports are joined here."""
+"""The host: connects the delivery engine with transports, journal and the process's signals."""
--- a/madderbeam/host/admin_service.py
+++ b/madderbeam/host/admin_service.py
@@ -1,4 +1,4 @@
-"""What the calls at the second address do: ready, figures, drain, endpoints out by hand."""
+"""The HTTP calls of the admin address: readiness, metrics, draining, and disabling of endpoints."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from madderbeam.transport.clients import ClientServer
 from madderbeam.transport.control import Answer
 
-CLEAR_S = 0.5  # after a drain began, clients' connections between requests are closed
-LOOK_S = 0.05  # and looked at so often
+IDLE_CLOSE_DELAY_S = 0.5  # from the start of a drain until idle client connections are closed
+IDLE_CLOSE_INTERVAL_S = 0.05  # between two passes over them
 log = logging.getLogger(__name__)
 
 
 class Drain:
-    """The courier says no to the front, and lets clients go; what it holds goes on."""
+    """Drain mode: the courier is not ready and closes idle client connections; pending messages go on."""
 
     def __init__(self, clients: ClientServer) -> None:
         self.clients, self.loop = clients, clients.loop
@@ -26,45 +26,48 @@
         self.since = 0.0
 
     def begin(self) -> None:
-        """Say no from now on; a drain that is on goes on."""
+        """Start to drain; without effect if it drains already."""
         if not self.on:
             self.on, self.since = True, self.loop.time()
             self.clients.ready = False
-            self.loop.call_later(CLEAR_S, self._clear, self.since)
-            log.info("draining: clients are let go")
+            self.loop.call_later(IDLE_CLOSE_DELAY_S, self._close_idle_clients, self.since)
+            log.info("draining: closing idle client connections")
 
     def end(self) -> None:
-        """Back to work."""
+        """Serve clients again."""
         if self.on:
             self.on = False
             self.clients.ready = True
-            log.info("back to work")
+            log.info("drain ended, serving clients again")
 
-    def _clear(self, since: float) -> None:
+    def _close_idle_clients(self, since: float) -> None:
         if self.on and self.since == since:
             self.clients.let_go()
-            self.loop.call_later(LOOK_S, self._clear, since)
+            self.loop.call_later(IDLE_CLOSE_INTERVAL_S, self._close_idle_clients, since)
 
 
 class AdminService:
-    """Answers calls. `relist` shows the decision module entries of the list that changed by hand, `figures`
-    gives the text of all figures, `ready` whether this process serves."""
+    """Handles the calls of the admin address.
+
+    `apply_entries` applies entries that an operator has changed, `metrics_text` returns the text of all
+    metrics, `ready` whether this process serves clients.
+    """
 
     def __init__(
         self,
-        listing: EndpointRegistry,
-        bans: DisabledEndpoints,
+        registry: EndpointRegistry,
+        disabled: DisabledEndpoints,
         drain: Drain,
         ready: Callable[[], bool],
-        figures: Callable[[], str],
-        relist: Callable[[Sequence[EndpointEntry]], None],
+        metrics_text: Callable[[], str],
+        apply_entries: Callable[[Sequence[EndpointEntry]], None],
     ) -> None:
-        self.listing, self.bans, self.drain = listing, bans, drain
-        self.ready, self.figures, self.relist = ready, figures, relist
-        self.over = False  # another process has charge of everything
+        self.listing, self.bans, self.drain = registry, disabled, drain
+        self.ready, self.metrics_text, self.apply_entries = ready, metrics_text, apply_entries
+        self.over = False  # whether another process has taken over
         self.calls: dict[str, tuple[str, Callable[[bytes], Answer]]] = {
             "/ready": ("GET", self._ready),
-            "/metrics": ("GET", lambda _: Answer(200, self.figures())),
+            "/metrics": ("GET", lambda _: Answer(200, self.metrics_text())),
             "/drain": ("PUT", self._drain),
             "/undrain": ("PUT", self._undrain),
             "/endpoints/disable": ("PUT", self._disable),
@@ -72,14 +75,14 @@
         }
 
     def act(self, method: str, path: str, body: bytes) -> Answer:
-        """The answer to one call."""
-        found = self.calls.get(f"{method} {path}") or self.calls.get(path)  # a path may have two methods
-        if found is None:
+        """Handle one call and return its response."""
+        call = self.calls.get(f"{method} {path}") or self.calls.get(path)  # a path may have two methods
+        if call is None:
             return Answer(404, f"no such call; there are {', '.join(sorted(self.calls))}\n")
-        wanted, action = found
-        if method != wanted:
-            return Answer(405, f"{path}: the method must be {wanted}\n")
-        if self.over and wanted == "PUT":
+        allowed_method, action = call
+        if method != allowed_method:
+            return Answer(405, f"{path}: the method must be {allowed_method}\n")
+        if self.over and allowed_method == "PUT":
             return Answer(503, "another process has charge of everything\n")
         return action(body)
 
@@ -94,7 +97,7 @@
         self.drain.end()
         return Answer(200, "back to work\n")
 
-    def _member(self, body: bytes) -> str:
+    def _parse_member(self, body: bytes) -> str:
         value = json.loads(body)
         uid = value.get("member") if isinstance(value, dict) else None
         if not isinstance(uid, str) or not uid:
@@ -102,14 +105,14 @@
         return uid
 
     def _disable(self, body: bytes) -> Answer:
-        return self._by_hand(body, self._out)
+        return self._change_endpoint(body, self._disable_endpoint)
 
     def _enable(self, body: bytes) -> Answer:
-        return self._by_hand(body, self._back)
+        return self._change_endpoint(body, self._enable_endpoint)
 
-    def _by_hand(self, body: bytes, change: Callable[[str], None]) -> Answer:
+    def _change_endpoint(self, body: bytes, change: Callable[[str], None]) -> Answer:
         try:
-            uid = self._member(body)
+            uid = self._parse_member(body)
         except (ValueError, RecursionError):
             return Answer(400, 'the body must be a JSON object like {"member":"ID"}\n')
         if uid not in self.listing.ever and uid not in self.bans:
@@ -119,23 +122,23 @@
         except TooManyDisabledError as error:
             return Answer(507, f"member: {error}\n")
         except OSError as error:
-            log.error("endpoints out by hand are not recorded: %s", error)
+            log.error("the list of disabled endpoints could not be stored: %s", error)
             return Answer(507, "it holds in this process, but the disk did not take it\n")
         return Answer(200, "done\n")
 
-    def _out(self, uid: str) -> None:
+    def _disable_endpoint(self, uid: str) -> None:
         try:
             self.bans.add(uid)
         finally:
             if uid in self.bans:
-                log.info("endpoint %s is out by hand", uid)
-                self.relist(self.listing.by_hand(uid, back=False))
+                log.info("endpoint %s disabled by an operator", uid)
+                self.apply_entries(self.listing.set_enabled(uid, enabled=False))
 
-    def _back(self, uid: str) -> None:
-        was = uid in self.bans
+    def _enable_endpoint(self, uid: str) -> None:
+        was_disabled = uid in self.bans
         try:
             self.bans.remove(uid)
         finally:
-            if was:
-                log.info("endpoint %s is put back", uid)
-                self.relist(self.listing.by_hand(uid, back=True))
+            if was_disabled:
+                log.info("endpoint %s enabled by an operator", uid)
+                self.apply_entries(self.listing.set_enabled(uid, enabled=True))
--- a/madderbeam/host/admission.py
+++ b/madderbeam/host/admission.py
@@ -1,4 +1,4 @@
-"""Admission: a request becomes a message that is taken on, or a refusal."""
+"""Admission: turns a request into an accepted message, or rejects it."""
 
 from __future__ import annotations
 
@@ -21,65 +21,66 @@
 from madderbeam.transport.clients import BadRequest, Put
 from madderbeam.transport.reply_handle import ReplyHandle
 
-LONGEST = 10  # a message that wants to live longer than so many deadlines of its class is none of ours
+MAX_DEADLINE_MULTIPLE = 10  # a requested time to live may be at most this many deadlines of the class
 log = logging.getLogger(__name__)
 
 
 class Admission:
-    """Ids, keys, classes and tenants of what comes in; each request is answered in the turn that follows.
+    """Validates incoming messages and replies to each request in the dispatch cycle that follows.
 
-    `cancel` stops waiting for a message's attempt, `come_back_us` tells when to come again where there is no
-    room, in microseconds.
+    `cancel` cancels an attempt, by the message's number and the attempt's. `retry_after_us` returns the
+    Retry-After of a rejection for lack of capacity, in microseconds.
     """
 
     def __init__(
         self,
         settings: Settings,
         journal: Journal,
-        listing: EndpointRegistry,
-        ends: Completions,
+        registry: EndpointRegistry,
+        completions: Completions,
         attempts: Attempts,
         cancel: Callable[[int, int], None],
-        tell: Callable[[Event], None],
-        come_back_us: Callable[[], int],
-        figures: Metrics,
+        post_event: Callable[[Event], None],
+        retry_after_us: Callable[[], int],
+        metrics: Metrics,
         routing: Routing,
     ) -> None:
-        self.s, self.journal, self.listing = settings, journal, listing
-        self.ends, self.attempts = ends, attempts
-        self.cancel, self.tell, self.come_back_us = cancel, tell, come_back_us
-        self.figures, self.routing = figures, routing
-        self.gates: list[AdmissionCheck] = []  # those that are on
+        self.s, self.journal, self.listing = settings, journal, registry
+        self.ends, self.attempts = completions, attempts
+        self.cancel, self.tell, self.retry_after_us = cancel, post_event, retry_after_us
+        self.figures, self.routing = metrics, routing
+        self.gates: list[AdmissionCheck] = []  # the checks that are configured
         self.doors: list[MessageInterceptor] = []
         self.taken_up: list[
             Callable[[PendingMessage], None]
-        ] = []  # told of each message that has got its number
+        ] = []  # called with each message once it has its number
         self.numbers = journal.last
-        self.classes = {c.name: n for n, c in enumerate(settings.classes)}
-        self.tenants = {t.name: n for n, t in enumerate(settings.tenants)}
-        self.arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]] = {}  # not answered yet
-        self.arriving: dict[str, int] = {}  # their ids
-        self.arriving_keys: dict[str, int] = {}
+        self.classes = {cls.name: number for number, cls in enumerate(settings.classes)}
+        self.tenants = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
+        # Messages by number, with the requests that wait for a reply.
+        self.arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]] = {}
+        self.arriving: dict[str, int] = {}  # numbers of these messages by id
+        self.arriving_keys: dict[str, int] = {}  # and by idempotency key
 
     def put(self, put: Put, reply: ReplyHandle) -> None:
-        """A message is handed in; BadRequest if it can't be one of ours."""
+        """Submit a message. BadRequest if it is invalid for this courier."""
         if put.dest == NOWHERE and not put.topic:
             put = replace(put, dest=self.routing.destination(put))
-        cls, tenant = self._checked(put)
+        cls, tenant = self._validated(put)
         if put.id in self.arriving:
             self.arrived[self.arriving[put.id]][1].append(reply)
             return
         if put.id in self.journal.ids or put.id in self.journal.over:
-            # Handed in again on a new connection: it is, or was, taken care of.
+            # Submitted again over a new connection: the message is accepted, or was.
             self.journal.known(put.id, reply.taken, reply.failed)
             return
         if self.journal.open + len(self.arrived) >= self.s.max_pending:
             self.figures.ended(DECLINED, cls)
-            reply.busy(self.come_back_us())
+            reply.busy(self.retry_after_us())
             return
         weight = 1.0
-        for gate in self.gates:
-            verdict = gate.ask(tenant, cls, len(put.body))
+        for check in self.gates:
+            verdict = check.ask(tenant, cls, len(put.body))
             if verdict.why:
                 self.figures.ended(ABORTED, cls)
                 reply.failed(verdict.why)
@@ -90,34 +91,34 @@
                 return
             weight *= verdict.weight
         self.numbers += 1
-        until = self.journal.wall() + put.life_ms / 1e3
-        m = PendingMessage(
+        expires_at_s = self.journal.wall() + put.life_ms / 1e3
+        message = PendingMessage(
             self.numbers,
             put.id,
             cls,
             tenant,
             put.dest,
             put.key,
-            until,
+            expires_at_s,
             put.resubmitted,
             put.body,
             put.order,
             ran_at=self.journal.key_ran_at(put.key),
             relayed=put.relayed,
         )
-        self._replace(m)
-        for told in self.taken_up:
-            told(m)
-        if any(door(put, m, reply) for door in self.doors):
+        self._withdraw_same_key(message)
+        for notify in self.taken_up:
+            notify(message)
+        if any(intercept(put, message, reply) for intercept in self.doors):
             return
-        self.arrived[m.number] = (m, [reply])
-        self.arriving[m.id] = m.number
-        if m.key:
-            self.arriving_keys[m.key] = m.number
-        self.tell(self.arrival(m, weight))
-
-    def _checked(self, put: Put) -> tuple[int, int]:
-        """The numbers of its class and tenant."""
+        self.arrived[message.number] = (message, [reply])
+        self.arriving[message.id] = message.number
+        if message.key:
+            self.arriving_keys[message.key] = message.number
+        self.tell(self.arrival(message, weight))
+
+    def _validated(self, put: Put) -> tuple[int, int]:
+        """Validate a message; return the numbers of its class and its tenant."""
         cls = self.classes.get(put.cls)
         if cls is None:
             raise BadRequest(f"c: no such class, must be one of {', '.join(sorted(self.classes))}")
@@ -126,62 +127,67 @@
             raise BadRequest("t: no such tenant, must be one of the settings")
         if self.s.classes[cls].idempotency is Idempotency.WITH_KEY and not put.key:
             raise BadRequest("k: lacks, must be given for a keyed class")
-        most_ms = LONGEST * self.s.classes[cls].deadline_us // 1000
-        if put.life_ms > most_ms:
-            raise BadRequest(f"d: must be at most {most_ms}, by the deadline of the class")
+        max_life_ms = MAX_DEADLINE_MULTIPLE * self.s.classes[cls].deadline_us // 1000
+        if put.life_ms > max_life_ms:
+            raise BadRequest(f"d: must be at most {max_life_ms}, by the deadline of the class")
         if put.topic and not self.doors:
             raise BadRequest("topic: this courier is in no federation")
-        # Behind a door others may serve what this courier's list lacks: the door knows.
+        # Another site may serve a destination that this courier's list lacks; an interceptor decides that.
         if self.listing.dests and not self.doors and put.dest not in self.listing.dests:
             raise BadRequest("dest: no such destination, must be one of the list")
         return cls, tenant
 
-    def arrival(self, m: PendingMessage, weight: float = 1.0, restored: bool = False) -> MessageArrived:
-        """The event that tells the decision module of a message. `weight`: by quotas; `restored`: it was
-        taken on before this process."""
-        ran = m.may_have_run_at
-        mono = self.journal.wall.monotonic
-        # After a reboot an attempt may lie before the monotonic clock's zero: a negative time would say that
-        # none may have run, and a deposit would go out again.
-        ran_at = max(0, mono(ran)) if ran else -1
+    def arrival(self, message: PendingMessage, weight: float = 1.0, restored: bool = False) -> MessageArrived:
+        """Return the event that announces a message to the engine.
+
+        `weight` comes from quotas; `restored` if the message was accepted by an earlier process.
+        """
+        executed_at_s = message.may_have_run_at
+        to_monotonic_us = self.journal.wall.monotonic
+        # After a reboot an attempt may lie before the monotonic clock's zero. A negative time would mean that
+        # no attempt was executed, and a non-idempotent message, such as a deposit, would be sent again.
+        executed_at_us = max(0, to_monotonic_us(executed_at_s)) if executed_at_s else -1
         return MessageArrived(
-            m.number,
-            m.cls,
-            m.dest,
-            mono(m.until),
-            m.tenant,
-            m.order,
-            m.resubmitted,
+            message.number,
+            message.cls,
+            message.dest,
+            to_monotonic_us(message.until),
+            message.tenant,
+            message.order,
+            message.resubmitted,
             restored,
-            m.tries,
-            ran_at,
+            message.tries,
+            executed_at_us,
             weight,
-            self.routing.affinity(m),
+            self.routing.affinity(message),
         )
 
-    def _replace(self, m: PendingMessage) -> None:
-        """A key that is still open here is handed in again only by a client that gave the older one up. Both
-        may come in one turn: taken on side by side, neither would know of the other's attempt."""
-        if arrived := self.arriving_keys.pop(m.key, 0):
+    def _withdraw_same_key(self, message: PendingMessage) -> None:
+        """Withdraw an older pending message with the same idempotency key.
+
+        A client submits a key again only after it has given the older message up. Both may arrive in the same
+        dispatch cycle: if both were accepted, neither would know of the other's attempts.
+        """
+        if arrived := self.arriving_keys.pop(message.key, 0):
             older, replies = self.arrived.pop(arrived)
             del self.arriving[older.id]
             self.tell(MessageWithdrawn(arrived))
             self.figures.ended(DECLINED, older.cls)
             for reply in replies:
                 reply.busy(0)
-        old = self.journal.held.get(self.journal.open_keys.get(m.key, 0))
-        if old is None:
+        pending = self.journal.held.get(self.journal.open_keys.get(message.key, 0))
+        if pending is None:
             return
-        m.ran_at = m.ran_at or old.may_have_run_at
-        self.tell(MessageWithdrawn(old.number))
-        newest = self.attempts.newest(old.number)
-        self.ends.end(old, "deferred", 0)
-        self.cancel(old.number, newest)
+        message.ran_at = message.ran_at or pending.may_have_run_at
+        self.tell(MessageWithdrawn(pending.number))
+        newest_attempt = self.attempts.newest(pending.number)
+        self.ends.end(pending, "deferred", 0)
+        self.cancel(pending.number, newest_attempt)
 
-    # The turn's answers
+    # Replies of a dispatch cycle
 
     def turn(self) -> dict[int, tuple[PendingMessage, list[ReplyHandle]]]:
-        """What has come in since the turn before, to be answered in this one."""
+        """Return and reset the messages that arrived since the last dispatch cycle, to reply in this one."""
         arrived, self.arrived = self.arrived, {}
         self.arriving.clear()
         self.arriving_keys.clear()
@@ -190,49 +196,49 @@
     def answer(
         self, arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]], actions: Iterable[Action]
     ) -> None:
-        """Refuse what the decision module turned down, and take the rest on."""
-        for a in actions:
-            if isinstance(a, (Reject, Fail)) and a.message in arrived:
-                m, replies = arrived.pop(a.message)
-                self.figures.ended(DECLINED if isinstance(a, Reject) else ABORTED, m.cls)
+        """Reject the messages that the engine rejects or fails, and accept the others."""
+        for action in actions:
+            if isinstance(action, (Reject, Fail)) and action.message in arrived:
+                message, replies = arrived.pop(action.message)
+                self.figures.ended(DECLINED if isinstance(action, Reject) else ABORTED, message.cls)
                 for reply in replies:
-                    if isinstance(a, Reject):
-                        reply.busy(a.retry_after_us)
+                    if isinstance(action, Reject):
+                        reply.busy(action.retry_after_us)
                     else:
                         reply.failed()
-        for m, replies in arrived.values():
-            self.take(m, replies)
+        for message, replies in arrived.values():
+            self.take(message, replies)
 
     def take(
-        self, m: PendingMessage, replies: list[ReplyHandle], then: Callable[[], None] = lambda: None
+        self, message: PendingMessage, replies: list[ReplyHandle], then: Callable[[], None] = lambda: None
     ) -> None:
-        """Take a message on, and answer those who handed it in; `then` is called once it is recorded."""
-        if not any(r.wanted for r in replies):
-            self.tell(MessageWithdrawn(m.number))  # nobody heard that it was taken on
+        """Accept a message: record it, then send the replies and call `then`."""
+        if not any(reply.wanted for reply in replies):
+            self.tell(MessageWithdrawn(message.number))  # no client waits for the reply any more
             return
 
-        def taken() -> None:
-            self.ends.guard(m)
+        def accepted() -> None:
+            self.ends.guard(message)
             for reply in replies:
                 reply.taken()
             then()
 
-        def refused(error: OSError) -> None:
-            log.error("not taken on: %s", error)
-            self.attempts.forget(m.number)
-            self.tell(MessageWithdrawn(m.number))
+        def rejected(error: OSError) -> None:
+            log.error("journal write failed; message not accepted: %s", error)
+            self.attempts.forget(message.number)
+            self.tell(MessageWithdrawn(message.number))
             if isinstance(
                 error, UnconfirmedError
-            ):  # its record stands: it has an end, and no promise is made
-                self.ends.end(m, "undeliverable", 0)
+            ):  # recorded, but not confirmed: it gets an outcome, and clients no acceptance
+                self.ends.end(message, "undeliverable", 0)
                 for reply in replies:
                     reply.failed(str(error))
                 return
-            self.figures.ended(DECLINED, m.cls)
+            self.figures.ended(DECLINED, message.cls)
             for reply in replies:
-                reply.busy(self.come_back_us())
+                reply.busy(self.retry_after_us())
 
         try:
-            self.journal.take(m, taken, refused)
+            self.journal.take(message, accepted, rejected)
         except OSError as error:
-            refused(error)
+            rejected(error)
--- a/madderbeam/host/atomic_file.py
+++ b/madderbeam/host/atomic_file.py
@@ -1,4 +1,4 @@
-"""Small files that are replaced whole, or left as they were."""
+"""Atomic replacement of small files."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def replace(disk: Disk, path: str, data: bytes) -> None:
-    """Write the file anew; OSError, and the old one stays, if the disk does not take all of it."""
-    fresh = path + ".new"
-    file = disk.open(fresh, empty=True)
+    """Replace the file's content; OSError, with the old content kept, if not all of it could be written."""
+    new_path = path + ".new"
+    file = disk.open(new_path, empty=True)
     try:
         if file.append(data) != len(data):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
     finally:
         file.close()
-    disk.rename(fresh, path)
+    disk.rename(new_path, path)
--- a/madderbeam/host/attempts.py
+++ b/madderbeam/host/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts, from a Send to its AttemptEnded: bundles, the last look before writing, numbers."""
+"""Attempts, from the engine's Send to AttemptEnded: numbering, bundling, and the check before the write."""
 
 from __future__ import annotations
 
@@ -17,145 +17,170 @@
 from madderbeam.policy.settings import Idempotency, Settings
 from madderbeam.transport.calls import Calls, Item, Outcome
 
-UNRUN = (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
+NEVER_EXECUTED = (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 log = logging.getLogger(__name__)
 
 
 class Attempts:
-    """Carries out what the decision module sends, and tells it how each attempt ended."""
+    """Sends the engine's attempts and reports to the engine how each ended."""
 
     def __init__(
         self,
         settings: Settings,
         journal: Journal,
-        listing: EndpointRegistry,
-        ends: Completions,
-        tell: Callable[[Event], None],
-        over: Callable[[], None],
-        figures: Metrics,
+        registry: EndpointRegistry,
+        completions: Completions,
+        post_event: Callable[[Event], None],
+        after_attempt: Callable[[], None],
+        metrics: Metrics,
     ) -> None:
-        self.s, self.journal, self.listing, self.ends = settings, journal, listing, ends
-        self.figures = figures
-        self.tell, self.over = tell, over  # over: an attempt has ended, and perhaps the last thing open
-        self.calls: Calls  # set once it is made, since it asks and tells this
-        self.numbers: dict[int, int] = {}  # of the next attempts, as the decision module counts
+        """`after_attempt` is called after each attempt that has ended; it may have been the last open one."""
+        self.s, self.journal, self.listing, self.ends = settings, journal, registry, completions
+        self.figures = metrics
+        self.tell, self.over = post_event, after_attempt
+        self.calls: Calls  # set by the caller, since Calls in turn needs callbacks of this object
+        self.numbers: dict[int, int] = {}  # next attempt number by message, in step with the engine's count
 
     def forget(self, number: int) -> None:
-        """The message has ended."""
+        """Drop the attempt count of a message that is completed."""
         self.numbers.pop(number, None)
 
     def newest(self, number: int) -> int:
-        """The number of the message's newest attempt, -1 if there was none in this process."""
+        """Return the number of the message's newest attempt, -1 if there was none in this process."""
         return self.numbers.get(number, 0) - 1
 
     def flush(self, bundles: dict[int, list[Item]]) -> None:
-        """What one turn sends to one endpoint that takes bundles travels as one call."""
+        """Send the bundles of one dispatch cycle, by endpoint: one call for up to a full bundle."""
         for endpoint, items in bundles.items():
-            most = self.listing.batch(endpoint)
-            for at in range(0, len(items), most):
-                self._call(endpoint, items[at : at + most])
-
-    def send(self, a: Send, bundles: dict[int, list[Item]]) -> None:
-        """Send at once, or with the turn's bundles where the endpoint takes them."""
-        m = self.journal.held.get(a.message)
-        attempt = self.numbers.get(a.message, m.tries if m else 0)
-        if m is not None and not m.status:  # one that is over has nothing left to be numbered
-            self.numbers[a.message] = attempt + 1
-        if m is None or m.status or self.ends.blocked(m):
-            self.tell(AttemptEnded(a.message, attempt, a.endpoint, AttemptResult.NOT_SENT, 0, m is None))
+            max_items = self.listing.batch(endpoint)
+            for start in range(0, len(items), max_items):
+                self._call(endpoint, items[start : start + max_items])
+
+    def send(self, action: Send, bundles: dict[int, list[Item]]) -> None:
+        """Send an attempt at once, or add it to `bundles` if the endpoint takes several messages a call."""
+        message = self.journal.held.get(action.message)
+        attempt = self.numbers.get(action.message, message.tries if message else 0)
+        if message is not None and not message.status:  # a completed message gets no further attempt numbers
+            self.numbers[action.message] = attempt + 1
+        if message is None or message.status or self.ends.blocked(message):
+            self.tell(
+                AttemptEnded(
+                    action.message, attempt, action.endpoint, AttemptResult.NOT_SENT, 0, message is None
+                )
+            )
             return
         item = Item(
-            m.number,
+            message.number,
             attempt,
-            m.id,
-            m.key,
-            m.body,
-            a.timeout_us,
-            a.new_connection_timeout_us,
-            a.requires_new_connection,
+            message.id,
+            message.key,
+            message.body,
+            action.timeout_us,
+            action.new_connection_timeout_us,
+            action.requires_new_connection,
         )
-        if self.listing.batch(a.endpoint) > 1:
-            bundles.setdefault(a.endpoint, []).append(item)
+        if self.listing.batch(action.endpoint) > 1:
+            bundles.setdefault(action.endpoint, []).append(item)
         else:
-            self._call(a.endpoint, [item])
+            self._call(action.endpoint, [item])
 
     def _call(self, endpoint: int, items: list[Item]) -> None:
-        wall, held = self.journal.wall, self.journal.held
+        wall, pending = self.journal.wall, self.journal.held
 
-        def left(item: Item) -> int:
-            until = held[item.number].until
+        def time_left_us(item: Item) -> int:
+            until = pending[item.number].until
             return wall.monotonic(until) - wall.monotonic_us() - 2 * self.s.tick_us
 
-        # No call outlasts a message that keeps an order: its attempt would be out still as the next one goes.
-        bound = min((left(item) for item in items if held[item.number].order), default=sys.maxsize)
-        longest = max(item.timeout_us for item in items)
-        fresh = max(item.fresh_timeout_us for item in items)
-        # An endpoint may go by the first of a bundle: once that one is out of time its answer is none to the
-        # others either. So the one with the most time leads, and the call does not outlast it.
-        items.sort(key=lambda item: held[item.number].until, reverse=True)
+        # No call outlasts an ordered message: else its attempt would still be in flight when the next one is
+        # sent.
+        max_timeout_us = min(
+            (time_left_us(item) for item in items if pending[item.number].order), default=sys.maxsize
+        )
+        longest_us = max(item.timeout_us for item in items)
+        longest_fresh_us = max(item.fresh_timeout_us for item in items)
+        # An endpoint may apply the deadline of the first message to the whole bundle: once it has passed, the
+        # response counts for none of the others. So the message with the most time goes first, and the call
+        # does not outlast it.
+        items.sort(key=lambda item: pending[item.number].until, reverse=True)
         for item in items:
-            own = left(item)
-            item.timeout_us = max(1, min(bound, max(item.timeout_us, min(longest, own))))
-            item.fresh_timeout_us = max(1, min(bound, max(item.fresh_timeout_us, min(fresh, own))))
+            left_us = time_left_us(item)
+            item.timeout_us = max(1, min(max_timeout_us, max(item.timeout_us, min(longest_us, left_us))))
+            item.fresh_timeout_us = max(
+                1, min(max_timeout_us, max(item.fresh_timeout_us, min(longest_fresh_us, left_us)))
+            )
         try:
             self.calls.send(endpoint, items)
-        except Exception:  # its slots and messages must not hang on it
-            log.exception("a call failed")
+        except Exception:  # end the attempts, so that their slots and messages are released
+            log.exception("sending a call failed")
             for item in items:
                 if not item.ended:
                     item.ended = True
                     result = AttemptResult.RESET if item.begun else AttemptResult.NOT_SENT
                     self.ended(item, endpoint, Outcome(result), 0)
 
-    # What the calls ask and tell
+    # Callbacks of the calls
+
+    def begin(self, items: list[Item], decide: Callable[[bool], None]) -> None:
+        """Record that these attempts are about to be written, then call `decide`: False if they can't be.
 
-    def begin(self, items: list[Item], go: Callable[[bool], None]) -> None:
-        """The attempt is about to be written: `go` is called once that is recorded, with False if it must not
-        be. Within a turn that is at the turn's end."""
-        # One that has ended while its call waited for a connection must not go out behind its notice, nor one
-        # ahead of an end that the disk did not take meanwhile.
-        held = [self.journal.held.get(n.number) for n in items]
+        Within a dispatch cycle `decide` is called at the cycle's end.
+        """
+        # A message may have been completed while its call waited for a connection: it must not be sent after
+        # its notice. Nor may one of an order whose earlier message's outcome the disk has not recorded
+        # meanwhile.
+        messages = [self.journal.held.get(item.number) for item in items]
         if any(
-            m is None or m.status or self._key_s(m, m.may_have_run_at) <= 0 or self.ends.blocked(m)
-            for m in held
+            message is None
+            or message.status
+            or self._key_s(message, message.may_have_run_at) <= 0
+            or self.ends.blocked(message)
+            for message in messages
         ):
-            go(False)
+            decide(False)
             return
 
         def recorded() -> None:
-            go(True)
-            for n in items:  # held back after all; a newer attempt's record would be the one meant
-                if not n.begun and self.newest(n.number) == n.attempt:
-                    self.journal.missed(n.number)
+            decide(True)
+            for item in items:  # not written after all; a newer attempt's record must not be withdrawn
+                if not item.begun and self.newest(item.number) == item.attempt:
+                    self.journal.missed(item.number)
 
         def failed(error: OSError) -> None:
-            log.error("journal: %s", error)
-            go(False)
+            log.error("journal write failed; attempt not sent: %s", error)
+            decide(False)
 
-        self.journal.attempt([n.number for n in items], self.journal.wall(), recorded, failed)
+        self.journal.attempt([item.number for item in items], self.journal.wall(), recorded, failed)
 
     def _key_s(self, m: PendingMessage, ran_at: float) -> float:
-        """Seconds left of the window of its key, which an attempt began at `ran_at` that may have run."""
+        """Return the seconds left of the message's idempotency key window; infinity if it has none.
+
+        The window starts at `ran_at`, the time of the attempt that was possibly executed.
+        """
         cls = self.s.classes[m.cls]
         if cls.idempotency is not Idempotency.WITH_KEY or not ran_at:
             return math.inf
         return ran_at + (cls.key_window_us - self.s.tick_us) / 1e6 - self.journal.wall()
 
     def write_s(self, items: list[Item]) -> float:
-        """Seconds left in which the last byte of an attempt that is recorded may be written: one that comes
-        to the endpoint behind the window is a second effect, however early it began. None for one that has
-        ended meanwhile."""
-        held = [self.journal.held.get(n.number) for n in items]
-        return min((self._key_s(m, m.ran_at) if m and not m.status else 0.0 for m in held), default=math.inf)
+        """Return the seconds left in which the last byte of a recorded attempt may be written.
+
+        An attempt that reaches the endpoint after the key window has a second effect, however early its write
+        began. Zero for a message that has been completed meanwhile.
+        """
+        messages = [self.journal.held.get(item.number) for item in items]
+        return min(
+            (self._key_s(m, m.ran_at) if m and not m.status else 0.0 for m in messages), default=math.inf
+        )
 
     def ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
-        m = self.journal.held.get(item.number)
-        over = outcome.over or m is None
-        if outcome.over and m:
-            self._done(m, outcome)
-        elif m and item.begun and outcome.result in UNRUN:
-            self.journal.missed(m.number)
-        if over:
+        """Complete the message of an attempt or report its result to the engine; latency in microseconds."""
+        message = self.journal.held.get(item.number)
+        is_completed = outcome.over or message is None
+        if outcome.over and message:
+            self._complete(message, outcome)
+        elif message and item.begun and outcome.result in NEVER_EXECUTED:
+            self.journal.missed(message.number)
+        if is_completed:
             self.forget(item.number)
         self.tell(
             AttemptEnded(
@@ -164,7 +189,7 @@
                 endpoint,
                 outcome.result,
                 max(1, latency),
-                over,
+                is_completed,
                 outcome.wait_us,
                 item.fresh if item.begun else None,
                 outcome.spoilt,
@@ -172,18 +197,22 @@
         )
         self.over()
 
-    def _done(self, m: PendingMessage, outcome: Outcome) -> None:
+    def _complete(self, m: PendingMessage, outcome: Outcome) -> None:
         if outcome.result is AttemptResult.OK and not m.status:
             self.figures.ended(SUCCEEDED, m.cls)
         self.ends.done(m, outcome.result is AttemptResult.OK)
 
     def late(self, item: Item, outcome: Outcome) -> None:
-        """Its time was up, but its end was not decided yet when the rest of its bundle was answered."""
-        m = self.journal.held.get(item.number)
-        if m and not m.status:
-            self._done(m, outcome)
-            self.forget(m.number)
-            self.tell(MessageWithdrawn(m.number))
+        """Process an outcome that came after the attempt's timeout, in the response to its bundle.
+
+        It counts if the message is not completed yet.
+        """
+        message = self.journal.held.get(item.number)
+        if message and not message.status:
+            self._complete(message, outcome)
+            self.forget(message.number)
+            self.tell(MessageWithdrawn(message.number))
 
     def probed(self, endpoint: int, result: AttemptResult, latency: int) -> None:
+        """Report the result of a health check to the engine; latency in microseconds."""
         self.tell(HealthCheckEnded(endpoint, result, latency))
--- a/madderbeam/host/completions.py
+++ b/madderbeam/host/completions.py
@@ -1,4 +1,4 @@
-"""Ends of messages: each is recorded, then told, once; also on a disk that takes nothing for a while."""
+"""Completion of messages: each outcome is recorded, then notified once, also if the disk refuses writes."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from madderbeam.transport.discovery import Notices
 from madderbeam.transport.local import Feed
 
-SETTLE_S = 0.05  # an end that the disk does not take is recorded again after this
-OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
+SETTLE_S = 0.05  # interval at which an outcome that the disk refuses is recorded again
+OVERDUE_S = 0.1  # after its deadline a message without an outcome is completed here, as a last resort
 log = logging.getLogger(__name__)
 
 
 class Completions:
-    """Ends messages by notices, and sees to it that each has an end in time.
+    """Completes messages with notices and ensures that each message gets an outcome in time.
 
-    `ended` is called with the number of each message that ends, before its notice is sent; `tell` takes
-    events for the decision module.
+    `on_completed` is called with the number of each message that is completed, before its notice is sent;
+    `post_event` takes events for the engine.
     """
 
     def __init__(
@@ -32,87 +32,97 @@
         loop: asyncio.AbstractEventLoop,
         journal: Journal,
         notices: Notices | Feed,
-        tell: Callable[[Event], None],
-        ended: Callable[[int], None],
-        figures: Metrics,
+        post_event: Callable[[Event], None],
+        on_completed: Callable[[int], None],
+        metrics: Metrics,
     ) -> None:
-        self.loop, self.journal, self.notices, self.tell, self.ended = loop, journal, notices, tell, ended
-        self.figures = figures
+        self.loop, self.journal, self.notices, self.tell, self.ended = (
+            loop,
+            journal,
+            notices,
+            post_event,
+            on_completed,
+        )
+        self.figures = metrics
         self.guards: dict[int, asyncio.TimerHandle] = {}
         self.closed = False
-        self.unsettled: dict[int, PendingMessage] = {}  # ended, and not recorded yet
-        self.tellers: list[CompletionListener] = []  # of ends that no client waits for
+        self.unsettled: dict[int, PendingMessage] = {}  # completed, with the outcome not recorded yet
+        self.tellers: list[CompletionListener] = []  # for messages that no client submitted here
 
-    # Guards
+    # Deadline timers
 
     def guard(self, m: PendingMessage) -> None:
-        """End the message by itself if nothing else has once its time is up."""
+        """Complete the message as undeliverable if it has no outcome shortly after its deadline."""
         delay = max(0.0, m.until + OVERDUE_S - self.journal.wall())
         self.guards[m.number] = self.loop.call_later(delay, self._overdue, m.number)
 
     def close(self) -> None:
-        """Another process has charge of all messages."""
+        """Stop all timers and records, because another process has taken over the messages."""
         self.closed = True
-        for guard in self.guards.values():
-            guard.cancel()
+        for timer in self.guards.values():
+            timer.cancel()
 
     def unguard(self, number: int) -> None:
+        """Cancel the deadline timer of a message."""
         if guard := self.guards.pop(number, None):
             guard.cancel()
 
     def _overdue(self, number: int) -> None:
-        m = self.journal.held.get(number)
-        if m and not m.status:
-            log.error("message %s was overdue", m.id)
+        message = self.journal.held.get(number)
+        if message and not message.status:
+            log.error("message %s has no outcome, completing it as undeliverable", message.id)
             self.tell(MessageWithdrawn(number))
-            self.end(m, "undeliverable", 0)
+            self.end(message, "undeliverable", 0)
 
-    # Ends by a notice
+    # Completion with a notice
 
-    def final(self, a: Reject | Fail) -> None:
-        """The decision module has given the message up."""
-        m = self.journal.held.get(a.message)
-        if m is None or m.status:
+    def final(self, action: Reject | Fail) -> None:
+        """Complete a message that the engine rejects or fails."""
+        message = self.journal.held.get(action.message)
+        if message is None or message.status:
             return
-        if isinstance(a, Reject):
-            self.end(m, "deferred", -(-a.retry_after_us // 1000))
+        if isinstance(action, Reject):
+            self.end(message, "deferred", -(-action.retry_after_us // 1000))
         else:
-            self.end(m, "undeliverable", 0)
+            self.end(message, "undeliverable", 0)
 
     def end(self, m: PendingMessage, status: str, again_ms: int) -> None:
-        """Owe the notice, then send it."""
+        """Complete a message with a notice of this status; `again_ms` is its Retry-After."""
         self.figures.ended(DECLINED if status == "deferred" else ABORTED, m.cls)
         self.unguard(m.number)
         self.ended(m.number)
         self.journal.end(m, status, again_ms)
         self._settle(m, status, again_ms)
 
-    def _settle(self, m: PendingMessage, status: str, again_ms: int) -> None:
-        """Record the end before its notice: after a restart a message that was handed back would go out again
-        beside the one that its client brings. While the disk takes nothing it is tried again until the
-        message's time is up; from then on a restart sends nothing either, and no promise is made."""
+    def _settle(self, message: PendingMessage, status: str, again_ms: int) -> None:
+        """Record the outcome, then send its notice.
+
+        Without the record a restart would send a rejected message again, besides the one that its client
+        resubmits. While the disk refuses the record it is retried until the message's deadline; after that a
+        restart does not send the message either, and the notice is sent without a record.
+        """
         if self.closed:
             return
         self.journal.final(
-            m.number,
+            message.number,
             status,
             again_ms,
-            lambda: self._notify(m),
-            lambda error: self._unsettled(m, status, again_ms, error),
+            lambda: self._notify(message),
+            lambda error: self._unsettled(message, status, again_ms, error),
         )
 
     def _unsettled(self, m: PendingMessage, status: str, again_ms: int, error: OSError) -> None:
-        log.error("journal: %s", error)
+        log.error("journal write failed; outcome not recorded: %s", error)
         if self.journal.wall() < m.until:
             self.unsettled[m.number] = m
             self.loop.call_later(SETTLE_S, self._settle, m, status, again_ms)
-        else:  # until its notice is accepted nothing tells of its end: one behind it in an order waits
+        else:  # no record holds the outcome until the notice is accepted: the next message of an order waits
             self.unsettled[m.number] = m
             m.status, m.again_ms = "undeliverable", 0
             self.notify(m)
 
     def accepted(self, numbers: list[int]) -> None:
-        """Notices were accepted."""
+        """The notices of these messages were accepted: an outcome without a record needs none any more."""
         for number in numbers:
             self.unsettled.pop(number, None)
 
@@ -121,23 +131,23 @@
         self.notify(m)
 
     def notify(self, m: PendingMessage) -> None:
-        """Tell the end that is owed."""
-        if not any(told(m, m.status) for told in self.tellers):
+        """Report the recorded outcome: to a completion listener, else by a notice."""
+        if not any(handles(m, m.status) for handles in self.tellers):
             self.notices.add(m.number, m.id, m.status, m.again_ms)
 
     def over(self, numbers: list[int]) -> None:
-        """Their tellers have kept their ends: nothing more is owed."""
+        """Remove messages whose outcomes the completion listeners have stored."""
         self.accepted(numbers)
         self.journal.told(numbers)
 
     def blocked(self, m: PendingMessage) -> bool:
-        """A later message of an order waits until the end of the one before is recorded."""
+        """Whether the message must wait until the outcome of an earlier message of its order is recorded."""
         return bool(m.order) and any(x.order == m.order for x in self.unsettled.values())
 
-    # Ends by delivery
+    # Completion without a notice
 
     def done(self, m: PendingMessage, delivered: bool = False) -> None:
-        """Delivered or withdrawn: nothing more is owed."""
+        """Complete a message that was delivered or withdrawn; its client gets no notice."""
         self.unguard(m.number)
-        if not any(told(m, "" if delivered else "undeliverable") for told in self.tellers):
+        if not any(handles(m, "" if delivered else "undeliverable") for handles in self.tellers):
             self.journal.done(m.number)
--- a/madderbeam/host/components.py
+++ b/madderbeam/host/components.py
@@ -1,4 +1,4 @@
-"""What may join the turn: fronts where clients come, gates and doors of admission, rooms that bring them."""
+"""Interfaces of client listeners, admission checks, optional components and their callbacks."""
 
 from __future__ import annotations
 
@@ -13,86 +13,92 @@
 
 
 class ClientListener(Protocol):
-    """A server that hands in what its clients bring, in a protocol of its own."""
+    """A server that submits its clients' messages, in a protocol of its own."""
 
     @property
     def clients(self) -> Mapping[Any, Any]:
-        """Their connections."""
+        """The open client connections."""
         ...
 
     @property
     def leaving(self) -> Mapping[Any, Any]:
-        """Those whose last answer is sent, until their clients end them."""
+        """Connections whose last reply is sent, until their clients close them."""
         ...
 
     @property
     def over(self) -> bool:
-        """Nobody is connected any more, and nobody can be."""
+        """Whether no client is connected and none can connect."""
         ...
 
     def last_call(self) -> None:
-        """Take up those that have connected, then listen no more."""
+        """Accept the connections of the backlog, then stop accepting."""
         ...
 
     def look(self) -> bool:
-        """Read all that has come by now; whether anything had."""
+        """Read all input that has arrived; return whether there was any."""
         ...
 
     def let_go(self) -> None:
-        """Close those between requests: one with a request unanswered would lose it."""
+        """Close idle connections: closing one with an unanswered request would lose the request."""
         ...
 
     def end(self) -> None:
-        """The process ends: send what is owed on them and end the sending; `close` comes a moment later."""
+        """Send the pending replies and shut down the sending side; `close` follows a moment later."""
         ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close all connections at once."""
+        ...
 
 
 class AdmissionCheck(Protocol):
-    """Asked for each message before anything is journaled; the decision module comes after all gates."""
+    """Checks each message before it is journaled; the engine gets only messages that pass all checks."""
 
     def ask(self, tenant: int, cls: int, size: int) -> Verdict:
-        """Whether a message of so many bytes passes; it is counted if it does."""
+        """Whether a message of `size` bytes passes; a message that passes is counted."""
         ...
 
 
 class Component:
-    """A part that is built where the configuration has it, and that the turn does not know by name. What a
-    room does not need does nothing."""
+    """An optional part of a courier, created where it is configured; every hook does nothing by default."""
 
     @property
     def fronts(self) -> Sequence[ClientListener]:
+        """The client listeners of this component."""
         return ()
 
     def open(self) -> None:
-        """All that was held is restored: begin to listen. OSError if that can't be."""
+        """Begin to listen; all pending messages are restored. OSError if that fails."""
 
     def look(self) -> None:
-        """SIGHUP: what it reads from files may have changed."""
+        """Handle SIGHUP: the files that this component reads may have changed."""
 
     def leave(self) -> None:
-        """A planned end has begun: the process ends in some seconds."""
+        """Prepare for a planned shutdown: the process exits within seconds."""
 
     def close(self) -> None:
-        """Let go of everything at once."""
+        """Release all resources at once."""
 
     def figures(self) -> dict[str, int]:
+        """Return this component's metrics by name."""
         return {}
 
 
 class MessageInterceptor(Protocol):
-    """Takes charge of messages that are not for this courier's decision module now, and answers them."""
+    """Takes over messages that are not for this courier's engine, and replies to their clients."""
 
     def __call__(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> bool:
-        """Whether it did. Asked behind the gates, before anything is journaled."""
+        """Whether it takes the message over. Called after the admission checks, before journaling."""
         ...
 
 
 class CompletionListener(Protocol):
-    """Is told the ends of messages that no client of this courier's handed in."""
+    """Receives the outcomes of messages that no client of this courier submitted."""
 
     def __call__(self, m: PendingMessage, status: str) -> bool:
-        """Whether the message is one of its own. The end is recorded; `status`: "" if it was delivered, else
-        that of its notice. It calls `Ends.over` once it has kept the end."""
+        """Whether the message belongs to this listener, which then reports its outcome.
+
+        The outcome is recorded. `status` is "" if the message was delivered, else that of its notice. The
+        listener calls `Completions.over` once it has stored the outcome.
+        """
         ...
--- a/madderbeam/host/composition.py
+++ b/madderbeam/host/composition.py
@@ -1,4 +1,4 @@
-"""Builds a courier from its parts: the turn's rooms first, then what the configuration has beside them."""
+"""Assembles a courier: the parts that each one has, then the optional components that are configured."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from madderbeam.host.admission import Admission
 from madderbeam.host.attempts import Attempts
 from madderbeam.host.completions import Completions
-from madderbeam.host.disabled_endpoints import RESERVED, DisabledEndpoints
+from madderbeam.host.disabled_endpoints import RESERVED_BYTES, DisabledEndpoints
 from madderbeam.host.endpoint_registry import EndpointRegistry
 from madderbeam.host.engine_trace import TracedEngine
-from madderbeam.host.environment import surroundings
+from madderbeam.host.environment import create_environment
 from madderbeam.host.host import Host
 from madderbeam.host.metrics import Metrics
 from madderbeam.host.routing import Routing
@@ -27,16 +27,18 @@
 from madderbeam.transport.control import ControlServer
 from madderbeam.transport.descriptors import Sparing
 
-IDLE_SHARE = 0.2  # of the limit on open files is for idle connections; see also surroundings.CLIENT_SHARE
-# What joins where the configuration has the field; each module's `join(host, ports)` is loaded only then.
-ROOMS = {
+IDLE_SHARE = 0.2  # of the limit on open files, for idle connections to endpoints; see also CLIENT_SHARE
+# Components by the field of the configuration that enables them; a module is imported, and its
+# `join(host, ports)` called, only where the field is set.
+COMPONENT_MODULES = {
     "quota": "madderbeam.host.quota",
     "kafka": "madderbeam.host.kafka",
     "federation": "madderbeam.host.federation.component",
     "changes": "madderbeam.host.changes.component",
     "standby": "madderbeam.host.standby.primary",
 }
-IN_FORCE = "madderbeam.host.changes.reading"  # where changes are on: what was last in force counts
+# Where changes are enabled, the configuration that was last active replaces the one from the file.
+ACTIVE_CONFIG_MODULE = "madderbeam.host.changes.reading"
 
 
 def assemble(
@@ -46,24 +48,27 @@
     control: ControlServer | None = None,
     trace: Callable[[str], None] | None = None,
 ) -> Host:
-    """One courier, on whatever loop and ports it is given; not started.
+    """Assemble one courier on the given event loop and ports, without starting it.
 
-    `control`: the second address, if the process listens there already. `trace` gets all decisions.
+    `control`: the server of the admin address, if the process listens there already. `trace` is called with
+    the lines of a trace of all decisions.
     """
     if config.changes is not None:
-        config = importlib.import_module(IN_FORCE).in_force(config, ports)
-    s = config.settings
+        config = importlib.import_module(ACTIVE_CONFIG_MODULE).in_force(config, ports)
+    settings = config.settings
     host = Host(loop, config, ports.clock.monotonic_us)
-    host.courier = TracedEngine(s, config.seed, trace) if trace else DeliveryEngine(s, config.seed)
-    _state(host, ports)
+    host.courier = (
+        TracedEngine(settings, config.seed, trace) if trace else DeliveryEngine(settings, config.seed)
+    )
+    _create_state(host, ports)
     network = Sparing(ports.network, lambda: host.clients.make_room() or host.calls.spare())
-    around = surroundings(loop, ports.disk, network, config, host.accepted, host.listed)
-    host.notices, host.watch = around.notices, around.watch
+    environment = create_environment(loop, ports.disk, network, config, host.accepted, host.listed)
+    host.notices, host.watch = environment.notices, environment.watch
     host.ends = Completions(
         loop, host.journal, host.notices, host.tell, lambda n: host.attempts.forget(n), host.figures
     )
     host.attempts = Attempts(
-        s, host.journal, host.listing, host.ends, host.tell, host.maybe_exit, host.figures
+        settings, host.journal, host.listing, host.ends, host.tell, host.maybe_exit, host.figures
     )
     hooks = Hooks(
         host.listing.may_write,
@@ -78,11 +83,16 @@
         host.attempts.write_s,
     )
     host.calls = Calls(
-        loop, network, hooks, s.connection_idle_us, s.connect_timeout_us, int(config.sockets * IDLE_SHARE)
+        loop,
+        network,
+        hooks,
+        settings.connection_idle_us,
+        settings.connect_timeout_us,
+        int(config.sockets * IDLE_SHARE),
     )
     host.attempts.calls = host.calls
     host.admission = Admission(
-        s,
+        settings,
         host.journal,
         host.listing,
         host.ends,
@@ -93,22 +103,22 @@
         host.figures,
         host.routing,
     )
-    host.clients = ClientServer(loop, ports.network, host.admission.put, around.places)
+    host.clients = ClientServer(loop, ports.network, host.admission.put, environment.client_limits)
     host.fronts.append(host.clients)
-    _served(host, control or ControlServer(loop, ports.network))
-    for field, module in ROOMS.items():
+    _create_admin_service(host, control or ControlServer(loop, ports.network))
+    for field, module in COMPONENT_MODULES.items():
         if getattr(config, field) is not None:
             importlib.import_module(module).join(host, ports)
-    host.fronts += [front for room in host.rooms for front in room.fronts]
+    host.fronts += [listener for component in host.rooms for listener in component.fronts]
     return host
 
 
-def _state(host: Host, ports: Ports) -> None:
-    """What is known and kept."""
-    config, s = host.config, host.s
-    room = config.disk_bytes - (RESERVED if config.control else 0)
+def _create_state(host: Host, ports: Ports) -> None:
+    """Create the journal and the registries of the host."""
+    config, settings = host.config, host.s
+    max_journal_bytes = config.disk_bytes - (RESERVED_BYTES if config.control else 0)
     host.bans = DisabledEndpoints(ports.disk, config.state)
-    host.figures = Metrics([c.name for c in s.classes])
+    host.figures = Metrics([cls.name for cls in settings.classes])
     journal: Callable[..., Journal] = Journal
     if config.standby is not None:
         journal = importlib.import_module("madderbeam.host.standby.journal").ReplicatedJournal
@@ -116,23 +126,23 @@
         ports.disk,
         ports.clock,
         config.state,
-        room,
-        remembered_s(s),
+        max_journal_bytes,
+        remembered_s(settings),
         host.later,
         bool(config.sidecar and config.sidecar.sync),
     )
-    # Beside one program an endpoint may stand there by its name.
+    # A sidecar's endpoints may have a hostname as address.
     host.listing = EndpointRegistry(
-        s, config.zones, host.clock, host.bans, parse_address if config.sidecar else dialed_address
+        settings, config.zones, host.clock, host.bans, parse_address if config.sidecar else dialed_address
     )
     host.routing = Routing(config, host.listing, ports.clock)
 
 
-def _served(host: Host, control: ControlServer) -> None:
-    """The second address, for those who run the courier."""
+def _create_admin_service(host: Host, control: ControlServer) -> None:
+    """Create the service of the admin address, for operators."""
     host.drain = Drain(host.clients)
     host.service = AdminService(
-        host.listing, host.bans, host.drain, host.ready, host.all_figures, host.relist
+        host.listing, host.bans, host.drain, host.ready, host.all_figures, host.apply_operator_change
     )
     host.control = control
     control.act = host.service.act
@@ -140,7 +150,10 @@
 
 
 def remembered_s(settings: Settings) -> float:
-    """Seconds for which an idempotency key that may have run is remembered: its window alone is too short,
-    since a client may hand the key in again until the message's time is up, and would find it new."""
+    """Return the seconds for which the key of a possibly executed attempt is remembered.
+
+    The key's window alone is too short: a client may submit the key again until the message's deadline, and
+    the key would then count as new.
+    """
     keyed = [c for c in settings.classes if c.idempotency is Idempotency.WITH_KEY]
     return max((max(c.key_window_us, c.deadline_us) for c in keyed), default=0) / 1e6
--- a/madderbeam/host/config_reload.py
+++ b/madderbeam/host/config_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration's file is read again while the courier works."""
+"""Reload of the configuration file on SIGHUP."""
 
 from __future__ import annotations
 
@@ -15,27 +15,31 @@
 
 
 class ConfigReloader:
-    """Reads the file on each SIGHUP and again, with growing waits, while it can't be used: it may be half
-    written. Until it can, the old configuration stays in force."""
+    """Reads the file on each SIGHUP, and retries with backoff while it is invalid: it may be half written.
+
+    Until it is valid the old configuration stays in force.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         env: Mapping[str, str],
         disk: Disk,
-        moved: Callable[[Address], None],
-        chance: random.Random,
-        reloaded: Callable[[bool], None],
+        move_discovery: Callable[[Address], None],
+        rng: random.Random,
+        count_reload: Callable[[bool], None],
     ) -> None:
-        self.loop, self.env, self.disk, self.moved = loop, env, disk, moved
-        self.reloaded = reloaded  # told of each SIGHUP, whether its file could be used
-        self.counted = False
-        self.backoff = Backoff(chance)
+        """`count_reload` is called once for each SIGHUP, with whether the first read found a valid file."""
+        self.loop, self.env, self.disk, self.move_discovery = loop, env, disk, move_discovery
+        self.count_reload = count_reload
+        self.is_counted = False
+        self.backoff = Backoff(rng)
         self.timer: asyncio.TimerHandle | None = None
 
     def hup(self) -> None:
+        """Handle a SIGHUP: read the file at once."""
         self.backoff.reset()
-        self.counted = False
+        self.is_counted = False
         self._read()
 
     def _read(self) -> None:
@@ -43,18 +47,19 @@
         try:
             address = discovery(self.env, self.disk)
         except ConfigError as error:
-            if not self.counted:
-                self.counted = True
-                self.reloaded(False)
-            log.error("the configuration stays as it was: %s", error)
+            if not self.is_counted:
+                self.is_counted = True
+                self.count_reload(False)
+            log.error("invalid configuration file, keeping the old configuration: %s", error)
             self.timer = self.loop.call_later(self.backoff.next(), self._read)
             return
-        if not self.counted:
-            self.counted = True
-            self.reloaded(True)
-        self.moved(address)
+        if not self.is_counted:
+            self.is_counted = True
+            self.count_reload(True)
+        self.move_discovery(address)
 
     def stop(self) -> None:
+        """Cancel a scheduled retry."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/madderbeam/host/disabled_endpoints.py
+++ b/madderbeam/host/disabled_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that were taken out by hand, by their ids: until they are put back, also over processes."""
+"""Endpoints disabled by an operator, by id, stored so that they stay disabled across restarts."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 from madderbeam.ports import Disk
 
 FILE = "bans"
-MOST = 64  # at once
-LONGEST = 128  # characters of an id
-RESERVED = 2 * 512 * -(-MOST * (LONGEST + 4) // 512)  # bytes on disk: the file and the next one
+MAX_DISABLED = 64  # at the same time
+MAX_ID_CHARACTERS = 128
+# Disk space for the file and its replacement, each rounded up to whole blocks of 512 bytes.
+RESERVED_BYTES = 2 * 512 * -(-MAX_DISABLED * (MAX_ID_CHARACTERS + 4) // 512)
 log = logging.getLogger(__name__)
 
 
 class TooManyDisabledError(Exception):
-    """No further endpoint can be taken out."""
+    """No further endpoint can be disabled."""
 
 
 class DisabledEndpoints:
-    """The set of ids, and its file in the folder that lasts."""
+    """The set of disabled endpoint ids and its file in the courier's state folder."""
 
     def __init__(self, disk: Disk, folder: str) -> None:
         self.disk, self.path = disk, f"{folder}/{FILE}"
@@ -28,12 +29,12 @@
     def _read(self) -> dict[str, None]:
         try:
             ids = json.loads(self.disk.read(self.path))
-            if not isinstance(ids, list) or not all(isinstance(i, str) for i in ids):
+            if not isinstance(ids, list) or not all(isinstance(uid, str) for uid in ids):
                 raise ValueError("must be a list of ids")
         except FileNotFoundError:
             return {}
         except (OSError, ValueError) as error:
-            log.error("%s: can't be used, no endpoint is out by hand: %s", self.path, error)
+            log.error("%s: unreadable, no endpoint is disabled: %s", self.path, error)
             return {}
         return dict.fromkeys(ids)
 
@@ -41,27 +42,32 @@
         return uid in self.ids
 
     def add(self, uid: str) -> None:
-        """Take one out, at once. OSError if it would not outlast the process, TooMany if it can't be."""
-        if uid not in self.ids and (len(self.ids) >= MOST or len(uid) > LONGEST):
+        """Disable an endpoint at once.
+
+        OSError if it could not be stored, so that it holds in this process only; TooManyDisabledError if the
+        limits don't allow it.
+        """
+        if uid not in self.ids and (len(self.ids) >= MAX_DISABLED or len(uid) > MAX_ID_CHARACTERS):
             raise TooManyDisabledError(
-                f"at most {MOST} endpoints can be out by hand, with ids of {LONGEST} characters"
+                f"at most {MAX_DISABLED} endpoints can be out by hand, "
+                f"with ids of {MAX_ID_CHARACTERS} characters"
             )
         self.ids[uid] = None
         self._write()
 
     def remove(self, uid: str) -> None:
-        """Put one back. OSError if it would be out again in the next process."""
+        """Enable an endpoint. OSError if that could not be stored: the next process disables it again."""
         if uid in self.ids:
             del self.ids[uid]
             self._write()
 
     def _write(self) -> None:
-        """Whole or not at all: a part of it would put endpoints back."""
-        data, fresh = json.dumps(list(self.ids)).encode(), f"{self.path}.new"
-        file = self.disk.open(fresh, empty=True)
+        """Write the file atomically: a partial one would enable endpoints."""
+        data, new_path = json.dumps(list(self.ids)).encode(), f"{self.path}.new"
+        file = self.disk.open(new_path, empty=True)
         try:
             if file.append(data) != len(data):
                 raise OSError("the disk is full")
         finally:
             file.close()
-        self.disk.rename(fresh, self.path)
+        self.disk.rename(new_path, self.path)
--- a/madderbeam/host/endpoint_registry.py
+++ b/madderbeam/host/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The list of endpoints as the turn sees it: who is where, who drains, which told waits still run."""
+"""The endpoint list as the dispatch cycle sees it: addresses, drains and active Retry-After times."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
     "terminated": EndpointState.GONE,
 }
 READY = EndpointState.READY
-UNREADABLE = (LookupError, TypeError, ValueError, OverflowError, AttributeError, ConfigError)  # of an entry
-EVER = 4096  # ids that are known to have been listed, the newest
+# What parsing a malformed entry may raise.
+UNREADABLE = (LookupError, TypeError, ValueError, OverflowError, AttributeError, ConfigError)
+EVER = 4096  # most recent endpoint ids that are remembered as once listed
 log = logging.getLogger(__name__)
 
 
 class EndpointRegistry:
-    """Numbers for the endpoints' ids, what each is, and the waits that destinations told.
+    """Assigns numbers to endpoint ids and holds each endpoint's entry and the active Retry-After times.
 
-    Times are the monotonic clock's microseconds. `bans`: ids that are out by hand, whatever is told of them.
-    `address`: reads where an endpoint is; ConfigError if it can't be used.
+    Times are microseconds of the monotonic clock. `disabled`: ids disabled by an operator, whatever discovery
+    reports of them. `parse_address` returns an endpoint's address; ConfigError if it is invalid.
     """
 
     def __init__(
@@ -37,75 +38,82 @@
         settings: Settings,
         zones: tuple[str, ...],
         clock: Callable[[], int],
-        bans: Container[str] = (),
-        address: Callable[[Any, str], Address] = dialed_address,
+        disabled: Container[str] = (),
+        parse_address: Callable[[Any, str], Address] = dialed_address,
     ) -> None:
-        self.s, self.clock, self.bans, self.address = settings, clock, bans, address
-        self.kinds = {k.name: n for n, k in enumerate(settings.kinds)}
-        self.zones = {z: n for n, z in enumerate(zones)}
+        self.s, self.clock, self.bans, self.address = settings, clock, disabled, parse_address
+        self.kinds = {kind.name: number for number, kind in enumerate(settings.kinds)}
+        self.zones = {zone: number for number, zone in enumerate(zones)}
         self.zone_names = tuple(zones)
-        self.uids: dict[str, int] = {}
-        self.names: dict[int, str] = {}  # the other way round
+        self.uids: dict[str, int] = {}  # numbers by id
+        self.names: dict[int, str] = {}  # ids by number
         self.listed_ever = 0
-        self.ever: dict[str, None] = {}  # ids, the newest last
+        self.ever: dict[str, None] = {}  # ids that were once listed, the newest last
         self.entries: dict[int, EndpointEntry] = {}
-        self.told: dict[int, EndpointState] = {}  # what discovery says of those that are out by hand
-        self.dests: set[int] = set()  # that ever stood in a list: its endpoints may only be gone for now
-        self.topics: dict[int, str] = {}  # of endpoints that are a Kafka partner's
-        self.subscribed: dict[int, tuple[str, ...]] = {}  # topics of the federation that it wants notices of
-        self.limits = ReportedRates()  # by what waits go by
-        self.waits: dict[tuple[int, int], int] = {}  # told waits, by destination or route: when they end
-        # Endpoints that have gone: whose waits they still tell, and until when a call there may be out.
+        # The state that discovery reports of endpoints that an operator has disabled.
+        self.told: dict[int, EndpointState] = {}
+        self.dests: set[int] = set()  # once listed; a destination without endpoints may get some again
+        self.topics: dict[int, str] = {}  # topics of Kafka partners' endpoints
+        self.subscribed: dict[int, tuple[str, ...]] = {}  # federation topics that an endpoint subscribes to
+        self.limits = ReportedRates()  # by the same key as the Retry-After times
+        self.waits: dict[tuple[int, int], int] = {}  # end of the Retry-After, by destination or route
+        # Removed endpoints: the key of their Retry-After, and until when a call to them may be in flight.
         self.left: dict[int, tuple[tuple[int, int], int]] = {}
-        self.longest_us = max(c.deadline_us for c in settings.classes)
-        # Whether a destination is served here now, where another courier may serve it.
+        self.longest_us = max(cls.deadline_us for cls in settings.classes)
+        # Whether this courier serves a destination now; set where another courier may serve it.
         self.serves: Callable[[int], bool] | None = None
-        # Ids that another courier heard to drain, until this one's list tells of them.
+        # Ids that another courier saw draining, until this courier's own list has an entry of them.
         self.drains_passed_on: dict[str, None] = {}
-        # The rate that the decision module is to be told, where couriers share a destination's.
+        # The rate of an entry to show to the engine, where several couriers share a destination's rate.
         self.rate: Callable[[EndpointEntry], float] | None = None
-        # What it is to be told beside, of what others have learnt.
+        # Adds the findings of other couriers to an entry for the engine.
         self.learnt: Callable[[EndpointEntry], EndpointEntry] | None = None
-        self.strange: set[str] = set()  # entries that can't be read, as the log was told of them
-        self.puzzled = False  # the newest list told of one in a new way: it should be asked for again
+        self.strange: set[str] = set()  # malformed entries that have been logged
+        # Whether the newest list had a malformed entry that is new: then the list should be sent again.
+        self.puzzled = False
 
     def read(self, change: dict[str, Any]) -> list[tuple[EndpointEntry, Address | None]]:
-        """The entries of a change that can be read, now part of the list, and where each is, None: where it
-        was. One that can't be read may still end its endpoint's service: that binds."""
-        found: list[tuple[EndpointEntry, Address | None]] = []
-        strange = set()
+        """Apply the well-formed entries of a change; return them with their addresses.
+
+        The address is None where it stays as it was: a malformed entry may still drain or remove its
+        endpoint.
+        """
+        parsed: list[tuple[EndpointEntry, Address | None]] = []
+        malformed = set()
         for target in change.get("targets", []):
             try:
                 entry, address = self._entry(target)
             except UNREADABLE as error:
-                strange.add(f"{error!r}: {target!r:.200}")
+                malformed.add(f"{error!r}: {target!r:.200}")
                 try:
                     entry, address = self._drained(target), None
                 except UNREADABLE:
                     continue
-            found.append((entry, address))
+            parsed.append((entry, address))
             self.entries[entry.endpoint] = entry
             self.dests.add(entry.destination)
-        for text in strange - self.strange:
-            log.error("discovery: an entry that can't be read, its endpoint stays or ends: %s", text)
-        self.puzzled = not strange <= self.strange
-        # Those of a whole list are all that there are now.
-        self.strange = strange if change.get("all") or len(self.strange) > EVER else self.strange | strange
-        return found
+        for text in malformed - self.strange:
+            log.error("discovery: malformed entry; its endpoint is kept, drained or removed: %s", text)
+        self.puzzled = not malformed <= self.strange
+        # The malformed entries of a complete list replace all earlier ones.
+        self.strange = (
+            malformed if change.get("all") or len(self.strange) > EVER else self.strange | malformed
+        )
+        return parsed
 
     def _entry(self, target: dict[str, Any]) -> tuple[EndpointEntry, Address]:
-        """Nothing of the list changes unless all of it can be read."""
-        uid, hint = target["uid"], float(target.get("capacity_hint") or 0.0)
-        if not uid or not isinstance(uid, str) or not 0 <= hint < math.inf:
-            raise ValueError("an id or a rate that is none")
+        """Parse an entry; the registry changes only if all of it is well-formed."""
+        uid, capacity_hint = target["uid"], float(target.get("capacity_hint") or 0.0)
+        if not uid or not isinstance(uid, str) or not 0 <= capacity_hint < math.inf:
+            raise ValueError("invalid uid or capacity_hint")
         kind, zone = self.kinds.get(target.get("model", ""), 0), self.zones.get(target.get("az", ""), 0)
         dest, state = int(target["pod_group"]), STATES[target["state"]]
         address = self.address(target["endpoint"], "endpoint")
         topic, subscribed = str(target.get("topic") or ""), tuple(map(str, target.get("topics") or ()))
         self.drains_passed_on.pop(uid, None)
         number = self.number(uid)
-        entry = EndpointEntry(number, dest, state, hint, kind, zone)
-        if self.s.load_report_fields:  # the list's figure means nothing there
+        entry = EndpointEntry(number, dest, state, capacity_hint, kind, zone)
+        if self.s.load_report_fields:  # load reports replace the list's rate
             entry = replace(entry, rate_per_s=self.limits[self._key(entry)])
         if topic:
             self.topics[number] = topic
@@ -115,17 +123,17 @@
             self.subscribed[number] = subscribed
         else:
             self.subscribed.pop(number, None)
-        return self._by_bans(uid, entry), address
+        return self._with_disabled_state(uid, entry), address
 
     def _drained(self, target: dict[str, Any]) -> EndpointEntry:
-        """Of an entry that can't be read: its endpoint, if it is known and wants nothing new by it."""
+        """Return the entry of a known endpoint that a malformed entry drains or removes."""
         entry, state = self.entries[self.uids[target["uid"]]], STATES[target["state"]]
         if state is READY:
-            raise ValueError("it stays as it was")
-        return self._by_bans(target["uid"], replace(entry, state=state))
+            raise ValueError("the entry neither drains nor removes its endpoint")
+        return self._with_disabled_state(target["uid"], replace(entry, state=state))
 
     def number(self, uid: str) -> int:
-        """The endpoint's number, its first one if it was not listed."""
+        """Return the endpoint's number; an id that is not listed gets a new one."""
         if uid not in self.uids:
             self.listed_ever += 1
             self.uids[uid], self.names[self.listed_ever] = self.listed_ever, uid
@@ -135,54 +143,61 @@
                 del self.ever[next(iter(self.ever))]
         return self.uids[uid]
 
-    # By hand
+    # Endpoints disabled by an operator
 
-    def _by_bans(self, uid: str, entry: EndpointEntry) -> EndpointEntry:
-        """An entry as it was told, or as it is by hand."""
+    def _with_disabled_state(self, uid: str, entry: EndpointEntry) -> EndpointEntry:
+        """Return the entry as reported, or as draining if an operator has disabled its endpoint."""
         if uid in self.bans:
-            return self._kept_out(entry)
+            return self._disabled(entry)
         self.told.pop(entry.endpoint, None)
         return entry
 
-    def _kept_out(self, entry: EndpointEntry) -> EndpointEntry:
-        """As the turn sees one that is out by hand: it wants nothing new."""
+    def _disabled(self, entry: EndpointEntry) -> EndpointEntry:
+        """Return the entry as draining, so that its endpoint gets no new calls; keep the reported state."""
         self.told[entry.endpoint] = entry.state
-        gone = entry.state is EndpointState.GONE
-        return entry if gone else replace(entry, state=EndpointState.DRAINING)
+        is_gone = entry.state is EndpointState.GONE
+        return entry if is_gone else replace(entry, state=EndpointState.DRAINING)
+
+    def set_enabled(self, uid: str, enabled: bool) -> list[EndpointEntry]:
+        """Disable or enable an endpoint; return its changed entry, or none if nothing changes.
 
-    def by_hand(self, uid: str, back: bool) -> list[EndpointEntry]:
-        """The entry that changes as an endpoint is taken out or put back, none if it is not listed now. One
-        that is put back has been restarted: it is cold."""
+        An endpoint that is enabled has been restarted, so it is cold.
+        """
         number = self.uids.get(uid)
-        if number is None or number not in self.entries or back is not (number in self.told):
-            return []  # not listed, or told twice
-        if back:
+        if number is None or number not in self.entries or enabled is not (number in self.told):
+            return []  # not listed, or already in this state
+        if enabled:
             entry = replace(self.entries[number], state=self.told.pop(number), recovering=True)
         else:
-            entry = self._kept_out(self.entries[number])
+            entry = self._disabled(self.entries[number])
         self.entries[number] = replace(entry, recovering=False)
         return [entry]
 
     @property
     def out_by_hand(self) -> set[int]:
-        """Those listed now."""
+        """Numbers of the listed endpoints that an operator has disabled."""
         return {number for number in self.told if number in self.entries}
 
     def kept(self, change: dict[str, Any], read: list[EndpointEntry]) -> list[EndpointEntry]:
-        """Entries that stay as they were, since a whole list tells of them in a way that can't be read. Where
-        it does not even tell of whom, none of them has gone."""
+        """Return the entries that a complete list leaves unchanged because its entries of them are malformed.
+
+        If a malformed entry does not even have an id, all endpoints are kept. `read`: the well-formed
+        entries.
+        """
         known = {e.endpoint for e in read}
         ids = [t.get("uid") if isinstance(t, dict) else None for t in change.get("targets", [])]
-        everyone, named = not all(isinstance(uid, str) and uid for uid in ids), {str(uid) for uid in ids}
-        return [e for n, e in self.entries.items() if n not in known and (everyone or self.names[n] in named)]
+        keeps_all, listed = not all(isinstance(uid, str) and uid for uid in ids), {str(uid) for uid in ids}
+        return [
+            e for n, e in self.entries.items() if n not in known and (keeps_all or self.names[n] in listed)
+        ]
 
     def unnamed(self, entries: list[EndpointEntry]) -> list[int]:
-        """The endpoints that a whole list leaves out."""
-        named = {e.endpoint for e in entries}
-        return [n for n in self.entries if n not in named]
+        """Return the known endpoints that are not among the entries of a complete list."""
+        listed = {e.endpoint for e in entries}
+        return [n for n in self.entries if n not in listed]
 
     def forget(self, endpoint: int) -> None:
-        """It has gone."""
+        """Remove an endpoint that is no longer listed."""
         if endpoint in self.entries:
             self.left[endpoint] = (self._wait_key(endpoint), self.clock() + self.longest_us)
             route = (self.entries.pop(endpoint).destination, endpoint)
@@ -193,55 +208,60 @@
         self.told.pop(endpoint, None)
         self.topics.pop(endpoint, None)
         self.subscribed.pop(endpoint, None)
-        self.uids.pop(self.names.pop(endpoint, ""), None)  # an id that has gone does not come again
+        self.uids.pop(self.names.pop(endpoint, ""), None)  # ids are not reused
 
     def _kind(self, entry: EndpointEntry) -> DestinationKind:
         return self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)]
 
     def zone(self, number: int) -> str:
-        """Its name, '' if it has none."""
+        """Return a zone's name, '' if it has none."""
         return self.zone_names[number] if number < len(self.zone_names) else ""
 
     def batch(self, endpoint: int) -> int:
-        """How many messages one call there may hold."""
+        """Return how many messages one call to the endpoint may hold."""
         entry = self.entries.get(endpoint)
         return self._kind(entry).max_batch if entry else 1
 
     def shown(self, entry: EndpointEntry) -> EndpointEntry:
-        """As the decision module sees it: what is not served here now wants nothing new."""
-        hidden = self.serves is not None and not self.serves(entry.destination)
-        hidden = hidden or self.names.get(entry.endpoint, "") in self.drains_passed_on
+        """Return the entry as the engine is to see it.
+
+        An endpoint is shown as draining if this courier does not serve its destination now.
+        """
+        is_hidden = self.serves is not None and not self.serves(entry.destination)
+        is_hidden = is_hidden or self.names.get(entry.endpoint, "") in self.drains_passed_on
         if self.rate is not None:
             entry = replace(entry, rate_per_s=self.rate(entry))
         if self.learnt is not None:
             entry = self.learnt(entry)
-        return replace(entry, state=EndpointState.DRAINING) if hidden and entry.state is READY else entry
+        return replace(entry, state=EndpointState.DRAINING) if is_hidden and entry.state is READY else entry
 
     def told_load(self, endpoint: int, load: dict[str, float]) -> list[EndpointEntry]:
-        """The entries that an answer's report changes."""
+        """Apply the load report of a response; return the entries whose rate it changes."""
         entry = self.entries.get(endpoint)
         if entry is None or not self.s.load_report_fields:
             return []
         key, values = self._key(entry), [load.get(name, 0.0) for name in self.s.load_report_fields]
         if not self.limits.told(key, told(self.s.load_report_fields, values)):
             return []
-        alike = [e for e in self.entries.values() if self._key(e) == key]
-        changed = [replace(e, rate_per_s=self.limits[key]) for e in alike]
-        self.entries.update({e.endpoint: e for e in changed})
+        same_key = [other for other in self.entries.values() if self._key(other) == key]
+        changed = [replace(other, rate_per_s=self.limits[key]) for other in same_key]
+        self.entries.update({other.endpoint: other for other in changed})
         return changed
 
-    # Waits
+    # Retry-After
 
     def told_again(self, dest: int, uid: str, until: int) -> tuple[EndpointEntry, ...]:
-        """The entries that are under a wait which another process was told; '' stands for a destination's.
-        One that was told here and ends later holds on."""
-        found = [
+        """Apply a Retry-After that another process received; return the entries under it.
+
+        The id '' stands for a whole destination. A later end that was received here stays in force.
+        """
+        affected = [
             e for e in self.entries.values() if e.destination == dest and uid in ("", self.names[e.endpoint])
         ]
-        return self._closed(found, until)
+        return self._with_retry_after(affected, until)
 
-    def _closed(self, entries: list[EndpointEntry], until: int) -> tuple[EndpointEntry, ...]:
-        """These, under a wait until then at least."""
+    def _with_retry_after(self, entries: list[EndpointEntry], until: int) -> tuple[EndpointEntry, ...]:
+        """Return the entries with a Retry-After that ends at `until` or later."""
         for key in {self._wait_key(e.endpoint) for e in entries}:
             self.waits[key] = max(self.waits.get(key, 0), until)
         return tuple(replace(e, retry_after_until_us=self.waits[self._wait_key(e.endpoint)]) for e in entries)
@@ -251,11 +271,11 @@
         return self.left.get(endpoint, ((-1, endpoint), 0))[0] if entry is None else self._key(entry)
 
     def _key(self, entry: EndpointEntry) -> tuple[int, int]:
-        """What waits and limits are told of: a destination, or one route of it."""
+        """Return what a Retry-After and a rate apply to: a destination, or one route of it."""
         return (entry.destination, entry.endpoint if self._kind(entry).limits_per_endpoint else -1)
 
     def waits_by_name(self) -> list[tuple[int, str, int]]:
-        """Those that still run: the destination, the endpoint's id or '' for all of them, when it ends."""
+        """Return the active Retry-After times: destination, endpoint id or '' for all, and the end."""
         now = self.clock()
         return [
             (dest, self.names.get(endpoint, ""), until)
@@ -264,19 +284,21 @@
         ]
 
     def told_wait(self, endpoint: int, wait_us: int) -> tuple[EndpointEntry, ...]:
-        """An answer told to wait for so long: the entries that are under it. One that has left the list still
-        tells it for its destination."""
+        """Apply the Retry-After of a response; return the entries under it.
+
+        An endpoint that is no longer listed still sets it for its destination.
+        """
         key = self._wait_key(endpoint)
-        under = [e for e in self.entries.values() if self._wait_key(e.endpoint) == key]
-        return self._closed(under, self.clock() + wait_us)
+        affected = [e for e in self.entries.values() if self._wait_key(e.endpoint) == key]
+        return self._with_retry_after(affected, self.clock() + wait_us)
 
     def may_write(self, endpoint: int) -> bool:
-        """News that came while a connection was being made holds for the call that waits for it."""
+        """Whether a call may be written now, after drains and Retry-After that came while it connected."""
         entry = self.entries.get(endpoint)
         if entry is None or self.shown(entry).state is not READY:
             return False
         return not self.waited(endpoint)
 
     def waited(self, endpoint: int) -> bool:
-        """Whether a told wait still runs there."""
+        """Whether the endpoint is under an active Retry-After."""
         return self.waits.get(self._wait_key(endpoint), 0) > self.clock()
--- a/madderbeam/host/engine_trace.py
+++ b/madderbeam/host/engine_trace.py
@@ -1,4 +1,4 @@
-"""A trace of the decisions, for counting what a whole fleet did: each event and action is one line."""
+"""A trace of all decisions, to analyse a whole fleet: each event and each action is one line."""
 
 from __future__ import annotations
 
@@ -11,8 +11,10 @@
 
 
 class TracedEngine(DeliveryEngine):
-    """The decision module, with every turn written down. Off unless MADDERBEAM_TRACE is set: it is far more
-    than a log should hold, and costs CPU. bench/fleet.py reads it."""
+    """The delivery engine with a trace of every dispatch cycle, which bench/fleet.py reads.
+
+    Used only if MADDERBEAM_TRACE is set: it writes far more than a log should hold, and costs CPU.
+    """
 
     def __init__(self, settings: Settings, seed: int, write: Callable[[str], None]) -> None:
         super().__init__(settings, seed)
@@ -20,36 +22,47 @@
         write(f"settings {settings}")
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
+        """Run a dispatch cycle of the engine and write its trace."""
         events = list(events)
-        lines = [line for e in events if (line := self._event(e))]
+        lines = [line for event in events if (line := self._event_line(event))]
         actions = super().handle(now_us, events)
-        lines += [line for a in actions if (line := self._action(a))]
+        lines += [line for action in actions if (line := self._action_line(action))]
         if lines:
             self.write("\n".join(f"trace {now_us} {line}" for line in lines))
         return actions
 
-    def _dest(self, endpoint: int) -> int:
-        found = self.state.endpoints.get(endpoint)
-        return found.scope.destination.number if found else -1
-
-    def _event(self, e: Event) -> str:
-        if isinstance(e, MessageArrived):
-            return f"arrived {e.destination} {e.message} {e.message_class} {int(e.resubmitted)} {e.attempts}"
-        if isinstance(e, AttemptEnded):
-            where = f"{self._dest(e.endpoint)} {e.message} {e.endpoint}"
-            return f"{e.result.value} {where} {e.latency_us} {e.retry_after_us // 1000} {e.on_new_connection}"
-        if isinstance(e, EndpointListUpdate):
-            shown = [
-                f"{x.endpoint}:{x.destination}:{x.state.value}:{x.rate_per_s:g}:{x.kind}" for x in e.entries
+    def _destination(self, endpoint: int) -> int:
+        known = self.state.endpoints.get(endpoint)
+        return known.scope.destination.number if known else -1
+
+    def _event_line(self, event: Event) -> str:
+        if isinstance(event, MessageArrived):
+            return (
+                f"arrived {event.destination} {event.message} {event.message_class} "
+                f"{int(event.resubmitted)} {event.attempts}"
+            )
+        if isinstance(event, AttemptEnded):
+            where = f"{self._destination(event.endpoint)} {event.message} {event.endpoint}"
+            return (
+                f"{event.result.value} {where} {event.latency_us} "
+                f"{event.retry_after_us // 1000} {event.on_new_connection}"
+            )
+        if isinstance(event, EndpointListUpdate):
+            entries = [
+                f"{entry.endpoint}:{entry.destination}:{entry.state.value}:{entry.rate_per_s:g}:{entry.kind}"
+                for entry in event.entries
             ]
-            return f"listed {e.kind.value} {' '.join(shown)}"
+            return f"listed {event.kind.value} {' '.join(entries)}"
         return ""
 
-    def _action(self, a: Action) -> str:
-        if isinstance(a, Send):
-            return f"send {self._dest(a.endpoint)} {a.message} {a.endpoint} {a.timeout_us // 1000}"
-        if isinstance(a, Reject):
-            return f"refuse - {a.message} {a.retry_after_us // 1000}"
-        if isinstance(a, Fail):
-            return f"fail - {a.message}"
+    def _action_line(self, action: Action) -> str:
+        if isinstance(action, Send):
+            return (
+                f"send {self._destination(action.endpoint)} {action.message} {action.endpoint} "
+                f"{action.timeout_us // 1000}"
+            )
+        if isinstance(action, Reject):
+            return f"refuse - {action.message} {action.retry_after_us // 1000}"
+        if isinstance(action, Fail):
+            return f"fail - {action.message}"
         return ""
--- a/madderbeam/host/environment.py
+++ b/madderbeam/host/environment.py
@@ -1,7 +1,7 @@
-"""What a courier stands in: where its list comes from, where ends are told, whose connections it takes.
+"""The environment of a courier: where its endpoint list comes from, where notices go, its client limits.
 
-On the platform that is discovery for both; beside one program a file that is followed and a feed of finals.
-The turn knows neither by name.
+On the platform discovery is both; for a sidecar they are a file that is watched and a feed file. The host
+does not depend on which of them it has.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from madderbeam.transport.discovery import Notices, Watch
 from madderbeam.transport.local import Feed, ListFile
 
-CLIENT_SHARE = 0.5  # of the limit on open files is for clients
-SIDECAR_PIPELINE = 1024  # requests of one connection that may wait, where it is the program's own courier
+CLIENT_SHARE = 0.5  # of the limit on open files, for clients
+SIDECAR_PIPELINE = 1024  # pipelined requests per connection, where all clients are one application's
 
 
 @dataclass(frozen=True)
@@ -28,10 +28,10 @@
 
     notices: Notices | Feed
     watch: Watch | ListFile
-    places: Places
+    client_limits: Places
 
 
-def surroundings(
+def create_environment(
     loop: asyncio.AbstractEventLoop,
     disk: Disk,
     network: Network,
@@ -39,22 +39,26 @@
     accepted: Callable[[list[int]], None],
     listed: Callable[[dict[str, Any]], bool],
 ) -> Environment:
-    """`accepted` is told of notices that were, `listed` of news of the list."""
-    chance, side = random.Random(f"links {config.seed}"), config.sidecar
-    most = max(8, int(config.sockets * CLIENT_SHARE))
-    if side is None:
+    """Create the environment that the configuration has.
+
+    `accepted` is called with the numbers of messages whose notices were accepted, `listed` with each endpoint
+    list or change of it; it returns False to request the complete list.
+    """
+    rng, sidecar = random.Random(f"links {config.seed}"), config.sidecar
+    max_clients = max(8, int(config.sockets * CLIENT_SHARE))
+    if sidecar is None:
         return Environment(
-            Notices(loop, network, config.discovery, chance, accepted),
-            Watch(loop, network, config.discovery, chance, config.known["rev"], listed),
-            Places(most),
+            Notices(loop, network, config.discovery, rng, accepted),
+            Watch(loop, network, config.discovery, rng, config.known["rev"], listed),
+            Places(max_clients),
         )
     notices = (
-        Feed(loop, disk, side.feed, side.feed_bytes, chance, accepted)
-        if side.feed
-        else Notices(loop, network, config.discovery, chance, accepted)
+        Feed(loop, disk, sidecar.feed, sidecar.feed_bytes, rng, accepted)
+        if sidecar.feed
+        else Notices(loop, network, config.discovery, rng, accepted)
     )
     return Environment(
         notices,
-        ListFile(loop, disk, side.partners, listed),
-        Places(min(side.clients, most), 1.0, side.client_idle_s, SIDECAR_PIPELINE),
+        ListFile(loop, disk, sidecar.partners, listed),
+        Places(min(sidecar.clients, max_clients), 1.0, sidecar.client_idle_s, SIDECAR_PIPELINE),
     )
--- a/madderbeam/host/kafka.py
+++ b/madderbeam/host/kafka.py
@@ -1,5 +1,4 @@
-"""The Kafka front in the host: its server, the feed as the topic of finals, and the offsets that outlast
-it."""
+"""Kafka clients of the host: the server, the feed file as a topic of outcomes, and the stored offsets."""
 
 from __future__ import annotations
 
@@ -12,8 +11,7 @@
 
 from madderbeam.config.platform import Config, Kafka
 from madderbeam.host import atomic_file
-from madderbeam.host.components import ClientListener as Served
-from madderbeam.host.components import Component
+from madderbeam.host.components import ClientListener, Component
 from madderbeam.host.host import Host
 from madderbeam.ports import Clock, Disk, Network, Ports
 from madderbeam.transport.clients import ClientServer, Places, Put
@@ -22,12 +20,12 @@
 from madderbeam.transport.local import Feed
 from madderbeam.transport.reply_handle import ReplyHandle
 
-KEPT_S = 60.0  # a connection that was of use is kept for so long with no request open
+IDLE_TIMEOUT_S = 60.0  # of a connection that has carried requests before
 log = logging.getLogger(__name__)
 
 
 class KafkaComponent(Component):
-    """Built where the configuration has `kafka`. Gets what admission takes, and hands nothing else on."""
+    """Serves Kafka clients where the configuration has `kafka`; their messages are submitted to admission."""
 
     def __init__(
         self,
@@ -37,7 +35,7 @@
         clock: Clock,
         config: Config,
         kafka: Kafka,
-        hand_in: Callable[[Put, ReplyHandle], None],
+        submit: Callable[[Put, ReplyHandle], None],
         feed: Feed | None,
     ) -> None:
         self.disk, self.kafka, self.feed = disk, kafka, feed
@@ -45,55 +43,57 @@
             kafka.advertised[0],
             kafka.advertised[1],
             config.settings.classes,
-            frozenset(t.name for t in config.settings.tenants),
+            frozenset(tenant.name for tenant in config.settings.tenants),
             kafka.users,
             kafka.partitions,
             kafka.finals,
         )
-        self.front = Front(setup, hand_in, loop.time, lambda: int(clock.wall() * 1e3), self._later)
+        self.front = Front(setup, submit, loop.time, lambda: int(clock.wall() * 1e3), self._later)
         self.loop = loop
-        side = config.sidecar
-        places = Places(side.clients if side else 64, 1.0, KEPT_S)
-        self.server = ClientServer(loop, network, hand_in, places, connections(self.front))
+        sidecar = config.sidecar
+        limits = Places(sidecar.clients if sidecar else 64, 1.0, IDLE_TIMEOUT_S)
+        self.server = ClientServer(loop, network, submit, limits, connections(self.front))
         self.path = f"{feed.path}.kafka.json" if feed else ""
         self.front.saved = self.save
         if feed is not None:
             self._load(feed)
-            feed.wrote, feed.renames = self._wrote, self._renames
+            feed.wrote, feed.renames = self._feed_written, self._before_rotation
 
     def _later(self, seconds: float, action: Callable[[], None]) -> None:
         self.loop.call_later(seconds, action)
 
     @property
-    def fronts(self) -> tuple[Served, ...]:
+    def fronts(self) -> tuple[ClientListener, ...]:
+        """The server for Kafka clients."""
         return (self.server,)
 
     def open(self) -> None:
-        log.info("Kafka clients may come at port %d", self.listen())
+        """Begin to listen; OSError if that fails."""
+        log.info("listening for Kafka clients on port %d", self.listen())
 
     def listen(self) -> int:
-        """The port; OSError if it can't be had."""
+        """Listen and return the port; OSError if that fails."""
         port = self.server.listen(*self.kafka.listen)
         if not self.front.setup.port:
             self.front.setup = replace(self.front.setup, port=port)
         return port
 
-    # Finals
+    # The topic of outcomes
 
     def _load(self, feed: Feed) -> None:
-        """What the feed holds, with the offsets that it had."""
-        kept: dict[str, Any] = {}
+        """Load the feed's lines and the stored offsets."""
+        stored: dict[str, Any] = {}
         try:
-            kept = json.loads(self.disk.read(self.path))
+            stored = json.loads(self.disk.read(self.path))
         except FileNotFoundError:
             pass
         except (OSError, ValueError) as error:
-            log.error("kafka: offsets begin anew: %s: %s", self.path, error)
-        base, groups = kept.get("base", 0), kept.get("groups", {})
+            log.error("kafka: %s: stored offsets are unreadable, starting without: %s", self.path, error)
+        base, groups = stored.get("base", 0), stored.get("groups", {})
         if isinstance(base, int) and isinstance(groups, dict):
             self.front.finals.base, self.front.groups.offsets = base, groups
-        self.aside = self.here = 0  # lines of the feed that was set aside, and of this one
-        self.first = self.front.finals.base  # the offset of the first line that was set aside
+        self.rotated_lines = self.current_lines = 0  # of the rotated feed file, and of the current one
+        self.base_offset = self.front.finals.base  # of the first line of the rotated feed file
         for path in (feed.path + ".1", feed.path):
             try:
                 data = self.disk.read(path)
@@ -101,33 +101,36 @@
                 data = b""
             count = self.front.told_finals(data)
             if path == feed.path:
-                self.here = count
+                self.current_lines = count
             else:
-                self.aside = count
+                self.rotated_lines = count
 
-    def _wrote(self, data: bytes) -> None:
-        self.here += self.front.told_finals(data)
+    def _feed_written(self, data: bytes) -> None:
+        self.current_lines += self.front.told_finals(data)
 
-    def _renames(self) -> None:
-        """The feed is about to be set aside, in place of the one before. Told first: a kill in between makes
-        offsets too high, so that a consumer reads lines again; the other way round it would miss some."""
-        self.first += self.aside
-        self.aside, self.here = self.here, 0
+    def _before_rotation(self) -> None:
+        """Store the offsets before the feed file is rotated and the previous rotated file replaced.
+
+        A kill between the two makes offsets too high, so that a consumer reads lines again. In the other
+        order it would miss lines.
+        """
+        self.base_offset += self.rotated_lines
+        self.rotated_lines, self.current_lines = self.current_lines, 0
         self.save()
 
     def save(self) -> None:
-        """The offsets, whole or as they were."""
+        """Store the offsets atomically."""
         if not self.path:
             return
-        text = json.dumps({"base": self.first, "groups": self.front.groups.offsets}).encode()
+        data = json.dumps({"base": self.base_offset, "groups": self.front.groups.offsets}).encode()
         try:
-            atomic_file.replace(self.disk, self.path, text)
+            atomic_file.replace(self.disk, self.path, data)
         except OSError as error:
-            log.error("kafka: offsets are not saved: %s", error)
+            log.error("kafka: offsets could not be stored: %s", error)
 
 
 def join(host: Host, ports: Ports) -> None:
-    """Kafka clients hand in what admission takes, and read the feed."""
+    """Add the Kafka component to a host: its clients submit messages to admission and consume the feed."""
     assert host.config.kafka is not None
     feed = host.notices if isinstance(host.notices, Feed) else None
     host.rooms.append(
--- a/madderbeam/host/metrics.py
+++ b/madderbeam/host/metrics.py
@@ -1,4 +1,4 @@
-"""What is counted for those who run the courier: from the start of the process, where it becomes true."""
+"""Counters for operators, from the start of the process on; an event is counted when it happens."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class Metrics:
-    """Counts of ends by class, and of messages written whole to endpoints."""
+    """Counts completed messages by class, and messages written completely to endpoints."""
 
     def __init__(self, classes: Sequence[str]) -> None:
         self.classes = tuple(classes)
-        self.ends = {what: [0] * len(self.classes) for what in (SUCCEEDED, DECLINED, ABORTED)}
+        self.ends = {outcome: [0] * len(self.classes) for outcome in (SUCCEEDED, DECLINED, ABORTED)}
         self.forwards = 0
-        self.reloads = {True: 0, False: 0}  # SIGHUPs, by whether the file could be used
+        self.reloads = {True: 0, False: 0}  # SIGHUPs, by whether the file was valid
 
-    def ended(self, what: str, cls: int) -> None:
-        """A message of this class has ended; of one that the settings have no more none are counted."""
+    def ended(self, outcome: str, cls: int) -> None:
+        """Count a completed message; one of a class that the settings no longer have is not counted."""
         if cls < len(self.classes):
-            self.ends[what][cls] += 1
+            self.ends[outcome][cls] += 1
 
     def forwarded(self, messages: int) -> None:
-        """So many were written whole to an endpoint."""
+        """Count messages that were written completely to an endpoint."""
         self.forwards += messages
 
     def reloaded(self, applied: bool) -> None:
-        """A SIGHUP was followed, or its file could not be used."""
+        """Count a SIGHUP, by whether its file was valid."""
         self.reloads[applied] += 1
 
     def lines(
@@ -38,10 +38,10 @@
         damage: int,
         more: Mapping[str, int] | None = None,
     ) -> str:
-        """All figures, one name=value a line; `more`: of features that are on."""
+        """Return all metrics, one name=value a line; `more`: metrics of optional components."""
         rows = [
-            (f"{what}.{name}", count)
-            for what, counts in self.ends.items()
+            (f"{outcome}.{name}", count)
+            for outcome, counts in self.ends.items()
             for name, count in zip(self.classes, counts, strict=True)
         ]
         rows += [
--- a/madderbeam/host/object_graph.py
+++ b/madderbeam/host/object_graph.py
@@ -1,7 +1,7 @@
-"""State as plain data: objects of known classes, with what they share and how they point at one another.
+"""Encoding of object graphs as plain data: objects of known classes, with shared references and cycles.
 
-Nothing is run by reading it, unlike pickle, and no depth of it uses the stack. Numbers, texts and bytes stand
-for themselves; all else is a node, and a list with a node's index points at it.
+Unlike pickle, decoding runs no code, and no depth of the graph uses the stack. Numbers, strings and bytes are
+encoded as themselves; everything else is a node, and a list with a node's index refers to it.
 """
 
 from __future__ import annotations
@@ -18,93 +18,100 @@
 
 
 class UnknownStateError(ValueError):
-    """Data that does not stand for objects of the known classes."""
+    """The data does not encode objects of the known classes, or an object is not of one of them."""
 
 
 def form(classes: Iterable[type]) -> str:
-    """A digest of the classes' fields: data of another form must not be read."""
-    shapes = []
+    """Return a digest of the classes' fields; data encoded under another digest must not be decoded."""
+    descriptions = []
     for cls in classes:
         if issubclass(cls, Enum):
             names = [member.name for member in cls]
         elif is_dataclass(cls):
-            names = [f.name for f in fields(cls)]
+            names = [field.name for field in fields(cls)]
         else:
             names = sorted(cls.__init__.__code__.co_names)
-        shapes.append(f"{cls.__name__}:{','.join(names)}")
-    return hashlib.blake2b("\n".join(shapes).encode(), digest_size=8).hexdigest()
+        descriptions.append(f"{cls.__name__}:{','.join(names)}")
+    return hashlib.blake2b("\n".join(descriptions).encode(), digest_size=8).hexdigest()
 
 
 def encode(root: Any, classes: Sequence[type]) -> list[Any]:
-    """The nodes of all that the root reaches, the root first. Unknown for an object of another class."""
+    """Return the nodes of all objects reachable from the root, which comes first.
+
+    UnknownStateError for an object of another class.
+    """
     known = frozenset(classes)
     nodes: list[Any] = []
-    found: dict[int, int] = {}
-    keep: list[Any] = []  # what is made here must live as long as its id is used
+    indexes: dict[int, int] = {}  # of nodes, by the object's id
+    objects: list[Any] = []  # by node; keeps them alive while their ids are in use
 
-    def point(value: Any) -> Any:
+    def refer(value: Any) -> Any:
         if type(value) in PLAIN:
             return value
-        index = found.get(id(value))
+        index = indexes.get(id(value))
         if index is None:
-            index = found[id(value)] = len(nodes)
-            keep.append(value)
+            index = indexes[id(value)] = len(nodes)
+            objects.append(value)
             nodes.append(None)
         return [index]
 
-    point(root)
-    done = 0
-    while done < len(nodes):
-        nodes[done] = _node(keep[done], known, point)
-        done += 1
+    refer(root)
+    position = 0
+    while position < len(nodes):
+        nodes[position] = _node(objects[position], known, refer)
+        position += 1
     return nodes
 
 
-def _node(value: Any, known: frozenset[type], point: Any) -> list[Any]:
+def _node(value: Any, known: frozenset[type], refer: Any) -> list[Any]:
     cls = type(value)
     if cls is list or cls is tuple or cls is set or cls is deque:
-        return [cls.__name__, *map(point, value)]
+        return [cls.__name__, *map(refer, value)]
     if cls is dict:
-        return ["dict", *(point(part) for pair in value.items() for part in pair)]
+        return ["dict", *(refer(part) for pair in value.items() for part in pair)]
     if cls is random.Random:
         return ["random"]
     if cls not in known:
-        raise UnknownStateError(f"{cls.__name__} is not of the state's classes")
+        raise UnknownStateError(f"{cls.__name__} is not among the classes that can be encoded")
     if isinstance(value, Enum):
         return ["enum", cls.__name__, value.name]
-    return ["object", cls.__name__, *(point(part) for pair in _fields(value) for part in pair)]
+    return ["object", cls.__name__, *(refer(part) for pair in _fields(value) for part in pair)]
 
 
 def _fields(value: Any) -> Iterable[tuple[str, Any]]:
-    if is_dataclass(value):  # it may have slots
+    if is_dataclass(value):  # its class may have slots instead of a __dict__
         return [(f.name, getattr(value, f.name)) for f in fields(value)]
     return vars(value).items()
 
 
-def decode(nodes: list[Any], classes: Sequence[type], chance: random.Random) -> Any:
-    """The root. Random numbers go on from `chance`. Unknown if the data can't be what `encode` gave."""
+def decode(nodes: list[Any], classes: Sequence[type], rng: random.Random) -> Any:
+    """Return the root object; `rng` replaces its random number generators.
+
+    UnknownStateError if the data is not what `encode` returns.
+    """
     try:
-        return _Reader(nodes, {cls.__name__: cls for cls in classes}, chance).root()
+        return _Decoder(nodes, {cls.__name__: cls for cls in classes}, rng).root()
     except UnknownStateError:
         raise
     except (KeyError, TypeError, ValueError, IndexError, AttributeError, RecursionError) as error:
         raise UnknownStateError(f"state that can't be read: {error!r}") from None
 
 
-class _Reader:
-    """Makes all nodes, then fills them: they may point at one another in circles."""
+class _Decoder:
+    """Creates the objects of all nodes, then fills them, since they may refer to one another in cycles."""
 
-    def __init__(self, nodes: list[Any], classes: dict[str, type], chance: random.Random) -> None:
-        self.nodes, self.classes, self.chance = nodes, classes, chance
-        self.made: list[Any] = [self._shell(node) for node in nodes]
+    def __init__(self, nodes: list[Any], classes: dict[str, type], rng: random.Random) -> None:
+        self.nodes, self.classes, self.rng = nodes, classes, rng
+        self.objects: list[Any] = [self._create(node) for node in nodes]
         self.tuples: dict[int, tuple[Any, ...]] = {}
 
     def root(self) -> Any:
-        for node, shell in zip(self.nodes, self.made, strict=True):
-            self._fill(node, shell)
+        """Fill all objects and return the root."""
+        for node, empty in zip(self.nodes, self.objects, strict=True):
+            self._fill(node, empty)
         return self._value([0])
 
-    def _shell(self, node: list[Any]) -> Any:
+    def _create(self, node: list[Any]) -> Any:
         kind = node[0]
         if kind == "object":
             cls = self.classes[node[1]]
@@ -112,9 +119,9 @@
         if kind == "enum":
             return self.classes[node[1]][node[2]]  # type: ignore[index]
         if kind == "random":
-            return self.chance
-        empty: dict[str, type] = {"list": list, "dict": dict, "set": set, "deque": deque}
-        return None if kind == "tuple" else empty[kind]()
+            return self.rng
+        containers: dict[str, type] = {"list": list, "dict": dict, "set": set, "deque": deque}
+        return None if kind == "tuple" else containers[kind]()
 
     def _value(self, value: Any) -> Any:
         if type(value) is not list:
@@ -122,19 +129,19 @@
         index = value[0]
         node = self.nodes[index]
         if node[0] != "tuple":
-            return self.made[index]
+            return self.objects[index]
         if index not in self.tuples:
             self.tuples[index] = tuple(map(self._value, node[1:]))
         return self.tuples[index]
 
-    def _fill(self, node: list[Any], shell: Any) -> None:
+    def _fill(self, node: list[Any], empty: Any) -> None:
         kind = node[0]
         if kind == "object":
             for name, value in zip(node[2::2], node[3::2], strict=True):
-                object.__setattr__(shell, name, self._value(value))  # of frozen ones as well
+                object.__setattr__(empty, name, self._value(value))  # works for frozen classes too
         elif kind == "dict":
-            shell.update(zip(map(self._value, node[1::2]), map(self._value, node[2::2]), strict=True))
+            empty.update(zip(map(self._value, node[1::2]), map(self._value, node[2::2]), strict=True))
         elif kind in ("list", "deque"):
-            shell.extend(map(self._value, node[1:]))
+            empty.extend(map(self._value, node[1:]))
         elif kind == "set":
-            shell.update(map(self._value, node[1:]))
+            empty.update(map(self._value, node[1:]))
--- a/madderbeam/host/process.py
+++ b/madderbeam/host/process.py
@@ -1,4 +1,4 @@
-"""The courier's process: signals and wiring."""
+"""The courier's process: startup, signals and logging."""
 
 from __future__ import annotations
 
@@ -23,26 +23,27 @@
 from madderbeam.ports.real import RealClock, RealDisk, open_at_most, real_ports
 from madderbeam.transport.control import ControlServer
 
-# The collector looks at what is new once there are so many objects more than were let go of, at what has
-# outlasted one look after 3 of them, and at all after 500 of these.
-COLLECT = (1_000, 3, 500)
-TRACE = "MADDERBEAM_TRACE"  # set: all decisions are written to standard error
+# Thresholds of the garbage collector's generations: allocations less deallocations for the youngest one, then
+# collections of the generation below.
+GC_THRESHOLDS = (1_000, 3, 500)
+TRACE_VARIABLE = "MADDERBEAM_TRACE"  # if set, all decisions are written to standard error
 log = logging.getLogger(__name__)
 
 
 class LineRateFilter(logging.Filter):
-    """At most so many lines a second: a flood of them would stall the loop."""
+    """Limits the log lines per second: a flood of them would stall the event loop."""
 
-    def __init__(self, clock: Clock, a_second: int) -> None:
+    def __init__(self, clock: Clock, max_per_s: int) -> None:
         super().__init__()
-        self.clock, self.a_second, self.second, self.count = clock, a_second, 0, 0
+        self.clock, self.max_per_s, self.second, self.count = clock, max_per_s, 0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Whether the line is within the limit of the current second."""
         second = self.clock.monotonic_us() // 1_000_000
         if second != self.second:
             self.second, self.count = second, 0
         self.count += 1
-        return self.count <= self.a_second
+        return self.count <= self.max_per_s
 
 
 def start(
@@ -53,14 +54,14 @@
     control: ControlServer | None = None,
     passed: TransferredState | None = None,
 ) -> Host:
-    """Start one courier on this loop; it is to be closed once its `closed` is done.
+    """Start one courier on this loop; the caller closes it once its `closed` is done.
 
-    `passed`: what another process has handed over, which this one goes on from.
+    `passed`: the state from another process that this one continues from.
 
-    The same for a process of its own and for one of many in the simulation. OSError if it can't listen or
+    Used both for a process of its own and for one of many in the simulation. OSError if it can't listen or
     its folder can't be used.
     """
-    trace = (lambda text: print(text, file=sys.stderr, flush=True)) if env.get(TRACE) else None
+    trace = (lambda text: print(text, file=sys.stderr, flush=True)) if env.get(TRACE_VARIABLE) else None
     host = assemble(loop, ports, config, control, trace)
     begin(loop, ports, env, host, passed)
     return host
@@ -71,71 +72,76 @@
     ports: Ports,
     env: Mapping[str, str],
     host: Host,
-    passed: TransferredState | None = None,
+    transferred: TransferredState | None = None,
 ) -> None:
-    """Let a courier that is assembled begin its work; OSError as of `start`."""
+    """Install the signal handlers and start an assembled courier; OSError as of `start`."""
     config = host.config
     reloader = ConfigReloader(
         loop, env, ports.disk, host.move, random.Random(f"reload {config.seed}"), host.figures.reloaded
     )
-    # Unhandled, SIGHUP would end the process. A sidecar looks at its partner list at once.
+    # Without a handler, SIGHUP would terminate the process. A sidecar reads its partner list again at once.
     loop.add_signal_handler(signal.SIGHUP, host.look if config.sidecar else reloader.hup)
     loop.add_signal_handler(signal.SIGTERM, host.terminate)
     loop.add_signal_handler(signal.SIGINT, host.terminate)
     host.closed.add_done_callback(lambda _: reloader.stop())
-    port = adopt(host, passed) if passed else host.start()
+    port = adopt(host, transferred) if transferred else host.start()
     log.info("%s is ready on port %d with %d messages restored", config.name, port, len(host.journal.held))
 
 
 @contextlib.contextmanager
 def collector_rests() -> Iterator[None]:
-    """The garbage collector rests while a courier restores what it holds, and leaves that alone afterwards.
+    """Pause garbage collection while a courier restores its state, and exempt that state from it afterwards.
 
-    The ordinary path makes no cycles, so that a collection finds nothing: with 128,000 messages held it
-    stalled the loop for 0.1 s, and a restart with as many ids took half as long again. What cycles there are
-    (a connection that broke as it was written to) go with what is new.
+    Ordinary processing makes no reference cycles, so a collection finds nothing: with 128,000 pending
+    messages it stalled the event loop for 0.1 s, and a restart with as many ids took half as long again. The
+    few cycles, such as of a connection that broke during a write, are collected with the young objects.
     """
     gc.disable()
     try:
         yield
     finally:
         gc.freeze()
-        gc.set_threshold(*COLLECT)
+        gc.set_threshold(*GC_THRESHOLDS)
         gc.enable()
 
 
-def within_limits(config: Config) -> Config:
-    """The same with no more descriptors than the system lets this process have: of what it was told beyond
-    that, clients would get a half, and leave none for discovery, notices and calls."""
+def with_descriptor_limit(config: Config) -> Config:
+    """Return the configuration with no more sockets than the system's limit on file descriptors.
+
+    Half of a higher number would go to clients and leave no descriptors for discovery, notices and calls.
+    """
     return replace(config, sockets=open_at_most(config.sockets))
 
 
 async def serve(env: Mapping[str, str], config: Config) -> None:
-    """Run one courier until it ends. Where another process has charge of the folder, that one hands over to
-    this; and this one hands over to the next that asks."""
+    """Run one courier until it exits.
+
+    If another process is active in the folder, this one takes over from it; later it hands over to the next
+    one.
+    """
     loop = asyncio.get_running_loop()
     ports = real_ports(loop, config.listen, config.listen_fd)
     control = ControlServer(loop, ports.network)
-    if config.control:  # it answers while the rest gets ready
+    if config.control:  # the admin address replies while the rest starts
         control.listen(config.control)
-    again = True
-    while again:
+    restarts = True
+    while restarts:
         takeover = await process_upgrade.take(config, ports.disk)
         with collector_rests():
             host = start(loop, ports, env, config, control, takeover.passed)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came meanwhile is heeded now
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # delivers one that came meanwhile
         takeover.done()
         if config.control:
             process_upgrade.StateTransferServer(host, takeover.lock)
         await host.closed
-        again = host.alone
-        if not again:
+        restarts = host.alone
+        if not restarts:
             host.close()
     control.close()
 
 
 def log_to_stderr() -> None:
-    """Plain lines, a bounded number of them a second."""
+    """Log plain lines to standard error, at most 50 a second."""
     handler = logging.StreamHandler()
     handler.addFilter(LineRateFilter(RealClock(), 50))
     logging.basicConfig(
@@ -144,10 +150,10 @@
 
 
 def main() -> int:
-    """One courier as the platform starts it; the exit code."""
+    """Run one courier as the platform starts it; return the exit code."""
     log_to_stderr()
     try:
-        config = within_limits(load(os.environ, RealDisk()))
+        config = with_descriptor_limit(load(os.environ, RealDisk()))
     except ConfigError as error:
         print(f"madderbeam: {error}", file=sys.stderr)
         return 2
--- a/madderbeam/host/process_upgrade.py
+++ b/madderbeam/host/process_upgrade.py
@@ -1,5 +1,7 @@
-"""Upgrades: a second process takes over from the one that works, in the same folder. The lock on the folder
-says who is in charge; docs/design/service.md has the steps."""
+"""Upgrades without downtime: a second process takes over from the active one, in the same folder.
+
+The process that holds the folder's lock is the active one; docs/design/service.md has the steps.
+"""
 
 from __future__ import annotations
 
@@ -17,78 +19,79 @@
 from madderbeam.transport.passing import Broken
 
 LOCK = "lock"
-AGAIN_S, AGAIN_MOST_S = 0.05, 0.5  # the lock is held and nobody hands over: first and longest wait
-SETTLE_S = 0.6  # answers that are half read are waited for, for so long
-PATIENCE_S = 1.5  # in which the other side must take its next step
-QUICK_S = 0.2  # and the one that asks, to say so
+# First and longest wait between attempts while another process holds the lock and offers no hand-over.
+RETRY_S, MAX_RETRY_S = 0.05, 0.5
+SETTLE_S = 0.6  # how long the active process waits for responses that are half read
+PEER_TIMEOUT_S = 1.5  # in which the other process must take its next step
+HELLO_TIMEOUT_S = 0.2  # in which a process that connects must send its request, and the lock must become free
 log = logging.getLogger(__name__)
 
 
 class TransferRefusedError(Exception):
-    """The process in charge goes on."""
+    """The hand-over was refused; the active process continues."""
 
 
 class StateTransferServer:
-    """The side in charge: offers a hand-over, and goes on until it is taken."""
+    """The side of the active process: offers a hand-over, and works until another process has taken over."""
 
     def __init__(self, host: Host, lock: Lock) -> None:
         self.host, self.lock, self.loop = host, lock, host.loop
         self.conn: socket.socket | None = None
         self.sock = passing.offer(host.config.state)
-        self.loop.add_reader(self.sock, self._asked)
+        self.loop.add_reader(self.sock, self._connected)
         host.closed.add_done_callback(lambda _: self.close())
 
-    def _asked(self) -> None:
+    def _connected(self) -> None:
         try:
             conn, _ = self.sock.accept()
         except OSError:
             return
         if self.conn is not None or self.host.closing_at:
-            conn.close()  # one at a time; and what ends by itself is not passed on
+            conn.close()  # one hand-over at a time, and none during a shutdown
             return
-        conn.settimeout(QUICK_S)
+        conn.settimeout(HELLO_TIMEOUT_S)
         try:
             hello, _ = passing.receive(conn)
-            wanted = str(hello["form"])
+            form = str(hello["form"])
         except (Broken, KeyError) as error:
-            log.warning("hand-over: %s", error)
+            log.warning("upgrade: invalid request: %s", error)
             conn.close()
             return
-        log.info("hand-over: another process asks for it")
+        log.info("upgrade: another process requests a hand-over")
         self.conn = conn
-        self._when_ready(wanted, self.loop.time() + SETTLE_S)
+        self._when_ready(form, self.loop.time() + SETTLE_S)
 
-    def _when_ready(self, wanted: str, until: float) -> None:
+    def _when_ready(self, form: str, until: float) -> None:
         if self.host.closing_at:
             self._refuse()
         elif state_transfer.ready(self.host):
-            self._pass(wanted)
+            self._transfer(form)
         elif self.loop.time() < until:
-            self.loop.call_later(0.005, self._when_ready, wanted, until)
+            self.loop.call_later(0.005, self._when_ready, form, until)
         else:
             state_transfer.settle(self.host)
-            self._pass(wanted)
+            self._transfer(form)
 
     def _refuse(self) -> None:
         if self.conn is not None:
             self.conn.close()
             self.conn = None
 
-    def _pass(self, wanted: str) -> None:
-        """All in one go: nothing is read, sent or decided here between the state and the answer to it."""
+    def _transfer(self, form: str) -> None:
+        """Send the state and wait for the reply, blocking: this process does nothing in between."""
         assert self.conn is not None
-        self.conn.settimeout(PATIENCE_S)
+        self.conn.settimeout(PEER_TIMEOUT_S)
         try:
-            passing.send(self.conn, *state_transfer.snapshot(self.host, wanted))
+            passing.send(self.conn, *state_transfer.snapshot(self.host, form))
             reply, _ = passing.receive(self.conn)
             if reply.get("say") != "take":
-                raise TransferRefusedError(str(reply.get("why", "no reason told")))
+                raise TransferRefusedError(str(reply.get("why", "no reason given")))
         except (Broken, TransferRefusedError) as error:
-            log.error("hand-over: it was not taken, this process goes on: %s", error)
+            log.error("upgrade: hand-over refused, this process continues: %s", error)
             self._refuse()
             return
-        except Exception:  # whatever it is, this process is in charge
-            log.exception("hand-over: it failed, this process goes on")
+        except Exception:  # this process still holds the lock, so it must continue
+            log.exception("upgrade: hand-over failed, this process continues")
             self._refuse()
             return
         self.host.let_go()
@@ -100,13 +103,13 @@
         self.loop.add_reader(self.conn, self._finished)
 
     def _finished(self) -> None:
-        """The other process says that it works, or it has died."""
+        """The other process has reported that it works, or it has died."""
         assert self.conn is not None
         try:
             passing.receive(self.conn)
-            log.info("hand-over: done; this process waits for its end")
+            log.info("upgrade: hand-over complete; this process waits for its termination")
         except Broken as error:
-            log.error("hand-over: the other process is gone, this one starts again: %s", error)
+            log.error("upgrade: the other process has died, restarting this one: %s", error)
             self.host.alone = True
         self.loop.remove_reader(self.conn)
         self._refuse()
@@ -119,7 +122,7 @@
             self.sock.close()
 
     def close(self) -> None:
-        """Offer it no more."""
+        """Stop offering a hand-over."""
         self._stop_offering()
         if self.conn is not None and self.conn.fileno() >= 0:
             self.loop.remove_reader(self.conn)
@@ -127,18 +130,18 @@
 
 
 class Takeover:
-    """The side that asks: has the lock of its folder, and what another process passed on, if one did."""
+    """The side of the new process: the folder's lock, and the state from another process if there was one."""
 
     def __init__(
         self,
         lock: Lock,
         conn: socket.socket | None = None,
-        passed: state_transfer.TransferredState | None = None,
+        state: state_transfer.TransferredState | None = None,
     ) -> None:
-        self.lock, self.conn, self.passed = lock, conn, passed
+        self.lock, self.conn, self.passed = lock, conn, state
 
     def done(self) -> None:
-        """This process works: the other one may end."""
+        """Report that this process works, so that the other one may exit."""
         if self.conn is not None:
             with contextlib.suppress(Broken):
                 passing.send(self.conn, {"say": "done"})
@@ -146,37 +149,37 @@
 
 
 async def take(config: Config, disk: Disk) -> Takeover:
-    """Get charge of the folder: it is free, or the process that has it hands over, or it ends.
+    """Become the active process of the folder: at once, by a hand-over, or when the active process exits.
 
-    Without a second address nobody could tell that a second process is ready: none is asked to hand over,
-    and no Unix socket is made.
+    Without an admin address nobody could see that a second process is ready: no hand-over is requested, and
+    no Unix socket is created.
     """
-    wait = AGAIN_S
+    wait_s = RETRY_S
     while True:
         conn = passing.ask(config.state) if config.control else None
         if conn is not None:
             try:
-                return await _asked(conn, config, disk)
+                return await _request_handover(conn, config, disk)
             except (Broken, TransferRefusedError) as error:
                 conn.close()
-                log.warning("hand-over: %s", error)
+                log.warning("upgrade: hand-over failed: %s", error)
         with contextlib.suppress(BlockingIOError):
             return Takeover(disk.lock(f"{config.state}/{LOCK}"))
-        if wait == AGAIN_S:
-            log.info("the folder is held by another process, which does not hand over: waiting")
-        await asyncio.sleep(wait)
-        wait = min(AGAIN_MOST_S, wait * 1.5)
+        if wait_s == RETRY_S:
+            log.info("another process holds the folder's lock and offers no hand-over; waiting")
+        await asyncio.sleep(wait_s)
+        wait_s = min(MAX_RETRY_S, wait_s * 1.5)
 
 
-async def _asked(conn: socket.socket, config: Config, disk: Disk) -> Takeover:
-    conn.settimeout(PATIENCE_S)
+async def _request_handover(conn: socket.socket, config: Config, disk: Disk) -> Takeover:
+    conn.settimeout(PEER_TIMEOUT_S)
     passing.send(conn, {"say": "hello", "form": state_transfer.form()})
-    await _readable(conn, SETTLE_S + PATIENCE_S)
-    message, socks = passing.receive(conn)
+    await _wait_readable(conn, SETTLE_S + PEER_TIMEOUT_S)
+    message, sockets = passing.receive(conn)
     try:
-        passed = state_transfer.TransferredState(message, socks, config.settings, config.seed)
+        state = state_transfer.TransferredState(message, sockets, config.settings, config.seed)
     except object_graph.UnknownStateError as error:
-        for sock in socks:
+        for sock in sockets:
             sock.close()
         with contextlib.suppress(Broken):
             passing.send(conn, {"say": "no", "why": str(error)})
@@ -184,32 +187,32 @@
     try:
         passing.send(conn, {"say": "take"})
         passing.receive(conn)
-        lock = _locked(disk, f"{config.state}/{LOCK}")
+        lock = _wait_for_lock(disk, f"{config.state}/{LOCK}")
     except (Broken, TransferRefusedError):
-        passed.close()
+        state.close()
         raise
-    return Takeover(lock, conn, passed)
+    return Takeover(lock, conn, state)
 
 
-def _locked(disk: Disk, path: str) -> Lock:
-    """The lock that the other process has just let go of."""
-    until = time.monotonic() + QUICK_S
+def _wait_for_lock(disk: Disk, path: str) -> Lock:
+    """Return the lock, which the other process has just released."""
+    until = time.monotonic() + HELLO_TIMEOUT_S
     while True:
         try:
             return disk.lock(path)
         except BlockingIOError:
             if time.monotonic() > until:
-                raise TransferRefusedError("the folder's lock is held by a third process") from None
+                raise TransferRefusedError("a third process holds the folder's lock") from None
             time.sleep(0.001)
 
 
-async def _readable(conn: socket.socket, within_s: float) -> None:
+async def _wait_readable(conn: socket.socket, timeout_s: float) -> None:
     loop = asyncio.get_running_loop()
-    came: asyncio.Future[None] = loop.create_future()
-    loop.add_reader(conn, lambda: None if came.done() else came.set_result(None))
+    readable: asyncio.Future[None] = loop.create_future()
+    loop.add_reader(conn, lambda: None if readable.done() else readable.set_result(None))
     try:
-        await asyncio.wait_for(came, within_s)
+        await asyncio.wait_for(readable, timeout_s)
     except TimeoutError:
-        raise Broken("the other process says nothing") from None
+        raise Broken("the other process does not reply") from None
     finally:
         loop.remove_reader(conn)
--- a/madderbeam/host/quota.py
+++ b/madderbeam/host/quota.py
@@ -1,4 +1,4 @@
-"""Quotas as the host has them: asked for each message, and their state kept beside the folder that lasts."""
+"""Quotas in the host: a check of each message, and their state stored beside the courier's state folder."""
 
 from __future__ import annotations
 
@@ -15,39 +15,42 @@
 from madderbeam.ports import Clock, Disk, Ports
 from madderbeam.quota.gate import Gate, Verdict
 
-EVERY_S = 5.0  # the state is saved so often while it changes, and sooner where much has gone
+SAVE_INTERVAL_S = 5.0  # while messages pass; sooner if much of a quota was used since
 log = logging.getLogger(__name__)
 
 
 class QuotaComponent(Component):
-    """A gate, built where the configuration has `quota`; admission asks it before anything is journaled."""
+    """The quota gate, where the configuration has `quota`; a check of admission before journaling."""
 
     def __init__(
-        self, config: Config, raw: Mapping[str, Any], disk: Disk, clock: Clock, held: Callable[[], int]
+        self, config: Config, raw: Mapping[str, Any], disk: Disk, clock: Clock, pending: Callable[[], int]
     ) -> None:
-        self.config, self.disk, self.clock, self.held = config, disk, clock, held
-        chance = random.Random(f"quota {config.seed}")
+        self.config, self.disk, self.clock, self.pending = config, disk, clock, pending
+        rng = random.Random(f"quota {config.seed}")
         leased = config.federation is not None and config.federation.share
-        self.gate = Gate(raw, clock.monotonic_us(), chance, config.settings.max_pending, leased)
+        self.gate = Gate(raw, clock.monotonic_us(), rng, config.settings.max_pending, leased)
         self.path = quota_path(config.state)
-        self.saved_at = clock.monotonic_us()
+        self.saved_at_us = clock.monotonic_us()
         self.refused = self.borrowed = 0
         self._load()
         self.save()
 
     def ask(self, tenant: int, cls: int, size: int) -> Verdict:
-        """Whether a message of so many bytes passes; it is counted if it does. What has gone of an hour's
-        limit is on the disk before a further part of it can go."""
-        s, now = self.config.settings, self.clock.monotonic_us()
-        name = s.tenants[tenant].name if tenant < len(s.tenants) else ""
-        verdict = self.gate.admit(name, s.classes[cls].name, size, self.held(), now)
+        """Check a message of `size` bytes against the quotas; it is counted if it passes.
+
+        The use of an hourly limit is stored before a further part of the limit can be used.
+        """
+        settings, now_us = self.config.settings, self.clock.monotonic_us()
+        name = settings.tenants[tenant].name if tenant < len(settings.tenants) else ""
+        verdict = self.gate.admit(name, settings.classes[cls].name, size, self.pending(), now_us)
         self.refused += not verdict.passed
         self.borrowed += verdict.borrowed
-        if verdict.passed and (self.gate.due or now - self.saved_at > EVERY_S * 1e6):
+        if verdict.passed and (self.gate.due or now_us - self.saved_at_us > SAVE_INTERVAL_S * 1e6):
             self.save()
         return verdict
 
     def figures(self) -> dict[str, int]:
+        """Return the quota metrics by name."""
         return {
             "quota.refused": self.refused,
             "quota.borrowed": self.borrowed,
@@ -57,33 +60,34 @@
     # State
 
     def save(self) -> None:
-        now = self.clock.monotonic_us()
-        self.saved_at = now
-        text = json.dumps({"form": 1, "at": self.clock.wall(), "rows": self.gate.dump(now)}).encode()
+        """Store the state; a failure is logged only."""
+        now_us = self.clock.monotonic_us()
+        self.saved_at_us = now_us
+        data = json.dumps({"form": 1, "at": self.clock.wall(), "rows": self.gate.dump(now_us)}).encode()
         try:
-            atomic_file.replace(self.disk, self.path, text)
+            atomic_file.replace(self.disk, self.path, data)
         except OSError as error:
-            log.error("quota: its state is not saved: %s", error)
+            log.error("quota: state could not be stored: %s", error)
 
     def _load(self) -> None:
         try:
-            kept = json.loads(self.disk.read(self.path))
-            # A clock that stepped back: nothing has flowed.
-            elapsed = max(0.0, self.clock.wall() - float(kept["at"]))
-            self.gate.restore(kept["rows"], int(elapsed * 1e6), self.clock.monotonic_us())
+            stored = json.loads(self.disk.read(self.path))
+            # If the wall clock has stepped back, no time counts as elapsed.
+            elapsed = max(0.0, self.clock.wall() - float(stored["at"]))
+            self.gate.restore(stored["rows"], int(elapsed * 1e6), self.clock.monotonic_us())
         except FileNotFoundError:
             return
         except (OSError, ValueError, KeyError, TypeError, IndexError) as error:
-            log.error("quota: begins anew: %s: %r", self.path, error)
+            log.error("quota: %s: stored state is unreadable, starting without: %r", self.path, error)
 
 
 def quota_path(state: str) -> str:
-    """Where the state of a courier's quotas is: beside its folder, whose limit is the journal's."""
+    """Return the path of the quota state: beside the state folder, whose size limit is the journal's."""
     return state.rstrip("/") + "-quota.json"
 
 
 def join(host: Host, ports: Ports) -> None:
-    """Admission asks the quotas that the configuration has."""
+    """Add the quota component to a host, as a check of its admission."""
     assert host.config.quota is not None
     quota = QuotaComponent(host.config, host.config.quota, ports.disk, ports.clock, lambda: host.journal.open)
     host.admission.gates.append(quota)
--- a/madderbeam/host/rate_limits.py
+++ b/madderbeam/host/rate_limits.py
@@ -1,4 +1,4 @@
-"""Destinations' rates that come with answers, in load reports, where the list has none."""
+"""Rates of destinations from the load reports of responses, used instead of those of the endpoint list."""
 
 from __future__ import annotations
 
@@ -6,31 +6,34 @@
 
 from madderbeam.wire import RATE
 
-NEWS = 0.3  # a rate is new if it differs by over this share: reports are noisy, and a new one begins anew
+# A reported rate replaces the current one only if it differs by more than this share of it: reports are
+# noisy, and a new rate resets the pacing.
+MIN_RELATIVE_CHANGE = 0.3
 
 
 def told(fields: Sequence[str], load: Sequence[float]) -> float:
-    """The rate in a report, with its values in the order of `fields`; 0 if it tells of none."""
-    at = fields.index(RATE) if RATE in fields else len(load)
-    return load[at] if at < len(load) and load[at] > 0 else 0.0
+    """Return the rate in a report, whose values are in the order of `fields`; 0 if it has none."""
+    index = fields.index(RATE) if RATE in fields else len(load)
+    return load[index] if index < len(load) and load[index] > 0 else 0.0
 
 
 class ReportedRates:
-    """The rates in force, in calls a second, by whatever has a limit of its own."""
+    """The current rates in calls a second, by the key of the scope that shares a rate limit."""
 
     def __init__(self) -> None:
         self.rates: dict[Hashable, float] = {}
 
     def __getitem__(self, key: Hashable) -> float:
-        """0 if none was told."""
+        """Return the rate of a key, 0 if none was reported."""
         return self.rates.get(key, 0.0)
 
     def forget(self, key: Hashable) -> None:
+        """Remove the rate of a key."""
         self.rates.pop(key, None)
 
     def told(self, key: Hashable, rate: float) -> bool:
-        """Whether this is news, which is in force from now on."""
-        if rate <= 0 or abs(rate - self[key]) <= NEWS * self[key]:
+        """Set a reported rate if it differs enough from the current one; return whether it does."""
+        if rate <= 0 or abs(rate - self[key]) <= MIN_RELATIVE_CHANGE * self[key]:
             return False
         self.rates[key] = rate
         return True
--- a/madderbeam/host/routing.py
+++ b/madderbeam/host/routing.py
@@ -1,5 +1,4 @@
-"""Routing as the host has it: the list's endpoints and the router, joined; nothing of it exists unless it is
-set."""
+"""Routing in the host: connects the endpoint list with the router, which exists only if configured."""
 
 from __future__ import annotations
 
@@ -17,65 +16,67 @@
 if TYPE_CHECKING:
     from madderbeam.routing.router import Router
 
-NOWHERE = -1  # the destination of a message that names none by its number
+NOWHERE = -1  # destination of a message that is to be routed by name or path
 log = logging.getLogger(__name__)
 
 
 class Routing:
-    """Gets the list's news from the turn, and hands candidates to the decision module as its Preference."""
+    """Keeps the router up to date with the endpoint list; the engine uses the router to prefer endpoints."""
 
-    def __init__(self, config: Config, listing: EndpointRegistry, clock: Clock) -> None:
-        self.config, self.listing, self.clock = config, listing, clock
+    def __init__(self, config: Config, registry: EndpointRegistry, clock: Clock) -> None:
+        self.config, self.listing, self.clock = config, registry, clock
         self.router: Router | None = None
         self.addresses: dict[int, str] = {}
 
     def configure(self, raw: dict[str, Any] | None) -> None:
-        """What stands beside the list; one that can't be used is told and leaves the old in force."""
+        """Apply the routing of an endpoint list; an invalid one is logged and the old one kept."""
         if raw is None:
             return
         from madderbeam.routing.router import Router
 
-        s = self.config.settings
-        router = self.router or Router(self.config.seed, s.courier_index, s.courier_count, self.config.zone)
+        settings = self.config.settings
+        router = self.router or Router(
+            self.config.seed, settings.courier_index, settings.courier_count, self.config.zone
+        )
         try:
             router.configure(raw)
         except (LookupError, TypeError, ValueError, AttributeError) as error:
-            log.error("routing stays as it was: %s", error)
+            log.error("invalid routing, keeping the old one: %s", error)
             return
         self.router = router
 
     def placed(self, rows: Iterable[tuple[EndpointEntry, Address]]) -> None:
-        """Where the entries of a list are."""
+        """Set the addresses of endpoints that a list has."""
         for entry, (host, port) in rows:
             self.addresses[entry.endpoint] = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
     def refresh(self) -> None:
-        """The list or the routing has changed."""
+        """Update the router after a change of the endpoint list or of the routing."""
         entries = self.listing.entries
-        self.addresses = {n: a for n, a in self.addresses.items() if n in entries}
+        self.addresses = {number: address for number, address in self.addresses.items() if number in entries}
         if self.router is not None:
             ready = [
-                (n, e.destination, self.addresses[n], self.listing.zone(e.zone))
-                for n, e in entries.items()
-                if e.state is EndpointState.READY and n in self.addresses
+                (number, entry.destination, self.addresses[number], self.listing.zone(entry.zone))
+                for number, entry in entries.items()
+                if entry.state is EndpointState.READY and number in self.addresses
             ]
             self.router.listed(ready, self.clock.monotonic_us())
 
     def destination(self, put: Put) -> int:
-        """The destination of a message that names none by its number; BadRequest if it has no route."""
+        """Return the destination of a message routed by name or path; BadRequest if no route matches."""
         field = "path" if put.path else "to" if put.to else "dest"
         if self.router is None:
             raise BadRequest("dest: must be a whole number")
         try:
-            found = self.router.destination(put.to, put.path, put.cls)
+            destination = self.router.destination(put.to, put.path, put.cls)
         except ValueError as error:
             raise BadRequest(f"path: {error}") from None
-        if found is None:
+        if destination is None:
             raise BadRequest(f"{field}: no route" if field != "dest" else "dest: must be a whole number")
-        return found
+        return destination
 
     def affinity(self, m: PendingMessage) -> str:
-        """What the message shares with those that are to go to the same endpoint."""
+        """Return the affinity key of a message: messages with the same key prefer the same endpoint."""
         if self.router is None:
             return ""
         tenants = self.config.settings.tenants
@@ -83,4 +84,5 @@
         return self.router.affinity(m.dest, tenant, m.key, m.order, m.id)
 
     def figures(self) -> dict[str, int]:
+        """Return the routing metrics by name."""
         return self.router.figures() if self.router is not None else {}
--- a/madderbeam/host/standalone.py
+++ b/madderbeam/host/standalone.py
@@ -1,7 +1,7 @@
-"""A courier from a rendered file: the guard before its launch, then the same process as on the platform.
+"""Runs a courier from a rendered configuration file, after it has claimed its port and folder.
 
-A file that does not hold, a port or a folder that another live courier has: it ends at once with one line and
-exit code 2, before it has touched anything of the other's.
+If the file is invalid, or another running courier has the port or the folder, it exits at once with one line
+and exit code 2, before it has touched anything of the other courier.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from madderbeam.config.platform import Config, ConfigError, load_sidecar
 from madderbeam.host import atomic_file
 from madderbeam.host.host import Host
-from madderbeam.host.process import collector_rests, log_to_stderr, start, within_limits
+from madderbeam.host.process import collector_rests, log_to_stderr, start, with_descriptor_limit
 from madderbeam.ports import Address, Disk, Lock, Network, Ports, Socket
 from madderbeam.ports.real import RealDisk, real_ports
 from madderbeam.transport.clients import BACKLOG
 
-LOCK, OWNER = "lock", "owner"
+LOCK_FILE, OWNER_FILE = "lock", "owner"
 STDIN, FOLLOW = 0, "--follow"
 log = logging.getLogger(__name__)
 
 
 class ResourceHeldError(Exception):
-    """Something that the courier needs is another's; one line."""
+    """Another courier has a resource that this one needs; the text is one line for the operator."""
 
 
 @dataclass
 class PreboundNetwork:
-    """A network whose listening socket was had before anything else was done."""
+    """A network whose listening socket is already open."""
 
     network: Network
     address: Address
@@ -44,15 +44,18 @@
         self.stream, self.datagram = self.network.stream, self.network.datagram
 
     def listen(self, address: Address, backlog: int) -> Socket:
-        """The socket that is there already, for its address."""
+        """Return the open socket for its own address; listen on any other one."""
         return self.sock if address == self.address else self.network.listen(address, backlog)
 
 
 def guard(config: Config, ports: Ports) -> tuple[Ports, Lock]:
-    """Take the port and the folder. Held if another courier has one of them; then neither is taken."""
+    """Claim the port and the folder.
+
+    ResourceHeldError if another courier has one of them; then neither is claimed.
+    """
     where = config.listen[0] if config.listen[0].startswith("/") else "{}:{}".format(*config.listen)
     if not ports.disk.is_folder(config.state):
-        sock = _listen(config, ports, where)  # a port that is another's: then no folder is made either
+        sock = _listen(config, ports, where)  # first: no folder is created if another courier has the port
         ports.disk.make_folder(config.state)
         lock = _lock(config, ports.disk)
     else:
@@ -75,7 +78,7 @@
 
 
 def hold(config: Config, disk: Disk) -> Lock:
-    """Take the folder alone, made if it is not there; Held if another courier has it."""
+    """Lock the folder only, and create it if missing; ResourceHeldError if another courier has it."""
     if not disk.is_folder(config.state):
         disk.make_folder(config.state)
     return _lock(config, disk)
@@ -83,17 +86,17 @@
 
 def _lock(config: Config, disk: Disk) -> Lock:
     try:
-        lock = disk.lock(f"{config.state}/{LOCK}")
+        lock = disk.lock(f"{config.state}/{LOCK_FILE}")
     except BlockingIOError:
         raise ResourceHeldError(
-            f"{config.name}: state: {config.state} is held by a courier that runs"
+            f"{config.name}: state: {config.state} is in use by a running courier"
         ) from None
     except OSError as error:
         raise ResourceHeldError(
             f"{config.name}: state: {config.state} can't be used: {error.strerror}"
         ) from None
     try:
-        owner = disk.read(f"{config.state}/{OWNER}").decode("utf-8", "replace").strip()
+        owner = disk.read(f"{config.state}/{OWNER_FILE}").decode("utf-8", "replace").strip()
     except FileNotFoundError:
         owner = ""
     if owner and owner != config.name:
@@ -101,7 +104,7 @@
         raise ResourceHeldError(f"{config.name}: state: {config.state} holds the journal of {owner}")
     if not owner:
         try:
-            _own(config, disk)
+            _write_owner(config, disk)
         except OSError as error:
             lock.close()
             raise ResourceHeldError(
@@ -110,9 +113,9 @@
     return lock
 
 
-def _own(config: Config, disk: Disk) -> None:
-    """Write the owner's name, whole or not at all: a part of it would be another's name."""
-    atomic_file.replace(disk, f"{config.state}/{OWNER}", config.name.encode() + b"\n")
+def _write_owner(config: Config, disk: Disk) -> None:
+    """Write the owner's name atomically: a partial name could be that of another courier."""
+    atomic_file.replace(disk, f"{config.state}/{OWNER_FILE}", config.name.encode() + b"\n")
 
 
 async def _serve(config: Config, follow: bool) -> None:
@@ -121,28 +124,28 @@
     with collector_rests():
         host = start(loop, ports, {}, config)
     if follow:
-        loop.add_reader(STDIN, _followed, loop, host)
+        loop.add_reader(STDIN, _stdin_readable, loop, host)
     await host.closed
     host.close()
     lock.close()
 
 
-def _followed(loop: asyncio.AbstractEventLoop, host: Host) -> None:
-    """Whoever started it holds the other end of its standard input, and says nothing: it has ended."""
+def _stdin_readable(loop: asyncio.AbstractEventLoop, host: Host) -> None:
+    """Shut down at end of file on standard input: the parent process holds the other end and has exited."""
     if not os.read(STDIN, 1):
         loop.remove_reader(STDIN)
-        log.warning("whoever started it is gone: a planned end")
+        log.warning("the parent process has exited; shutting down")
         host.terminate()
 
 
 def main(path: str, follow: bool = False) -> int:
-    """Run the courier of a rendered file until a signal ends it; the exit code, 2 if it must not start.
+    """Run the courier of a rendered file until a signal ends it; return the exit code, 2 if it can't start.
 
-    follow: it also ends, as after SIGTERM, when its standard input does.
+    `follow`: also shut down, as after SIGTERM, at the end of standard input.
     """
     log_to_stderr()
     try:
-        config = within_limits(load_sidecar(path, RealDisk()))
+        config = with_descriptor_limit(load_sidecar(path, RealDisk()))
         if config.standby is not None:
             serve = importlib.import_module("madderbeam.host.standby.process").serve
             return int(asyncio.run(serve(config, follow)))
--- a/madderbeam/host/state_transfer.py
+++ b/madderbeam/host/state_transfer.py
@@ -1,8 +1,8 @@
-"""A courier that works, as plain data and open sockets, and a courier that goes on from them.
+"""Transfer of a running courier to another process, as plain data and open sockets.
 
-What is passed on: the decision module with all that it has learnt, the list, clients between two requests,
-and calls of whose answer nothing has been read. Messages are in the journal. Times are the monotonic clock's,
-which both processes share.
+Transferred are the engine with all its state, the endpoint list, clients between two requests, and calls
+whose response has not begun. Messages are in the journal. Times are those of the monotonic clock, which both
+processes share.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 from madderbeam.ports import Socket
 from madderbeam.transport.discovery import Watch
 
-SERIES = 1  # of what is passed on beside the decision module; another one is not understood
+FORMAT_VERSION = 1  # of what is transferred besides the engine; a process accepts no other version
 CLASSES: tuple[type, ...] = (
     DeliveryEngine,
     EngineState,
@@ -74,37 +74,48 @@
     EndpointState,
     Idempotency,
 )
-LISTING = ("uids", "names", "listed_ever", "ever", "entries", "told", "dests", "waits")  # its fields
+# Fields of EndpointRegistry that are transferred under these names.
+REGISTRY_FIELDS = ("uids", "names", "listed_ever", "ever", "entries", "told", "dests", "waits")
 log = logging.getLogger(__name__)
 
 
 def form() -> str:
-    """What both processes must have in common for the decision module to go on."""
-    return f"{SERIES} {object_graph.form(CLASSES)}"
+    """Return the version of the engine's state; an engine is transferred only between equal versions."""
+    return f"{FORMAT_VERSION} {object_graph.form(CLASSES)}"
 
 
 def ready(host: Host) -> bool:
-    """Whether it can be passed on at this instant, between two turns."""
-    if host.first is not None:  # it has not begun
+    """Whether the host can be transferred at this instant, between two dispatch cycles."""
+    if host.first is not None:  # it has not started work
         return False
     host.rest()
-    return not host.events and not host.calls.unsettled and not any(c.pending for c in host.clients.clients)
+    return (
+        not host.events
+        and not host.calls.unsettled
+        and not any(client.pending for client in host.clients.clients)
+    )
 
 
 def settle(host: Host) -> None:
-    """What can't be passed on ends here: answers in their middle count as spoilt, what waits for a failing
-    disk is closed. The turn that follows tells the decision module."""
+    """End what can't be transferred.
+
+    Calls whose response has begun count as invalid responses; clients whose request waits for a failing disk
+    are closed. The dispatch cycle that follows reports this to the engine.
+    """
     for call in host.calls.unsettled:
         call.drop()
     host.rest()
-    for client in [c for c in host.clients.clients if c.pending]:
+    for client in [client for client in host.clients.clients if client.pending]:
         client.close()
 
 
 def snapshot(host: Host, wanted: str) -> tuple[dict[str, Any], list[Socket]]:
-    """All of a host that rests, for a process whose form is `wanted`; nothing of the host changes."""
+    """Return the state and the sockets of an idle host, for a process whose `form` is `wanted`.
+
+    The engine, calls and endpoint list are included only if the forms are equal. The host does not change.
+    """
     message: dict[str, Any] = {
-        "series": SERIES,
+        "series": FORMAT_VERSION,
         "drained": host.drain.on,
         "numbers": host.admission.numbers,
         "waits": host.listing.waits_by_name(),
@@ -113,48 +124,50 @@
         "calls": [],
         "clients": [],
     }
-    socks: list[Socket] = []
+    sockets: list[Socket] = []
     if host.clients.sock is not None:
-        socks.append(host.clients.sock)
-    message["listens"] = len(socks)
+        sockets.append(host.clients.sock)
+    message["listens"] = len(sockets)
     if wanted == form():
         host.courier.state.actions = []
-        whole = {
+        transferred = {
             "courier": host.courier,
             "numbers": host.attempts.numbers,
             "rev": host.watch.rev if isinstance(host.watch, Watch) else 0,
-            "pools": {n: pool.address for n, pool in host.calls.pools.items()},
-            **{name: getattr(host.listing, name) for name in LISTING},
+            "pools": {number: pool.address for number, pool in host.calls.pools.items()},
+            **{name: getattr(host.listing, name) for name in REGISTRY_FIELDS},
         }
         state = host.courier.state
-        router, state.endpoint_preference = state.endpoint_preference, None  # the next process makes its own
+        router, state.endpoint_preference = state.endpoint_preference, None  # not transferred
         try:
-            message["nodes"] = object_graph.encode(whole, CLASSES)
+            message["nodes"] = object_graph.encode(transferred, CLASSES)
         except object_graph.UnknownStateError as error:
-            log.error("hand-over: messages go by the journal, as over a restart: %s", error)
+            log.error("upgrade: engine not transferable, messages are restored from the journal: %s", error)
         finally:
             state.endpoint_preference = router
     if message["nodes"] is not None:
         for call in host.calls.out:
             assert call.connection is not None
             message["calls"].append(host.calls.state(call))
-            socks.append(call.connection.sock)
+            sockets.append(call.connection.sock)
     for client in host.clients.clients:
         message["clients"].append(client.state())
-        socks.append(client.sock)
-    return message, socks
+        sockets.append(client.sock)
+    return message, sockets
 
 
 class TransferredState:
-    """What came from the process before: read, and nothing begun with it yet. graph.Unknown if it can't be
-    read, which the process before must be told, so that it goes on."""
+    """The state from another process, decoded but not in use yet.
+
+    UnknownStateError if it can't be decoded; the other process must then be notified, so that it continues.
+    """
 
     def __init__(
-        self, message: dict[str, Any], socks: Sequence[Socket], settings: Settings, seed: int
+        self, message: dict[str, Any], sockets: Sequence[Socket], settings: Settings, seed: int
     ) -> None:
-        """`seed`: of the random numbers that the decision module goes on with."""
-        self.message, self.socks = message, socks
-        if message.get("series") != SERIES:
+        """`seed` seeds the random numbers that the engine continues with."""
+        self.message, self.sockets = message, sockets
+        if message.get("series") != FORMAT_VERSION:
             raise object_graph.UnknownStateError(f"series {message.get('series')!r} of what is passed on")
         self.whole: dict[str, Any] | None = None
         if message["nodes"] is not None:
@@ -163,78 +176,81 @@
             )
             message["nodes"] = None
             if self.whole["courier"].state.settings != settings:
-                log.warning("the settings have changed: messages come from the journal, as after a restart")
+                log.warning("upgrade: the settings have changed; messages are restored from the journal")
                 self.whole = None
         calls = len(message["calls"])
-        if len(socks) != message["listens"] + calls + len(message["clients"]):
+        if len(sockets) != message["listens"] + calls + len(message["clients"]):
             raise object_graph.UnknownStateError("sockets lack")
-        self.listen = socks[0] if message["listens"] else None
-        self.calls = socks[message["listens"] :][:calls]
-        self.clients = socks[message["listens"] + calls :]
+        self.listen = sockets[0] if message["listens"] else None
+        self.calls = sockets[message["listens"] :][:calls]
+        self.clients = sockets[message["listens"] + calls :]
 
     def close(self) -> None:
-        """Nothing of it is gone on with."""
-        for sock in self.socks:
+        """Close the transferred sockets, because the state is not used."""
+        for sock in self.sockets:
             sock.close()
 
 
-def adopt(host: Host, passed: TransferredState) -> int:
-    """Go on from there, with a host that has just been made. Returns the port."""
-    whole, message = passed.whole, passed.message
-    host.bans.ids.update(dict.fromkeys(message.get("bans", ())))  # also those that the disk did not take
-    if whole is None:
-        for sock in passed.calls:  # what they carry may have run
+def adopt(host: Host, transferred: TransferredState) -> int:
+    """Continue from the transferred state with a newly created host; return the port."""
+    state, message = transferred.whole, transferred.message
+    host.bans.ids.update(dict.fromkeys(message.get("bans", ())))  # also those that could not be stored
+    if state is None:
+        for sock in transferred.calls:  # their messages are possibly executed
             sock.close()
         host.begin({(dest, uid): until for dest, uid, until in message["waits"]})
     else:
-        _listing(host, whole)
-        _decisions(host, whole)
-        for sock, each in zip(passed.calls, message["calls"], strict=True):
-            host.calls.adopt(sock, each)
-        host.attempts.numbers = whole["numbers"]
+        _restore_registry(host, state)
+        _decisions(host, state)
+        for sock, call in zip(transferred.calls, message["calls"], strict=True):
+            host.calls.adopt(sock, call)
+        host.attempts.numbers = state["numbers"]
     host.admission.numbers = max(host.journal.last, message["numbers"])
     if message["drained"]:
         host.drain.begin()
     host.rest()
     host.watch.open()
-    for sock, each in zip(passed.clients, message["clients"], strict=True):
-        host.clients.adopt(sock, each)
-    if passed.listen is None or host.config.listen_fd >= 0:
-        if passed.listen is not None:
-            passed.listen.close()
+    for sock, client in zip(transferred.clients, message["clients"], strict=True):
+        host.clients.adopt(sock, client)
+    if transferred.listen is None or host.config.listen_fd >= 0:
+        if transferred.listen is not None:
+            transferred.listen.close()
         return host.clients.listen(*host.config.listen)
-    return host.clients.take(passed.listen)
+    return host.clients.take(transferred.listen)
 
 
-def _listing(host: Host, whole: dict[str, Any]) -> None:
-    for name in LISTING:
-        setattr(host.listing, name, whole[name])
+def _restore_registry(host: Host, state: dict[str, Any]) -> None:
+    for name in REGISTRY_FIELDS:
+        setattr(host.listing, name, state[name])
     if isinstance(host.watch, Watch):
-        host.watch.rev = whole["rev"]
-    for number, address in whole["pools"].items():
+        host.watch.rev = state["rev"]
+    for number, address in state["pools"].items():
         if entry := host.listing.entries.get(number):
             host.calls.place(number, address, dest=entry.destination)
     host.routing.configure(host.config.known.get("routing"))
     host.routing.placed(
-        (entry, whole["pools"][number])
+        (entry, state["pools"][number])
         for number, entry in host.listing.entries.items()
-        if number in whole["pools"]
+        if number in state["pools"]
     )
     host.routing.refresh()
 
 
-def _decisions(host: Host, whole: dict[str, Any]) -> None:
-    """The decision module goes on with its messages, calls and timers. One that the journal does not know is
-    over; one that only the journal knows is told as after a restart."""
-    courier: DeliveryEngine = whole["courier"]
-    host.courier, host.admission.come_back_us = courier, courier.admission.retry_after_us
+def _decisions(host: Host, state: dict[str, Any]) -> None:
+    """Continue with the transferred engine, its messages, calls and timers.
+
+    A message that the journal lacks is completed; one that only the journal has is restored as after a
+    restart.
+    """
+    courier: DeliveryEngine = state["courier"]
+    host.courier, host.admission.retry_after_us = courier, courier.admission.retry_after_us
     courier.state.endpoint_preference = host.routing.router
-    for number in [n for n in courier.state.messages if n not in host.journal.held]:
+    for number in [number for number in courier.state.messages if number not in host.journal.held]:
         host.events.append(MessageWithdrawn(number))
-    for m in host.journal.held.values():
-        if m.status or m.number not in courier.state.messages:
-            host.restore(m)
+    for message in host.journal.held.values():
+        if message.status or message.number not in courier.state.messages:
+            host.restore(message)
         else:
-            host.ends.guard(m)
-    for at in courier.state.timers:
-        host.loop.call_later(max(0, at - host.clock()) / 1e6 + 5e-5, host.tell, TimerDue(0))
+            host.ends.guard(message)
+    for due_us in courier.state.timers:
+        host.loop.call_later(max(0, due_us - host.clock()) / 1e6 + 5e-5, host.tell, TimerDue(0))
--- a/tests/sidecar/test_launch.py
+++ b/tests/sidecar/test_launch.py
@@ -315,7 +315,7 @@
         await made.up()
         clients = await made.clients()
         out = rendered(made)
-        assert "held by a courier that runs" in await refused(out / "notices.json")
+        assert "in use by a running courier" in await refused(out / "notices.json")
         # The same port, another folder.
         edit(made.path, '"state/notices"', '"elsewhere/notices"')
         out = rendered(made)
