--- a/madderbeam/policy/__init__.py
+++ b/madderbeam/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: a state machine that takes events with a time and returns actions. It does no I/O."""
+"""The delivery engine: a state machine that takes events with a time and returns actions. It does no I/O."""
--- a/madderbeam/policy/actions.py
+++ b/madderbeam/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the host must carry out for the delivery engine, in order.
+"""Actions: what the host must perform for the delivery engine, in order.
 
 Reject and Fail are final outcomes of a message.
 """
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """Log a line for operators."""
 
     text: str
 
--- a/madderbeam/policy/admission.py
+++ b/madderbeam/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: what a new message counts for, and which messages are shed for want of pace or capacity."""
+"""Admission: the weight of a new message, and which messages are shed for lack of pace or capacity."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 MAX_WAIT_SHARE = 0.5  # a new message that would wait for its pace over this part of its time is rejected
 ACCEPTED_WEIGHT = 1.3  # an accepted message counts for this much more: rejected unattempted it costs 0.3
-FREE_PLACES = 2  # kept for new messages
+FREE_PLACES = 2  # reserved for new messages
 SHORTFALL_FACTOR = 3.0  # where less comes than is taken, probes go at this multiple of the cold share at most
 FULL_SHARE = 0.8  # of all places, under which the engine counts as having capacity again
 
@@ -44,7 +44,7 @@
         self.quotas = [QuotaBucket(tenant.quota_per_s / couriers) for tenant in state.settings.tenants]
 
     def change_quotas(self) -> None:
-        """Go by the quotas of changed settings; tenants keep their tokens."""
+        """Apply the quotas of changed settings; tenants keep their tokens."""
         settings = self.state.settings
         old = self.quotas
         self.quotas = [
@@ -89,8 +89,8 @@
         """Let a share of what arrives probe a failing destination.
 
         Summed over a fleet the probes follow the total traffic, whichever courier it arrives at, or what the
-        destination takes where less arrives: those that ask seldom found out late. No grants are saved up:
-        all clients with a Retry-After come back in the same moment.
+        destination takes where less arrives: couriers with few messages would detect the recovery late.
+        Probes are not saved up, because all clients with a Retry-After resubmit at the same moment.
         """
         for scope in destination.scopes:
             circuit = scope.shared_circuit
@@ -103,7 +103,7 @@
             circuit.tokens = min(1.0, circuit.tokens + grant)
 
     def _quota_factor(self, tenant: int) -> float:
-        """Return what a message counts for: traffic over its tenant's quota counts little."""
+        """Return the weight of a message: traffic over its tenant's quota has a low one."""
         if tenant >= len(self.quotas):
             return 1.0
         quota = self.quotas[tenant]
@@ -117,7 +117,7 @@
         return 1.0
 
     def _report_capacity(self) -> None:
-        """Log when all places are taken, and when there is capacity again."""
+        """Log when the limit of pending messages is reached, and when there is capacity again."""
         state = self.state
         settings = self.state.settings
         is_full = len(state.messages) >= settings.max_pending - 1
@@ -125,8 +125,8 @@
             return
         if is_full or len(state.messages) < settings.max_pending * FULL_SHARE:
             self.is_full = is_full
-            capacity = "full" if is_full else "room"
-            state.log(f"held: {capacity}; {state.calls_in_flight}/{settings.max_in_flight} slots")
+            capacity = "at the limit" if is_full else "below the limit"
+            state.log(f"pending messages {capacity}; {state.calls_in_flight}/{settings.max_in_flight} slots")
 
     def _has_no_attempt_left(self, message: Message) -> bool:
         """Whether a restored message has used its attempts up: its outcome is due at once."""
--- a/madderbeam/policy/circuit_breaker.py
+++ b/madderbeam/policy/circuit_breaker.py
@@ -48,7 +48,7 @@
             self.slow_start.set_base_rate(endpoint)
             if scope.shared_circuit and circuit.slow_start_since_us < 0:
                 circuit.tokens = state.random.random()  # chance sets which courier may probe first
-            state.log(f"endpoint {endpoint.id} in trouble ({cause}): trials only")
+            state.log(f"endpoint {endpoint.id} ejected ({cause}): half-open probes only")
         circuit.is_open = True
         circuit.slow_start_since_us = -1
         spacing_us = self.slow_start.probe_spacing_us(endpoint)
@@ -59,14 +59,14 @@
         circuit.next_probe_at_us = state.now_us + int(jitter * circuit.probe_interval_us)
 
     def start_degraded(self, endpoint: Endpoint) -> None:
-        """Continue at a cold start's pace with an endpoint that answers, but with errors.
+        """Continue at a cold start's pace with an endpoint that responds, but with errors.
 
-        Some calls still get through, and it can take that pace when the errors stop. Probes alone lost what
-        half-failing endpoints still deliver.
+        Some calls still get through, and it can take that pace when the errors stop. Probes alone would lose
+        the deliveries that half-failing endpoints still make.
         """
         circuit = endpoint.circuit
         if circuit.slow_start_since_us < 0:
-            self.state.log(f"endpoint {endpoint.id} answers with errors: cold pace")
+            self.state.log(f"endpoint {endpoint.id} responds with errors: pace of a cold start")
         self.slow_start.set_base_rate(endpoint)
         circuit.tokens = min(circuit.tokens, self.state.probe_share)
         circuit.is_open = False
@@ -91,18 +91,18 @@
         if was_short_fault and not scope.shared_circuit:
             circuit.slow_start_since_us = circuit.interrupted_slow_start_since_us
             circuit.tokens_updated_at_us = state.now_us
-            state.log(f"endpoint {endpoint.id} answers again: it was a spell")
+            state.log(f"endpoint {endpoint.id} recovered from a short fault")
         elif not scope.shared_circuit or circuit.failure_rate >= SHARED_OPEN_FAILURE_RATE * (
             1 - FAILURE_MEMORY
         ):
-            # Else one failure was no outage.
+            # For a shared circuit with a lower rate the single failure was no outage.
             self.slow_start.start(endpoint, state.now_us)
             if circuit.closed_by_server_at_us:
                 circuit.slow_start_since_us = state.now_us
             else:  # spread probes are half of the slow start, a Retry-After is not
                 spacing_us = self.slow_start.probe_spacing_us(endpoint)
                 circuit.slow_start_since_us = max(0, state.now_us - spacing_us // 2)
-            state.log(f"endpoint {endpoint.id} answers again: slow start")
+            state.log(f"endpoint {endpoint.id} recovered: slow start")
         circuit.probe_interval_us = 0
         circuit.failure_rate = min(circuit.failure_rate, CLOSED_FAILURE_RATE)
 
--- a/madderbeam/policy/connection_reuse.py
+++ b/madderbeam/policy/connection_reuse.py
@@ -1,4 +1,4 @@
-"""Kept connections: up to which age they are trusted, and which endpoints have no room for new ones."""
+"""Reuse of connections: up to which age idle ones are trusted, and which endpoints accept no new ones."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 TRUSTED_AGE_SHARE = 0.5  # idle connections are trusted for this part of the age at which one failed
 TRUSTED_AGE_GROWTH = 1.25
-RESET_RATE_MEMORY = 1 / 16  # weight of the newest call in the share reset on kept connections
+RESET_RATE_MEMORY = 1 / 16  # weight of the newest call in the share reset on reused connections
 # A rejection on a new connection within this part of the fastest response came before the set-up was over.
 BEFORE_SETUP_SHARE = 0.6
 FASTEST_FADE = 1.002  # and the fastest response is forgotten slowly, by each good one
-ACCEPTED_FOR_ROOM = 10  # so many new connections in a row with none rejected: tables there have room
+ACCEPTED_FOR_ROOM = 10  # so many new connections in a row with none rejected: the tables there are not full
 FULL_TABLE_US = 2_000_000  # after this one more connection than a full table took is tried
 RECENT_SUCCESS_US = (
     1_000_000  # an endpoint that answered this lately is up: what it rejects is the connection
@@ -23,7 +23,7 @@
 
 
 class ConnectionReuse:
-    """Learns from outcomes on new and kept connections."""
+    """Learns from outcomes on new and reused connections."""
 
     def __init__(self, state: EngineState) -> None:
         self.state = state
@@ -32,7 +32,7 @@
         self.accepted_in_a_row = [initial] * len(state.settings.kinds)  # new connections, by destination kind
         self.fastest_new_connection_us = math.inf  # good response on a new connection
         self.losses_on_idle = 0  # calls lost on connections that had been idle
-        self.reset_rate = 0.0  # of calls on kept connections
+        self.reset_rate = 0.0  # of calls on reused connections
 
     def add_kinds(self, count: int) -> None:
         """Follow settings that have more kinds of destinations now."""
@@ -88,7 +88,7 @@
     def is_rejected_by_full_table(
         self, endpoint: Endpoint, result: AttemptResult, call: Call, latency_us: int, retry_after_us: int
     ) -> bool:
-        """Whether a new connection was rejected while kept ones are answered: the table takes no more.
+        """Whether a new connection was rejected while reused ones get responses: the table is full.
 
         That is a failed connection, and says nothing of the rate limit.
         """
--- a/madderbeam/policy/dispatch.py
+++ b/madderbeam/policy/dispatch.py
@@ -12,7 +12,7 @@
 from madderbeam.policy.state import Call, Destination, Endpoint, Message
 from madderbeam.policy.timeouts import TimeoutEstimator
 
-# Share of calls on kept connections that are reset, over which non-idempotent messages get a new one.
+# Share of calls on reused connections that are reset, over which non-idempotent messages get a new one.
 MAX_RESET_RATE = 0.08
 PROBE_TIMEOUT_SHARE = 0.6  # a half-open probe gets this share of the time-out
 
@@ -129,7 +129,7 @@
         )
 
     def _attempt_timeouts_us(self, message: Message, endpoint: Endpoint) -> tuple[int, int]:
-        """Return how long an attempt is waited for on a kept connection, and on a new one."""
+        """Return the timeouts of an attempt on a reused connection and on a new one."""
         state = self.state
         scope = endpoint.scope
         remaining_us = int(min(message.deadline_us, state.attempts_until_us))
@@ -151,10 +151,10 @@
     def _timeout_us(message: Message, endpoint: Endpoint, estimate_us: int, remaining_us: int) -> int:
         message_class = message.message_class
         if message_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            # One long attempt, but a lost call must not hold a slot to its end.
+            # One long attempt, but a lost call must not occupy its slot until the deadline.
             return min(remaining_us, max(estimate_us, message_class.latency_objective_us))
         leaves_time_for_retry = estimate_us + endpoint.scope.mean_latency_us * 2 < remaining_us
         timeout_us = estimate_us if leaves_time_for_retry else remaining_us
-        if endpoint.circuit.is_open:  # a probe of what may hang: hold the slot briefly
+        if endpoint.circuit.is_open:  # a probe of an endpoint that may hang: occupy the slot briefly
             return min(timeout_us, int(PROBE_TIMEOUT_SHARE * estimate_us))
         return timeout_us
--- a/madderbeam/policy/eligibility.py
+++ b/madderbeam/policy/eligibility.py
@@ -39,7 +39,7 @@
         self.connections = connections
 
     def endpoint_may_be_called(self, endpoint: Endpoint, has_quick_retry: bool = False) -> bool:
-        """Whether the endpoint may get a call now; if it may by time alone, the engine is woken then.
+        """Whether the endpoint may get a call now; if only time has to pass, the engine is woken then.
 
         `has_quick_retry`: a message waits that failed quickly, and may go through a shared open circuit.
         """
--- a/madderbeam/policy/engine.py
+++ b/madderbeam/policy/engine.py
@@ -90,7 +90,7 @@
         return state.actions
 
     def change_settings(self, settings: Settings) -> None:
-        """Go on with other settings; what was learnt so far stays."""
+        """Apply other settings; everything learnt so far is kept."""
         self.state.change_settings(settings)
         self.admission.change_quotas()
         self.connections.add_kinds(len(settings.kinds))
@@ -154,7 +154,7 @@
         was_assumed_new = call.connection_idle_us < 0
         if event.on_new_connection is None or event.on_new_connection == was_assumed_new:
             return
-        if event.on_new_connection:  # none was kept, against the assumption
+        if event.on_new_connection:  # contrary to the assumption there was no idle connection
             call.connection_idle_us = -1
             call.endpoint.idle_since_us.clear()
         else:
@@ -185,7 +185,7 @@
         is_rejected = call.rejected_by_full_table and state.is_large_fleet
         if is_rejected and endpoint.id in self.released:
             del self.released[endpoint.id]
-            # Taken for a free one it sent what waits there straight to the full table again.
+            # If it counted as free, waiting messages would be sent to the full table again at once.
             endpoint.idle_since_us.clear()
             state.actions.append(CloseIdleConnections(endpoint.id))
         if call.rejected_before_setup:  # it got nowhere near the rate limit
@@ -211,7 +211,7 @@
             del cooldowns[oldest]
 
     def _close_unused_connections(self) -> None:
-        """Close connections that came free and were not used, where none are kept."""
+        """Close connections that became idle and were not reused, where none are to stay idle."""
         for endpoint in self.released.values():
             if endpoint.idle_since_us and not self.connections.max_idle_us(endpoint.scope):
                 endpoint.idle_since_us.clear()
--- a/madderbeam/policy/engine_state.py
+++ b/madderbeam/policy/engine_state.py
@@ -12,7 +12,7 @@
 from madderbeam.policy.state import INITIAL_SLOT_TIME_US, Call, Destination, Endpoint, Message
 
 WINDOW_SHARE = 0.75  # the calls to one destination stay under this share of all that may be in flight
-DEADLINE_MARGIN_TICKS = 3  # kept free before a deadline
+DEADLINE_MARGIN_TICKS = 3  # margin before a deadline
 FLEET_PROBES = 2  # calls that a fleet may make at once where each courier makes its part of one, by chance
 
 
@@ -45,7 +45,7 @@
         self.probe_share = min(1.0, FLEET_PROBES / settings.courier_count)
 
     def change_settings(self, settings: Settings) -> None:
-        """Go by these settings, and by what follows from them, from now on."""
+        """Apply these settings and what is derived from them."""
         self.settings = settings
         self.attempts_per_message = min(settings.attempts_per_message, settings.max_attempts)
         largest_window = max(1, int(WINDOW_SHARE * settings.max_in_flight))
--- a/madderbeam/policy/events.py
+++ b/madderbeam/policy/events.py
@@ -54,7 +54,7 @@
     kind: int = 0
     zone: int = 0
     retry_after_until_us: int = 0  # a Retry-After that began before this process
-    recovering: bool = False  # it comes back from a restart that the list does not show
+    recovering: bool = False  # recovers from a restart that the list does not show
     # What other couriers of the site have learnt about it. 0: nothing.
     slow_start_share: float = 1.0  # with `recovering`: this courier's part of the first calls
     connect_not_before_us: int = 0  # its connection table was full
@@ -108,7 +108,7 @@
     endpoint: int
     result: AttemptResult
     latency_us: int
-    message_completed: bool = False  # nothing more is owed to the message
+    message_completed: bool = False  # the message is completed
     retry_after_us: int = 0  # with OVERLOADED: the Retry-After, 0 if there was none
     on_new_connection: bool | None = None  # None: the host can't tell
     malformed: bool = False  # with ERROR: a response came that can't be parsed
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """Nobody wants the message any more; its attempts are still reported."""
+    """The message was withdrawn; the outcomes of its attempts are still reported."""
 
     message: int
 
--- a/madderbeam/policy/outlier_detection.py
+++ b/madderbeam/policy/outlier_detection.py
@@ -109,7 +109,7 @@
         return self.state.now_us - endpoint.last_success_at_us >= RECENT_SUCCESS_US
 
     def _siblings_answer(self, endpoint: Endpoint) -> bool:
-        """Another endpoint of the scope answered lately: after this one did, and since the fault began."""
+        """Whether another endpoint of the scope responded after this one did, and since the fault began."""
         scope = endpoint.scope
         siblings = [other for other in scope.endpoints.values() if other is not endpoint]
         newest_us = max((other.last_success_at_us for other in siblings), default=0)
@@ -187,7 +187,7 @@
 
     def _was_outage(self, scope: RateLimitScope, is_first_success: bool) -> bool:
         state = self.state
-        # A fault that was there as this courier began, or first came there, may be older than it knows.
+        # A fault found at this courier's start, or at its first call there, may be older than its evidence.
         longest_short_us = max(state.now_us - SHORT_FAULT_US, state.started_at_us + SHORT_FAULT_US)
         was_long = is_first_success or scope.failing_since_us < longest_short_us
         # A process before this one may have seen the rest of it, where the first call fails as well.
@@ -197,12 +197,12 @@
     def _record_recovery(self, scope: RateLimitScope) -> None:
         """Start the endpoints of a scope slowly after an outage.
 
-        Mostly an outage takes all endpoints: those that no call met are cold too, and slow starts from
-        before, or of an error that came late, went on over the outage: they begin anew.
+        An outage usually affects all endpoints. Those that got no call meanwhile are cold too, and slow
+        starts that ran during the outage, from before it or after a late error, start again.
         """
         state = self.state
         scope.recovered_at_us = state.now_us
-        state.log(f"destination {scope.destination.number} answers again: slow start")
+        state.log(f"destination {scope.destination.number} recovered: slow start")
         for endpoint in scope.endpoints.values():
             circuit = endpoint.circuit
             if not circuit.is_open and circuit.slow_start_since_us < max(0, state.now_us - SHORT_FAULT_US):
--- a/madderbeam/policy/rate_pacing.py
+++ b/madderbeam/policy/rate_pacing.py
@@ -17,7 +17,8 @@
 CALM_US = 5_000_000  # until this long after
 MIN_CALM = 0.1
 MIN_PACE_PER_S = 0.2  # of a courier of few: it would never learn of more
-FIRST_PACE_SHARE = 0.6  # of its part, in a large fleet: by chance alone, at the whole many calls are rejected
+# Of the courier's part, in a large fleet: at the whole part random variation alone gets many calls rejected.
+FIRST_PACE_SHARE = 0.6
 FLOOR_SHARE = (
     0.4  # a listed rate is not left further than this behind; elsewhere its traffic times this is one
 )
@@ -109,7 +110,8 @@
         # What is asked for may be a multiple of what is taken.
         floor = FLOOR_SHARE * (scope.listed_rate_per_s or FLOOR_SHARE * part)
         scope.overload_pace_per_s = scope.pace_per_s or scope.success_rate_per_s * UNLISTED_HEADROOM
-        # In a large fleet chance tells who needs its part: paced from an overload on, until nothing waits.
+        # In a large fleet it is random which courier needs its part: paced from an overload on, until no
+        # message waits.
         if scope.pace_per_s:
             lowest = 0.0 if state.is_large_fleet else MIN_PACE_PER_S
             scope.pace_per_s = max(scope.pace_per_s * CUT_FACTOR, floor, lowest)
--- a/madderbeam/policy/retries.py
+++ b/madderbeam/policy/retries.py
@@ -56,7 +56,7 @@
     def _is_ended_by_overload(self, message: Message, call: Call, event: AttemptEnded) -> bool:
         """Whether overload ends the message, with the Retry-After passed on.
 
-        Where clients mark their retries, and many were rejected with none coming back, a rejection is a loss:
+        Where clients mark their retries, and many were rejected with none resubmitted, a rejection is a loss:
         the message waits here instead.
         """
         has_attempts = message.attempts_used < self.state.attempts_per_message
--- a/madderbeam/policy/selection.py
+++ b/madderbeam/policy/selection.py
@@ -84,7 +84,7 @@
     ) -> list[Endpoint]:
         """Return the endpoints that may be called.
 
-        With a preference one is enough to know: the preference tells which to ask for.
+        With a preference one endpoint is enough, since the preference decides which one is used.
         """
         found = (
             endpoint
--- a/madderbeam/policy/settings.py
+++ b/madderbeam/policy/settings.py
@@ -112,7 +112,7 @@
     connection_idle_us: int = 10_000_000
     connect_timeout_us: int = 1_000_000
     drain_grace_us: int = 0
-    cold_capacity_share: float = 0.1  # capacity of a recovering destination as it comes back
+    cold_capacity_share: float = 0.1  # capacity of a recovering destination at first
     warm_up_us: int = 10_000_000  # after this it has all of its capacity
     overload_multiple: float = 2.0  # more than this multiple of its present capacity,
     overload_window_us: int = 1_000_000  # for this long, brings it down again
--- a/madderbeam/policy/slow_start.py
+++ b/madderbeam/policy/slow_start.py
@@ -42,7 +42,8 @@
     def set_base_rate(self, endpoint: Endpoint) -> None:
         """Set this courier's part of the warm rate.
 
-        Where none is listed: its own traffic, whose sum over the fleet is all, or its part of one's alone.
+        Where none is listed it is the courier's own traffic, which adds up to all traffic over the fleet, or
+        its part of the rate of a single courier.
         """
         scope = endpoint.scope
         traffic = self.pacer.traffic_per_s(scope)
--- a/madderbeam/policy/state.py
+++ b/madderbeam/policy/state.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message whose outcome is still owed."""
+    """A pending message."""
 
     id: int
     message_class: MessageClass
@@ -33,7 +33,7 @@
     possibly_executed_zone: int = 0
     priority_weight: float = 1.0
     in_flight: int = 0  # attempts
-    attempts_not_sent: int = 0  # attempts that were held back, and never written
+    attempts_not_sent: int = 0  # attempts that were stopped before they were written
     last_endpoint: Endpoint | None = None
     attempted_endpoints: tuple[int, ...] = ()  # where an endpoint preference wants to know
     is_completed: bool = False
@@ -67,7 +67,7 @@
 
     @property
     def attempts_used(self) -> int:
-        """Attempts that count: one that was never written asked nothing of anybody."""
+        """The attempts that count; one that was never written has used no capacity."""
         return self.attempts - self.attempts_not_sent
 
 
@@ -108,7 +108,7 @@
     indeterminate_rate: float = 0.0  # share of calls that failed and may have run, as of:
     indeterminate_updated_at_us: int = 0
     last_success_at_us: int = 0
-    connection_limit: float = math.inf  # connections that its table had room for
+    connection_limit: float = math.inf  # connections that its table accepted
     connection_limit_at_us: int = 0
     connection_rejections: int = 0  # in a row
     next_connect_at_us: int = 0
@@ -172,6 +172,6 @@
     outcome_recorded: bool = False
     connection_idle_us: int = -1  # how long its connection had been idle, -1 for a new one
     requires_new_connection: bool = False
-    rejected_by_full_table: bool = False  # the endpoint's connection table had no room
+    rejected_by_full_table: bool = False  # the endpoint's connection table was full
     opened_connection: bool = False  # as the host reported
     rejected_before_setup: bool = False  # by a full table, before its connection was up
--- a/madderbeam/policy/timeouts.py
+++ b/madderbeam/policy/timeouts.py
@@ -31,7 +31,7 @@
         self.setup_deviation_us = 0.0
 
     def call_timeout_us(self, scope: RateLimitScope) -> int:
-        """Return how long a call on a kept connection is waited for."""
+        """Return the timeout of a call on a reused connection."""
         tail_us = (
             scope.latency_deviation_us * TAIL_DEVIATIONS * math.log(1 / (RESPONSE_ODDS * self.loss_rate))
         )
--- a/tests/federation/test_waits_pass_on.py
+++ b/tests/federation/test_waits_pass_on.py
@@ -104,7 +104,7 @@
     back.script += ["reset"] * 6
     await feed(estate, "savannah/m1", 2, 3)
     await feed(estate, "savannah/m1", 3, 3)
-    await savannah.until("answers again: slow start", LIMIT)
+    await savannah.until("recovered: slow start", LIMIT)
     tables, offered = await moved(estate, 3)
     assert "cold" in await estate["athens/m1"].until("destination 2 is served here", LIMIT)
     assert "warm" in await estate["athens/m1"].until("destination 3 is served here", LIMIT)
