--- a/tests/membership/test_swim_lives.py
+++ b/tests/membership/test_swim_lives.py
@@ -1,4 +1,4 @@
-"""Lives: what a member knows of its own starts and of others', and how an older folder is found out."""
+"""Incarnations: durable start counts, the highest incarnations seen, and detection of restored state."""
 
 import random
 
@@ -46,13 +46,13 @@
     return [a for a in actions if isinstance(a, kind)]
 
 
-def test_each_start_is_counted_and_written_before_anything_is_said():
+def test_each_start_is_counted_and_written_before_anything_is_sent():
     m, actions = lone({("life", "own"): 4})
     assert m.life == Incarnation(5, 5)
     assert [type(a) for a in actions[:2]] == [SetTimer, Persist] and actions[1] == Persist("life", "own", 5)
 
 
-def test_nothing_is_said_while_the_own_start_is_not_on_disk():
+def test_nothing_is_sent_while_the_own_start_is_not_on_disk():
     net = Net(1)
     seed = net.add(MemberId("b", "2"))
     node = net.add(ME, start=False)
@@ -65,7 +65,7 @@
     assert node.records["life", "own"] == 1
 
 
-def test_nothing_is_answered_between_a_refused_record_and_its_next_try():
+def test_nothing_is_sent_between_a_failed_write_and_its_retry():
     m, _ = lone()
     m.handle(1, WriteFailed("life", "own"))
     assert not sent(m.handle(2, DatagramReceived(Ping(1, alive(X), ME), ("b", 1))))
@@ -74,19 +74,19 @@
     assert sent(m.handle(3 * S, DatagramReceived(Ping(1, alive(X), ME), ("b", 1))))
 
 
-def test_after_a_pause_suspicions_are_void_and_nothing_old_is_passed_on():
+def test_after_a_pause_suspicions_are_cleared_and_outdated_reports_not_forwarded():
     m, _ = lone()
     suspect = MemberReport(X, Incarnation(1, 7), 0, State.SUSPECT, ("b", 7000), by=C)
     for ping in (Ping(1, alive(X), ME), Ping(1, alive(C), ME, reports=(suspect,))):
         m.handle(1, DatagramReceived(ping, ("b", 1)))
     assert m.view(X).state is State.SUSPECT
     assert of(m.handle(12 * S, TimerDue("membership")), PauseDetected) and m.view(X).state is State.ALIVE
-    waited = Ping(2, alive(C), ME, reports=(suspect,))  # it lay in the socket meanwhile
+    waited = Ping(2, alive(C), ME, reports=(suspect,))  # it waited in the socket during the pause
     answer = sent(m.handle(12 * S + 1, DatagramReceived(waited, ("c", 1))))[0]
     assert {r.id for r in answer.reports} <= {ME}
 
 
-def test_an_accused_member_hears_of_it_first_and_refutes_in_its_answer():
+def test_an_accused_member_is_notified_first_and_refutes_in_its_ack():
     m, _ = lone()
     m.handle(1, DatagramReceived(Ping(1, alive(X), ME), ("b", 1)))
     suspect = MemberReport(X, Incarnation(1, 7), 0, State.SUSPECT, ("b", 7000), by=C)
@@ -104,7 +104,7 @@
     assert m.view(X).state is State.ALIVE and m.view(X).word == 1
 
 
-def test_a_death_that_one_member_tells_is_an_accusation():
+def test_a_death_reported_by_one_member_is_an_accusation():
     m, _ = lone()
     for one in (X, C):
         m.handle(1, DatagramReceived(Ping(1, alive(one), ME), ("b", 1)))
@@ -118,7 +118,7 @@
     assert m.view(X).state is State.DEAD
 
 
-def test_an_older_folder_is_found_out_after_all_were_started_again():
+def test_restored_state_is_detected_after_all_members_restarted():
     net = Net(2)
     nodes = net.grow(5)
     old = nodes[2]
@@ -144,27 +144,27 @@
     assert not [a for n in nodes if n is not old for _, a in n.log if isinstance(a, RollbackDetected)]
 
 
-def test_two_processes_with_one_folder_find_each_other_out_and_do_not_outbid_for_ever():
+def test_two_processes_on_copied_state_detect_each_other_and_raise_starts_at_a_bounded_rate():
     m, _ = lone({("life", "own"): 4})
     actions = []
     for at in range(200):
         twin = alive(ME, start=m.life.start, nonce=9)
         actions += m.handle(at * S // 4, DatagramReceived(Ping(1, twin, ME), ("z", 1)))
-    assert len(of(actions, RollbackDetected)) == 2  # in 50 s, one an exchange period
+    assert len(of(actions, RollbackDetected)) == 2  # one per exchange period in 50 s
     order = [type(a) for a in actions if isinstance(a, (RollbackDetected, Persist))]
     assert order[0] is RollbackDetected and of(actions, Persist)[-1] == Persist("life", "own", m.life.start)
 
 
-def test_a_member_with_a_life_that_is_over_is_told_of_the_higher_one():
+def test_a_member_with_an_outdated_incarnation_learns_the_higher_one():
     m, _ = lone({("life", "b/2"): [9, 1]})
     answer = sent(m.handle(1, DatagramReceived(Ping(1, alive(X, start=3), ME), ("b", 1))))[0]
     assert answer.reports[0].life == Incarnation(9, 1) and m.view(X) is None
 
 
-def test_highest_lives_are_written_again_if_the_disk_did_not_take_them():
+def test_highest_incarnations_are_rewritten_after_a_failed_write():
     m, _ = lone()
     row = Persist("life", "b/2", [1, 7])
     assert row in m.handle(1, DatagramReceived(Ping(1, alive(X), ME), ("b", 1)))
-    assert not of(m.handle(2, WriteFailed("life", "b/2")), Persist)  # not at once: the disk may go on failing
+    assert not of(m.handle(2, WriteFailed("life", "b/2")), Persist)  # not at once: the disk may keep failing
     later = [a for n in range(1, 50) for a in m.handle(n * S // 4, TimerDue("membership"))]
     assert later.count(row) == 1
--- a/tests/membership/test_swim_storm.py
+++ b/tests/membership/test_swim_storm.py
@@ -1,11 +1,11 @@
-"""Fifty members for ten minutes with nearly all faults at once: none that answers is declared dead by all."""
+"""Fifty members for ten minutes with most faults at once: no member that answers is declared dead by all."""
 
 from swimnet import Link, Net, S
 
 from madderbeam.membership.values import MemberChanged, State
 
 
-def test_loss_doubles_reordering_and_slow_links_for_ten_minutes():
+def test_loss_duplicates_reordering_and_slow_links_for_ten_minutes():
     net = Net(3, link=Link(loss=0.3, delay_us=(1_000, 60_000), double=0.05))
     nodes = net.grow(50)
     for a in nodes[:6]:
@@ -21,7 +21,7 @@
     )  # fmt: skip
     deaths = net.deaths(begin)
     print(f"{accused} times that a member suspected one, {len(deaths)} that it declared one dead")
-    assert len(deaths) <= 10 and accused > 1_000  # as seen: few of very many come to anything
+    assert len(deaths) <= 10 and accused > 1_000  # only few suspicions end in a declared death
     net.link = Link()
     net.links.clear()
     assert net.until(net.now + 60 * S, net.agree)
--- a/tests/membership/test_table_words.py
+++ b/tests/membership/test_table_words.py
@@ -1,4 +1,4 @@
-"""The table by itself: whose word counts on which incarnation, and what goes before what."""
+"""The member table by itself: which report on which incarnation takes precedence."""
 
 from dataclasses import replace
 
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize(
     "earlier", [{"word": 2}, {"life": Incarnation(1, 9), "word": 8}], ids=["word", "life"]
 )
-def test_a_word_on_an_earlier_incarnation_changes_nothing(state, earlier):
+def test_a_report_on_an_earlier_incarnation_changes_nothing(state, earlier):
     known = table()
     assert not known.merge(S, replace(NOW, state=state, by=TWO, **earlier))
     member = known.members[ONE]
@@ -38,16 +38,17 @@
     assert not known.suspects
 
 
-def test_one_that_was_let_go_of_comes_back_by_a_higher_word_alone():
+def test_a_removed_member_returns_only_with_a_higher_refutation_number():
     known = table()
     known.dead(S, known.members[ONE], TWO)
     assert known.forget(S + known.settings.forget_us) == [ONE]
     later = 2 * S + known.settings.forget_us
-    assert not known.merge(later, NOW) and ONE not in known.members  # somebody has not heard that it died
+    # an outdated report from a member that has not learned of the death
+    assert not known.merge(later, NOW) and ONE not in known.members
     assert known.merge(later, replace(NOW, word=4)) and known.members[ONE].live
 
 
-def test_where_there_is_no_room_the_one_that_is_dead_for_longest_goes():
+def test_a_full_table_removes_the_member_dead_for_longest():
     known = table(members_most=3)
     others = [MemberId("rome", f"m{n}") for n in range(3)]
     for n, other in enumerate(others[:2]):
@@ -57,15 +58,15 @@
     assert known.members.keys() == {ONE, others[1], others[2]}
 
 
-def test_what_one_member_alone_took_for_lost_is_told_as_alive():
+def test_a_death_declared_in_isolation_is_reported_as_alive():
     known = table()
     known.dead(S, known.members[ONE], ME, alone=True)
     assert known.report(2 * S, known.members[ONE]).state is State.ALIVE
-    known.merge(2 * S, replace(NOW, state=State.DEAD, by=TWO))  # another says so too
+    known.merge(2 * S, replace(NOW, state=State.DEAD, by=TWO))  # another member confirms it
     assert known.report(2 * S, known.members[ONE]).state is State.DEAD
 
 
-def test_local_health_goes_by_single_signs_within_its_bounds():
+def test_local_health_changes_in_single_steps_within_its_bounds():
     health = LocalHealth(3)
     for _ in range(5):
         health.worse()
