--- a/madderbeam/federation/__init__.py
+++ b/madderbeam/federation/__init__.py
@@ -1,1 +1,1 @@
-"""The table that says which site serves which destination: agreed on, switched to. Decisions with no I/O."""
+"""The ownership table of a federation: how sites agree on it and switch to it. Decisions without I/O."""
--- a/madderbeam/federation/consensus/__init__.py
+++ b/madderbeam/federation/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Paxos Commit (Gray and Lamport 2006) on the ownership table."""
+"""Paxos Commit (Gray and Lamport 2006) for the ownership table."""
--- a/madderbeam/federation/consensus/acceptor.py
+++ b/madderbeam/federation/consensus/acceptor.py
@@ -1,7 +1,7 @@
-"""A voter's part of Paxos Commit: what it has promised and accepted for the slot that is open.
+"""The acceptor of Paxos Commit: what a voter has promised and accepted in the current slot.
 
 Source: Gray and Lamport, "Consensus on Transaction Commit" (2006), section 4, with one promise for all
-instances of a slot. It is pure state: who asks has the state written down before the reply is given.
+instances of a slot. The class is pure state: the caller writes the state to disk before it sends the reply.
 """
 
 from __future__ import annotations
@@ -16,84 +16,93 @@
     Prepare,
     Promise,
     ballot_of,
-    claim_of,
+    read_accepted_votes,
+    read_claim,
     slot_of,
     to_plain,
-    voted_of,
 )
 from madderbeam.federation.consensus.rounds import Ballot, Claim, Mark, Slot, Vote
 from madderbeam.membership.values import Incarnation
 
 
 class Acceptor:
-    """`slot` only grows; a vote for an earlier one is never given again, whatever became of it."""
+    """The acceptor's state. `slot` only grows: no earlier slot gets a promise or an acceptance again."""
 
-    def __init__(self, life: Incarnation, record: Mapping[str, Any] | None) -> None:
-        """`record`: what `record()` gave last. Raises ValueError where it is not whole."""
-        self.life = life
+    def __init__(self, incarnation: Incarnation, record: Mapping[str, Any] | None) -> None:
+        """`record`: the latest result of `record()`. Raises ValueError if it is malformed."""
+        self.incarnation = incarnation
         self.slot = Slot(0)
         self.promised: Ballot | None = None
         self.claim: Claim | None = None
-        self.claimed: Ballot | None = None
-        self.words: dict[str, tuple[Ballot, Vote]] = {}
-        self.votes = 0  # written down since the folder is there
+        self.claim_ballot: Ballot | None = None
+        self.accepted_votes: dict[str, tuple[Ballot, Vote]] = {}  # by site
+        self.votes_recorded = 0  # since the state directory was created
         if record is not None:
             self._restore(record)
 
     def record(self) -> dict[str, Any]:
-        """The whole state, as it is written down."""
+        """The whole state, as it is written to disk."""
         return {
             "slot": to_plain(self.slot),
             "promised": to_plain(self.promised),
             "claim": to_plain(self.claim),
-            "claimed": to_plain(self.claimed),
-            "words": to_plain(tuple(self.words.values())),
-            "votes": self.votes,
+            "claimed": to_plain(self.claim_ballot),
+            "words": to_plain(tuple(self.accepted_votes.values())),
+            "votes": self.votes_recorded,
         }
 
     def _restore(self, record: Mapping[str, Any]) -> None:
         self.slot = slot_of(record["slot"])
         self.promised = ballot_of(record["promised"]) if record["promised"] else None
-        self.claim = claim_of(record["claim"]) if record["claim"] else None
-        self.claimed = ballot_of(record["claimed"]) if record["claimed"] else None
-        self.words = {word.site: (ballot, word) for ballot, word in voted_of(record["words"])}
-        self.votes = int(record["votes"])
+        self.claim = read_claim(record["claim"]) if record["claim"] else None
+        self.claim_ballot = ballot_of(record["claimed"]) if record["claimed"] else None
+        self.accepted_votes = {
+            vote.site: (ballot, vote) for ballot, vote in read_accepted_votes(record["words"])
+        }
+        self.votes_recorded = int(record["votes"])
 
     @property
     def mark(self) -> Mark:
-        return Mark(self.life, self.votes)
+        """How recent this voter's state is."""
+        return Mark(self.incarnation, self.votes_recorded)
 
-    def prepare(self, asked: Prepare) -> Promise | BallotRejected | None:
-        """The reply to give once the state is written; None for a slot that is over."""
-        if not self._open(asked.slot):
+    def prepare(self, request: Prepare) -> Promise | BallotRejected | None:
+        """The reply to send once the state is on disk; None if the slot is closed."""
+        if not self._enter_slot(request.slot):
             return None
-        if self.promised is not None and asked.ballot < self.promised:
-            return BallotRejected(asked.slot, asked.ballot, self.promised)
-        self.promised = asked.ballot
-        self.votes += 1
+        if self.promised is not None and request.ballot < self.promised:
+            return BallotRejected(request.slot, request.ballot, self.promised)
+        self.promised = request.ballot
+        self.votes_recorded += 1
         return Promise(
-            asked.slot, asked.ballot, self.claim, self.claimed, tuple(self.words.values()), self.mark
+            request.slot,
+            request.ballot,
+            self.claim,
+            self.claim_ballot,
+            tuple(self.accepted_votes.values()),
+            self.mark,
         )
 
-    def accept(self, asked: Accept) -> Accepted | BallotRejected | None:
-        """The reply to give once the state is written; None for a slot that is over."""
-        if not self._open(asked.slot):
+    def accept(self, request: Accept) -> Accepted | BallotRejected | None:
+        """The reply to send once the state is on disk; None if the slot is closed."""
+        if not self._enter_slot(request.slot):
             return None
-        if self.promised is not None and asked.ballot < self.promised:
-            return BallotRejected(asked.slot, asked.ballot, self.promised)
-        self.promised = asked.ballot
-        if self.claim is None or self.claim.digest != asked.claim.digest:
-            self.words = {}  # of a claim that no majority took, nor will
-        self.claim, self.claimed = asked.claim, asked.ballot
-        for word in asked.words:
-            self.words[word.site] = (asked.ballot, word)
-        self.votes += 1
-        step = sum(ballot == asked.ballot for ballot, _ in self.words.values())
-        return Accepted(asked.slot, asked.ballot, step, self.mark)
+        if self.promised is not None and request.ballot < self.promised:
+            return BallotRejected(request.slot, request.ballot, self.promised)
+        self.promised = request.ballot
+        if self.claim is None or self.claim.digest != request.claim.digest:
+            self.accepted_votes = {}  # the replaced claim has no majority and cannot get one
+        self.claim, self.claim_ballot = request.claim, request.ballot
+        for vote in request.votes:
+            self.accepted_votes[vote.site] = (request.ballot, vote)
+        self.votes_recorded += 1
+        accepted_count = sum(ballot == request.ballot for ballot, _ in self.accepted_votes.values())
+        return Accepted(request.slot, request.ballot, accepted_count, self.mark)
 
-    def _open(self, slot: Slot) -> bool:
+    def _enter_slot(self, slot: Slot) -> bool:
+        """Start afresh if the slot is a later one; returns whether it is the current one then."""
         if slot > self.slot:
             self.slot = slot
-            self.promised = self.claim = self.claimed = None
-            self.words = {}
+            self.promised = self.claim = self.claim_ballot = None
+            self.accepted_votes = {}
         return slot == self.slot
--- a/madderbeam/federation/consensus/agreed_tables.py
+++ b/madderbeam/federation/consensus/agreed_tables.py
@@ -1,4 +1,4 @@
-"""The agreed tables that this member knows: the last eight, each written down before it counts as known."""
+"""The agreed tables that this member knows: the latest eight, each written to disk before it is announced."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from madderbeam.federation.values import Table, TableAgreed
 from madderbeam.membership.values import Disseminate
 
-KEPT = 8
-REWRITE_US = 1_000_000
+MAX_TABLES_KEPT = 8
+REWRITE_DELAY_US = 1_000_000
 
 
 class AgreedTables:
-    """`latest` is decided, if perhaps not on disk here yet; `written` says what is."""
+    """`latest` is agreed but may not be on disk here yet; `written` is the highest number that is."""
 
-    def __init__(self, out: Outbox, records: Mapping[tuple[str, str], Any], first: Table) -> None:
-        self.out = out
-        self.tables: dict[int, Table] = {first.number: first}
+    def __init__(self, outbox: Outbox, records: Mapping[tuple[str, str], Any], first_table: Table) -> None:
+        self.outbox = outbox
+        self.tables: dict[int, Table] = {first_table.number: first_table}
         for (kind, _), document in records.items():
             if kind == "agreed":
                 table = read(document)
@@ -29,29 +29,30 @@
         self._unwritten: set[int] = set()
 
     def since(self, number: int) -> list[Table]:
-        """The agreed tables above `number` that are still kept and on disk, in their order."""
+        """The stored tables above `number` that are on disk, in ascending order."""
         return [self.tables[n] for n in sorted(self.tables) if n > number and n not in self._unwritten]
 
     def get(self, number: int) -> Table | None:
+        """The agreed table of a number, if it is still stored."""
         return self.tables.get(number)
 
     def add(self, table: Table) -> None:
-        """The word of it waits until it is on disk: see on_written."""
+        """Store an agreed table. It is announced once it is on disk: see on_written."""
         self.tables[table.number] = self.latest = table
-        for number in sorted(self.tables)[:-KEPT]:
+        for number in sorted(self.tables)[:-MAX_TABLES_KEPT]:
             del self.tables[number]
             self._unwritten.discard(number)
-            self.out.persist("agreed", str(number), None)
+            self.outbox.persist("agreed", str(number), None)
         self._unwritten.add(table.number)
-        self._write(table)
+        self._persist(table)
 
-    def tell(self, table: Table) -> None:
-        """For the switch part, and for all; at a start whether it was told before or not."""
-        self.out.give(TableAgreed(table))
-        self._spread(table)
+    def announce(self, table: Table) -> None:
+        """Pass the table to the switchover part and disseminate it; a restart announces it again."""
+        self.outbox.add(TableAgreed(table))
+        self._disseminate(table)
 
     def on_written(self, token: str) -> Table | None:
-        """The table that is now known for good, if it is news."""
+        """The table that is now on disk, if it is newer than those written before."""
         number = int(token.removeprefix("known/"))
         self._unwritten.discard(number)
         table = self.tables.get(number)
@@ -61,19 +62,20 @@
         return table
 
     def rearm(self) -> None:
-        """Something was lost: perhaps the record, perhaps the news."""
+        """A write failed and later actions were dropped: perhaps the record, perhaps the dissemination."""
         if self._unwritten:
-            self.out.timer(REWRITE_US, "rewrite")
-        self._spread(self.tables[self.written])
+            self.outbox.timer(REWRITE_DELAY_US, "rewrite")
+        self._disseminate(self.tables[self.written])
 
     def rewrite(self) -> None:
+        """Write the tables again that are not on disk yet."""
         for number in sorted(self._unwritten):
-            self._write(self.tables[number])
+            self._persist(self.tables[number])
 
-    def _write(self, table: Table) -> None:
-        self.out.persist("agreed", str(table.number), table.document())
-        self.out.timer(0, f"known/{table.number}")
+    def _persist(self, table: Table) -> None:
+        self.outbox.persist("agreed", str(table.number), table.document())
+        self.outbox.timer(0, f"known/{table.number}")
 
-    def _spread(self, table: Table) -> None:
+    def _disseminate(self, table: Table) -> None:
         body = f"{table.number}:{table.digest}".encode()
-        self.out.give(Disseminate("table", table.number, body))
+        self.outbox.add(Disseminate("table", table.number, body))
--- a/madderbeam/federation/consensus/agreement.py
+++ b/madderbeam/federation/consensus/agreement.py
@@ -1,8 +1,10 @@
-"""Agreement on the next table by Paxos Commit: routes each event to voter, speaker, driver and what is known.
+"""Agreement on the next table by Paxos Commit: routes each event to acceptor, participant, coordinator or
+catch-up.
 
-The slot that is open is (number of the latest agreed table + 1, attempt). A driver (whoever offers, or a
-member that heard nothing of a pending slot for a while) prepares, claims the slot for one table, has the
-sites stage it, carries their words to the voters, and tells all what was decided: docs/design/federation.md.
+The open slot is (number of the latest agreed table + 1, attempt). A coordinator is the member that proposes a
+table, or one that has heard nothing about a pending slot for a while. It prepares, claims the slot for one
+table, has the sites stage it, relays their votes to the voters, and notifies all of the decision:
+docs/design/federation.md.
 """
 
 from __future__ import annotations
@@ -22,9 +24,9 @@
 from madderbeam.federation.consensus.proposals import Proposals
 from madderbeam.federation.consensus.rollback_detection import RollbackDetector
 from madderbeam.federation.consensus.rounds import AgreementSettings, Slot, Vote
-from madderbeam.federation.consensus.status import silence, status
+from madderbeam.federation.consensus.status import describe_silent, status
 from madderbeam.federation.errors import FolderOlder
-from madderbeam.federation.table import everyone
+from madderbeam.federation.table import all_members
 from madderbeam.federation.values import FolderTrusted, ProposalOutcome, Table, TableChecked, TableProposed
 from madderbeam.membership.values import (
     GossipReceived,
@@ -42,34 +44,42 @@
 
 
 class Agreement:
-    """`start(now_us)` once, then `handle(now_us, event)`: both give actions. `records`: the durable map;
-    `table`: the one in force at the first start (as configured), of no account where records know a later."""
+    """The agreement's state machine. Call `start(now_us)` once, then `handle(now_us, event)`; both return
+    actions.
+
+    `records`: the records on disk; `table`: the one in force at the first start (as configured), ignored if
+    the records have a later one.
+    """
 
     def __init__(
         self,
         settings: AgreementSettings,
         me: MemberId,
-        life: Incarnation,
-        chance: Random,
+        incarnation: Incarnation,
+        rng: Random,
         records: Mapping[tuple[str, str], Any],
         table: Table,
     ) -> None:
         self.settings, self.me = settings, me
-        self.out = Outbox(me)
-        self.known = AgreedTables(self.out, records, table)
-        self.acceptor = Acceptor(life, records.get(("vote", "")))
-        self.folder = RollbackDetector(self.out, life, records)
-        self.offers = Proposals(self.out, records)
-        self.speaker = Participant(self.out, settings.check_us, 4 * settings.resend_us, records, self.base)
-        self.driving = CoordinatorFailover(settings, self.out, life, chance, self.offers, self.document)
-        self.catch_up = CatchUp(self.out, chance, self.known, 4 * settings.resend_us)
+        self.outbox = Outbox(me)
+        self.known = AgreedTables(self.outbox, records, table)
+        self.acceptor = Acceptor(incarnation, records.get(("vote", "")))
+        self.folder = RollbackDetector(self.outbox, incarnation, records)
+        self.proposals = Proposals(self.outbox, records)
+        self.participant = Participant(
+            self.outbox, settings.check_timeout_us, 4 * settings.resend_interval_us, records, self.base
+        )
+        self.failover = CoordinatorFailover(
+            settings, self.outbox, incarnation, rng, self.proposals, self.document
+        )
+        self.catch_up = CatchUp(self.outbox, rng, self.known, 4 * settings.resend_interval_us)
         self.views: dict[MemberId, MemberView] = {}
         self.attempt = 0
-        for slot in (self.acceptor.slot, self.speaker.slot):
+        for slot in (self.acceptor.slot, self.participant.slot):
             if slot is not None and slot.number == self.base.number + 1:
                 self.attempt = max(self.attempt, slot.attempt)
 
-    # What others ask
+    # State
 
     @property
     def base(self) -> Table:
@@ -78,184 +88,186 @@
 
     @property
     def slot(self) -> Slot:
+        """The open slot, as far as this member knows."""
         return Slot(self.base.number + 1, self.attempt)
 
     @property
     def votes(self) -> bool:
-        """Whether this member takes part in votes now."""
+        """Whether this member votes now: it is a voter, and its state is confirmed to be the latest."""
         return self.me in self.base.voters and self.folder.may_vote(self.base.voters)
 
     def known_since(self, number: int) -> list[Table]:
-        """The agreed tables above `number`, of the last eight, in their order; all are on disk."""
+        """The agreed tables above `number`, of the latest eight, in ascending order; all are on disk."""
         return self.known.since(number)
 
     def status(self, now_us: int) -> dict[str, Any]:
-        """For GET /federation."""
+        """The status for GET /federation."""
         return status(self, now_us)
 
     # Events
 
     def start(self, now_us: int) -> list[Any]:
-        """What is to be done at the start of the process."""
-        self.out.now_us = now_us
-        self.offers.agreed(self.base, self.known.get)
-        self.known.tell(self.base)
-        self.offers.opened(self.slot)
+        """The actions at the start of the process."""
+        self.outbox.now_us = now_us
+        self.proposals.on_agreed(self.base, self.known.get)
+        self.known.announce(self.base)
+        self.proposals.on_slot_opened(self.slot)
         if self.folder.distrusted is not None:
             self.folder.distrust(self.folder.distrusted)
-        self._greet()
-        if self.offers.newest is not None:
-            self.driving.again()
-        return self._done()
+        self._announce_mark()
+        if self.proposals.newest is not None:
+            self.failover.schedule_retry()
+        return self._finish_event()
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
-        self.out.now_us = now_us
+        """The actions that follow from this event."""
+        self.outbox.now_us = now_us
         match event:
             case MessageReceived(member, message):
                 self._on_message(member, message)
             case TimerDue(token) if token.startswith(PREFIX):
-                self._on_due(token.removeprefix(PREFIX))
+                self._on_timer(token.removeprefix(PREFIX))
             case TableProposed(table):
                 self._on_proposed(table)
             case TableChecked():
-                self.speaker.on_checked(event)
+                self.participant.on_checked(event)
             case WriteFailed(kind, key):
-                self._on_unwritten(kind, key)
-            case GossipReceived(rumour) if rumour.key == "table":
-                self.catch_up.on_rumour(rumour.owner, rumour.body)
+                self._on_write_failed(kind, key)
+            case GossipReceived(entry) if entry.key == "table":
+                self.catch_up.on_gossip(entry.owner, entry.body)
             case MemberChanged(view):
-                if view.id in everyone(self.base):
+                if view.id in all_members(self.base):
                     self.views[view.id] = view
             case LinkUp(member):
-                self.out.send(member, self.catch_up.latest())
-                if self._greets and member in self.base.voters:
-                    self.folder.greet_one(member, self.acceptor.mark)
+                self.outbox.send(member, self.catch_up.latest_decided())
+                if self._announces_mark and member in self.base.voters:
+                    self.folder.announce_to(member, self.acceptor.mark)
             case RollbackDetected(seen):
                 self.folder.distrust(seen)
-                self._heed_distrust()
-            case IncarnationRaised(life):
-                self.acceptor.life = self.folder.life = self.driving.life = life
+                self._stop_if_distrusted()
+            case IncarnationRaised(incarnation):
+                self.acceptor.incarnation = self.folder.incarnation = self.failover.incarnation = incarnation
             case FolderTrusted():
                 self.folder.trust()
-                self._greet()
-        self._end_drive()
-        return self._done()
+                self._announce_mark()
+        self._finish_coordination()
+        return self._finish_event()
 
-    def _done(self) -> list[Any]:
-        self.driving.watch(self.pending)
-        self.offers.sweep()
-        return self.out.taken()
+    def _finish_event(self) -> list[Any]:
+        self.failover.watch(self.pending)
+        self.proposals.remove_completed()
+        return self.outbox.take_actions()
 
-    def _on_due(self, token: str) -> None:
+    def _on_timer(self, token: str) -> None:
         match token.partition("/")[0]:
             case "self":
-                message = self.out.own(token)
+                message = self.outbox.take_message_to_self(token)
                 if message is not None:
                     self._on_message(self.me, message)
             case "known":
                 table = self.known.on_written(token)
                 if table is not None:
-                    self.offers.agreed(table, self.known.get)
-                    self.known.tell(table)
+                    self.proposals.on_agreed(table, self.known.get)
+                    self.known.announce(table)
             case "staged":
-                self.speaker.on_written(token)
+                self.participant.on_written(token)
             case "check":
-                self.speaker.on_check_due(token)
+                self.participant.on_check_due(token)
             case "drive":
-                self.driving.on_drive_due(self._silence)
-            case "again" if self.driving.driver is None and self.offers.newest is not None:
-                self._drive()
+                self.failover.on_resend_due(self._describe_silent)
+            case "again" if self.failover.coordinator is None and self.proposals.newest is not None:
+                self._coordinate()
             case "watch":
-                if self.driving.on_watch_due() and self.pending:
-                    self._drive()
+                if self.failover.on_watch_due() and self.pending:
+                    self._coordinate()
             case "greet" if not self.votes:
-                self._greet()
+                self._announce_mark()
             case "want":
-                self.catch_up.on_want_due()
+                self.catch_up.on_retry_due()
             case "ended":
-                self.offers.on_forgotten(token)
+                self.proposals.on_record_removed(token)
             case "sweep":
-                self.offers.sweep(again=True)
+                self.proposals.remove_completed(again=True)
             case "rewrite":
                 self.known.rewrite()
             case "distrust" if self.folder.distrusted is not None:
                 self.folder.distrust(self.folder.distrusted)
 
-    def _on_unwritten(self, kind: str, key: str) -> None:
-        """What stood behind it is lost, timers too: they are all set again, and bring the words again."""
-        self.out.lost()
+    def _on_write_failed(self, kind: str, key: str) -> None:
+        """All later actions were dropped, timers included: set the timers again; they repeat the rest."""
+        self.outbox.drop_messages_to_self()
         match kind:
             case "staged":
-                self.speaker.on_unwritten()
+                self.participant.on_write_failed()
             case "offer":
-                if self.offers.on_unwritten(key):
-                    self.driving.stop()
+                if self.proposals.on_write_failed(key):
+                    self.failover.stop()
             case "distrusted" | "trusted":
-                self.folder.on_unwritten(kind)
+                self.folder.on_write_failed(kind)
         self.known.rearm()
-        self.offers.rearm()
-        self.speaker.rearm()
-        self.driving.rearm()
+        self.proposals.rearm()
+        self.participant.rearm()
+        self.failover.rearm()
         self.catch_up.rearm()
-        self._greet()
+        self._announce_mark()
 
     def _on_proposed(self, table: Table) -> None:
         if self.folder.distrusted is not None:
             error = FolderOlder(f"{self.me} has an older folder: it offers no table {table.number}")
-            self.out.give(ProposalOutcome(table.proposal, False, error))
-        elif self.offers.add(table, self.base):
-            self.driving.fresh()
-            self._drive()
+            self.outbox.add(ProposalOutcome(table.proposal, False, error))
+        elif self.proposals.add(table, self.base):
+            self.failover.reset_retries()
+            self._coordinate()
 
     def _on_message(self, member: MemberId, message: Any) -> None:
         match message:
             case m.Prepare() | m.Accept() | m.VoteRequest():
-                if self._is_open(member, message.slot, message.base):
+                if self._is_open(member, message.slot, message.base_digest):
                     self._on_request(member, message)
             case m.Promise() | m.Accepted() | m.BallotRejected() | m.VoteReply():
                 self._on_reply(member, message)
             case m.DocumentRequest(slot, digest):
                 table = self.document(digest)
                 if table is not None:
-                    self.out.send(member, m.Document(slot, table.document()))
+                    self.outbox.send(member, m.Document(slot, table.document()))
             case m.Document(slot):
-                self.speaker.on_shown(message, self.base)
-                driver = self.driving.at(slot)
-                if driver is not None:
-                    driver.on_shown(message)
-            case m.SlotAborted(slot, digest, words, marks):
-                self._over(slot, digest, words)
+                self.participant.on_document(message, self.base)
+                coordinator = self.failover.coordinator_of(slot)
+                if coordinator is not None:
+                    coordinator.on_document(message)
+            case m.SlotAborted(slot, digest, votes, marks):
+                self._on_slot_aborted(slot, digest, votes)
                 self.folder.learn(marks, self.base.voters)
             case m.SlotAdvanced(slot):
                 self._open_slot(slot)
             case m.Decided(_, digest, marks):
                 self.folder.learn(marks, self.base.voters)
-                self._adopt(self.catch_up.on_decided(member, message, self.document(digest)))
+                self._adopt_table(self.catch_up.on_decided(member, message, self.document(digest)))
             case m.CatchUpRequest():
-                self.catch_up.on_want(member, message)
+                self.catch_up.on_catch_up_request(member, message)
             case m.AgreedTable():
-                self._adopt(self.catch_up.on_known(message))
+                self._adopt_table(self.catch_up.on_agreed_table(message))
             case m.MarkAnnounced():
-                self.folder.on_greet(member, message, self.base.voters)
+                self.folder.on_mark_announced(member, message, self.base.voters)
             case m.MarkConfirmed():
-                self.folder.on_greeted(member, message)
+                self.folder.on_mark_confirmed(member, message)
             case m.RollbackReported(mark):
-                least = self.folder.on_older(member, mark, self.acceptor.mark)
-                self.acceptor.votes = max(self.acceptor.votes, least)
-                self._heed_distrust()
+                votes_recorded = self.folder.on_rollback_reported(member, mark, self.acceptor.mark)
+                self.acceptor.votes_recorded = max(self.acceptor.votes_recorded, votes_recorded)
+                self._stop_if_distrusted()
 
-    # Requests of a driver, and replies to it
+    # Requests of a coordinator, and replies to it
 
-    def _is_open(self, member: MemberId, slot: Slot, base: str) -> bool:
-        """Whether a request is for the slot that is open here; else the sender or this member catches up."""
+    def _is_open(self, member: MemberId, slot: Slot, base_digest: str) -> bool:
+        """Whether a request is for the slot that is open here; if not, sender or receiver catches up."""
         if slot.number < self.slot.number:
-            self.out.send(member, self.catch_up.latest())
+            self.outbox.send(member, self.catch_up.latest_decided())
         elif slot.number > self.slot.number:
-            self.catch_up.ask(member, slot.number - 1)
-        elif base != self.base.digest:
-            self.catch_up.tell_differ(member, self.base.number, base)
+            self.catch_up.request(member, slot.number - 1)
+        elif base_digest != self.base.digest:
+            self.catch_up.report_difference(member, self.base.number, base_digest)
         elif slot.attempt < self.attempt:
-            self.out.send(member, m.SlotAdvanced(self.slot))
+            self.outbox.send(member, m.SlotAdvanced(self.slot))
         else:
             self._open_slot(slot)
             return True
@@ -263,140 +275,144 @@
 
     def _on_request(self, member: MemberId, message: m.Prepare | m.Accept | m.VoteRequest) -> None:
         if member != self.me:
-            self.driving.heard(member)
+            self.failover.on_other_coordinator(member)
         if isinstance(message, m.VoteRequest):
-            self.driving.since(message.slot, message.digest)
-            self.speaker.on_offer(member, message, self.base)
+            self.failover.claim_known_since_us(message.slot, message.digest)
+            self.participant.on_vote_request(member, message, self.base)
             return
-        self.driving.see(message.ballot)
+        self.failover.observe_ballot(message.ballot)
         if not self.votes:
             return
         if isinstance(message, m.Prepare):
             reply: m.Promise | m.Accepted | m.BallotRejected | None = self.acceptor.prepare(message)
         else:
-            self.driving.since(message.slot, message.claim.digest)
+            self.failover.claim_known_since_us(message.slot, message.claim.digest)
             reply = self.acceptor.accept(message)
         if reply is not None:
-            self.out.persist("vote", "", self.acceptor.record())
-            self.out.send(member, reply)
+            self.outbox.persist("vote", "", self.acceptor.record())
+            self.outbox.send(member, reply)
 
     def _on_reply(
         self, member: MemberId, message: m.Promise | m.Accepted | m.BallotRejected | m.VoteReply
     ) -> None:
-        driver = self.driving.at(message.slot)
+        coordinator = self.failover.coordinator_of(message.slot)
         if isinstance(message, m.Promise | m.Accepted) and (
-            member not in self.base.voters or not self.folder.note(member, message.mark)
+            member not in self.base.voters or not self.folder.observe(member, message.mark)
         ):
             return
-        if driver is None:
+        if coordinator is None:
             return
         match message:
             case m.Promise():
-                driver.on_promise(member, message)
+                coordinator.on_promise(member, message)
             case m.Accepted():
-                driver.on_accepted(member, message)
+                coordinator.on_accepted(member, message)
             case m.VoteReply():
-                driver.on_answer(member, message)
+                coordinator.on_vote(member, message)
             case m.BallotRejected(_, ballot, promised):
-                self.driving.see(promised)
-                if driver.ballot == ballot:
-                    self.driving.give_way()
+                self.failover.observe_ballot(promised)
+                if coordinator.ballot == ballot:
+                    self.failover.yield_to_higher_ballot()
 
-    # Driving
+    # Coordination
 
     def finish(self, now_us: int) -> list[Any]:
-        """What is pending is to come to its end now: this member waits for it."""
-        self.out.now_us = now_us
-        if self.pending and self.driving.driver is None:
-            self._drive()
-        return self._done()
+        """Bring what is pending to its outcome now: this member waits for it."""
+        self.outbox.now_us = now_us
+        if self.pending and self.failover.coordinator is None:
+            self._coordinate()
+        return self._finish_event()
 
-    def _drive(self) -> None:
+    def _coordinate(self) -> None:
         if self.folder.distrusted is None:
-            self.driving.begin(self.base, self.slot)
+            self.failover.begin(self.base, self.slot)
 
     @property
     def pending(self) -> bool:
-        """Whether something is to be brought to its end that this member knows of."""
-        claimed = self.acceptor.slot == self.slot and self.acceptor.claim is not None
-        return claimed or self.speaker.slot == self.slot or self.offers.newest is not None
-
-    def _end_drive(self) -> None:
-        """What the driver found out in this turn."""
-        driver = self.driving.driver
-        if driver is None or (driver.ending is None and not driver.idle):
+        """Whether this member knows of a claim, a staged table or a proposal without an outcome."""
+        is_claimed = self.acceptor.slot == self.slot and self.acceptor.claim is not None
+        return is_claimed or self.participant.slot == self.slot or self.proposals.newest is not None
+
+    def _finish_coordination(self) -> None:
+        """Act on what the coordinator found out during this event."""
+        coordinator = self.failover.coordinator
+        if coordinator is None or (coordinator.decision is None and not coordinator.is_idle):
             return
-        self.driving.stop()
-        if driver.ending is None or driver.claim is None:
+        self.failover.stop()
+        if coordinator.decision is None or coordinator.claim is None:
             return
-        digest, marks = driver.claim.digest, self.folder.marks(self.base.voters)
-        others = [o for o in everyone(self.base, driver.table or self.base) if o != self.me]
-        if isinstance(driver.ending, Aborted):
-            told: m.SlotAborted | m.Decided = m.SlotAborted(driver.slot, digest, driver.ending.words, marks)
-            self._over(driver.slot, digest, driver.ending.words)
+        digest, marks = coordinator.claim.digest, self.folder.marks(self.base.voters)
+        others = [
+            member for member in all_members(self.base, coordinator.table or self.base) if member != self.me
+        ]
+        if isinstance(coordinator.decision, Aborted):
+            notification: m.SlotAborted | m.Decided = m.SlotAborted(
+                coordinator.slot, digest, coordinator.decision.votes, marks
+            )
+            self._on_slot_aborted(coordinator.slot, digest, coordinator.decision.votes)
         else:
-            assert isinstance(driver.ending, Committed)
-            told = m.Decided(driver.slot.number, digest, marks)
-            self._adopt(driver.ending.table)
+            assert isinstance(coordinator.decision, Committed)
+            notification = m.Decided(coordinator.slot.number, digest, marks)
+            self._adopt_table(coordinator.decision.table)
         for other in others:
-            self.out.send(other, told)
+            self.outbox.send(other, notification)
 
     def document(self, digest: str) -> Table | None:
-        """A table that is offered, if its document is here."""
-        driver: Coordinator | None = self.driving.driver
-        if driver is not None and driver.table is not None and driver.table.digest == digest:
-            return driver.table
-        return self.speaker.staged(digest) or self.offers.table(digest)
+        """The proposed table of this digest, if its document is here."""
+        coordinator: Coordinator | None = self.failover.coordinator
+        if coordinator is not None and coordinator.table is not None and coordinator.table.digest == digest:
+            return coordinator.table
+        return self.participant.staged(digest) or self.proposals.table(digest)
 
-    def _silence(self, members: tuple[MemberId, ...]) -> str:
-        return silence(members, self.views, self.out.now_us)
+    def _describe_silent(self, members: tuple[MemberId, ...]) -> str:
+        return describe_silent(members, self.views, self.outbox.now_us)
 
-    # Endings
+    # Outcomes
 
-    def _over(self, slot: Slot, digest: str, words: tuple[Vote, ...]) -> None:
+    def _on_slot_aborted(self, slot: Slot, digest: str, votes: tuple[Vote, ...]) -> None:
         if slot.number == self.slot.number and slot.attempt >= self.attempt:
-            self.offers.over(slot, digest, words)
+            self.proposals.on_slot_aborted(slot, digest, votes)
             self._open_slot(Slot(slot.number, slot.attempt + 1))
 
     def _open_slot(self, slot: Slot) -> None:
-        """All attempts below it are known as turned down."""
+        """All earlier attempts are known to be rejected."""
         if slot.number != self.slot.number or slot.attempt <= self.attempt:
             return
         self.attempt = slot.attempt
-        self.driving.stop()
-        self.offers.opened(slot)
-        self.speaker.clear()
-        if self.offers.newest is not None:
-            self.driving.fresh()
-            self.driving.again()
-
-    def _adopt(self, table: Table | None) -> None:
-        """This table is agreed. It is told to the switch part, and to who offered it, once it is on disk."""
+        self.failover.stop()
+        self.proposals.on_slot_opened(slot)
+        self.participant.clear()
+        if self.proposals.newest is not None:
+            self.failover.reset_retries()
+            self.failover.schedule_retry()
+
+    def _adopt_table(self, table: Table | None) -> None:
+        """The table is agreed. Once it is on disk, switchover and the table's proposer are notified."""
         if table is None or table.number <= self.base.number:
             return
         self.known.add(table)
         self.attempt = 0
-        self.driving.stop()
-        self.speaker.clear()
-        members = set(everyone(table))
+        self.failover.stop()
+        self.participant.clear()
+        members = set(all_members(table))
         self.views = {member: view for member, view in self.views.items() if member in members}
         self.folder.forget(table.voters)
-        self._greet()
+        self._announce_mark()
 
-    # The folder
+    # Rollback detection
 
-    def _greet(self) -> None:
-        """Ask the voters what they know of this one's folder, until a majority has answered."""
-        if not self._greets:
+    def _announce_mark(self) -> None:
+        """Announce this member's mark to the voters until a majority has confirmed that it is the latest."""
+        if not self._announces_mark:
             return
-        self.folder.greet(self.acceptor.mark, self.base.voters)
+        self.folder.announce(self.acceptor.mark, self.base.voters)
         if not self.votes:
-            self.out.timer(self.settings.resend_us, "greet")
+            self.outbox.timer(self.settings.resend_interval_us, "greet")
 
     @property
-    def _greets(self) -> bool:
+    def _announces_mark(self) -> bool:
         return self.me in self.base.voters and self.folder.distrusted is None
 
-    def _heed_distrust(self) -> None:
+    def _stop_if_distrusted(self) -> None:
         if self.folder.distrusted is not None:
-            self.driving.stop()
+            self.failover.stop()
--- a/madderbeam/federation/consensus/catch_up.py
+++ b/madderbeam/federation/consensus/catch_up.py
@@ -1,105 +1,109 @@
-"""How a member that missed an agreed table learns of it, and how two first tables that differ are found."""
+"""How a member that missed an agreed table gets it, and how differing first tables are detected."""
 
 from __future__ import annotations
 
 from random import Random
 
 from madderbeam.federation.consensus.agreed_tables import AgreedTables
-from madderbeam.federation.consensus.messages import AgreedTable, CatchUpRequest, Decided, digest_of
+from madderbeam.federation.consensus.messages import AgreedTable, CatchUpRequest, Decided, read_digest
 from madderbeam.federation.consensus.outbox import Outbox
 from madderbeam.federation.errors import TablesDiffer, TableUnfit
-from madderbeam.federation.table import NUMBER_MOST, everyone, read
+from madderbeam.federation.table import MAX_TABLE_NUMBER, all_members, read
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import MemberId
 
-DIFFER_MOST = 64  # members that are told of
+MAX_MEMBERS_REPORTED = 64  # members whose differing table is logged
 
 
 class CatchUp:
-    """`wanted`: the highest number that is known to be agreed somewhere."""
+    """Requests missing tables. `wanted_number`: the highest number that is known to be agreed."""
 
-    def __init__(self, out: Outbox, chance: Random, known: AgreedTables, ask_us: int) -> None:
-        self.out, self.chance, self.known, self.ask_us = out, chance, known, ask_us
-        self.wanted = 0
-        self._asking = False
-        self._differ: set[MemberId] = set()
+    def __init__(self, outbox: Outbox, rng: Random, agreed_tables: AgreedTables, retry_us: int) -> None:
+        self.outbox, self.rng, self.agreed_tables, self.retry_us = outbox, rng, agreed_tables, retry_us
+        self.wanted_number = 0
+        self._is_waiting = False
+        self._reported: set[MemberId] = set()
 
-    def latest(self) -> Decided:
-        """What this member knows for good."""
-        table = self.known.tables[self.known.written]
+    def latest_decided(self) -> Decided:
+        """The notification of the latest agreed table that is on disk here."""
+        table = self.agreed_tables.tables[self.agreed_tables.written]
         return Decided(table.number, table.digest, ())
 
-    def ask(self, member: MemberId, number: int) -> None:
-        """`number` is agreed, `member` has heard of it; others are asked if it does not answer."""
-        self.wanted = max(self.wanted, number)
-        self.out.send(member, CatchUpRequest(self.known.latest.number))
-        if not self._asking:
-            self._asking = True
-            self.out.timer(self.ask_us, "want")
-
-    def on_want_due(self) -> None:
-        self._asking = False
-        if self.wanted <= self.known.latest.number:
+    def request(self, member: MemberId, number: int) -> None:
+        """Request the tables up to `number` from a member that knows them, later from others if need be."""
+        self.wanted_number = max(self.wanted_number, number)
+        self.outbox.send(member, CatchUpRequest(self.agreed_tables.latest.number))
+        if not self._is_waiting:
+            self._is_waiting = True
+            self.outbox.timer(self.retry_us, "want")
+
+    def on_retry_due(self) -> None:
+        """Request what is still missing from a random other member."""
+        self._is_waiting = False
+        if self.wanted_number <= self.agreed_tables.latest.number:
             return
-        others = [m for m in everyone(self.known.latest) if m != self.out.me]
+        others = [m for m in all_members(self.agreed_tables.latest) if m != self.outbox.me]
         if others:
-            self.ask(self.chance.choice(others), self.wanted)
+            self.request(self.rng.choice(others), self.wanted_number)
 
     def rearm(self) -> None:
-        if self._asking:
-            self.out.timer(self.ask_us, "want")
+        """A failed write may have dropped the timer: set it again."""
+        if self._is_waiting:
+            self.outbox.timer(self.retry_us, "want")
 
-    def on_want(self, member: MemberId, message: CatchUpRequest) -> None:
+    def on_catch_up_request(self, member: MemberId, message: CatchUpRequest) -> None:
+        """Send the agreed tables above the requested number."""
         after = message.number
-        for table in self.known.since(message.number):
-            self.out.send(member, AgreedTable(after, table.document()))
+        for table in self.agreed_tables.since(message.number):
+            self.outbox.send(member, AgreedTable(after, table.document()))
             after = table.number
 
     def on_decided(self, member: MemberId, message: Decided, staged: Table | None) -> Table | None:
-        """The table to adopt, if it is here."""
-        latest = self.known.latest
+        """The table to adopt, if its document is here; else it is requested."""
+        latest = self.agreed_tables.latest
         if message.number > latest.number:
             if staged is not None and message.number == latest.number + 1:
                 return staged
-            self.ask(member, message.number)
+            self.request(member, message.number)
             return None
-        mine = self.known.get(message.number)
-        if mine is not None and mine.digest != message.digest:
-            self.tell_differ(member, message.number, message.digest)
-        elif message.number < self.known.written:
-            self.out.send(member, self.latest())
+        own_table = self.agreed_tables.get(message.number)
+        if own_table is not None and own_table.digest != message.digest:
+            self.report_difference(member, message.number, message.digest)
+        elif message.number < self.agreed_tables.written:
+            self.outbox.send(member, self.latest_decided())
         return None
 
-    def on_known(self, message: AgreedTable) -> Table | None:
-        """The table to adopt, if it is news and none is left out that could be had."""
-        if message.after > self.known.latest.number:
+    def on_agreed_table(self, message: AgreedTable) -> Table | None:
+        """The table to adopt, if it is newer and no available table before it is skipped."""
+        if message.after > self.agreed_tables.latest.number:
             return None
         try:
             table = read(message.document)
-        except TableUnfit as e:
-            self.out.note("an agreed table that was sent here cannot be read", e)
+        except TableUnfit as error:
+            self.outbox.log("received an agreed table that is malformed", error)
             return None
-        return table if table.number > self.known.latest.number else None
+        return table if table.number > self.agreed_tables.latest.number else None
 
-    def on_rumour(self, owner: MemberId, body: bytes) -> None:
-        number, _, digest = body.decode("ascii", "replace").partition(":")
+    def on_gossip(self, owner: MemberId, body: bytes) -> None:
+        """A gossip entry with number and digest of the owner's latest agreed table; ignored if malformed."""
+        number_text, _, digest = body.decode("ascii", "replace").partition(":")
         try:
-            digest_of(digest)
-            told = int(number)
+            read_digest(digest)
+            number = int(number_text)
         except ValueError:
             return
-        mine = self.known.get(told)
-        if self.known.latest.number < told <= NUMBER_MOST:
-            self.ask(owner, told)
-        elif mine is not None and mine.digest != digest:
-            self.tell_differ(owner, told, digest)
-
-    def tell_differ(self, member: MemberId, number: int, digest: str) -> None:
-        """Once a member."""
-        mine = self.known.get(number)
-        if member in self._differ or len(self._differ) >= DIFFER_MOST:
+        own_table = self.agreed_tables.get(number)
+        if self.agreed_tables.latest.number < number <= MAX_TABLE_NUMBER:
+            self.request(owner, number)
+        elif own_table is not None and own_table.digest != digest:
+            self.report_difference(owner, number, digest)
+
+    def report_difference(self, member: MemberId, number: int, digest: str) -> None:
+        """Log, once for each member, that it has another table with the same number."""
+        own_table = self.agreed_tables.get(number)
+        if member in self._reported or len(self._reported) >= MAX_MEMBERS_REPORTED:
             return
-        self._differ.add(member)
-        here = mine.proposal if mine is not None else "another"
-        what = f"{member} has table {number}-{digest}, {self.out.me} has {here}"
-        self.out.note(f"nothing is agreed on with {member}", TablesDiffer(what))
+        self._reported.add(member)
+        own_proposal = own_table.proposal if own_table is not None else "another"
+        description = f"{member} has table {number}-{digest}, {self.outbox.me} has {own_proposal}"
+        self.outbox.log(f"no table can be agreed with {member}", TablesDiffer(description))
--- a/madderbeam/federation/consensus/failover.py
+++ b/madderbeam/federation/consensus/failover.py
@@ -1,4 +1,4 @@
-"""Says when this member drives the open slot: an own offer, or a pending slot that nobody brings on."""
+"""Decides when this member coordinates the open slot: for its own proposal, or to take over a stalled one."""
 
 from __future__ import annotations
 
@@ -13,134 +13,138 @@
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import Incarnation, MemberId
 
-TRIES = 3  # of an own offer against higher ballots, before it waits for its turn
+MAX_BALLOT_RETRIES = 3  # of an own proposal against higher ballots, before it yields to their coordinators
 
 
 class CoordinatorFailover:
-    """At most one driver at a time. `counter` is the highest of all ballots seen."""
+    """Runs at most one coordinator at a time. `counter` is the highest of all ballots seen."""
 
     def __init__(
         self,
         settings: AgreementSettings,
-        out: Outbox,
-        life: Incarnation,
-        chance: Random,
-        offers: Proposals,
+        outbox: Outbox,
+        incarnation: Incarnation,
+        rng: Random,
+        proposals: Proposals,
         document: Callable[[str], Table | None],
     ) -> None:
-        self.settings, self.out, self.life, self.chance = settings, out, life, chance
-        self.offers, self._document = offers, document
-        self.driver: Coordinator | None = None
+        self.settings, self.outbox, self.incarnation, self.rng = settings, outbox, incarnation, rng
+        self.proposals, self._document = proposals, document
+        self.coordinator: Coordinator | None = None
         self.counter = 0
-        self.heard_of: MemberId | None = None  # the last other member that drove
-        self._first: tuple[Slot, str, int] | None = None
-        self._tries = 0
-        self._quiet_until_us: int | None = None  # until then a pending slot is left to whoever drives it
-        self._watching = False
-        self._starved_us = 0  # since when there has been no majority, or when this was last told
+        self.last_other: MemberId | None = None  # the last other member that coordinated
+        self._claim_known_since: tuple[Slot, str, int] | None = None
+        self._retries = 0
+        self._takeover_at_us: int | None = None  # until then a pending slot is left to its coordinator
+        self._is_watching = False
+        self._no_majority_since_us = 0  # or since this was last logged
 
     def begin(self, base: Table, slot: Slot) -> None:
-        """A ballot above all that were seen."""
+        """Coordinate the slot with a ballot above all that were seen."""
         self.counter += 1
-        offer = self.offers.newest
-        if offer is not None and offer.number != slot.number:
-            offer = None  # it is agreed, if not on disk yet, or too late
-        ballot = Ballot(self.counter, self.out.me, self.life)
-        told = self._document, self.offers.claim, self.since
-        self.driver = Coordinator(self.out, base, slot, ballot, offer, *told, self.settings)
-        self._starved_us = self.out.now_us
-        self.driver.begin()
-        self.out.timer(self.settings.resend_us, "drive")
-
-    def at(self, slot: Slot) -> Coordinator | None:
-        """The driver, if it drives this slot."""
-        return self.driver if self.driver is not None and self.driver.slot == slot else None
+        proposal = self.proposals.newest
+        if proposal is not None and proposal.number != slot.number:
+            proposal = None  # it is agreed and not on disk yet, or its number is taken
+        ballot = Ballot(self.counter, self.outbox.me, self.incarnation)
+        callbacks = self._document, self.proposals.claim, self.claim_known_since_us
+        self.coordinator = Coordinator(self.outbox, base, slot, ballot, proposal, *callbacks, self.settings)
+        self._no_majority_since_us = self.outbox.now_us
+        self.coordinator.begin()
+        self.outbox.timer(self.settings.resend_interval_us, "drive")
+
+    def coordinator_of(self, slot: Slot) -> Coordinator | None:
+        """This member's coordinator, if it coordinates this slot."""
+        return self.coordinator if self.coordinator is not None and self.coordinator.slot == slot else None
 
     def stop(self) -> None:
-        self.driver = None
-        self._quiet_until_us = None
+        """Coordinate nothing any more, and forget about other coordinators."""
+        self.coordinator = None
+        self._takeover_at_us = None
 
-    def see(self, ballot: Ballot) -> None:
-        """The next ballot is above it."""
+    def observe_ballot(self, ballot: Ballot) -> None:
+        """The next ballot of this member is to be above this one."""
         self.counter = max(self.counter, ballot.counter)
 
-    def fresh(self) -> None:
-        """A new offer, or a new slot for one: its tries begin anew."""
-        self._tries = 0
+    def reset_retries(self) -> None:
+        """There is a new proposal, or a new slot for a proposal."""
+        self._retries = 0
 
-    def since(self, slot: Slot, digest: str) -> int:
+    def claim_known_since_us(self, slot: Slot, digest: str) -> int:
         """When this member first heard of the slot's claim on this table."""
-        if self._first is None or self._first[:2] != (slot, digest):
-            self._first = slot, digest, self.out.now_us
-        return self._first[2]
-
-    def heard(self, member: MemberId | None = None) -> None:
-        """Another drives the slot."""
-        self.heard_of = member or self.heard_of
-        spread = self.settings.patience_us
-        self._quiet_until_us = self.out.now_us + spread + self.chance.randrange(spread)
-
-    def give_way(self) -> None:
-        """A higher ballot was promised. An own offer tries a few times more, then waits for its turn."""
-        self.driver = None
-        if self.offers.newest is not None and self._tries < TRIES:
-            self._tries += 1
-            self.again()
+        if self._claim_known_since is None or self._claim_known_since[:2] != (slot, digest):
+            self._claim_known_since = slot, digest, self.outbox.now_us
+        return self._claim_known_since[2]
+
+    def on_other_coordinator(self, member: MemberId | None = None) -> None:
+        """Another member coordinates the slot: postpone the takeover, by a random time as well."""
+        self.last_other = member or self.last_other
+        timeout_us = self.settings.failover_timeout_us
+        self._takeover_at_us = self.outbox.now_us + timeout_us + self.rng.randrange(timeout_us)
+
+    def yield_to_higher_ballot(self) -> None:
+        """A voter promised a higher ballot. An own proposal is retried a few times, then it waits."""
+        self.coordinator = None
+        if self.proposals.newest is not None and self._retries < MAX_BALLOT_RETRIES:
+            self._retries += 1
+            self.schedule_retry()
         else:
-            self.heard()
+            self.on_other_coordinator()
 
-    def again(self) -> None:
-        """Soon, at a time that others do not choose as well."""
-        span = (self.settings.resend_us // 8 << self._tries) + 2
-        self.out.timer(self.chance.randrange(span // 2, span), "again")
+    def schedule_retry(self) -> None:
+        """Retry after a random time that grows with the retries, so that rivals do not collide again."""
+        span_us = (self.settings.resend_interval_us // 8 << self._retries) + 2
+        self.outbox.timer(self.rng.randrange(span_us // 2, span_us), "again")
 
     def watch(self, pending: bool) -> None:
-        """Keep an eye on a slot that is pending and that others should bring to its end."""
-        if not pending or self.driver is not None or self._watching:
+        """Watch a pending slot that another member coordinates, so as to take it over if it stalls."""
+        if not pending or self.coordinator is not None or self._is_watching:
             return
-        if self._quiet_until_us is None or self._quiet_until_us <= self.out.now_us:
-            self.heard()
-        self._watching = True
-        self.out.timer((self._quiet_until_us or 0) - self.out.now_us, "watch")
+        if self._takeover_at_us is None or self._takeover_at_us <= self.outbox.now_us:
+            self.on_other_coordinator()
+        self._is_watching = True
+        self.outbox.timer((self._takeover_at_us or 0) - self.outbox.now_us, "watch")
 
     def rearm(self) -> None:
-        """A timer may be lost."""
-        self._watching = False
-        if self.driver is not None:
-            self.out.timer(self.settings.resend_us, "drive")
-        elif self.offers.newest is not None:
-            self.again()
+        """A failed write may have dropped a timer: set it again."""
+        self._is_watching = False
+        if self.coordinator is not None:
+            self.outbox.timer(self.settings.resend_interval_us, "drive")
+        elif self.proposals.newest is not None:
+            self.schedule_retry()
 
     def on_watch_due(self) -> bool:
-        """Whether it has been quiet for long enough to take the slot over."""
-        self._watching = False
-        quiet = self._quiet_until_us is not None and self.out.now_us >= self._quiet_until_us
-        return quiet and self.driver is None
-
-    def on_drive_due(self, silence: Callable[[tuple[MemberId, ...]], str]) -> None:
-        if self.driver is None:
+        """Whether the slot has stalled for long enough for this member to take it over."""
+        self._is_watching = False
+        is_stalled = self._takeover_at_us is not None and self.outbox.now_us >= self._takeover_at_us
+        return is_stalled and self.coordinator is None
+
+    def on_resend_due(self, describe_silent: Callable[[tuple[MemberId, ...]], str]) -> None:
+        """Let the coordinator send again what is unanswered, and check that a majority replies."""
+        if self.coordinator is None:
             return
-        self.driver.tick(silence)
-        self.out.timer(self.settings.resend_us, "drive")
-        if self.driver.decided >= 0 and self.driver.current:
-            self._starved_us = self.out.now_us
-        elif self.out.now_us - self._starved_us >= self.settings.agree_within_us:
-            self._starve(self.driver, silence)
-
-    def _starve(self, driver: Coordinator, silence: Callable[[tuple[MemberId, ...]], str]) -> None:
-        self._starved_us = self.out.now_us
-        voters, within_s = driver.base.voters, self.settings.agree_within_us // 1_000_000
+        self.coordinator.tick(describe_silent)
+        self.outbox.timer(self.settings.resend_interval_us, "drive")
+        if self.coordinator.decided_count >= 0 and self.coordinator.is_current:
+            self._no_majority_since_us = self.outbox.now_us
+        elif self.outbox.now_us - self._no_majority_since_us >= self.settings.agree_within_us:
+            self._report_no_majority(self.coordinator, describe_silent)
+
+    def _report_no_majority(
+        self, coordinator: Coordinator, describe_silent: Callable[[tuple[MemberId, ...]], str]
+    ) -> None:
+        self._no_majority_since_us = self.outbox.now_us
+        voters, within_s = coordinator.base.voters, self.settings.agree_within_us // 1_000_000
         error = NoMajority(
-            f"table {driver.slot.number} found no majority of the {len(voters)} voters of table "
-            f"{driver.base.number} in {within_s} s: {silence(driver.silent)}"
+            f"table {coordinator.slot.number} found no majority of the {len(voters)} voters of table "
+            f"{coordinator.base.number} in {within_s} s: {describe_silent(coordinator.silent_voters)}"
         )
-        self.out.note(f"table {driver.slot.number} waits for voters", error)
-        if driver.claim is None and driver.offer is not None:
-            self.give_up(driver.offer, error)
+        self.outbox.log(f"table {coordinator.slot.number} waits for a majority of the voters", error)
+        if coordinator.claim is None and coordinator.proposal is not None:
+            self.abandon(coordinator.proposal, error)
 
-    def give_up(self, offer: Table, error: FederationError) -> None:
-        """The voters were not asked to take it: nothing can become of it any more."""
-        self.offers.unclaimed(offer.digest, error)
+    def abandon(self, proposal: Table, error: FederationError) -> None:
+        """Give up a proposal that no voter was asked to accept: it cannot be agreed any more."""
+        self.proposals.abandon_unclaimed(proposal.digest, error)
         self.stop()
-        if self.offers.newest is not None:
-            self.again()
+        if self.proposals.newest is not None:
+            self.schedule_retry()
--- a/madderbeam/federation/consensus/messages.py
+++ b/madderbeam/federation/consensus/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other to agree on a table; rows for the mesh, with bounds on every field."""
+"""The messages of the agreement on a table, and their rows on the wire, with bounds on every field."""
 
 from __future__ import annotations
 
@@ -7,62 +7,62 @@
 from typing import Any, get_type_hints
 
 from madderbeam.federation.consensus.rounds import Ballot, Claim, Mark, Slot, Vote
-from madderbeam.federation.table import MEMBERS_MOST, NUMBER_MOST, SITES_MOST
+from madderbeam.federation.table import MAX_TABLE_NUMBER, MEMBERS_MOST, SITES_MOST
 from madderbeam.membership.values import NAME_MOST, Incarnation, MemberId, Row
 
-WHY_MOST = 400  # characters of a reason
-COUNT_MOST = 2**62
-DIGEST = 16  # hex digits
+MAX_REASON_CHARACTERS = 400
+MAX_COUNT = 2**62
+DIGEST_CHARACTERS = 16  # hex digits
 
-Voted = tuple[tuple[Ballot, Vote], ...]
+AcceptedVotes = tuple[tuple[Ballot, Vote], ...]
 Marks = tuple[tuple[MemberId, Mark], ...]
 
 
 @dataclass(frozen=True)
 class Prepare:
-    """Phase 1a for all instances of a slot at once. `base`: the digest of the table in force."""
+    """Phase 1a for all instances of a slot at once. `base_digest`: of the latest agreed table."""
 
     slot: Slot
-    base: str
+    base_digest: str
     ballot: Ballot
 
 
 @dataclass(frozen=True)
 class Promise:
-    """Phase 1b: nothing below `ballot` any more, and what was accepted until now."""
+    """Phase 1b: the voter accepts nothing below `ballot` from now on; with what it has accepted so far."""
 
     slot: Slot
     ballot: Ballot
     claim: Claim | None
-    claimed: Ballot | None  # the ballot of the claim
-    voted: Voted
+    claim_ballot: Ballot | None
+    accepted_votes: AcceptedVotes
     mark: Mark
 
 
 @dataclass(frozen=True)
 class Accept:
-    """Phase 2a: the claim, and the words so far in the order in which this ballot came to them."""
+    """Phase 2a: the claim, and the votes so far in the order in which this ballot's coordinator got them."""
 
     slot: Slot
-    base: str
+    base_digest: str
     ballot: Ballot
     claim: Claim
-    words: tuple[Vote, ...]
+    votes: tuple[Vote, ...]
 
 
 @dataclass(frozen=True)
 class Accepted:
-    """Phase 2b: the claim and the first `step` words of this ballot are accepted."""
+    """Phase 2b: the claim and the first `accepted_count` votes of this ballot are accepted."""
 
     slot: Slot
     ballot: Ballot
-    step: int
+    accepted_count: int
     mark: Mark
 
 
 @dataclass(frozen=True)
 class BallotRejected:
-    """A higher ballot was promised."""
+    """The voter has promised a higher ballot."""
 
     slot: Slot
     ballot: Ballot
@@ -71,18 +71,20 @@
 
 @dataclass(frozen=True)
 class VoteRequest:
-    """Stage the table of this digest and give your word on it. The document comes with it the first time; who
-    has missed that asks for it (Show)."""
+    """Asks a member to stage the table of this digest and to vote on it.
+
+    The document is included the first time; a member that missed it sends a DocumentRequest.
+    """
 
     slot: Slot
-    base: str
+    base_digest: str
     digest: str
     document: dict[str, Any] | None
 
 
 @dataclass(frozen=True)
 class DocumentRequest:
-    """Send me the table of this digest."""
+    """Requests the document of the table with this digest."""
 
     slot: Slot
     digest: str
@@ -90,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Document:
-    """A table that is offered; its document as Table.document gives it."""
+    """A proposed table; the document is as Table.document returns it."""
 
     slot: Slot
     document: dict[str, Any]
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True)
 class VoteReply:
-    """A member's word for its site."""
+    """A member's vote for its site."""
 
     slot: Slot
     digest: str
@@ -107,17 +109,17 @@
 
 @dataclass(frozen=True)
 class SlotAborted:
-    """All of a slot is turned down by these words. `marks`: how far the voters' folders are."""
+    """The claim of a slot is rejected by these votes. `marks`: how recent the voters' states are."""
 
     slot: Slot
     digest: str
-    words: tuple[Vote, ...]
+    votes: tuple[Vote, ...]
     marks: Marks
 
 
 @dataclass(frozen=True)
 class SlotAdvanced:
-    """That attempt is over; this slot is open."""
+    """The attempt of the request is closed; `slot` is the open one."""
 
     slot: Slot
 
@@ -133,14 +135,14 @@
 
 @dataclass(frozen=True)
 class CatchUpRequest:
-    """Send me the agreed tables above this number."""
+    """Requests the agreed tables above this number."""
 
     number: int
 
 
 @dataclass(frozen=True)
 class AgreedTable:
-    """An agreed table; the sender knows none between it and `after`."""
+    """An agreed table; the sender knows no table between it and the number `after`."""
 
     after: int
     document: dict[str, Any]
@@ -148,28 +150,30 @@
 
 @dataclass(frozen=True)
 class MarkAnnounced:
-    """A voter that has started asks what is known of its folder. `over`: a life whose loss an operator has
-    taken on (Trusted)."""
+    """A voter that has started asks the others whether its state on disk is the latest they have seen.
+
+    `accepted_loss`: the incarnation up to which an operator accepted lost state (FolderTrusted).
+    """
 
     mark: Mark
-    over: Incarnation | None
+    accepted_loss: Incarnation | None
 
 
 @dataclass(frozen=True)
 class MarkConfirmed:
-    """Nothing newer is known of that folder, and this mark is written down."""
+    """The sender has seen nothing newer of that voter, and has written this mark to disk."""
 
     mark: Mark
 
 
 @dataclass(frozen=True)
 class RollbackReported:
-    """This was seen of you."""
+    """The sender has seen this newer mark of the receiver."""
 
     mark: Mark
 
 
-KINDS: dict[str, type[Any]] = {
+CLASS_BY_TAG: dict[str, type[Any]] = {
     "prepare": Prepare,
     "promise": Promise,
     "accept": Accept,
@@ -188,162 +192,182 @@
     "greeted": MarkConfirmed,
     "older": RollbackReported,
 }
-TAGS = {kind: tag for tag, kind in KINDS.items()}
+TAG_BY_CLASS = {message_class: tag for tag, message_class in CLASS_BY_TAG.items()}
 
 
-_PARTS = {
-    kind: tuple(f.name for f in fields(kind))
-    for kind in (Slot, Ballot, Claim, Vote, Mark, Incarnation, MemberId)
+_FIELD_NAMES = {
+    value_class: tuple(f.name for f in fields(value_class))
+    for value_class in (Slot, Ballot, Claim, Vote, Mark, Incarnation, MemberId)
 }
 
 
 def to_row(message: Any) -> Row:
-    """Its tag, then its fields in their order."""
-    kind = type(message)
-    return [TAGS[kind], *(to_plain(getattr(message, name)) for name, _ in _READERS[kind])]
+    """The row of a message: its tag, then its fields in their order."""
+    message_class = type(message)
+    return [
+        TAG_BY_CLASS[message_class],
+        *(to_plain(getattr(message, name)) for name, _ in _FIELD_READERS[message_class]),
+    ]
 
 
 def from_row(row: Any) -> Any:
-    """The message of a row. Raises ValueError that names the field."""
-    if not isinstance(row, list) or not row or not isinstance(row[0], str) or row[0] not in KINDS:
+    """The message of a row. Raises ValueError with the name of the malformed field."""
+    if not isinstance(row, list) or not row or not isinstance(row[0], str) or row[0] not in CLASS_BY_TAG:
         raise ValueError("kind is not known")
-    kind = KINDS[row[0]]
-    readers = _READERS[kind]
+    message_class = CLASS_BY_TAG[row[0]]
+    readers = _FIELD_READERS[message_class]
     if len(row) != len(readers) + 1:
         raise ValueError(f"{row[0]} has {len(row) - 1} fields; allowed: {len(readers)}")
     values = []
     for (name, reader), value in zip(readers, row[1:], strict=True):
         try:
             values.append(reader(value))
-        except (ValueError, TypeError) as e:
-            raise ValueError(f"{row[0]}.{name}: {e}") from None
-    return kind(*values)
+        except (ValueError, TypeError) as error:
+            raise ValueError(f"{row[0]}.{name}: {error}") from None
+    return message_class(*values)
 
 
 def to_plain(value: Any) -> Any:
-    """Lists, text and numbers in place of tuples and values."""
+    """The value with lists in place of tuples and of this module's value classes, as it is written."""
     if isinstance(value, str | int):
         return value
     if isinstance(value, tuple):
         return [to_plain(v) for v in value]
-    names = _PARTS.get(type(value))
+    names = _FIELD_NAMES.get(type(value))
     return value if names is None else [to_plain(getattr(value, name)) for name in names]
 
 
-def _parts(value: Any, count: int) -> list[Any]:
+def _read_list(value: Any, count: int) -> list[Any]:
     if not isinstance(value, list) or len(value) != count:
-        raise ValueError(f"is no list of {count}")
+        raise ValueError(f"is not a list of {count}")
     return value
 
 
-def _text(value: Any, most: int, least: int = 0) -> str:
-    if not isinstance(value, str) or not least <= len(value) <= most:
-        raise ValueError(f"is no text of {least} to {most} characters")
+def _read_text(value: Any, maximum: int, minimum: int = 0) -> str:
+    if not isinstance(value, str) or not minimum <= len(value) <= maximum:
+        raise ValueError(f"is not a text of {minimum} to {maximum} characters")
     return value
 
 
-def _count(value: Any, most: int = COUNT_MOST, least: int = 0) -> int:
-    if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
-        raise ValueError(f"is no whole number from {least} to {most}")
+def _read_count(value: Any, maximum: int = MAX_COUNT, minimum: int = 0) -> int:
+    if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value <= maximum:
+        raise ValueError(f"is not a whole number from {minimum} to {maximum}")
     return value
 
 
-def _many(value: Any, most: int, each: Callable[[Any], Any]) -> tuple[Any, ...]:
-    if not isinstance(value, list) or len(value) > most:
-        raise ValueError(f"is no list of at most {most}")
-    return tuple(each(v) for v in value)
+def _read_tuple(value: Any, maximum: int, read_item: Callable[[Any], Any]) -> tuple[Any, ...]:
+    if not isinstance(value, list) or len(value) > maximum:
+        raise ValueError(f"is not a list of at most {maximum}")
+    return tuple(read_item(v) for v in value)
 
 
-def digest_of(value: Any) -> str:
-    if not isinstance(value, str) or len(value) != DIGEST or not set(value) <= set("0123456789abcdef"):
-        raise ValueError(f"is no {DIGEST} hex digits")
+def read_digest(value: Any) -> str:
+    """The digest of a table. Raises ValueError."""
+    if (
+        not isinstance(value, str)
+        or len(value) != DIGEST_CHARACTERS
+        or not set(value) <= set("0123456789abcdef")
+    ):
+        raise ValueError(f"is not {DIGEST_CHARACTERS} hex digits")
     return value
 
 
-def _site(value: Any) -> str:
-    return _text(value, NAME_MOST, 1)
+def _read_name(value: Any) -> str:
+    return _read_text(value, NAME_MOST, 1)
 
 
 def slot_of(value: Any) -> Slot:
-    number, attempt = _parts(value, 2)
-    return Slot(_count(number, NUMBER_MOST, 1), _count(attempt))
+    """The slot of its list [number, attempt]. Raises ValueError."""
+    number, attempt = _read_list(value, 2)
+    return Slot(_read_count(number, MAX_TABLE_NUMBER, 1), _read_count(attempt))
 
 
-def member_of(value: Any) -> MemberId:
-    site, name = _parts(value, 2)
-    return MemberId(_site(site), _site(name))
+def read_member(value: Any) -> MemberId:
+    """The member of its list [site, name]. Raises ValueError."""
+    site, name = _read_list(value, 2)
+    return MemberId(_read_name(site), _read_name(name))
 
 
-def life_of(value: Any) -> Incarnation:
-    start, nonce = _parts(value, 2)
-    return Incarnation(_count(start), _count(nonce, 2**64))
+def read_incarnation(value: Any) -> Incarnation:
+    """The incarnation of its list [start, nonce]. Raises ValueError."""
+    start, nonce = _read_list(value, 2)
+    return Incarnation(_read_count(start), _read_count(nonce, 2**64))
 
 
 def ballot_of(value: Any) -> Ballot:
-    counter, member, life = _parts(value, 3)
-    return Ballot(_count(counter, least=1), member_of(member), life_of(life))
+    """The ballot of its list [counter, member, incarnation]. Raises ValueError."""
+    counter, member, incarnation = _read_list(value, 3)
+    return Ballot(_read_count(counter, minimum=1), read_member(member), read_incarnation(incarnation))
 
 
-def claim_of(value: Any) -> Claim:
-    digest, sites = _parts(value, 2)
-    return Claim(digest_of(digest), _many(sites, 2 * SITES_MOST, _site))
+def read_claim(value: Any) -> Claim:
+    """The claim of its list [digest, sites]. Raises ValueError."""
+    digest, sites = _read_list(value, 2)
+    return Claim(read_digest(digest), _read_tuple(sites, 2 * SITES_MOST, _read_name))
 
 
-def word_of(value: Any) -> Vote:
-    site, code, why = _parts(value, 3)
-    return Vote(_site(site), _text(code, NAME_MOST), _text(why, WHY_MOST))
+def read_vote(value: Any) -> Vote:
+    """The vote of its list [site, code, reason]. Raises ValueError."""
+    site, code, reason = _read_list(value, 3)
+    return Vote(_read_name(site), _read_text(code, NAME_MOST), _read_text(reason, MAX_REASON_CHARACTERS))
 
 
-def mark_of(value: Any) -> Mark:
-    life, votes = _parts(value, 2)
-    return Mark(life_of(life), _count(votes))
+def read_mark(value: Any) -> Mark:
+    """The mark of its list [incarnation, votes recorded]. Raises ValueError."""
+    incarnation, votes_recorded = _read_list(value, 2)
+    return Mark(read_incarnation(incarnation), _read_count(votes_recorded))
 
 
-def _vote(value: Any) -> tuple[Ballot, Vote]:
-    ballot, word = _parts(value, 2)
-    return ballot_of(ballot), word_of(word)
+def _read_accepted_vote(value: Any) -> tuple[Ballot, Vote]:
+    ballot, vote = _read_list(value, 2)
+    return ballot_of(ballot), read_vote(vote)
 
 
-def voted_of(value: Any) -> Voted:
-    return _many(value, 2 * SITES_MOST, _vote)
+def read_accepted_votes(value: Any) -> AcceptedVotes:
+    """The votes that a voter has accepted, each with its ballot. Raises ValueError."""
+    return _read_tuple(value, 2 * SITES_MOST, _read_accepted_vote)
 
 
-def _seen(value: Any) -> tuple[MemberId, Mark]:
-    member, mark = _parts(value, 2)
-    return member_of(member), mark_of(mark)
+def _read_member_mark(value: Any) -> tuple[MemberId, Mark]:
+    member, mark = _read_list(value, 2)
+    return read_member(member), read_mark(mark)
 
 
-def marks_of(value: Any) -> Marks:
-    return _many(value, MEMBERS_MOST, _seen)
+def read_marks(value: Any) -> Marks:
+    """Members, each with its mark. Raises ValueError."""
+    return _read_tuple(value, MEMBERS_MOST, _read_member_mark)
 
 
-def _document(value: Any) -> dict[str, Any]:
-    if not isinstance(value, dict) or len(value) > 4:  # table.read has its bounds
-        raise ValueError("is no table's document")
+def _read_document(value: Any) -> dict[str, Any]:
+    if not isinstance(value, dict) or len(value) > 4:  # its fields are checked by federation.table.read
+        raise ValueError("is not a table's document")
     return value
 
 
-def _maybe(reader: Callable[[Any], Any]) -> Callable[[Any], Any]:
+def _read_optional(reader: Callable[[Any], Any]) -> Callable[[Any], Any]:
     return lambda value: None if value is None else reader(value)
 
 
-_BY_TYPE: dict[Any, Callable[[Any], Any]] = {
+_READER_BY_TYPE: dict[Any, Callable[[Any], Any]] = {
     Slot: slot_of,
     Ballot: ballot_of,
-    Ballot | None: _maybe(ballot_of),
-    Claim: claim_of,
-    Claim | None: _maybe(claim_of),
-    Vote: word_of,
-    Mark: mark_of,
-    Incarnation | None: _maybe(life_of),
-    Voted: voted_of,
-    Marks: marks_of,
-    tuple[Vote, ...]: lambda value: _many(value, 2 * SITES_MOST, word_of),
-    dict[str, Any]: _document,
-    dict[str, Any] | None: _maybe(_document),
-    str: digest_of,
-    int: _count,
+    Ballot | None: _read_optional(ballot_of),
+    Claim: read_claim,
+    Claim | None: _read_optional(read_claim),
+    Vote: read_vote,
+    Mark: read_mark,
+    Incarnation | None: _read_optional(read_incarnation),
+    AcceptedVotes: read_accepted_votes,
+    Marks: read_marks,
+    tuple[Vote, ...]: lambda value: _read_tuple(value, 2 * SITES_MOST, read_vote),
+    dict[str, Any]: _read_document,
+    dict[str, Any] | None: _read_optional(_read_document),
+    str: read_digest,
+    int: _read_count,
 }
-_READERS = {
-    kind: [(f.name, _BY_TYPE[get_type_hints(kind)[f.name]]) for f in fields(kind)] for kind in KINDS.values()
+_FIELD_READERS = {
+    message_class: [
+        (f.name, _READER_BY_TYPE[get_type_hints(message_class)[f.name]]) for f in fields(message_class)
+    ]
+    for message_class in CLASS_BY_TAG.values()
 }
--- a/madderbeam/federation/consensus/outbox.py
+++ b/madderbeam/federation/consensus/outbox.py
@@ -1,6 +1,7 @@
-"""Gathers the actions of one turn of agreement, and brings what a member says to itself back to it.
+"""Collects the actions of one event, and delivers a member's messages to itself.
 
-What is said to oneself comes back by a timer, so that it counts only once the records before it are on disk.
+A message to the own member comes back through a timer, so that it takes effect only once the records before
+it are on disk.
 """
 
 from __future__ import annotations
@@ -9,52 +10,57 @@
 
 from madderbeam.membership.values import LogLine, MemberId, Persist, SendMessage, SetTimer
 
-PREFIX = "agree/"  # of all tokens of agreement's timers
-OWN_MOST = 256
+PREFIX = "agree/"  # of all timer tokens of the agreement
+MAX_OWN_MESSAGES = 256
 
 
 class Outbox:
-    """`now_us` is the time of the turn."""
+    """The actions of the current event. `now_us` is the time of the event."""
 
     def __init__(self, me: MemberId) -> None:
         self.me = me
         self.now_us = 0
         self.actions: list[Any] = []
-        self._own: dict[str, Any] = {}
-        self._count = 0
+        self._messages_to_self: dict[str, Any] = {}
+        self._count_to_self = 0
 
-    def taken(self) -> list[Any]:
-        """The actions of this turn, in their order."""
+    def take_actions(self) -> list[Any]:
+        """The actions collected since the last call, in their order."""
         actions, self.actions = self.actions, []
         return actions
 
     def send(self, member: MemberId, message: Any) -> None:
+        """Send a message to a member, which may be this one."""
         if member != self.me:
             self.actions.append(SendMessage(member, message))
             return
-        while len(self._own) >= OWN_MOST:
-            del self._own[next(iter(self._own))]
-        self._count += 1
-        token = f"self/{self._count}"
-        self._own[token] = message
+        while len(self._messages_to_self) >= MAX_OWN_MESSAGES:
+            del self._messages_to_self[next(iter(self._messages_to_self))]
+        self._count_to_self += 1
+        token = f"self/{self._count_to_self}"
+        self._messages_to_self[token] = message
         self.timer(0, token)
 
-    def own(self, token: str) -> Any:
-        """What this member said to itself under the token; None if it was lost."""
-        return self._own.pop(token, None)
+    def take_message_to_self(self, token: str) -> Any:
+        """The message to this member itself that the timer token stands for; None if it was dropped."""
+        return self._messages_to_self.pop(token, None)
 
-    def lost(self) -> None:
-        """A record was not written: what stood behind it was not said."""
-        self._own.clear()
+    def drop_messages_to_self(self) -> None:
+        """Drop all messages to this member itself: a record before them was not written."""
+        self._messages_to_self.clear()
 
     def persist(self, kind: str, key: str, value: Any) -> None:
+        """Write a record; None removes it."""
         self.actions.append(Persist(kind, key, value))
 
     def timer(self, after_us: int, token: str) -> None:
+        """Set a timer relative to the time of the event; the token gets the agreement's prefix."""
         self.actions.append(SetTimer(self.now_us + after_us, PREFIX + token))
 
-    def note(self, text: str, error: Exception | None = None) -> None:
+    def log(self, text: str, error: Exception | None = None) -> None:
+        """Write a line to the log; `error` if an operator can do something about it."""
         self.actions.append(LogLine(text, error))
 
-    def give(self, action: Any) -> None:
+    def add(self, action: Any) -> None:
+        """Append any other action."""
         self.actions.append(action)
--- a/madderbeam/federation/consensus/participant.py
+++ b/madderbeam/federation/consensus/participant.py
@@ -1,4 +1,4 @@
-"""A member's word on a table that is offered: checked here and by the host, kept on disk, then given."""
+"""A member's vote on a proposed table, which is validated here and by the host and stored before the vote."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 from madderbeam.federation.consensus.messages import (
-    WHY_MOST,
+    MAX_REASON_CHARACTERS,
     Document,
     DocumentRequest,
     VoteReply,
@@ -23,115 +23,135 @@
 
 
 class Participant:
-    """At most one table at a time: that of the slot which was offered last."""
+    """Votes on at most one table at a time: that of the latest slot for which a vote was requested."""
 
     def __init__(
-        self, out: Outbox, check_us: int, ask_us: int, records: Mapping[tuple[str, str], Any], base: Table
+        self,
+        outbox: Outbox,
+        check_timeout_us: int,
+        request_interval_us: int,
+        records: Mapping[tuple[str, str], Any],
+        base: Table,
     ) -> None:
-        """`check_us`: how long the host may take; `ask_us`: between two requests for a document."""
-        self.out, self.check_us, self.ask_us = out, check_us, ask_us
+        """`check_timeout_us`: for the host's check; `request_interval_us`: between document requests."""
+        self.outbox, self.check_timeout_us, self.request_interval_us = (
+            outbox,
+            check_timeout_us,
+            request_interval_us,
+        )
         self.slot: Slot | None = None
         self.digest = ""
         self.table: Table | None = None
-        self.word: Vote | None = None  # once it may be given: what is staged is on disk then
+        self.vote: Vote | None = None  # set once it may be sent: a staged table is on disk by then
         self.since_us = 0
-        self._asked_us: int | None = None
-        self._asker: MemberId | None = None
-        self._writing = False
+        self._requested_us: int | None = None
+        self._requester: MemberId | None = None
+        self._is_writing = False
         record = records.get(("staged", ""))
         if record is not None and slot_of(record["slot"]).number == base.number + 1:
             self.slot, self.table = slot_of(record["slot"]), read(record["document"])
-            self.digest, self.word = self.table.digest, Vote(out.me.site)
+            self.digest, self.vote = self.table.digest, Vote(outbox.me.site)
 
     def staged(self, digest: str) -> Table | None:
         """The table of this digest, if its document is here."""
         return self.table if self.table is not None and self.table.digest == digest else None
 
     def clear(self) -> None:
-        """What was offered is over."""
+        """The slot is closed: remove the staged table."""
         if self.slot is None:
             return
-        self.slot, self.digest, self.table, self.word, self._asker = None, "", None, None, None
-        self._writing = False
-        self.out.persist("staged", "", None)
+        self.slot, self.digest, self.table, self.vote, self._requester = None, "", None, None, None
+        self._is_writing = False
+        self.outbox.persist("staged", "", None)
 
-    def on_offer(self, member: MemberId, message: VoteRequest, base: Table) -> None:
-        """Offered again, it gives its word again."""
+    def on_vote_request(self, member: MemberId, message: VoteRequest, base: Table) -> None:
+        """Vote on the table; a repeated request gets the same vote again."""
         slot, digest = message.slot, message.digest
         if (slot, digest) != (self.slot, self.digest):
             if self.slot is not None and slot <= self.slot:
                 return
-            self.slot, self.digest, self.table, self.word = slot, digest, None, None
-            self.since_us, self._asked_us, self._writing = self.out.now_us, None, False
-        self._asker = member
-        if self.word is not None:
-            self.out.send(member, VoteReply(slot, digest, self.word))
+            self.slot, self.digest, self.table, self.vote = slot, digest, None, None
+            self.since_us, self._requested_us, self._is_writing = self.outbox.now_us, None, False
+        self._requester = member
+        if self.vote is not None:
+            self.outbox.send(member, VoteReply(slot, digest, self.vote))
         elif self.table is not None:
-            return  # the host's check or the write is under way
+            return  # the host's check or the write is in progress
         elif message.document is not None:
-            self.on_shown(Document(slot, message.document), base)
-        elif self._asked_us is None or self.out.now_us - self._asked_us >= self.ask_us:
-            self._asked_us = self.out.now_us
-            self.out.send(member, DocumentRequest(slot, digest))
-
-    def on_shown(self, message: Document, base: Table) -> None:
-        if message.slot != self.slot or self.table is not None or self.word is not None:
+            self.on_document(Document(slot, message.document), base)
+        elif (
+            self._requested_us is None or self.outbox.now_us - self._requested_us >= self.request_interval_us
+        ):
+            self._requested_us = self.outbox.now_us
+            self.outbox.send(member, DocumentRequest(slot, digest))
+
+    def on_document(self, message: Document, base: Table) -> None:
+        """The document of the table to vote on: validate it, then have the host check it."""
+        if message.slot != self.slot or self.table is not None or self.vote is not None:
             return
         try:
             table = read(message.document)
-        except TableUnfit as e:
-            self._down(TableRefused.code, e.what)
+        except TableUnfit as error:
+            self._reject(TableRefused.code, error.what)
             return
         if table.digest != self.digest:
             return
         self.table = table
         refused = check(table, base)
         if refused is not None:
-            self._down(TableRefused.code, refused.what)
+            self._reject(TableRefused.code, refused.what)
             return
-        self.out.give(CheckTable(table))
-        self.out.timer(self.check_us, f"check/{self.slot}")
+        self.outbox.add(CheckTable(table))
+        self.outbox.timer(self.check_timeout_us, f"check/{self.slot}")
 
     def on_checked(self, event: TableChecked) -> None:
-        asked = self.table is not None and self.word is None and not self._writing
-        if not asked or self.table is None or event.proposal != self.table.proposal:
+        """The host's reply: reject, or stage the table."""
+        is_awaited = self.table is not None and self.vote is None and not self._is_writing
+        if not is_awaited or self.table is None or event.proposal != self.table.proposal:
             return
         if event.why:
-            self._down(TableRefused.code, event.why)
+            self._reject(TableRefused.code, event.why)
         else:
-            self._write()
+            self._stage()
 
     def on_check_due(self, token: str) -> None:
-        """The host has not answered in its time."""
-        if token == f"check/{self.slot}" and self.word is None and not self._writing:
-            self._down(TableRefused.code, f"it was not checked within {self.check_us // 1_000_000} s")
+        """The host has not replied in time: reject."""
+        if token == f"check/{self.slot}" and self.vote is None and not self._is_writing:
+            self._reject(
+                TableRefused.code, f"it was not checked within {self.check_timeout_us // 1_000_000} s"
+            )
 
-    def _write(self) -> None:
+    def _stage(self) -> None:
         assert self.slot is not None
         assert self.table is not None
-        self._writing = True
+        self._is_writing = True
         record = {"slot": to_plain(self.slot), "document": self.table.document()}
-        self.out.persist("staged", "", record)
-        self.out.timer(0, f"staged/{self.slot}")
+        self.outbox.persist("staged", "", record)
+        self.outbox.timer(0, f"staged/{self.slot}")
 
     def on_written(self, token: str) -> None:
-        if token == f"staged/{self.slot}" and self._writing:
-            self._writing = False
-            self._say(Vote(self.out.me.site))
+        """The staged table is on disk: the vote may be sent."""
+        if token == f"staged/{self.slot}" and self._is_writing:
+            self._is_writing = False
+            self._send_vote(Vote(self.outbox.me.site))
 
-    def on_unwritten(self) -> None:
-        if self._writing:
-            self._writing = False
-            self._down(WordUnwritten.code, "the disk did not take the table")
+    def on_write_failed(self) -> None:
+        """The staged table could not be written: reject."""
+        if self._is_writing:
+            self._is_writing = False
+            self._reject(WordUnwritten.code, "the disk did not take the table")
 
     def rearm(self) -> None:
-        if self.table is not None and self.word is None:
-            self.out.timer(self.check_us, f"check/{self.slot}")
-
-    def _down(self, code: str, why: str) -> None:
-        self._say(Vote(self.out.me.site, code, f"{self.out.me}: {why}"[:WHY_MOST]))
-
-    def _say(self, word: Vote) -> None:
-        self.word = word
-        if self._asker is not None and self.slot is not None:
-            self.out.send(self._asker, VoteReply(self.slot, self.digest, word))
+        """A failed write may have dropped the timer: set it again."""
+        if self.table is not None and self.vote is None:
+            self.outbox.timer(self.check_timeout_us, f"check/{self.slot}")
+
+    def _reject(self, code: str, reason: str) -> None:
+        self._send_vote(
+            Vote(self.outbox.me.site, code, f"{self.outbox.me}: {reason}"[:MAX_REASON_CHARACTERS])
+        )
+
+    def _send_vote(self, vote: Vote) -> None:
+        self.vote = vote
+        if self._requester is not None and self.slot is not None:
+            self.outbox.send(self._requester, VoteReply(self.slot, self.digest, vote))
--- a/madderbeam/federation/consensus/rollback_detection.py
+++ b/madderbeam/federation/consensus/rollback_detection.py
@@ -1,8 +1,9 @@
-"""Finds out that a voter's folder is older than what it has said: by its life and its count of votes.
+"""Detects that a voter's state on disk was rolled back, from its incarnation and its count of recorded votes.
 
-A voter that has started votes only once a majority has written its mark down and knows of none that is newer.
-So a folder that was restored from a copy is found out by its start; one that came back within a life (a
-machine's snapshot) by its count, as soon as it meets a member that saw the later one.
+A voter that has started votes only once a majority has written its mark to disk and has seen none that is
+newer. So state that was restored from a copy is detected by its start number, and state that was rolled back
+within an incarnation (a machine's snapshot) by its count, as soon as the voter meets a member that has seen
+the later one.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
     MarkConfirmed,
     Marks,
     RollbackReported,
-    life_of,
-    marks_of,
+    read_incarnation,
+    read_marks,
     to_plain,
 )
 from madderbeam.federation.consensus.outbox import Outbox
@@ -24,129 +25,159 @@
 from madderbeam.federation.errors import FolderOlder
 from madderbeam.membership.values import Incarnation, MemberId
 
-REWRITE_US = 1_000_000
+REWRITE_DELAY_US = 1_000_000
 
 
-def behind(mark: Mark, seen: Mark) -> bool:
-    """What a newer folder would not say: `mark` knows less than what was seen."""
-    copied = mark.life.start == seen.life.start and mark.life != seen.life
-    return mark.life.start < seen.life.start or copied or mark.votes < seen.votes
+def is_behind(mark: Mark, seen: Mark) -> bool:
+    """Whether `mark` is older than what was seen, or comes from a copy of the state."""
+    is_copy = mark.incarnation.start == seen.incarnation.start and mark.incarnation != seen.incarnation
+    return (
+        mark.incarnation.start < seen.incarnation.start
+        or is_copy
+        or mark.votes_recorded < seen.votes_recorded
+    )
 
 
 class RollbackDetector:
-    """The marks seen of voters, what is known of one's own, and the greetings."""
+    """The marks seen of other voters, and whether this member's own state is the latest.
 
-    def __init__(self, out: Outbox, life: Incarnation, records: Mapping[tuple[str, str], Any]) -> None:
-        self.out, self.life = out, life
+    `distrusted`: the newer incarnation of this member that was seen, if its state was rolled back.
+    """
+
+    def __init__(
+        self, outbox: Outbox, incarnation: Incarnation, records: Mapping[tuple[str, str], Any]
+    ) -> None:
+        self.outbox, self.incarnation = outbox, incarnation
         rows = [row for (kind, _), row in records.items() if kind == "seen"]
-        self.seen: dict[MemberId, Mark] = dict(marks_of(rows))
-        distrusted, over = records.get(("distrusted", "")), records.get(("trusted", ""))
-        self.distrusted: Incarnation | None = life_of(distrusted) if distrusted else None
-        self.over: Incarnation | None = (
-            life_of(over) if over else None
-        )  # an operator has taken on what it lost
-        if self.over is not None and self.distrusted is not None and self.distrusted.start <= self.over.start:
+        self.seen_marks: dict[MemberId, Mark] = dict(read_marks(rows))
+        distrusted, accepted_loss = records.get(("distrusted", "")), records.get(("trusted", ""))
+        self.distrusted: Incarnation | None = read_incarnation(distrusted) if distrusted else None
+        self.accepted_loss: Incarnation | None = (
+            read_incarnation(accepted_loss) if accepted_loss else None
+        )  # an operator accepted that the state up to this incarnation is lost
+        if (
+            self.accepted_loss is not None
+            and self.distrusted is not None
+            and self.distrusted.start <= self.accepted_loss.start
+        ):
             self.distrusted = None
-        self.greeted: set[MemberId] = set()
+        self.confirmed_by: set[MemberId] = set()
 
     def may_vote(self, voters: tuple[MemberId, ...]) -> bool:
-        known = sum(v in self.greeted or v == self.out.me for v in voters)
-        return self.distrusted is None and known > len(voters) // 2
+        """Whether a majority of the voters, including this member, has confirmed this member's mark."""
+        confirmations = sum(v in self.confirmed_by or v == self.outbox.me for v in voters)
+        return self.distrusted is None and confirmations > len(voters) // 2
 
-    def greet(self, mark: Mark, voters: tuple[MemberId, ...]) -> None:
+    def announce(self, mark: Mark, voters: tuple[MemberId, ...]) -> None:
+        """Announce the own mark to the voters that have not confirmed it."""
         for voter in voters:
-            if voter not in self.greeted:
-                self.greet_one(voter, mark)
-
-    def greet_one(self, voter: MemberId, mark: Mark) -> None:
-        if voter != self.out.me:
-            self.out.send(voter, MarkAnnounced(mark, self.over))
-
-    def on_greet(self, member: MemberId, message: MarkAnnounced, voters: tuple[MemberId, ...]) -> None:
+            if voter not in self.confirmed_by:
+                self.announce_to(voter, mark)
+
+    def announce_to(self, voter: MemberId, mark: Mark) -> None:
+        """Announce the own mark to one voter."""
+        if voter != self.outbox.me:
+            self.outbox.send(voter, MarkAnnounced(mark, self.accepted_loss))
+
+    def on_mark_announced(
+        self, member: MemberId, message: MarkAnnounced, voters: tuple[MemberId, ...]
+    ) -> None:
+        """Confirm a voter's mark, or report the rollback unless an operator accepted the loss."""
         if member not in voters:
             return
-        seen = self.seen.get(member)
-        taken_on = message.over is not None and seen is not None and seen.life.start <= message.over.start
-        if seen is not None and behind(message.mark, seen) and not taken_on:
-            self.out.send(member, RollbackReported(seen))
+        seen = self.seen_marks.get(member)
+        is_loss_accepted = (
+            message.accepted_loss is not None
+            and seen is not None
+            and seen.incarnation.start <= message.accepted_loss.start
+        )
+        if seen is not None and is_behind(message.mark, seen) and not is_loss_accepted:
+            self.outbox.send(member, RollbackReported(seen))
             return
-        self.seen[member] = message.mark
-        self._keep(member)
-        self.out.send(member, MarkConfirmed(message.mark))
-
-    def on_greeted(self, member: MemberId, message: MarkConfirmed) -> None:
-        if message.mark.life == self.life:
-            self.greeted.add(member)
-
-    def note(self, member: MemberId, mark: Mark) -> bool:
-        """Whether a voter's mark is not behind what was seen of it; if it is, it is told."""
-        seen = self.seen.get(member)
-        if seen is not None and behind(mark, seen):
-            self.out.send(member, RollbackReported(seen))
+        self.seen_marks[member] = message.mark
+        self._persist(member)
+        self.outbox.send(member, MarkConfirmed(message.mark))
+
+    def on_mark_confirmed(self, member: MemberId, message: MarkConfirmed) -> None:
+        """A voter has confirmed the mark of this incarnation."""
+        if message.mark.incarnation == self.incarnation:
+            self.confirmed_by.add(member)
+
+    def observe(self, member: MemberId, mark: Mark) -> bool:
+        """Whether a voter's mark is not behind what was seen of it; else the rollback is reported to it."""
+        seen = self.seen_marks.get(member)
+        if seen is not None and is_behind(mark, seen):
+            self.outbox.send(member, RollbackReported(seen))
             return False
-        self.seen[member] = mark
+        self.seen_marks[member] = mark
         return True
 
     def learn(self, marks: Marks, voters: tuple[MemberId, ...]) -> None:
-        """Marks that another member saw, kept on disk."""
+        """Store marks that another member has seen, and write them to disk."""
         for member, mark in marks:
-            seen = self.seen.get(member)
-            if member in voters and member != self.out.me and (seen is None or not behind(mark, seen)):
-                self.seen[member] = mark
-                self._keep(member)
+            seen = self.seen_marks.get(member)
+            if member in voters and member != self.outbox.me and (seen is None or not is_behind(mark, seen)):
+                self.seen_marks[member] = mark
+                self._persist(member)
 
     def marks(self, voters: tuple[MemberId, ...]) -> Marks:
-        return tuple((m, self.seen[m]) for m in voters if m in self.seen)
+        """The marks seen of these voters."""
+        return tuple((m, self.seen_marks[m]) for m in voters if m in self.seen_marks)
 
-    def _keep(self, member: MemberId) -> None:
-        """Written anew even where it is the same: an earlier write may have failed."""
-        self.out.persist("seen", str(member), to_plain((member, self.seen[member])))
+    def _persist(self, member: MemberId) -> None:
+        """Write the mark even if it has not changed: an earlier write may have failed."""
+        self.outbox.persist("seen", str(member), to_plain((member, self.seen_marks[member])))
 
     def forget(self, voters: tuple[MemberId, ...]) -> None:
-        """What was seen of members that vote no more."""
-        for member in [m for m in self.seen if m not in voters]:
-            del self.seen[member]
-            self.out.persist("seen", str(member), None)
-        self.greeted &= set(voters)
-
-    def on_older(self, member: MemberId, seen: Mark, own: Mark) -> int:
-        """Someone saw `seen` of this member. Returns how many votes to count at least."""
-        if self.over is not None and seen.life.start <= self.over.start:
-            votes = max(own.votes, seen.votes + 1)
-            self.out.send(member, MarkAnnounced(Mark(own.life, votes), self.over))  # an operator's word
-            return votes
-        newer = seen.life.start > own.life.start
-        copied = seen.life.start == own.life.start and seen.life != own.life
-        if newer or copied or seen.votes > own.votes:
-            self.distrust(seen.life, f"by {member} at start {seen.life.start} with {seen.votes} votes")
-        return own.votes
-
-    def distrust(self, seen: Incarnation, by: str = "") -> None:
-        if self.over is not None and seen.start <= self.over.start:
+        """Remove what is stored about members that are no longer voters."""
+        for member in [m for m in self.seen_marks if m not in voters]:
+            del self.seen_marks[member]
+            self.outbox.persist("seen", str(member), None)
+        self.confirmed_by &= set(voters)
+
+    def on_rollback_reported(self, member: MemberId, seen: Mark, own: Mark) -> int:
+        """Another member saw `seen` of this one. Returns the least number of votes to count as recorded."""
+        if self.accepted_loss is not None and seen.incarnation.start <= self.accepted_loss.start:
+            votes_recorded = max(own.votes_recorded, seen.votes_recorded + 1)
+            # an operator accepted the loss
+            self.outbox.send(member, MarkAnnounced(Mark(own.incarnation, votes_recorded), self.accepted_loss))
+            return votes_recorded
+        is_newer = seen.incarnation.start > own.incarnation.start
+        is_copy = seen.incarnation.start == own.incarnation.start and seen.incarnation != own.incarnation
+        if is_newer or is_copy or seen.votes_recorded > own.votes_recorded:
+            self.distrust(
+                seen.incarnation,
+                f"by {member} at start {seen.incarnation.start} with {seen.votes_recorded} votes",
+            )
+        return own.votes_recorded
+
+    def distrust(self, seen: Incarnation, observed: str = "") -> None:
+        """Stop voting: this newer incarnation of the member was seen. `observed`: the details for the log."""
+        if self.accepted_loss is not None and seen.start <= self.accepted_loss.start:
             return
-        first = self.distrusted is None
+        is_first = self.distrusted is None
         if self.distrusted is None or seen.start > self.distrusted.start:
             self.distrusted = seen
-        if first:
-            by = by or f"by others at start {seen.start}"
-            what = f"{self.out.me} is at start {self.life.start}, and was seen {by}"
-            self.out.note("this member does not vote", FolderOlder(what))
-        self.out.persist("distrusted", "", to_plain(self.distrusted))
+        if is_first:
+            observed = observed or f"by others at start {seen.start}"
+            description = f"{self.outbox.me} is at start {self.incarnation.start}, and was seen {observed}"
+            self.outbox.log("rollback detected; this member stops voting", FolderOlder(description))
+        self.outbox.persist("distrusted", "", to_plain(self.distrusted))
 
     def trust(self) -> None:
-        """An operator's word: what the folder has lost is taken on."""
+        """An operator accepts the loss of what the state on disk lacks."""
         if self.distrusted is None:
             return
-        self.over, self.distrusted = max(self.distrusted, self.life), None
-        self.out.persist("trusted", "", to_plain(self.over))
-        self.out.persist("distrusted", "", None)
-        self.greeted.clear()
-        self.out.note("this member votes again, by an operator's word")
-
-    def on_unwritten(self, kind: str) -> None:
-        """Trust that was not written does not count; distrust does, and is written again."""
+        self.accepted_loss, self.distrusted = max(self.distrusted, self.incarnation), None
+        self.outbox.persist("trusted", "", to_plain(self.accepted_loss))
+        self.outbox.persist("distrusted", "", None)
+        self.confirmed_by.clear()
+        self.outbox.log("this member votes again: an operator trusted its state")
+
+    def on_write_failed(self, kind: str) -> None:
+        """Trust that could not be written is revoked; distrust stays, and is written again."""
         if kind == "trusted" and self.distrusted is None:
-            self.distrusted, self.over = self.over, None
-            self.out.note("this member does not vote: the operator's word could not be written down")
+            self.distrusted, self.accepted_loss = self.accepted_loss, None
+            self.outbox.log("this member stops voting: the operator's trust could not be written to disk")
         if self.distrusted is not None:
-            self.out.timer(REWRITE_US, "distrust")
+            self.outbox.timer(REWRITE_DELAY_US, "distrust")
--- a/madderbeam/federation/consensus/rounds.py
+++ b/madderbeam/federation/consensus/rounds.py
@@ -1,4 +1,4 @@
-"""The terms of Paxos Commit (Gray and Lamport 2006) as they are used here: slot, ballot, claim, word."""
+"""The values of Paxos Commit (Gray and Lamport 2006) as they are used here: slot, ballot, claim, vote."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 @dataclass(frozen=True)
 class AgreementSettings:
-    """`resend_us`: until a message is said again; `patience_us`: until a pending slot of which nothing is
-    heard is taken over; `agree_within_us`: from when a driver begins to when it turns down what is missing;
-    `stand_in_us`: how long a site's silent members are waited for if another has staged; `check_us`: how
-    long the host may check a table."""
+    """Timeouts of the agreement on a table."""
 
-    resend_us: int = 500_000
-    patience_us: int = 3_000_000
-    agree_within_us: int = 60_000_000
-    stand_in_us: int = 2_000_000
-    check_us: int = 10_000_000
+    resend_interval_us: int = 500_000  # until an unanswered message is sent again
+    failover_timeout_us: int = 3_000_000  # silence about a pending slot before another member takes it over
+    agree_within_us: int = 60_000_000  # from a coordinator's start until it rejects for the missing votes
+    silent_member_timeout_us: int = 2_000_000  # wait for a site's silent members once another has staged
+    check_timeout_us: int = 10_000_000  # for the host's check of a table
 
 
 @dataclass(frozen=True, order=True)
 class Slot:
-    """One try to agree on the table of a number. The next attempt opens once all of this one's claim is
-    known as turned down, so that at most one attempt of a number is ever agreed."""
+    """One attempt to agree on the table of a number.
+
+    The next attempt opens once the claim of this one is known to be rejected, so at most one attempt of a
+    number is ever agreed.
+    """
 
     number: int
     attempt: int = 0
@@ -42,16 +42,16 @@
 
 @dataclass(frozen=True, order=True)
 class Ballot:
-    """Unique: one life of one member uses a counter for one slot once."""
+    """A ballot number. It is unique: one incarnation of a member uses a counter once for a slot."""
 
     counter: int
     member: MemberId
-    life: Incarnation
+    incarnation: Incarnation
 
 
 @dataclass(frozen=True)
 class Claim:
-    """Which table a slot is for: the digest, and the sites whose words it needs (one instance each)."""
+    """The table that a slot is for: its digest, and the sites whose votes it needs (one instance each)."""
 
     digest: str
     sites: tuple[str, ...]
@@ -59,29 +59,32 @@
 
 @dataclass(frozen=True)
 class Vote:
-    """The value of a site's instance: staged (no code), or turned down with an error's code and text."""
+    """The value of a site's instance: staged (empty code), or rejected with an error's code and reason."""
 
     site: str
     code: str = ""
-    why: str = ""
+    reason: str = ""
 
     @property
     def staged(self) -> bool:
+        """Whether the site can serve by the table and has it on disk."""
         return not self.code
 
 
 @dataclass(frozen=True, order=True)
 class Mark:
-    """How far a voter's folder is: its life, and how many votes it has written down."""
+    """How recent a voter's state on disk is: its incarnation, and how many votes it has recorded."""
 
-    life: Incarnation
-    votes: int
+    incarnation: Incarnation
+    votes_recorded: int
 
 
-def error_of(words: tuple[Vote, ...]) -> FederationError:
-    """Why a claim was turned down, by the first of the words that did."""
-    down = next((w for w in words if not w.staged), Vote("", Superseded.code, "it was turned down"))
-    if down.code == TableRefused.code:
-        return TableRefused(down.why, down.site)
-    kinds = {k.code: k for k in (NotAllStaged, Superseded, WordUnwritten)}
-    return kinds.get(down.code, Superseded)(down.why)
+def error_of(votes: tuple[Vote, ...]) -> FederationError:
+    """The error for a rejected claim, from the first vote that rejected it."""
+    rejection = next(
+        (vote for vote in votes if not vote.staged), Vote("", Superseded.code, "it was turned down")
+    )
+    if rejection.code == TableRefused.code:
+        return TableRefused(rejection.reason, rejection.site)
+    error_classes = {error.code: error for error in (NotAllStaged, Superseded, WordUnwritten)}
+    return error_classes.get(rejection.code, Superseded)(rejection.reason)
--- a/madderbeam/federation/consensus/status.py
+++ b/madderbeam/federation/consensus/status.py
@@ -1,4 +1,4 @@
-"""What agreement tells an operator: who is silent since when, what is in force, staged and pending."""
+"""The agreement's status for operators: who does not reply since when, what is agreed, staged and pending."""
 
 from __future__ import annotations
 
@@ -7,19 +7,21 @@
 
 from madderbeam.membership.values import MemberId, MemberView, State
 
-NAMED_MOST = 5
+MAX_MEMBERS_LISTED = 5
 
 
-def silence(members: tuple[MemberId, ...], views: Mapping[MemberId, MemberView], now_us: int) -> str:
-    """Who does not answer, and what membership thinks of them."""
+def describe_silent(members: tuple[MemberId, ...], views: Mapping[MemberId, MemberView], now_us: int) -> str:
+    """The members that do not reply, with their membership states."""
     if not members:
         return "all its members answer"
-    told = [_one(member, views.get(member), now_us) for member in members[:NAMED_MOST]]
-    more = f" and {len(members) - NAMED_MOST} more" if len(members) > NAMED_MOST else ""
-    return f"no answer from {', '.join(told)}{more}"
+    descriptions = [
+        _describe_member(member, views.get(member), now_us) for member in members[:MAX_MEMBERS_LISTED]
+    ]
+    rest = f" and {len(members) - MAX_MEMBERS_LISTED} more" if len(members) > MAX_MEMBERS_LISTED else ""
+    return f"no answer from {', '.join(descriptions)}{rest}"
 
 
-def _one(member: MemberId, view: MemberView | None, now_us: int) -> str:
+def _describe_member(member: MemberId, view: MemberView | None, now_us: int) -> str:
     if view is None:
         return str(member)
     for_s = max(0, now_us - view.since_us) // 1_000_000
@@ -27,42 +29,44 @@
 
 
 def status(agreement: Any, now_us: int) -> dict[str, Any]:
-    """Of an Agreement, which imports this. As JSON takes it; spans in milliseconds."""
-    base, speaker, driver = agreement.base, agreement.speaker, agreement.driving.driver
-    words = {site: _word(w) for site, (_, w) in agreement.acceptor.words.items()}
+    """The status of an Agreement (untyped, since it imports this module) as JSON; spans in milliseconds."""
+    base, participant, coordinator = agreement.base, agreement.participant, agreement.failover.coordinator
+    votes = {site: _describe_vote(vote) for site, (_, vote) in agreement.acceptor.accepted_votes.items()}
     if agreement.acceptor.slot != agreement.slot:
-        words = {}
-    told: dict[str, Any] = {
+        votes = {}
+    result: dict[str, Any] = {
         "agreed": {"number": base.number, "digest": base.digest},
         "slot": str(agreement.slot),
         "votes": agreement.votes,
         "distrusted": agreement.folder.distrusted is not None,
-        "offered": [str(p.table.proposal) for p in agreement.offers.pending.values()],
+        "offered": [str(proposal.table.proposal) for proposal in agreement.proposals.pending.values()],
     }
-    if speaker.slot is not None:
-        state = "pending" if speaker.word is None else _word(speaker.word)
-        since_ms = (now_us - speaker.since_us) // 1000
-        told["staged"] = {"digest": speaker.digest, "word": state, "for_ms": since_ms}
-    if driver is not None and driver.claim is not None:
-        told["driven"] = {
-            "digest": driver.claim.digest,
-            "for_ms": (now_us - driver.since_us) // 1000,
-            "words": {w.site: _word(w) for w in driver.words},
-            "not_staged": {site: _unstaged(agreement, site, now_us) for site in driver.missing},
+    if participant.slot is not None:
+        state = "pending" if participant.vote is None else _describe_vote(participant.vote)
+        since_ms = (now_us - participant.since_us) // 1000
+        result["staged"] = {"digest": participant.digest, "word": state, "for_ms": since_ms}
+    if coordinator is not None and coordinator.claim is not None:
+        result["driven"] = {
+            "digest": coordinator.claim.digest,
+            "for_ms": (now_us - coordinator.since_us) // 1000,
+            "words": {vote.site: _describe_vote(vote) for vote in coordinator.votes},
+            "not_staged": {
+                site: _describe_missing(agreement, site, now_us) for site in coordinator.missing_sites
+            },
         }
-    elif agreement.driving.heard_of is not None:
-        told["driven_by"] = str(agreement.driving.heard_of)
-    if words:
-        told["words"] = words
-    return told
+    elif agreement.failover.last_other is not None:
+        result["driven_by"] = str(agreement.failover.last_other)
+    if votes:
+        result["words"] = votes
+    return result
 
 
-def _word(word: Any) -> str:
-    return "staged" if word.staged else f"{word.code}: {word.why}"
+def _describe_vote(vote: Any) -> str:
+    return "staged" if vote.staged else f"{vote.code}: {vote.reason}"
 
 
-def _unstaged(agreement: Any, site: str, now_us: int) -> str:
-    driver = agreement.driving.driver
-    assert driver is not None
-    silent = tuple(m for m in driver.speakers(site) if m not in driver.answers)
-    return silence(silent, agreement.views, now_us)
+def _describe_missing(agreement: Any, site: str, now_us: int) -> str:
+    coordinator = agreement.failover.coordinator
+    assert coordinator is not None
+    silent = tuple(m for m in coordinator.participants(site) if m not in coordinator.member_votes)
+    return describe_silent(silent, agreement.views, now_us)
--- a/madderbeam/federation/leases/__init__.py
+++ b/madderbeam/federation/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases by which a member serves, granted by the voters."""
+"""Serving leases: the voters grant a member leases, and it serves only while it holds one."""
--- a/madderbeam/federation/leases/lease.py
+++ b/madderbeam/federation/leases/lease.py
@@ -1,9 +1,9 @@
-"""Leases: a member serves while voters renew it; they vouch for its end (Gray and Cheriton, 1989).
+"""Serving leases (Gray and Cheriton, 1989): a member serves while voters renew its lease.
 
-The member counts a lease from before it asked, a voter from after it answered and for longer by the drift of
-two clocks. What a voter vouches for is on disk first, so that it also holds after the voter's restart; and
-since nobody knows what a voter renewed before its start, one that has started waits a whole lease before it
-vouches.
+The member counts a lease from before it sends the request; a voter counts it from after its reply, and for
+longer by the drift between two clocks. Voters also confirm to other members that a lease has ended. A voter
+writes a confirmation to disk before it sends it, so it also holds after the voter's restart. A restarted
+voter does not know what it renewed before, so it confirms nothing until a whole lease has passed.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from madderbeam.federation.table import MEMBERS_MOST
 from madderbeam.membership.values import MemberId
 
-ASKS_MOST = 4  # questions whose answers still count
+MAX_OPEN_REQUESTS = 4  # the latest requests, whose replies still count
 RENEWALS = 4  # in the span of a lease
 
 
-def majority(voters: tuple[MemberId, ...], of: Iterable[MemberId]) -> bool:
-    """More than half of the voters are among them (never so without voters)."""
-    return sum(v in voters for v in set(of)) > len(voters) // 2
+def majority(voters: tuple[MemberId, ...], members: Iterable[MemberId]) -> bool:
+    """Whether more than half of the voters are among the members (never without voters)."""
+    return sum(v in voters for v in set(members)) > len(voters) // 2
 
 
 class LeaseHolder:
-    """The lease of this member: it runs until `until_us`."""
+    """The lease of this member: it is valid until `until_us`."""
 
     def __init__(self, settings: SwitchoverSettings) -> None:
         self.settings = settings
@@ -36,142 +36,175 @@
         self._asks: dict[int, tuple[int, set[MemberId]]] = {}
 
     def runs(self, now_us: int) -> bool:
+        """Whether the lease is valid at this time; always without leases."""
         return not self.settings.lease_us or now_us < self.until_us
 
-    def asked(self, now_us: int, ask: int) -> None:
-        """Counted from now, whenever the answers come."""
-        self._asks[ask] = (now_us, set())
-        while len(self._asks) > ASKS_MOST:
+    def asked(self, now_us: int, request_id: int) -> None:
+        """A request is sent: the lease counts from now, whenever the replies arrive."""
+        self._asks[request_id] = (now_us, set())
+        while len(self._asks) > MAX_OPEN_REQUESTS:
             del self._asks[next(iter(self._asks))]
 
     def answered(self, member: MemberId, message: LeaseReply, voters: tuple[MemberId, ...]) -> None:
+        """A voter's reply; a majority of grants for one request extends the lease."""
         if not message.granted or message.ask not in self._asks:
             return
-        asked_us, granted = self._asks[message.ask]
-        granted.add(member)
-        if majority(voters, granted):
+        asked_us, granted_by = self._asks[message.ask]
+        granted_by.add(member)
+        if majority(voters, granted_by):
             self.until_us = max(self.until_us, asked_us + self.settings.lease_us)
 
     def drop(self) -> None:
-        """It was paused, or other voters count from now on."""
+        """The lease is void: this process was paused, or the voters have changed."""
         self.until_us = 0
         self._asks.clear()
 
 
 class LeaseGrantor:
-    """What this member said to others as a voter. `refused`: the table below which a member is not renewed,
-    because its lease was vouched to be over. `leased`: the span of the leases that a member serves by; both
-    are on disk."""
+    """What this member granted and confirmed as a voter.
+
+    `refused`: the table number below which a member's lease is not renewed, because its end was confirmed.
+    `lease_spans_us`: the span of the leases by which a member serves. Both are on disk.
+    """
 
     def __init__(self, settings: SwitchoverSettings, records: Mapping[tuple[str, str], Any]) -> None:
         self.settings = settings
         self.refused: dict[MemberId, int] = {}
-        self.leased: dict[MemberId, int] = {}
+        self.lease_spans_us: dict[MemberId, int] = {}
         for (kind, _), value in records.items():
             if kind == "vouch":
                 site, name, number = value
                 self.refused[MemberId(site, name)] = number
             elif kind == "leased":
                 site, name, lease_us = value
-                self.leased[MemberId(site, name)] = lease_us
-        self.renewed: dict[MemberId, int] = {}  # when last
+                self.lease_spans_us[MemberId(site, name)] = lease_us
+        self.renewed: dict[MemberId, int] = {}  # the time of the last renewal
         self.ready_us = 0
 
-    def start(self, now_us: int, before_us: int) -> None:
-        """`before_us`: a lease's longest span, as it was set until now: what was said then may still run."""
-        self.ready_us = now_us + max(self.settings.lease_over_us, before_us)
+    def start(self, now_us: int, previous_span_us: int) -> None:
+        """`previous_span_us`: the longest span of a lease by the earlier settings; it may still be valid."""
+        self.ready_us = now_us + max(self.settings.lease_over_us, previous_span_us)
 
     def renew(
-        self, now_us: int, member: MemberId, message: LeaseRequest, book: OwnershipRegistry, votes: bool
+        self,
+        now_us: int,
+        member: MemberId,
+        message: LeaseRequest,
+        registry: OwnershipRegistry,
+        may_vote: bool,
     ) -> LeaseReply:
-        why = ""
-        if not votes:
-            why = "this member takes no part in votes"
+        """Renew a member's lease, or reject the request with a reason."""
+        reason = ""
+        if not may_vote:
+            reason = "this member takes no part in votes"
         elif message.lease_us > self.settings.lease_us:
-            why = f"lease_us is {message.lease_us}; allowed: at most {self.settings.lease_us}"
-        elif not named(book.table, member) or book.words.get(member, 0) >= book.table.number:
-            why = f"table {book.table.number} does not name it"
+            reason = f"lease_us is {message.lease_us}; allowed: at most {self.settings.lease_us}"
+        elif not named(registry.table, member) or registry.words.get(member, 0) >= registry.table.number:
+            reason = f"table {registry.table.number} does not name it"
         elif message.number < self.refused.get(member, 0):
-            why = f"it was vouched for that its lease by a table below {self.refused[member]} is over"
+            reason = f"it was vouched for that its lease by a table below {self.refused[member]} is over"
         else:
             self.renewed[member] = now_us
-        return LeaseReply(message.ask, not why, book.table.number, why)
+        return LeaseReply(message.ask, not reason, registry.table.number, reason)
+
+    def vouches(self, now_us: int, member: MemberId, may_vote: bool) -> bool:
+        """Whether the end of a member's lease can be confirmed.
 
-    def vouches(self, now_us: int, member: MemberId, votes: bool) -> bool:
-        """Nothing that this voter said lets the member serve still, and the member does serve by leases."""
-        leased = 0 < self.leased.get(member, 0) <= self.settings.lease_us
+        That is so if the member serves by leases and no renewal by this voter can still be valid.
+        """
+        serves_by_leases = 0 < self.lease_spans_us.get(member, 0) <= self.settings.lease_us
         last_us = self.renewed.get(member)
-        over = last_us is None or now_us >= last_us + self.settings.lease_over_us
-        return votes and leased and over and now_us >= self.ready_us
+        has_expired = last_us is None or now_us >= last_us + self.settings.lease_over_us
+        return may_vote and serves_by_leases and has_expired and now_us >= self.ready_us
 
     def refuse(self, member: MemberId, number: int) -> bool:
-        """From now on; False if there is no room to remember it."""
+        """Renew no lease of the member by a table below `number` any more; False if the limit is reached."""
         if member not in self.refused and len(self.refused) >= MEMBERS_MOST:
             return False
         self.refused[member] = max(number, self.refused.get(member, 0))
         return True
 
-    def forget(self, now_us: int, book: OwnershipRegistry) -> list[tuple[str, MemberId]]:
-        """What was vouched for binds until the member has that table in force, also if it is not named for
-        a while; what was renewed counts until it is over."""
-        owing = {m for owed in book.ledger.debts.values() for m in owed}
-        stands = book.standings
-        gone = [("vouch", m) for m, n in self.refused.items() if m in stands and stands[m].number >= n]
-        gone += [("leased", m) for m in self.leased if not named(book.table, m) and m not in owing]
-        for kind, member in gone:
-            del (self.refused if kind == "vouch" else self.leased)[member]
-        over_us = now_us - self.settings.lease_over_us
-        self.renewed = {m: at for m, at in self.renewed.items() if at > over_us or named(book.table, m)}
-        return gone
+    def forget(self, now_us: int, registry: OwnershipRegistry) -> list[tuple[str, MemberId]]:
+        """Remove what is no longer needed; returns kind and member of the records to remove.
+
+        A confirmation binds until the member has that table in force, even if no table lists it for a while;
+        a renewal counts until its lease has expired.
+        """
+        owing = {member for outstanding in registry.ledger.debts.values() for member in outstanding}
+        standings = registry.standings
+        removed = [
+            ("vouch", member)
+            for member, number in self.refused.items()
+            if member in standings and standings[member].number >= number
+        ]
+        removed += [
+            ("leased", member)
+            for member in self.lease_spans_us
+            if not named(registry.table, member) and member not in owing
+        ]
+        for kind, member in removed:
+            del (self.refused if kind == "vouch" else self.lease_spans_us)[member]
+        expired_us = now_us - self.settings.lease_over_us
+        self.renewed = {
+            member: renewed_us
+            for member, renewed_us in self.renewed.items()
+            if renewed_us > expired_us or named(registry.table, member)
+        }
+        return removed
 
 
 class LeaseEnds:
-    """Voters' words on the ends of leases of members that have not released what this member waits for."""
+    """The voters' confirmations that the leases of members have ended whose release this member waits for."""
 
     def __init__(self, settings: SwitchoverSettings) -> None:
         self.settings = settings
         self.words: dict[MemberId, dict[MemberId, int]] = {}
-        self.off_us: dict[MemberId, int] = {}  # since when a voter is known to be off
-
-    def asks(self, book: OwnershipRegistry) -> dict[MemberId, LeaseEndRequest]:
-        """By voter, what it is to be asked."""
-        owed: dict[MemberId, int] = {}
-        for _, member, number in book.gains_missing():
-            owed[member] = max(number, owed.get(member, 0))
-        asks: dict[MemberId, list[tuple[MemberId, int]]] = {}
-        for member, number in sorted(owed.items())[:MEMBERS_MOST]:
-            for voter in {v for council in self._councils(member, book) for v in council}:
+        self.off_since_us: dict[MemberId, int] = {}  # when a voter was found to be declared gone
+
+    def requests(self, registry: OwnershipRegistry) -> dict[MemberId, LeaseEndRequest]:
+        """The request to send to each voter."""
+        outstanding: dict[MemberId, int] = {}
+        for _, member, number in registry.gains_missing():
+            outstanding[member] = max(number, outstanding.get(member, 0))
+        members_by_voter: dict[MemberId, list[tuple[MemberId, int]]] = {}
+        for member, number in sorted(outstanding.items())[:MEMBERS_MOST]:
+            for voter in {voter for voters in self._voter_sets(member, registry) for voter in voters}:
                 if self.words.get(member, {}).get(voter, 0) < number:
-                    asks.setdefault(voter, []).append((member, number))
-        return {voter: LeaseEndRequest(tuple(members)) for voter, members in sorted(asks.items())}
-
-    def vouched(self, voter: MemberId, member: MemberId, number: int, book: OwnershipRegistry) -> None:
-        if any(member in owed for owed in book.ledger.debts.values()):
-            words = self.words.setdefault(member, {})
-            words[voter] = max(number, words.get(voter, 0))
-
-    def ended(self, now_us: int, member: MemberId, number: int, book: OwnershipRegistry) -> bool:
-        """By no table that it may have in force can the member still hold a lease to serve by one below
-        `number`."""
-        words = self.words.get(member, {})
-        sure = {v for v, n in words.items() if n >= number}
-        sure |= {v for v, at in self.off_us.items() if now_us >= at + self.settings.lease_over_us}
-        return all(majority(council, sure) for council in self._councils(member, book))
-
-    def called_off(self, now_us: int, member: MemberId) -> None:
-        """A voter that is off renews nothing any more."""
-        self.off_us.setdefault(member, now_us)
-
-    def forget(self, book: OwnershipRegistry) -> None:
-        owing = {m for owed in book.ledger.debts.values() for m in owed}
-        self.words = {m: words for m, words in self.words.items() if m in owing}
-        voting = {v for _, council in book.ledger.councils for v in council}
-        self.off_us = {m: at for m, at in self.off_us.items() if m in voting}
-
-    def _councils(self, member: MemberId, book: OwnershipRegistry) -> list[tuple[MemberId, ...]]:
-        """The sets of voters of all tables that the member may have in force."""
-        standing = book.standings.get(member)
-        low = standing.number if standing is not None else 0
-        councils = book.ledger.councils
-        firsts = [first for first, _ in councils[1:]]
-        return [v for (_, v), end in zip(councils, [*firsts, 2**62], strict=True) if end > low]
+                    members_by_voter.setdefault(voter, []).append((member, number))
+        return {voter: LeaseEndRequest(tuple(members)) for voter, members in sorted(members_by_voter.items())}
+
+    def on_confirmed(
+        self, voter: MemberId, member: MemberId, number: int, registry: OwnershipRegistry
+    ) -> None:
+        """A voter confirms that the member's lease by a table below `number` has ended."""
+        if any(member in outstanding for outstanding in registry.ledger.debts.values()):
+            confirmations = self.words.setdefault(member, {})
+            confirmations[voter] = max(number, confirmations.get(voter, 0))
+
+    def has_ended(self, now_us: int, member: MemberId, number: int, registry: OwnershipRegistry) -> bool:
+        """Whether the member can hold no lease by a table below `number`, whichever table it has in force."""
+        confirmations = self.words.get(member, {})
+        confirmed_by = {v for v, n in confirmations.items() if n >= number}
+        confirmed_by |= {
+            v for v, off_us in self.off_since_us.items() if now_us >= off_us + self.settings.lease_over_us
+        }
+        return all(majority(voters, confirmed_by) for voters in self._voter_sets(member, registry))
+
+    def on_member_off(self, now_us: int, member: MemberId) -> None:
+        """A member that an operator declared gone for good renews nothing any more."""
+        self.off_since_us.setdefault(member, now_us)
+
+    def forget(self, registry: OwnershipRegistry) -> None:
+        """Remove what is stored about members that owe no release and about former voters."""
+        owing = {member for outstanding in registry.ledger.debts.values() for member in outstanding}
+        self.words = {m: confirmations for m, confirmations in self.words.items() if m in owing}
+        all_voters = {v for _, voters in registry.ledger.councils for v in voters}
+        self.off_since_us = {m: off_us for m, off_us in self.off_since_us.items() if m in all_voters}
+
+    def _voter_sets(self, member: MemberId, registry: OwnershipRegistry) -> list[tuple[MemberId, ...]]:
+        """The voters of each table that the member may have in force."""
+        standing = registry.standings.get(member)
+        lowest = standing.number if standing is not None else 0
+        voter_sets = registry.ledger.councils
+        first_numbers = [first for first, _ in voter_sets[1:]]
+        return [v for (_, v), end in zip(voter_sets, [*first_numbers, 2**62], strict=True) if end > lowest]
--- a/madderbeam/federation/values.py
+++ b/madderbeam/federation/values.py
@@ -1,7 +1,10 @@
-"""The table, and the events and actions of agreeing on it, switching to it and releasing what moves.
+"""The ownership table, and the events and actions of agreeing on it, switching to it and releasing
+destinations.
 
-Beside these federation takes MemberChanged, Heard, FromLink, Due and Unwritten, and gives Persist, SetTimer,
-Note, ToLink and Spread (membership/values.py)."""
+The federation state machine also takes the events MemberChanged, GossipReceived, MessageReceived, TimerDue
+and WriteFailed, and returns the actions Persist, SetTimer, LogLine, SendMessage and Disseminate
+(membership/values.py).
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 @dataclass(frozen=True)
 class MemberRow:
-    """A member as the table names it; `votes`: it is one of the voters on the next table."""
+    """A member as the table lists it. `votes`: it is one of the voters that decide on the next table."""
 
     name: str
     address: Address
@@ -25,8 +28,11 @@
 
 @dataclass(frozen=True)
 class Table:
-    """Which site serves which destination. `off`: members that a person says are off for good; what they
-    served is released by that word."""
+    """Which site serves which destination.
+
+    `off`: members that an operator declared gone for good. The declaration counts as their release of the
+    destinations that they served.
+    """
 
     number: int
     sites: dict[str, tuple[MemberRow, ...]]
@@ -34,39 +40,45 @@
     off: frozenset[MemberId] = frozenset()
 
     def members(self, site: str) -> tuple[MemberId, ...]:
+        """The members of a site, in the order of the table; empty for an unknown site."""
         return tuple(MemberId(site, row.name) for row in self.sites.get(site, ()))
 
     @cached_property
     def voters(self) -> tuple[MemberId, ...]:
+        """All members that vote on the next table, sorted."""
         return tuple(sorted(MemberId(s, r.name) for s, rows in self.sites.items() for r in rows if r.votes))
 
     def document(self) -> dict[str, Any]:
-        """As it is written in a file; read back by federation.table.read."""
+        """The table as it is written to a file; federation.table.read is the inverse."""
         sites = {
-            site: {r.name: {"address": f"{r.address[0]}:{r.address[1]}", "votes": r.votes} for r in rows}
+            site: {
+                row.name: {"address": f"{row.address[0]}:{row.address[1]}", "votes": row.votes}
+                for row in rows
+            }
             for site, rows in sorted(self.sites.items())
         }
         return {
             "number": self.number,
             "sites": sites,
-            "owners": {str(d): self.owners[d] for d in sorted(self.owners)},
-            **({"off": sorted(str(m) for m in self.off)} if self.off else {}),
+            "owners": {str(dest): self.owners[dest] for dest in sorted(self.owners)},
+            **({"off": sorted(str(member) for member in self.off)} if self.off else {}),
         }
 
     @cached_property
     def digest(self) -> str:
-        """16 hex digits: two tables with one digest are the same."""
+        """16 hex digits over the document; tables with equal digests are equal."""
         text = json.dumps(self.document(), sort_keys=True, separators=(",", ":"))
         return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
     @property
     def proposal(self) -> ProposalId:
+        """The identity under which this table is proposed: its number and its digest."""
         return ProposalId(self.number, self.digest)
 
 
 @dataclass(frozen=True, order=True)
 class ProposalId:
-    """Two proposals for one number differ in their digest; at most one of them is ever agreed."""
+    """Identifies a proposed table. Proposals for one number differ in their digest; at most one is agreed."""
 
     number: int
     digest: str
@@ -77,7 +89,7 @@
 
 @dataclass(frozen=True)
 class RemainingSpan:
-    """A told wait that still runs for a destination ("" as uid) or one endpoint of it."""
+    """The rest of a Retry-After wait for a destination (`uid` is "") or for one of its endpoints."""
 
     uid: str
     left_us: int
@@ -85,16 +97,19 @@
 
 @dataclass(frozen=True)
 class Release:
-    """One old owner's member has no call out at the destination, takes nothing new for it, and passes on
-    what the new owner must heed. Spans count from when the record was made; whoever passes it on takes off
-    the time that it has lain there."""
+    """A member of the previous owner has released a destination: it has no call in flight there and accepts
+    no new message for it. The record also passes on what the new owner must observe.
+
+    Spans count from the creation of the record; a member that forwards it subtracts the time for which it
+    stored it.
+    """
 
     dest: int
     member: MemberId
     table: int
     waits: tuple[RemainingSpan, ...] = ()
-    draining: tuple[RemainingSpan, ...] = ()  # endpoints that drain, and what is left of their grace
-    cold: bool = False
+    draining: tuple[RemainingSpan, ...] = ()  # endpoints that drain, with the rest of their grace period
+    cold: bool = False  # an endpoint of the destination is ejected or in slow start
 
 
 # Events
@@ -102,14 +117,14 @@
 
 @dataclass(frozen=True)
 class TableProposed:
-    """An operator offers a table here (the document, checked in form only)."""
+    """An operator proposes a table at this member; only the form of its document has been checked."""
 
     table: Table
 
 
 @dataclass(frozen=True)
 class MemberCalledOff:
-    """An operator's word that a member is off and stays off: it counts as having released everything."""
+    """An operator declares a member gone for good: it counts as having released everything."""
 
     member: MemberId
     table: int
@@ -117,12 +132,12 @@
 
 @dataclass(frozen=True)
 class FolderTrusted:
-    """An operator's word that this member's folder, which was found to be older, may vote again."""
+    """An operator declares that this member may vote again although its state was restored from a copy."""
 
 
 @dataclass(frozen=True)
 class TableChecked:
-    """The host's answer to `Check`: "" if this site can serve by the table, else what stands against it."""
+    """The host's reply to CheckTable. `why` is "" if this site can serve by the table, else the reason."""
 
     proposal: ProposalId
     why: str
@@ -130,14 +145,14 @@
 
 @dataclass(frozen=True)
 class DestinationReleased:
-    """The host's answer to `Relinquish`: nothing is out at the destination any more."""
+    """The host's reply to Relinquish: no call is in flight at the destination any more."""
 
     release: Release
 
 
 @dataclass(frozen=True)
 class ServingPaused:
-    """This process was paused, or has just started: it asks what is in force before it serves."""
+    """This process was paused or has just started: it must query which table is in force before it serves."""
 
 
 # Actions
@@ -145,7 +160,9 @@
 
 @dataclass(frozen=True)
 class CheckTable:
-    """Can this site serve by this table (endpoints known, classes, capacity)? Answered by `Checked`."""
+    """Asks the host whether this site can serve by this table (endpoints known, message classes, capacity).
+    The reply is TableChecked.
+    """
 
     table: Table
 
@@ -160,8 +177,9 @@
 
 @dataclass(frozen=True)
 class Relinquish:
-    """This destination is another site's from now on: begin no call, take nothing new for it; answer by
-    `Released` once its calls have ended."""
+    """Another site owns this destination from now on: start no call and accept no new message for it. The
+    reply is DestinationReleased, once its calls have ended.
+    """
 
     dest: int
     table: int
@@ -169,8 +187,9 @@
 
 @dataclass(frozen=True)
 class BeginServing:
-    """This destination is served here from now on, heeding what the old owners passed on (spans as left
-    now)."""
+    """This member serves this destination from now on and observes what the previous owners passed on; the
+    spans are those left now.
+    """
 
     dest: int
     releases: tuple[Release, ...]
@@ -178,8 +197,11 @@
 
 @dataclass(frozen=True)
 class SuspendServing:
-    """Serve nothing (or again serve) until it is known what is in force; `why` for clients and the log.
-    `dests`: only these are held (None: all). A later Hold takes the place of the one before."""
+    """Suspends serving until it is known which table is in force, or resumes it (`on` false). `why` is shown
+    to clients and logged.
+
+    `dests`: only these destinations are suspended (None: all). It replaces any earlier suspension.
+    """
 
     on: bool
     why: str
@@ -188,14 +210,14 @@
 
 @dataclass(frozen=True)
 class FinishProposal:
-    """This proposal could be agreed on without this member: see that it is finished or turned down."""
+    """This proposal could be agreed without this member: bring it to its outcome, agreed or rejected."""
 
     proposal: ProposalId
 
 
 @dataclass(frozen=True)
 class ProposalOutcome:
-    """What became of a proposal that was offered or seen here; `error` is None if it was agreed."""
+    """The outcome of a proposal that was made or seen here; `error` is None if it was agreed."""
 
     proposal: ProposalId
     agreed: bool
@@ -204,7 +226,8 @@
 
 @dataclass(frozen=True)
 class TableAgreed:
-    """This table is agreed and on disk here: never taken back. Agreement's word to the switch part alone; it
-    comes at each start for the newest one, and perhaps again."""
+    """This table is agreed and on disk here, and is never revoked. The agreement part sends it to the
+    switchover part only: at each start for the newest table, and possibly more than once.
+    """
 
     table: Table
--- a/tests/federation_pure/agreement_model.py
+++ b/tests/federation_pure/agreement_model.py
@@ -1,10 +1,11 @@
-"""Every order of frames, losses, doubles, timers and crashes up to a depth, over agreement's real machines.
-
-Three sites with one voter each, two tables offered for one number. A state holds the machines, their disks,
-the frames on their way and what was ever accepted; equal states are visited once. A frame that is lost is one
-that is never delivered. A member may die after each action of each step, and starts again from its disk. Left
-out is what decides nothing (a table's document travels at once, a check is answered at once, a voter that
-starts has been greeted, votes are not counted), so that the depth is spent on votes.
+"""Model checking of the agreement with its real machines: every order of frames, losses, duplicates, timers
+and crashes up to a depth.
+
+Three sites with one voter each; two tables are proposed for one number. A state holds the machines, their
+disks, the frames in flight and everything that was ever accepted; equal states are visited once. A lost frame
+is one that is never delivered. A member may crash after each action of each step, and restarts from its disk.
+Details that decide nothing are left out so that the depth goes to the votes: a document arrives at once, a
+check is answered at once, a starting voter's mark is confirmed, recorded votes are not counted.
 """
 
 from __future__ import annotations
@@ -46,15 +47,21 @@
 MEMBERS = (one(0), one(1), one(2))
 FIRST, OFFERS = table(1), (table(2, mark=1), table(2, mark=2))
 TABLES = (FIRST, *OFFERS)
-SETTINGS = AgreementSettings(resend_us=8, patience_us=1, agree_within_us=1, stand_in_us=0, check_us=1)
-FREE = ("agree/drive", "agree/again", "agree/watch")  # may be due at any time
-AT_ONCE = ("agree/self/", "agree/known/", "agree/staged/", "agree/ended/")
-NO_LIFE = Mark(Incarnation(0, 0), 0)  # counts of votes are not modelled: they only ever take a vote away
+SETTINGS = AgreementSettings(
+    resend_interval_us=8,
+    failover_timeout_us=1,
+    agree_within_us=1,
+    silent_member_timeout_us=0,
+    check_timeout_us=1,
+)
+FREE_TIMERS = ("agree/drive", "agree/again", "agree/watch")  # may fire at any time
+IMMEDIATE_TIMERS = ("agree/self/", "agree/known/", "agree/staged/", "agree/ended/")
+NO_MARK = Mark(Incarnation(0, 0), 0)  # counts of votes are not modelled: they only ever prevent a vote
 Frame = tuple[int, int, bytes]
 
 
-class Lowest:
-    """Chance that always takes the lowest: what is drawn are times, and any timer may be due at any time."""
+class LowestRandom:
+    """Always returns the lowest value: only times are drawn, and any timer may fire at any time."""
 
     def randrange(self, first: int, last: int | None = None) -> int:
         return 0 if last is None else first
@@ -63,7 +70,7 @@
         return items[0]
 
 
-PARTS = {
+MACHINE_CLASSES = {
     Acceptor,
     AgreedTables,
     Agreement,
@@ -75,194 +82,226 @@
     Outbox,
     Participant,
 }
-PLAIN = {int, str, bool, type(None), tuple, Slot, Claim, Vote, Ballot, Incarnation, MemberId, Table, Lowest}
+SHARED_CLASSES = {
+    int,
+    str,
+    bool,
+    type(None),
+    tuple,
+    Slot,
+    Claim,
+    Vote,
+    Ballot,
+    Incarnation,
+    MemberId,
+    Table,
+    LowestRandom,
+}
 
 
 @dataclass(frozen=True)
 class State:
-    """`keys` are what the machines are compared by; `machines` are never changed, but cloned."""
+    """`keys` identify the states of the machines; `machines` are never changed, only cloned."""
 
     keys: tuple[Any, ...]
     disks: tuple[frozenset[tuple[str, str, bytes]], ...]
     frames: frozenset[Frame]
     timers: tuple[frozenset[tuple[str, int]], ...]
-    history: frozenset[Any]  # (slot, digest, site, ballot, value, member) on disk, now or once
+    history: frozenset[Any]  # (slot, digest, site, ballot, value, member) that was ever on disk
     crashes: int
-    doubles: int
-    dues: int
-    offers: tuple[int, ...]  # members that have yet to offer their table
+    duplicates: int
+    timer_firings: int
+    offers: tuple[int, ...]  # members that have not proposed their table yet
     machines: tuple[Agreement, ...] = field(compare=False)
-    step: int = field(default=0, compare=False)  # actions after which its member could have died
+    step: int = field(default=0, compare=False)  # actions after which its member could have crashed
 
 
 def clone(thing: Any, memo: dict[int, Any]) -> Any:
-    """A machine's parts are copied, what they hold is shared: values are frozen, collections copied once."""
+    """A copy of a machine: its parts are copied; values are frozen and shared; collections are copied."""
     known = memo.get(id(thing))
     if known is not None:
         return known
-    if type(thing) in PARTS:
+    if type(thing) in MACHINE_CLASSES:
         memo[id(thing)] = new = object.__new__(type(thing))
         copied = new.__dict__
         for name, value in thing.__dict__.items():
-            copied[name] = value if type(value) in PLAIN else clone(value, memo)
+            copied[name] = value if type(value) in SHARED_CLASSES else clone(value, memo)
         return new
     if type(thing) in (dict, list, set):
         return thing.copy()
-    if isinstance(thing, MethodType) and type(thing.__self__) in PARTS:
+    if isinstance(thing, MethodType) and type(thing.__self__) in MACHINE_CLASSES:
         return MethodType(thing.__func__, clone(thing.__self__, memo))
     return thing
 
 
-def _started(who: int, start: int, disk: frozenset[tuple[str, str, bytes]]) -> tuple[Agreement, list[Any]]:
+def _started(
+    member_index: int, start: int, disk: frozenset[tuple[str, str, bytes]]
+) -> tuple[Agreement, list[Any]]:
     records = {(kind, key): msgpack.unpackb(value) for kind, key, value in disk}
-    life = Incarnation(start, 0)
-    machine = Agreement(SETTINGS, MEMBERS[who], life, Lowest(), records, FIRST)  # type: ignore[arg-type]
-    machine.folder.greeted = set(MEMBERS)
+    incarnation = Incarnation(start, 0)
+    machine = Agreement(
+        SETTINGS,
+        MEMBERS[member_index],
+        incarnation,
+        LowestRandom(),  # type: ignore[arg-type]
+        records,
+        FIRST,
+    )
+    machine.folder.confirmed_by = set(MEMBERS)
     return machine, machine.start(0)
 
 
 def _key(machine: Agreement) -> Any:
-    acceptor, speaker, offers = machine.acceptor, machine.speaker, machine.offers
-    driver = machine.driving.driver
-    driven = driver and (
-        driver.slot, driver.ballot, driver.offer and driver.offer.digest, driver.claim,
-        driver.table and driver.table.digest, tuple(driver.words), driver.decided, driver._sent,
-        frozenset(driver._promises.items()), frozenset(driver._steps.items()),
-        frozenset(driver.answers.items()),
+    acceptor, participant, proposals = machine.acceptor, machine.participant, machine.proposals
+    coordinator = machine.failover.coordinator
+    coordination = coordinator and (
+        coordinator.slot, coordinator.ballot, coordinator.proposal and coordinator.proposal.digest,
+        coordinator.claim, coordinator.table and coordinator.table.digest, tuple(coordinator.votes),
+        coordinator.decided_count, coordinator._sent_count,
+        frozenset(coordinator._promises.items()), frozenset(coordinator._accepted_counts.items()),
+        frozenset(coordinator.member_votes.items()),
     )  # fmt: skip
     return (
-        acceptor.slot, acceptor.promised, acceptor.claim, acceptor.claimed, frozenset(acceptor.words.items()),
-        speaker.slot, speaker.digest, speaker.word, speaker._asker, speaker._writing,
-        tuple((d, p.claimed) for d, p in offers.pending.items()), tuple(offers._ended), driven,
-        machine.attempt, machine.base.digest, machine.known.written, machine.driving.counter,
-        machine.driving._tries, acceptor.life,
+        acceptor.slot, acceptor.promised, acceptor.claim, acceptor.claim_ballot,
+        frozenset(acceptor.accepted_votes.items()), participant.slot, participant.digest, participant.vote,
+        participant._requester, participant._is_writing,
+        tuple((d, p.claimed_slot) for d, p in proposals.pending.items()), tuple(proposals._completed),
+        coordination,
+        machine.attempt, machine.base.digest, machine.known.written, machine.failover.counter,
+        machine.failover._retries, acceptor.incarnation,
     )  # fmt: skip
 
 
-def _bare(message: Any) -> Any:
+def _without_details(message: Any) -> Any:
     if isinstance(message, m.VoteRequest):
         return replace(message, document=None)
-    return replace(message, mark=NO_LIFE) if hasattr(message, "mark") else message
+    return replace(message, mark=NO_MARK) if hasattr(message, "mark") else message
 
 
 @lru_cache(10_000)
-def _packed(message: Any) -> bytes:
+def _pack(message: Any) -> bytes:
     return msgpack.packb(m.to_row(message))
 
 
 @lru_cache(10_000)
-def _unpacked(row: bytes) -> Any:
+def _unpack(row: bytes) -> Any:
     return m.from_row(msgpack.unpackb(row))
 
 
-class Broken(AssertionError):
-    """What must hold does not."""
+class InvariantViolated(AssertionError):
+    """A property that must always hold does not."""
 
 
 class Step:
-    """One event at one member, with all that follows at once; it may die after `dies_after` actions."""
+    """One event at one member, with its immediate effects; it may crash after `crash_after` actions."""
 
-    def __init__(self, state: State, who: int, dies_after: int | None = None) -> None:
-        self.state, self.who, self.dies_after, self.count = state, who, dies_after, 0
-        self.machines = {who: clone(state.machines[who], {})}
+    def __init__(self, state: State, member_index: int, crash_after: int | None = None) -> None:
+        self.state, self.member_index, self.crash_after, self.count = state, member_index, crash_after, 0
+        self.machines = {member_index: clone(state.machines[member_index], {})}
         self.disks, self.frames = list(state.disks), set(state.frames)
         self.timers, self.history = [set(t) for t in state.timers], set(state.history)
-        self.died = False
+        self.has_crashed = False
 
-    def tell(self, who: int, now_us: int, event: Any) -> None:
-        if who not in self.machines:
-            self.machines[who] = clone(self.state.machines[who], {})
-        self.carry(who, self.machines[who].handle(now_us, event))
+    def deliver(self, member_index: int, now_us: int, event: Any) -> None:
+        if member_index not in self.machines:
+            self.machines[member_index] = clone(self.state.machines[member_index], {})
+        self.perform(member_index, self.machines[member_index].handle(now_us, event))
 
-    def carry(self, who: int, actions: list[Any]) -> None:
+    def perform(self, member_index: int, actions: list[Any]) -> None:
         for action in actions:
-            if self.died and who == self.who:
+            if self.has_crashed and member_index == self.member_index:
                 return
-            self._do(who, action)
-            if who == self.who and isinstance(action, Persist | SendMessage):
+            self._perform_one(member_index, action)
+            if member_index == self.member_index and isinstance(action, Persist | SendMessage):
                 self.count += 1
-                self.died = self.count == self.dies_after
+                self.has_crashed = self.count == self.crash_after
 
-    def _do(self, who: int, action: Any) -> None:
+    def _perform_one(self, member_index: int, action: Any) -> None:
         if isinstance(action, Persist):
-            self._write(who, action)
-        elif isinstance(action, SetTimer) and action.token.startswith(AT_ONCE):
-            self.tell(who, action.at_us, TimerDue(action.token))
-        elif isinstance(action, SetTimer) and action.token in FREE:
-            others = {t for t in self.timers[who] if t[0] != action.token}
-            self.timers[who] = others | {(action.token, action.at_us)}
+            self._write(member_index, action)
+        elif isinstance(action, SetTimer) and action.token.startswith(IMMEDIATE_TIMERS):
+            self.deliver(member_index, action.at_us, TimerDue(action.token))
+        elif isinstance(action, SetTimer) and action.token in FREE_TIMERS:
+            others = {t for t in self.timers[member_index] if t[0] != action.token}
+            self.timers[member_index] = others | {(action.token, action.at_us)}
         elif isinstance(action, CheckTable):
-            self.tell(who, 0, TableChecked(action.table.proposal, ""))
+            self.deliver(member_index, 0, TableChecked(action.table.proposal, ""))
         elif isinstance(action, TableAgreed) and action.table.number > 1:
-            self._judge_agreed(action.table)
+            self._check_agreed(action.table)
         elif isinstance(action, SendMessage):
-            self._send(who, MEMBERS.index(action.member), action.message)
+            self._send(member_index, MEMBERS.index(action.member), action.message)
 
-    def _send(self, who: int, to: int, message: Any) -> None:
+    def _send(self, member_index: int, to: int, message: Any) -> None:
         if isinstance(message, m.DocumentRequest | m.Document | m.CatchUpRequest | m.AgreedTable):
-            self.tell(to, 0, MessageReceived(MEMBERS[who], message))
+            self.deliver(to, 0, MessageReceived(MEMBERS[member_index], message))
             return
         if isinstance(message, m.SlotAborted) and not any(
             v is not None and v.code for v in self._chosen(message.slot, message.digest).values()
         ):
-            raise Broken(f"{message.slot} is told as over and is not")
-        self.frames.add((who, to, _packed(_bare(message))))
+            raise InvariantViolated(f"{message.slot} is told as over and is not")
+        self.frames.add((member_index, to, _pack(_without_details(message))))
 
-    def _write(self, who: int, record: Persist) -> None:
-        kept = {r for r in self.disks[who] if r[:2] != (record.kind, record.key)}
+    def _write(self, member_index: int, record: Persist) -> None:
+        records = {r for r in self.disks[member_index] if r[:2] != (record.kind, record.key)}
         if record.value is not None:
             value = {**record.value, "votes": 0} if record.kind == "vote" else record.value
-            kept.add((record.kind, record.key, msgpack.packb(value)))
-        self.disks[who] = frozenset(kept)
+            records.add((record.kind, record.key, msgpack.packb(value)))
+        self.disks[member_index] = frozenset(records)
         if record.kind == "vote" and record.value["claim"]:
-            self._count(who, record.value)
+            self._count(member_index, record.value)
         if record.kind == "staged" and record.value is not None:
             digest = next(o.digest for o in OFFERS if o.document() == record.value["document"])
-            self.history.add(("staged", digest, who))
-
-    def _count(self, who: int, value: Any) -> None:
-        slot, claim = m.slot_of(value["slot"]), m.claim_of(value["claim"])
-        self.history.add((slot, "", "", m.ballot_of(value["claimed"]), claim.digest, who))
-        for ballot, word in m.voted_of(value["words"]):
-            self.history.add((slot, claim.digest, word.site, ballot, word, who))
-        taken: dict[Any, set[int]] = {}
+            self.history.add(("staged", digest, member_index))
+
+    def _count(self, member_index: int, value: Any) -> None:
+        slot, claim = m.slot_of(value["slot"]), m.read_claim(value["claim"])
+        self.history.add((slot, "", "", m.ballot_of(value["claimed"]), claim.digest, member_index))
+        for ballot, vote in m.read_accepted_votes(value["words"]):
+            self.history.add((slot, claim.digest, vote.site, ballot, vote, member_index))
+        acceptances: dict[Any, set[int]] = {}
         for row in self.history:
             if len(row) == 6 and row[0] == slot:
-                taken.setdefault(row[:5], set()).add(row[5])
+                acceptances.setdefault(row[:5], set()).add(row[5])
         chosen: dict[Any, Any] = {}
-        for (of, digest, site, _, word), voters in taken.items():
-            if len(voters) > 1 and chosen.setdefault((of, digest, site), word) != word:
-                raise Broken(f"{of} {site or 'claim'} was {chosen[of, digest, site]} and became {word}")
+        for (of, digest, site, _, vote), voters in acceptances.items():
+            if len(voters) > 1 and chosen.setdefault((of, digest, site), vote) != vote:
+                raise InvariantViolated(
+                    f"{of} {site or 'claim'} was {chosen[of, digest, site]} and became {vote}"
+                )
 
     def _chosen(self, slot: Any, digest: str) -> dict[str, Any]:
-        taken: dict[Any, set[int]] = {}
+        acceptances: dict[Any, set[int]] = {}
         for row in self.history:
             if len(row) == 6 and row[1] == digest and slot in (None, row[0]):
-                taken.setdefault(row[:5], set()).add(row[5])
-        return {row[2]: row[4] for row, voters in taken.items() if len(voters) > 1}
+                acceptances.setdefault(row[:5], set()).add(row[5])
+        return {row[2]: row[4] for row, voters in acceptances.items() if len(voters) > 1}
 
-    def _judge_agreed(self, told: Table) -> None:
-        chosen = self._chosen(None, told.digest)
-        for who, member in enumerate(MEMBERS):
+    def _check_agreed(self, agreed: Table) -> None:
+        chosen = self._chosen(None, agreed.digest)
+        for member_index, member in enumerate(MEMBERS):
             if member.site not in chosen or chosen[member.site].code:
-                raise Broken(f"table {told.proposal} is told as agreed, {member.site} is not decided")
-            if ("staged", told.digest, who) not in self.history:
-                raise Broken(f"table {told.proposal} is told as agreed, {member} never staged it")
-        self.history.add(("agreed", told.digest, 0))
+                raise InvariantViolated(
+                    f"table {agreed.proposal} is told as agreed, {member.site} is not decided"
+                )
+            if ("staged", agreed.digest, member_index) not in self.history:
+                raise InvariantViolated(
+                    f"table {agreed.proposal} is told as agreed, {member} never staged it"
+                )
+        self.history.add(("agreed", agreed.digest, 0))
         if len([row for row in self.history if row[0] == "agreed"]) > 1:
-            raise Broken("two tables with one number are agreed")
+            raise InvariantViolated("two tables with one number are agreed")
 
     def after(self, **changed: Any) -> State:
-        if self.died:
-            start = self.machines[self.who].acceptor.life.start + 1
-            self.dies_after, self.died = None, False
-            self.timers[self.who].clear()
-            machine, actions = _started(self.who, start, self.disks[self.who])
-            self.machines[self.who] = machine
-            self.carry(self.who, actions)
+        if self.has_crashed:
+            start = self.machines[self.member_index].acceptor.incarnation.start + 1
+            self.crash_after, self.has_crashed = None, False
+            self.timers[self.member_index].clear()
+            machine, actions = _started(self.member_index, start, self.disks[self.member_index])
+            self.machines[self.member_index] = machine
+            self.perform(self.member_index, actions)
         keys, machines = list(self.state.keys), list(self.state.machines)
-        for who, machine in self.machines.items():
-            keys[who], machines[who] = _key(machine), machine
+        for member_index, machine in self.machines.items():
+            keys[member_index], machines[member_index] = _key(machine), machine
         return replace(
             self.state, keys=tuple(keys), machines=tuple(machines), step=self.count, disks=tuple(self.disks),
             frames=frozenset(self.frames), timers=tuple(frozenset(t) for t in self.timers),
@@ -270,66 +309,76 @@
         )  # fmt: skip
 
 
-def first_state(crashes: int, doubles: int, dues: int, offers: tuple[int, ...] = (0, 1)) -> State:
-    machines = [_started(who, 1, frozenset())[0] for who in range(3)]
+def first_state(crashes: int, duplicates: int, timer_firings: int, offers: tuple[int, ...] = (0, 1)) -> State:
+    machines = [_started(member_index, 1, frozenset())[0] for member_index in range(3)]
     return State(
         tuple(map(_key, machines)), (frozenset(),) * 3, frozenset(), (frozenset(),) * 3, frozenset(),
-        crashes, doubles, dues, offers, tuple(machines),
+        crashes, duplicates, timer_firings, offers, tuple(machines),
     )  # fmt: skip
 
 
 def events(state: State) -> Iterator[tuple[int, int, Any, dict[str, Any]]]:
-    """All that can happen next: member, time, event, what changes in the state by it."""
-    for who in state.offers:
-        left = tuple(w for w in state.offers if w != who)
-        yield who, 0, TableProposed(OFFERS[who]), {"offers": left}
+    """All events that may come next: member, time, event, and what it changes in the state."""
+    for member_index in state.offers:
+        left = tuple(w for w in state.offers if w != member_index)
+        yield member_index, 0, TableProposed(OFFERS[member_index]), {"offers": left}
     for frame in state.frames:
         source, to, row = frame
-        event = MessageReceived(MEMBERS[source], _unpacked(row))
+        event = MessageReceived(MEMBERS[source], _unpack(row))
         yield to, 0, event, {"frame": frame}
-        if state.doubles:
-            yield to, 0, event, {"doubles": state.doubles - 1}
-    if state.dues:
-        for who, timers in enumerate(state.timers):
+        if state.duplicates:
+            yield to, 0, event, {"duplicates": state.duplicates - 1}
+    if state.timer_firings:
+        for member_index, timers in enumerate(state.timers):
             for token, at_us in timers:
-                yield who, at_us, TimerDue(token), {"timer": (token, at_us), "dues": state.dues - 1}
+                yield (
+                    member_index,
+                    at_us,
+                    TimerDue(token),
+                    {"timer": (token, at_us), "timer_firings": state.timer_firings - 1},
+                )
 
 
-def after(state: State, who: int, now_us: int, event: Any, change: dict[str, Any], dies: int | None) -> State:
+def after(
+    state: State, member_index: int, now_us: int, event: Any, change: dict[str, Any], crash_after: int | None
+) -> State:
     change = dict(change)
     frame, timer = change.pop("frame", None), change.pop("timer", None)
-    if dies is not None:
+    if crash_after is not None:
         change["crashes"] = state.crashes - 1
-    step = Step(state, who, dies)
+    step = Step(state, member_index, crash_after)
     step.frames.discard(frame)  # type: ignore[arg-type]
-    step.timers[who].discard(timer)  # type: ignore[arg-type]
-    step.tell(who, now_us, event)
+    step.timers[member_index].discard(timer)  # type: ignore[arg-type]
+    step.deliver(member_index, now_us, event)
     return step.after(**change)
 
 
-def followers(state: State) -> Iterator[tuple[str, State]]:
-    """All states that may come next, with what leads there. Raises Broken."""
-    for who, now_us, event, change in events(state):
-        told = f"{MEMBERS[who]}: {event}"
+def successors(state: State) -> Iterator[tuple[str, State]]:
+    """All states that may come next, each with a description of the step. Raises InvariantViolated."""
+    for member_index, now_us, event, change in events(state):
+        description = f"{MEMBERS[member_index]}: {event}"
         try:
-            alive = after(state, who, now_us, event, change, None)
+            alive = after(state, member_index, now_us, event, change, None)
             if "frame" not in change or alive.keys != state.keys or not alive.frames < state.frames:
-                yield told, alive  # else it changed nothing: as if the frame were lost
-            for dies in range(1, 1 + (alive.step if state.crashes else 0)):
-                yield f"{told}, dies after action {dies}", after(state, who, now_us, event, change, dies)
-        except Broken as e:
-            raise Broken(f"{told}\n{e}") from None
-
-
-def way(begin: State) -> list[State]:
-    """An agreement on the first offer with nothing amiss, each state on the way."""
-    states = [after(begin, 0, 0, TableProposed(OFFERS[0]), {"offers": begin.offers[1:]}, None)]
+                yield description, alive  # else nothing changed: the same as losing the frame
+            for crash_after in range(1, 1 + (alive.step if state.crashes else 0)):
+                yield (
+                    f"{description}, crashes after action {crash_after}",
+                    after(state, member_index, now_us, event, change, crash_after),
+                )
+        except InvariantViolated as error:
+            raise InvariantViolated(f"{description}\n{error}") from None
+
+
+def undisturbed_run(initial: State) -> list[State]:
+    """The states of an agreement on the first proposal without any fault."""
+    states = [after(initial, 0, 0, TableProposed(OFFERS[0]), {"offers": initial.offers[1:]}, None)]
     while states[-1].frames:
         state = states[-1]
-        who, now_us, event, change = min(
+        member_index, now_us, event, change = min(
             (e for e in events(state) if "frame" in e[3]), key=lambda e: e[3]["frame"]
         )
-        states.append(after(state, who, now_us, event, change, None))
+        states.append(after(state, member_index, now_us, event, change, None))
     return states
 
 
@@ -337,8 +386,8 @@
 class Visited:
     states: int = 0
     steps: int = 0
-    depth: int = 0  # all states up to it were visited
-    agreed: int = 0  # of them, those in which a table is agreed
+    depth: int = 0  # all states up to this depth were visited
+    agreed: int = 0  # states in which a table is agreed
     seconds: float = 0.0
 
     def __str__(self) -> str:
@@ -348,63 +397,65 @@
         )
 
 
-def explore(begin: State, depth: int, seconds: float = 1e9) -> Visited:
-    """Breadth first, to `depth` steps or until the time is up. Raises Broken with the way there."""
-    visited, begun = Visited(states=1), time.perf_counter()
-    seen = {hash(begin)}  # 64 bits a state
-    queue: deque[tuple[State, int, Any]] = deque([(begin, 0, None)])
-    while queue and time.perf_counter() - begun < seconds:
-        state, at, trail = queue.popleft()
-        visited.depth = at
-        if at == depth:
+def explore(initial: State, depth: int, seconds: float = 1e9) -> Visited:
+    """Breadth first, to `depth` steps or until the time is up. Raises InvariantViolated with its steps."""
+    visited, started_s = Visited(states=1), time.perf_counter()
+    seen = {hash(initial)}  # 64 bits for each state
+    queue: deque[tuple[State, int, Any]] = deque([(initial, 0, None)])
+    while queue and time.perf_counter() - started_s < seconds:
+        state, state_depth, trail = queue.popleft()
+        visited.depth = state_depth
+        if state_depth == depth:
             break
         try:
-            for told, new in followers(state):
+            for description, new in successors(state):
                 visited.steps += 1
                 if hash(new) not in seen:
                     seen.add(hash(new))
                     visited.states += 1
                     visited.agreed += any(row[0] == "agreed" for row in new.history)
-                    queue.append((new, at + 1, (trail, told)))
-        except Broken as e:
-            raise Broken("\n".join((*_steps(trail), str(e)))) from None
+                    queue.append((new, state_depth + 1, (trail, description)))
+        except InvariantViolated as error:
+            raise InvariantViolated("\n".join((*_steps(trail), str(error)))) from None
     else:
         if not queue:
-            visited.depth = depth  # there is no more
-    visited.seconds = time.perf_counter() - begun
+            visited.depth = depth  # all states were visited
+    visited.seconds = time.perf_counter() - started_s
     return visited
 
 
 def _steps(trail: Any) -> list[str]:
     steps: list[str] = []
     while trail is not None:
-        trail, told = trail
-        steps.insert(0, told)
+        trail, description = trail
+        steps.insert(0, description)
     return steps
 
 
-def beginnings(crashes: int, doubles: int, dues: int) -> dict[str, list[State]]:
-    """From where to explore: nothing said yet; each step of an agreement on the first table, its frames on
-    their way; and the same with all of them lost. The second table is yet to be offered by another member."""
-    begin = first_state(0, 0, 0, (0,))
-    steps = [s for s in way(begin) if not any(row[0] == "agreed" for row in s.history)]
+def beginnings(crashes: int, duplicates: int, timer_firings: int) -> dict[str, list[State]]:
+    """The sets of initial states: no message sent yet; each step of an agreement on the first table with its
+    frames in flight; the same with all frames lost. The second table is still to be proposed by another
+    member.
+    """
+    initial = first_state(0, 0, 0, (0,))
+    steps = [s for s in undisturbed_run(initial) if not any(row[0] == "agreed" for row in s.history)]
     bare = {(s.keys, s.disks, s.history): replace(s, frames=frozenset()) for s in steps}
-    budget = {"crashes": crashes, "doubles": doubles, "dues": dues}
+    budget = {"crashes": crashes, "duplicates": duplicates, "timer_firings": timer_firings}
     return {
-        "from nothing": [replace(begin, offers=(0, 1), **budget)],
+        "from nothing": [replace(initial, offers=(0, 1), **budget)],
         "from each step": [replace(s, offers=(1,), **budget) for s in steps],
         "from each step, its frames lost": [replace(s, offers=(1,), **budget) for s in bare.values()],
     }
 
 
-def explore_all(begins: list[State], depth: int) -> Visited:
-    """The sum over them; a state that is met from two of them counts twice."""
-    whole = Visited(depth=depth)
-    for begin in begins:
-        one_of = explore(begin, depth)
-        whole.states += one_of.states
-        whole.steps += one_of.steps
-        whole.agreed += one_of.agreed
-        whole.seconds += one_of.seconds
-        whole.depth = min(whole.depth, one_of.depth)
-    return whole
+def explore_all(initial_states: list[State], depth: int) -> Visited:
+    """The sum over the initial states; a state that is reached from two of them counts twice."""
+    total = Visited(depth=depth)
+    for initial in initial_states:
+        visited_from = explore(initial, depth)
+        total.states += visited_from.states
+        total.steps += visited_from.steps
+        total.agreed += visited_from.agreed
+        total.seconds += visited_from.seconds
+        total.depth = min(total.depth, visited_from.depth)
+    return total
--- a/tests/federation_pure/agreement_net.py
+++ b/tests/federation_pure/agreement_net.py
@@ -1,7 +1,9 @@
-"""A small virtual network of agreement machines: seeded loss, doubles, delays, cuts, kills, failing disks.
+"""A simulated network of agreement machines, with seeded loss, duplicates, delays, partitions, crashes and
+disk failures.
 
-It judges from outside, at each action: what a majority of voters has on disk for an instance never changes;
-a table is agreed once each of its instances is staged so, and was on disk at its site; one table a number.
+It checks at each action: a value that a majority of the voters has on disk for an instance never changes; a
+table is agreed only if the instances of all its sites are decided as staged and it was on disk at each site;
+only one table is agreed for a number.
 """
 
 from __future__ import annotations
@@ -18,11 +20,11 @@
     Decided,
     SlotAborted,
     ballot_of,
-    claim_of,
     from_row,
+    read_accepted_votes,
+    read_claim,
     slot_of,
     to_row,
-    voted_of,
 )
 from madderbeam.federation.consensus.rounds import AgreementSettings, Slot
 from madderbeam.federation.table import instances, read
@@ -52,13 +54,15 @@
 
 SECOND = 1_000_000
 QUICK = AgreementSettings(
-    resend_us=200_000, patience_us=SECOND, agree_within_us=10 * SECOND, stand_in_us=SECOND // 2,
-    check_us=2 * SECOND,
+    resend_interval_us=200_000, failover_timeout_us=SECOND, agree_within_us=10 * SECOND,
+    silent_member_timeout_us=SECOND // 2, check_timeout_us=2 * SECOND,
 )  # fmt: skip
 
 
 def table(number: int = 1, sites: int = 3, members: int = 1, mark: int = 0, **changed: Any) -> Table:
-    """Sites s00, s01, ... with members m0, m1, ...; the first of each votes. `mark` makes tables differ."""
+    """A table with sites s00, s01, ... and members m0, m1, ...; the first of each site votes. `mark` makes
+    tables differ.
+    """
     named = {
         f"s{i:02}": {f"m{j}": {"address": f"10.{i}.{j}.1:7000", "votes": j == 0} for j in range(members)}
         for i in range(sites)
@@ -72,33 +76,34 @@
 
 
 class Net:
-    """`loss`, `double`: parts of frames; `slowest_us`: of a frame's way, drawn evenly."""
+    """`loss`, `duplication`: rates of frames; the delay of a frame is drawn evenly up to `slowest_us`."""
 
     def __init__(self, first: Table, seed: int = 0, settings: AgreementSettings = QUICK) -> None:
         self.first, self.settings = first, settings
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now = 0
-        self.loss = self.double = 0.0
+        self.loss = self.duplication = 0.0
         self.fastest_us, self.slowest_us = 1_000, 20_000
         self.disks: dict[MemberId, dict[tuple[str, str], Any]] = {}
         self.starts: dict[MemberId, int] = {}
         self.up: dict[MemberId, Agreement] = {}
-        self.cut: Callable[[MemberId, MemberId], bool] = lambda a, b: False
-        self.says: Callable[[MemberId, Table], str | None] = lambda member, t: ""
-        self.fails: Callable[[MemberId, Persist], bool] = lambda member, record: False
-        self.step: Callable[[MemberId, Any], bool] = lambda member, action: False  # True: it dies after it
+        self.is_cut: Callable[[MemberId, MemberId], bool] = lambda a, b: False
+        self.check_result: Callable[[MemberId, Table], str | None] = lambda member, t: ""
+        self.write_fails: Callable[[MemberId, Persist], bool] = lambda member, record: False
+        self.step: Callable[[MemberId, Any], bool] = lambda member, action: False  # whether to crash
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
         self.agreed: dict[int, Table] = {first.number: first}
-        self.staged: dict[str, set[str]] = {}  # digest: sites that have had it on disk
-        self.at: dict[MemberId, int] = {}
+        self.staged: dict[str, set[str]] = {}  # by digest, the sites that have had the table on disk
+        self.announced_number: dict[MemberId, int] = {}
         self.outcomes: list[tuple[MemberId, ProposalOutcome]] = []
-        self.notes: list[tuple[MemberId, LogLine]] = []
+        self.log_lines: list[tuple[MemberId, LogLine]] = []
         self.accepted: dict[tuple[Slot, str, str], dict[Any, set[MemberId]]] = {}
-        self.chosen: dict[tuple[Slot, str, str], Any] = {}  # slot, digest, site: the word; "", "": the claim
-        self.strange: dict[MemberId, Table] = {}  # members with another first table: they are not judged
+        # the chosen vote; under the slot and two empty strings, the chosen claim
+        self.chosen: dict[tuple[Slot, str, str], Any] = {}  # by slot, digest, site
+        self.other_first_tables: dict[MemberId, Table] = {}  # members with another first table: not checked
         self.frames = 0
-        self._rumours: dict[MemberId, GossipEntry] = {}
+        self._gossip_entries: dict[MemberId, GossipEntry] = {}
         self.at_time(SECOND, self._gossip)
 
     # Members
@@ -107,19 +112,19 @@
         for member in members:
             self.starts[member] = self.starts.get(member, 0) + 1
             disk = self.disks.setdefault(member, {})
-            life = Incarnation(self.starts[member], self.chance.getrandbits(32))
-            kept = {key: msgpack.unpackb(value) for key, value in disk.items()}
+            incarnation = Incarnation(self.starts[member], self.rng.getrandbits(32))
+            records = {key: msgpack.unpackb(value) for key, value in disk.items()}
             machine = Agreement(
-                self.settings, member, life, random.Random(self.chance.random()), kept,
-                self.strange.get(member, self.first),
+                self.settings, member, incarnation, random.Random(self.rng.random()), records,
+                self.other_first_tables.get(member, self.first),
             )  # fmt: skip
             self.up[member] = machine
             self._timers(machine)
-            self.carry(member, machine.start(self.now))
+            self.perform(member, machine.start(self.now))
             for other in list(self.up):
-                if other != member and not self.cut(member, other):
-                    self.tell(member, LinkUp(other))
-                    self.tell(other, LinkUp(member))
+                if other != member and not self.is_cut(member, other):
+                    self.deliver(member, LinkUp(other))
+                    self.deliver(other, LinkUp(member))
 
     def all(self) -> list[MemberId]:
         return sorted({m for t in self.agreed.values() for s in t.sites for m in t.members(s)})
@@ -128,57 +133,57 @@
         self.up.pop(member, None)
 
     def _timers(self, machine: Agreement) -> None:
-        machine.timers, machine.heard = {}, {}  # type: ignore[attr-defined]
+        machine.timers, machine.versions_heard = {}, {}  # type: ignore[attr-defined]
 
     # Time
 
-    def at_time(self, at_us: int, what: Callable[[], None]) -> None:
+    def at_time(self, at_us: int, callback: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self._heap, (at_us, self._count, what))
+        heapq.heappush(self._heap, (at_us, self._count, callback))
 
     def run(self, span_us: int, until: Callable[[], bool] = lambda: False) -> bool:
-        """Whether `until` came true within the span."""
+        """Whether `until` became true within the span."""
         end = self.now + span_us
         while self._heap and self._heap[0][0] <= end:
             if until():
                 return True
-            self.now, _, what = heapq.heappop(self._heap)
-            what()
+            self.now, _, callback = heapq.heappop(self._heap)
+            callback()
         self.now = max(self.now, end) if not until() else self.now
         return until()
 
-    def tell(self, member: MemberId, event: Any) -> None:
+    def deliver(self, member: MemberId, event: Any) -> None:
         machine = self.up.get(member)
         if machine is not None:
-            self.carry(member, machine.handle(self.now, event))
+            self.perform(member, machine.handle(self.now, event))
 
     def propose(self, member: MemberId, offered: Table) -> None:
-        self.tell(member, TableProposed(offered))
+        self.deliver(member, TableProposed(offered))
 
     # Actions
 
-    def carry(self, member: MemberId, actions: list[Any]) -> None:
+    def perform(self, member: MemberId, actions: list[Any]) -> None:
         machine = self.up[member]
         for action in actions:
             if isinstance(action, Persist):
-                if self.fails(member, action):
+                if self.write_fails(member, action):
                     self._later(member, machine, self.now, WriteFailed(action.kind, action.key))
                     return
                 self._write(member, action)
             elif isinstance(action, SendMessage):
                 self._send(member, action)
             else:
-                self._do(member, machine, action)
+                self._perform_one(member, machine, action)
             if isinstance(action, (Persist, SendMessage)) and self.step(member, action):
                 self.kill(member)
                 return
 
     def _later(self, member: MemberId, machine: Agreement, at_us: int, event: Any) -> None:
-        self.at_time(at_us, lambda: self._tell_life(member, machine, event))
+        self.at_time(at_us, lambda: self._deliver(member, machine, event))
 
-    def _tell_life(self, member: MemberId, machine: Agreement, event: Any) -> None:
+    def _deliver(self, member: MemberId, machine: Agreement, event: Any) -> None:
         if self.up.get(member) is machine:
-            self.tell(member, event)
+            self.deliver(member, event)
 
     def _write(self, member: MemberId, record: Persist) -> None:
         key = (record.kind, record.key)
@@ -187,113 +192,134 @@
             return
         self.disks[member][key] = msgpack.packb(record.value)
         if record.kind == "vote":
-            self._count_vote(member, record.value)
+            self._record_acceptance(member, record.value)
         if record.kind == "staged":
             self.staged.setdefault(read(record.value["document"]).digest, set()).add(member.site)
 
     def _send(self, member: MemberId, action: SendMessage) -> None:
-        self._check_told(action.message)
+        self._check_notification(action.message)
         self.frames += 1
         row = msgpack.packb(to_row(action.message))
-        for _ in range(1 + (self.chance.random() < self.double)):
-            if self.chance.random() >= self.loss and not self.cut(member, action.member):
-                way = self.chance.randrange(self.fastest_us, self.slowest_us)
-                self.at_time(self.now + way, lambda: self._arrive(member, action.member, row))
+        for _ in range(1 + (self.rng.random() < self.duplication)):
+            if self.rng.random() >= self.loss and not self.is_cut(member, action.member):
+                delay_us = self.rng.randrange(self.fastest_us, self.slowest_us)
+                self.at_time(self.now + delay_us, lambda: self._arrive(member, action.member, row))
 
     def _arrive(self, source: MemberId, to: MemberId, row: bytes) -> None:
-        if not self.cut(source, to):
-            self.tell(to, MessageReceived(source, from_row(msgpack.unpackb(row))))
+        if not self.is_cut(source, to):
+            self.deliver(to, MessageReceived(source, from_row(msgpack.unpackb(row))))
 
-    def _do(self, member: MemberId, machine: Agreement, action: Any) -> None:
+    def _perform_one(self, member: MemberId, machine: Agreement, action: Any) -> None:
         if isinstance(action, SetTimer):
             machine.timers[action.token] = action  # type: ignore[attr-defined]
-            self.at_time(max(action.at_us, self.now), lambda: self._due(member, machine, action))
+            self.at_time(max(action.at_us, self.now), lambda: self._fire(member, machine, action))
         elif isinstance(action, CheckTable):
-            why = self.says(member, action.table)
-            if why is not None:
-                self._later(member, machine, self.now + 2_000, TableChecked(action.table.proposal, why))
+            reason = self.check_result(member, action.table)
+            if reason is not None:
+                self._later(member, machine, self.now + 2_000, TableChecked(action.table.proposal, reason))
         elif isinstance(action, Disseminate):
-            self._rumours[member] = GossipEntry(member, action.key, action.version, action.body)
-        elif isinstance(action, TableAgreed) and member not in self.strange:
-            kept = ("agreed", str(action.table.number)) in self.disks[member]
-            assert kept or action.table == self.first, f"{member} tells of a table that is not on its disk"
-            self._learn(machine)
-            self._judge(member, action.table)
+            self._gossip_entries[member] = GossipEntry(member, action.key, action.version, action.body)
+        elif isinstance(action, TableAgreed) and member not in self.other_first_tables:
+            is_on_disk = ("agreed", str(action.table.number)) in self.disks[member]
+            assert is_on_disk or action.table == self.first, (
+                f"{member} announces a table that is not on its disk"
+            )
+            self._check_agreed_tables(machine)
+            self._check_announced(member, action.table)
         elif isinstance(action, ProposalOutcome):
             self.outcomes.append((member, action))
         elif isinstance(action, LogLine):
-            self.notes.append((member, action))
+            self.log_lines.append((member, action))
 
-    def _due(self, member: MemberId, machine: Agreement, timer: SetTimer) -> None:
+    def _fire(self, member: MemberId, machine: Agreement, timer: SetTimer) -> None:
         if machine.timers.get(timer.token) is timer:  # type: ignore[attr-defined]
             del machine.timers[timer.token]  # type: ignore[attr-defined]
-            self._tell_life(member, machine, TimerDue(timer.token))
+            self._deliver(member, machine, TimerDue(timer.token))
 
     def _gossip(self) -> None:
-        """What membership does: rumours reach all who are up and can be reached, if not at once."""
+        """Replaces membership: gossip entries reach all reachable members within a second."""
         self.at_time(self.now + SECOND, self._gossip)
-        for owner, rumour in list(self._rumours.items()):
+        for owner, entry in list(self._gossip_entries.items()):
             for member, machine in list(self.up.items()):
-                heard = machine.heard  # type: ignore[attr-defined]
-                if heard.get(owner, 0) < rumour.version and member != owner and not self.cut(owner, member):
-                    heard[owner] = rumour.version
-                    self.tell(member, GossipReceived(rumour))
-
-    # The judge
-
-    def _judge(self, member: MemberId, told: Table) -> None:
-        assert told.number >= self.at.get(member, 0), f"{member} went back to table {told.number}"
-        self.at[member] = told.number
-        before = self.agreed.get(told.number - 1)
-        if before is not None:
-            missing = set(instances(told, before)) - self.staged.get(told.digest, set())
-            assert not missing, f"table {told.number} is agreed, {sorted(missing)} never staged it"
-            words = {k[2]: w for k, w in self.chosen.items() if k[1] == told.digest and w.staged}
-            for site in instances(told, before):
-                assert site in words and words[site].staged, f"table {told.number}: {site} is not decided"
-
-    def _learn(self, machine: Agreement) -> None:
-        for told in machine.known.tables.values():
-            assert self.agreed.setdefault(told.number, told).digest == told.digest, "two tables"
-
-    def _count_vote(self, member: MemberId, record: Any) -> None:
-        slot, claim = slot_of(record["slot"]), claim_of(record["claim"]) if record["claim"] else None
+                versions_heard = machine.versions_heard  # type: ignore[attr-defined]
+                if (
+                    versions_heard.get(owner, 0) < entry.version
+                    and member != owner
+                    and not self.is_cut(owner, member)
+                ):
+                    versions_heard[owner] = entry.version
+                    self.deliver(member, GossipReceived(entry))
+
+    # Checks
+
+    def _check_announced(self, member: MemberId, announced: Table) -> None:
+        assert announced.number >= self.announced_number.get(member, 0), (
+            f"{member} went back to table {announced.number}"
+        )
+        self.announced_number[member] = announced.number
+        previous = self.agreed.get(announced.number - 1)
+        if previous is not None:
+            missing = set(instances(announced, previous)) - self.staged.get(announced.digest, set())
+            assert not missing, f"table {announced.number} is agreed, {sorted(missing)} never staged it"
+            votes = {
+                k[2]: vote for k, vote in self.chosen.items() if k[1] == announced.digest and vote.staged
+            }
+            for site in instances(announced, previous):
+                assert site in votes and votes[site].staged, (
+                    f"table {announced.number}: {site} is not decided"
+                )
+
+    def _check_agreed_tables(self, machine: Agreement) -> None:
+        for agreed in machine.known.tables.values():
+            assert self.agreed.setdefault(agreed.number, agreed).digest == agreed.digest, "two tables"
+
+    def _record_acceptance(self, member: MemberId, record: Any) -> None:
+        slot, claim = slot_of(record["slot"]), read_claim(record["claim"]) if record["claim"] else None
         if claim is None:
             return
         values: list[tuple[tuple[Slot, str, str], Any, Any]] = [
             ((slot, "", ""), ballot_of(record["claimed"]), claim.digest)
         ]
-        values += [((slot, claim.digest, w.site), ballot, w) for ballot, w in voted_of(record["words"])]
-        self._learn(self.up[member])
+        values += [
+            ((slot, claim.digest, vote.site), ballot, vote)
+            for ballot, vote in read_accepted_votes(record["words"])
+        ]
+        self._check_agreed_tables(self.up[member])
         for instance, ballot, value in values:
             voters = self.agreed[slot.number - 1].voters
-            taken = self.accepted.setdefault(instance, {}).setdefault((ballot, value), set())
+            acceptors = self.accepted.setdefault(instance, {}).setdefault((ballot, value), set())
             if member in voters:
-                taken.add(member)
-            if len(taken) > len(voters) // 2:
-                before = self.chosen.setdefault(instance, value)
-                assert before == value, f"{instance} was {before} and became {value}"
+                acceptors.add(member)
+            if len(acceptors) > len(voters) // 2:
+                previous = self.chosen.setdefault(instance, value)
+                assert previous == value, f"{instance} was {previous} and became {value}"
 
-    def _check_told(self, message: Any) -> None:
-        """A table is told as turned down or agreed once that is so."""
+    def _check_notification(self, message: Any) -> None:
+        """A table is announced as rejected or agreed only once it is."""
         if isinstance(message, SlotAborted):
-            words = [w for (s, d, _), w in self.chosen.items() if (s, d) == (message.slot, message.digest)]
-            assert any(not w.staged for w in words), f"{message.slot} is told as over and is not"
+            votes = [
+                vote for (s, d, _), vote in self.chosen.items() if (s, d) == (message.slot, message.digest)
+            ]
+            assert any(not vote.staged for vote in votes), (
+                f"{message.slot} is announced as aborted and is not"
+            )
         if isinstance(message, Decided) and message.number > self.first.number:
             offered = [d for (s, _, _), d in self.chosen.items() if s.number == message.number]
-            assert message.digest in offered, f"table {message.number} is told as agreed and is not"
+            assert message.digest in offered, f"table {message.number} is announced as agreed and is not"
 
     def outcome(self, offered: Table) -> ProposalOutcome | None:
-        """The last one told of this table."""
-        of = [o for _, o in self.outcomes if o.proposal == offered.proposal]
-        return of[-1] if of else None
+        """The last outcome reported for this table."""
+        reports = [o for _, o in self.outcomes if o.proposal == offered.proposal]
+        return reports[-1] if reports else None
 
     def all_at(self, number: int) -> bool:
         return all(m.base.number == number and m.known.written == number for m in self.up.values())
 
     def check_outcomes(self) -> None:
-        """What was told as agreed is, what was told as turned down is not."""
-        for _, told in self.outcomes:
-            agreed = self.agreed.get(told.proposal.number)
-            is_agreed = agreed is not None and agreed.proposal == told.proposal
-            assert told.agreed == is_agreed, f"{told} although it is {'' if is_agreed else 'not '}agreed"
+        """Tables reported as agreed are agreed, and those reported as rejected are not."""
+        for _, outcome in self.outcomes:
+            agreed = self.agreed.get(outcome.proposal.number)
+            is_agreed = agreed is not None and agreed.proposal == outcome.proposal
+            assert outcome.agreed == is_agreed, (
+                f"{outcome} although it is {'' if is_agreed else 'not '}agreed"
+            )
