--- a/tests/federation_pure/test_agreement_bugs.py
+++ b/tests/federation_pure/test_agreement_bugs.py
@@ -1,4 +1,4 @@
-"""Planted bugs: each is found by the random schedules, so that it means something when these find nothing."""
+"""Seeded faults: the random schedules find each of them, which shows that the schedules can detect faults."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 from agreement_schedules import play
 
-from madderbeam.federation.consensus import coordinator as driving
+from madderbeam.federation.consensus import coordinator as coordinator_module
 from madderbeam.federation.consensus.acceptor import Acceptor
 from madderbeam.federation.consensus.agreed_tables import AgreedTables
 from madderbeam.federation.consensus.coordinator import Aborted, Committed, Coordinator
@@ -17,195 +17,224 @@
 from madderbeam.federation.consensus.rounds import Ballot, Vote
 from madderbeam.membership.values import Incarnation
 
-SEEDS = 300
+SEED_COUNT = 300
 
 
-def unwritten(kind):
-    def plant(patch):
+def records_not_written(kind):
+    def seed_fault(monkeypatch):
         persist = Outbox.persist
-        patch.setattr(
+        monkeypatch.setattr(
             Outbox, "persist", lambda self, k, key, value: k != kind and persist(self, k, key, value)
         )
 
-    return plant
+    return seed_fault
 
 
-def ballot_taken_for_higher(patch):
+def lower_ballot_accepted(monkeypatch):
     accept = Acceptor.accept
 
-    def patched(self, asked):
+    def patched(self, request):
         self.promised = None
-        return accept(self, asked)
+        return accept(self, request)
 
-    patch.setattr(Acceptor, "accept", patched)
+    monkeypatch.setattr(Acceptor, "accept", patched)
 
 
-def promise_not_kept(patch):
+def promise_not_kept(monkeypatch):
     prepare = Acceptor.prepare
 
-    def patched(self, asked):
+    def patched(self, request):
         before = self.promised
-        reply = prepare(self, asked)
+        reply = prepare(self, request)
         self.promised = before
         return reply
 
-    patch.setattr(Acceptor, "prepare", patched)
+    monkeypatch.setattr(Acceptor, "prepare", patched)
 
 
-def words_not_carried_over(patch):
-    patch.setattr(Coordinator, "_carry", lambda self, claim: None)
+def accepted_votes_not_adopted(monkeypatch):
+    monkeypatch.setattr(Coordinator, "_adopt_accepted_votes", lambda self, claim: None)
 
 
-def claim_not_carried_over(patch):
-    settle = Coordinator._settle
+def claim_not_adopted(monkeypatch):
+    choose_claim = Coordinator._choose_claim
 
     def patched(self):
-        if self.offer is not None:
+        if self.proposal is not None:
             self._promises = {
-                m: type(p)(p.slot, p.ballot, None, None, (), p.mark) for m, p in self._promises.items()
+                member: type(promise)(promise.slot, promise.ballot, None, None, (), promise.mark)
+                for member, promise in self._promises.items()
             }
-        settle(self)
+        choose_claim(self)
 
-    patch.setattr(Coordinator, "_settle", patched)
+    monkeypatch.setattr(Coordinator, "_choose_claim", patched)
 
 
-def majority_of_one(patch):
-    patch.setattr(Coordinator, "_quorum", 1)
+def majority_of_one(monkeypatch):
+    monkeypatch.setattr(Coordinator, "_quorum", 1)
 
 
-def half_is_a_majority(patch):
-    patch.setattr(Coordinator, "_quorum", property(lambda self: max(1, len(self.base.voters) // 2)))
+def half_is_a_majority(monkeypatch):
+    monkeypatch.setattr(Coordinator, "_quorum", property(lambda self: max(1, len(self.base.voters) // 2)))
 
 
-def instance_missing(patch):
-    instances = driving.instances
-    patch.setattr(driving, "instances", lambda t, base: instances(t, base)[:-1] or instances(t, base))
+def instance_missing(monkeypatch):
+    instances = coordinator_module.instances
+    monkeypatch.setattr(
+        coordinator_module,
+        "instances",
+        lambda table, base: instances(table, base)[:-1] or instances(table, base),
+    )
 
 
-def silence_taken_for_staged(patch):
-    gather = Coordinator._gather
+def missing_vote_taken_for_staged(monkeypatch):
+    collect_votes = Coordinator._collect_votes
 
     def patched(self):
-        gather(self)
-        late = self.out.now_us - self._claimed_us >= self.settings.stand_in_us
-        if self.table is not None and self.decided >= 0 and self.ending is None and late and self.missing:
-            self.words += [Vote(s) for s in self.missing]
-            self._accept()
-
-    patch.setattr(Coordinator, "_gather", patched)
-
-
-def staged_without_record(patch):
+        collect_votes(self)
+        is_late = self.outbox.now_us - self._claimed_us >= self.settings.silent_member_timeout_us
+        if (
+            self.table is not None
+            and self.decided_count >= 0
+            and self.decision is None
+            and is_late
+            and self.missing_sites
+        ):
+            self.votes += [Vote(site) for site in self.missing_sites]
+            self._send_accept()
+
+    monkeypatch.setattr(Coordinator, "_collect_votes", patched)
+
+
+def staged_without_record(monkeypatch):
     def patched(self):
-        self._say(Vote(self.out.me.site))
+        self._send_vote(Vote(self.outbox.me.site))
 
-    patch.setattr(Participant, "_write", patched)
+    monkeypatch.setattr(Participant, "_stage", patched)
 
 
-def turned_down_before_it_is_decided(patch):
-    judge = Coordinator._judge
+def rejected_before_it_is_decided(monkeypatch):
+    check_decided = Coordinator._check_decided
 
     def patched(self):
-        if self.ending is None and any(not w.staged for w in self.words):
-            self.ending = Aborted(tuple(self.words))
-        return judge(self)
+        if self.decision is None and any(not vote.staged for vote in self.votes):
+            self.decision = Aborted(tuple(self.votes))
+        return check_decided(self)
 
-    patch.setattr(Coordinator, "_judge", patched)
-    close = Coordinator._close
+    monkeypatch.setattr(Coordinator, "_check_decided", patched)
+    reject_missing = Coordinator._reject_missing
 
-    def closing(self, code, why):
-        close(self, code, why)
-        self._judge()
+    def patched_reject_missing(self, code, reason):
+        reject_missing(self, code, reason)
+        self._check_decided()
 
-    patch.setattr(Coordinator, "_close", closing)
+    monkeypatch.setattr(Coordinator, "_reject_missing", patched_reject_missing)
 
 
-def agreed_before_it_is_decided(patch):
-    judge = Coordinator._judge
+def agreed_before_it_is_decided(monkeypatch):
+    check_decided = Coordinator._check_decided
 
     def patched(self):
-        full = self.claim is not None and len(self.words) == len(self.claim.sites)
-        if self.ending is None and full and self.table is not None and all(w.staged for w in self.words):
-            self.ending = Committed(self.table)
-        return judge(self)
-
-    patch.setattr(Coordinator, "_judge", patched)
-    accept = Coordinator._accept
-
-    def accepting(self):
+        has_all_votes = self.claim is not None and len(self.votes) == len(self.claim.sites)
+        if (
+            self.decision is None
+            and has_all_votes
+            and self.table is not None
+            and all(vote.staged for vote in self.votes)
+        ):
+            self.decision = Committed(self.table)
+        return check_decided(self)
+
+    monkeypatch.setattr(Coordinator, "_check_decided", patched)
+    accept = Coordinator._send_accept
+
+    def patched_send_accept(self):
         accept(self)
-        self._judge()
+        self._check_decided()
 
-    patch.setattr(Coordinator, "_accept", accepting)
+    monkeypatch.setattr(Coordinator, "_send_accept", patched_send_accept)
 
 
-def ballots_not_unique(patch):
-    patch.setattr(Ballot, "__init__", _same_ballot)
+def ballots_not_unique(monkeypatch):
+    monkeypatch.setattr(Ballot, "__init__", _same_ballot)
 
 
-def _same_ballot(self, counter, member, life):
+def _same_ballot(self, counter, member, incarnation):
     for name, value in (
         ("counter", counter),
         ("member", type(member)("s", "m")),
-        ("life", Incarnation(0, 0)),
+        ("incarnation", Incarnation(0, 0)),
     ):
         object.__setattr__(self, name, value)
 
 
-def lowest_claim_wins(patch):
-    settle = Coordinator._settle
+def lowest_claim_wins(monkeypatch):
+    choose_claim = Coordinator._choose_claim
 
     def patched(self):
-        claims = [p for p in self._promises.values() if p.claimed is not None]
+        claims = [promise for promise in self._promises.values() if promise.claim_ballot is not None]
         if claims:
-            low = min(claims, key=lambda p: p.claimed)
+            lowest = min(claims, key=lambda promise: promise.claim_ballot)
             self._promises = {
-                m: type(p)(p.slot, p.ballot, low.claim, low.claimed, p.voted, p.mark)
-                for m, p in self._promises.items()
+                member: type(promise)(
+                    promise.slot,
+                    promise.ballot,
+                    lowest.claim,
+                    lowest.claim_ballot,
+                    promise.accepted_votes,
+                    promise.mark,
+                )
+                for member, promise in self._promises.items()
             }
-        settle(self)
+        choose_claim(self)
 
-    patch.setattr(Coordinator, "_settle", patched)
+    monkeypatch.setattr(Coordinator, "_choose_claim", patched)
 
 
-def told_before_it_is_on_disk(patch):
+def announced_before_it_is_on_disk(monkeypatch):
     add = AgreedTables.add
 
     def patched(self, agreed):
-        self.tell(agreed)
+        self.announce(agreed)
         add(self, agreed)
 
-    patch.setattr(AgreedTables, "add", patched)
+    monkeypatch.setattr(AgreedTables, "add", patched)
 
 
-def offer_not_forgotten(patch):
-    end = Proposals._end
+def outcome_reported_before_the_record_is_removed(monkeypatch):
+    complete = Proposals._complete
 
     def patched(self, digest, error):
-        end(self, digest, error)
-        self.out.give(self._ended.pop(digest))
-        self._fresh.remove(digest)
+        complete(self, digest, error)
+        self.outbox.add(self._completed.pop(digest))
+        self._newly_completed.remove(digest)
 
-    patch.setattr(Proposals, "_end", patched)
+    monkeypatch.setattr(Proposals, "_complete", patched)
 
 
-PLANTED = [
-    unwritten("vote"), unwritten("staged"), unwritten("agreed"), ballot_taken_for_higher, promise_not_kept,
-    words_not_carried_over, claim_not_carried_over, majority_of_one, half_is_a_majority, instance_missing,
-    silence_taken_for_staged, staged_without_record, turned_down_before_it_is_decided,
-    agreed_before_it_is_decided, ballots_not_unique, lowest_claim_wins, told_before_it_is_on_disk,
-    offer_not_forgotten,
+FAULTS = [
+    records_not_written("vote"), records_not_written("staged"), records_not_written("agreed"),
+    lower_ballot_accepted, promise_not_kept,
+    accepted_votes_not_adopted, claim_not_adopted, majority_of_one, half_is_a_majority, instance_missing,
+    missing_vote_taken_for_staged, staged_without_record, rejected_before_it_is_decided,
+    agreed_before_it_is_decided, ballots_not_unique, lowest_claim_wins, announced_before_it_is_on_disk,
+    outcome_reported_before_the_record_is_removed,
 ]  # fmt: skip
-NAMES = ["vote_not_written", "staged_not_written", "agreed_not_written", *(p.__name__ for p in PLANTED[3:])]
-
-
-@pytest.mark.parametrize("plant", PLANTED, ids=NAMES)
-def test_a_planted_bug_is_found(plant, monkeypatch):
-    plant(monkeypatch)
-    for seed in range(SEEDS):
+NAMES = [
+    "vote_not_written",
+    "staged_not_written",
+    "agreed_not_written",
+    *(fault.__name__ for fault in FAULTS[3:]),
+]
+
+
+@pytest.mark.parametrize("seed_fault", FAULTS, ids=NAMES)
+def test_a_seeded_fault_is_found(seed_fault, monkeypatch):
+    seed_fault(monkeypatch)
+    for seed in range(SEED_COUNT):
         with suppress(KeyError):
             try:
                 play(seed)
             except AssertionError:
                 return
-    pytest.fail(f"{SEEDS} schedules found nothing")
+    pytest.fail(f"{SEED_COUNT} schedules found nothing")
--- a/tests/federation_pure/test_agreement_messages.py
+++ b/tests/federation_pure/test_agreement_messages.py
@@ -1,4 +1,4 @@
-"""Messages come back from their rows as they were; a row that does not fit is refused by its field's name."""
+"""Messages survive their conversion to rows; a malformed row is rejected with the name of the field."""
 
 from __future__ import annotations
 
@@ -24,43 +24,43 @@
     WriteFailed,
 )
 
-SLOT, LIFE = Slot(3, 1), Incarnation(2, 2**63)
-BALLOT, MARK = Ballot(5, one(1), LIFE), Mark(LIFE, 7)
+SLOT, INCARNATION = Slot(3, 1), Incarnation(2, 2**63)
+BALLOT, MARK = Ballot(5, one(1), INCARNATION), Mark(INCARNATION, 7)
 DIGEST = table().digest
-CLAIM, WORDS = Claim(DIGEST, ("s00", "s01")), (Vote("s00"), Vote("s01", "table-refused", "no partner 7"))
+CLAIM, VOTES = Claim(DIGEST, ("s00", "s01")), (Vote("s00"), Vote("s01", "table-refused", "no partner 7"))
 MARKS = ((one(0), MARK), (one(1), MARK))
 
-ALL = [
+MESSAGES = [
     m.Prepare(SLOT, DIGEST, BALLOT),
-    m.Promise(SLOT, BALLOT, CLAIM, BALLOT, tuple((BALLOT, w) for w in WORDS), MARK),
+    m.Promise(SLOT, BALLOT, CLAIM, BALLOT, tuple((BALLOT, vote) for vote in VOTES), MARK),
     m.Promise(SLOT, BALLOT, None, None, (), MARK),
-    m.Accept(SLOT, DIGEST, BALLOT, CLAIM, WORDS),
+    m.Accept(SLOT, DIGEST, BALLOT, CLAIM, VOTES),
     m.Accepted(SLOT, BALLOT, 2, MARK),
     m.BallotRejected(SLOT, BALLOT, BALLOT),
     m.VoteRequest(SLOT, DIGEST, DIGEST, None),
     m.VoteRequest(SLOT, DIGEST, DIGEST, table().document()),
     m.DocumentRequest(SLOT, DIGEST),
     m.Document(SLOT, table().document()),
-    m.VoteReply(SLOT, DIGEST, WORDS[1]),
-    m.SlotAborted(SLOT, DIGEST, WORDS, MARKS),
+    m.VoteReply(SLOT, DIGEST, VOTES[1]),
+    m.SlotAborted(SLOT, DIGEST, VOTES, MARKS),
     m.SlotAdvanced(SLOT),
     m.Decided(3, DIGEST, MARKS),
     m.CatchUpRequest(2),
     m.AgreedTable(2, table().document()),
     m.MarkAnnounced(MARK, None),
-    m.MarkAnnounced(MARK, LIFE),
+    m.MarkAnnounced(MARK, INCARNATION),
     m.MarkConfirmed(MARK),
     m.RollbackReported(MARK),
 ]
 
 
-def test_rows_come_back_as_messages():
-    for message in ALL:
+def test_rows_are_read_back_as_messages():
+    for message in MESSAGES:
         assert m.from_row(msgpack.unpackb(msgpack.packb(m.to_row(message)))) == message
-    assert {type(message) for message in ALL} == set(m.KINDS.values())
+    assert {type(message) for message in MESSAGES} == set(m.CLASS_BY_TAG.values())
 
 
-BAD = [
+MALFORMED_ROWS = [
     (["rumba"], "kind is not known"),
     (["want"], "want has 0 fields"),
     (["want", -1], "want.number"),
@@ -70,24 +70,26 @@
     (["offer", [3], DIGEST, DIGEST, None], "offer.slot"),
     (["answer", [3, 1], DIGEST, ["s" * 65, "", ""]], "answer.word"),
     (["answer", [3, 1], DIGEST, ["s", "", "x" * 401]], "answer.word"),
-    (["over", [3, 1], DIGEST, [["s", "", ""]] * 81, []], "over.words"),
+    (["over", [3, 1], DIGEST, [["s", "", ""]] * 81, []], "over.votes"),
     (["known", 1, {str(i): 1 for i in range(5)}], "known.document"),
     (["greet", [[1, 2**64 + 1], 0], None], "greet.mark"),
 ]
 
 
-@pytest.mark.parametrize(("row", "told"), BAD, ids=[t + str(i) for i, (_, t) in enumerate(BAD)])
-def test_rows_that_do_not_fit_are_refused_by_field(row, told):
-    with pytest.raises(ValueError, match=told):
+@pytest.mark.parametrize(
+    ("row", "description"), MALFORMED_ROWS, ids=[t + str(i) for i, (_, t) in enumerate(MALFORMED_ROWS)]
+)
+def test_malformed_rows_are_rejected_by_field(row, description):
+    with pytest.raises(ValueError, match=description):
         m.from_row(row)
 
 
-def test_spoilt_rows_raise_nothing_but_value_errors():
-    chance = random.Random(5)
+def test_corrupted_rows_raise_only_value_errors():
+    rng = random.Random(5)
     for _ in range(20_000):
-        row = m.to_row(chance.choice(ALL))
-        at = chance.randrange(len(row))
-        row[at] = chance.choice([None, -1, 2**70, "", "x", [], [[]], {}, b"", 0.5, [None] * 3, row[-1]])
+        row = m.to_row(rng.choice(MESSAGES))
+        index = rng.randrange(len(row))
+        row[index] = rng.choice([None, -1, 2**70, "", "x", [], [[]], {}, b"", 0.5, [None] * 3, row[-1]])
         try:
             m.from_row(row)
         except ValueError as e:
@@ -101,18 +103,18 @@
     assert len(read(m.from_row(msgpack.unpackb(row)).document).owners) == 10_000
 
 
-def test_a_voter_that_is_at_a_later_slot_votes_on_no_earlier_one():
-    """Its table may be lost with a write that failed; its record of votes says how far it was."""
-    acceptor = Acceptor(LIFE, None)
+def test_a_voter_at_a_later_slot_votes_on_no_earlier_one():
+    """The write of the agreed table may have failed; the record of votes still tells the slot."""
+    acceptor = Acceptor(INCARNATION, None)
     assert acceptor.prepare(m.Prepare(Slot(4), DIGEST, BALLOT)) is not None
-    again = Acceptor(LIFE, acceptor.record())
+    again = Acceptor(INCARNATION, acceptor.record())
     assert again.prepare(m.Prepare(Slot(3, 5), DIGEST, BALLOT)) is None
-    assert again.accept(m.Accept(Slot(3, 5), DIGEST, BALLOT, CLAIM, WORDS)) is None
+    assert again.accept(m.Accept(Slot(3, 5), DIGEST, BALLOT, CLAIM, VOTES)) is None
     assert again.record() == acceptor.record()
 
 
-class Part:
-    """Notes what it is told, and answers with it."""
+class RecordingMachine:
+    """Records its events, and returns fixed actions."""
 
     def __init__(self, *actions) -> None:
         self.events, self.actions = [], list(actions)
@@ -125,27 +127,27 @@
         return list(self.actions)
 
 
-def test_the_joined_machine_gives_each_event_to_its_part():
-    agreement, switch = Part(), Part(LogLine("switched"))
-    joined = Federation(agreement, switch)
-    assert joined.start(0) == [LogLine("switched")]
-    mine = [
+def test_the_federation_routes_each_event_to_its_part():
+    agreement, switchover = RecordingMachine(), RecordingMachine(LogLine("switched"))
+    federation = Federation(agreement, switchover)
+    assert federation.start(0) == [LogLine("switched")]
+    agreement_events = [
         TableProposed(table()),
         TableChecked(table().proposal, ""),
-        MessageReceived(one(1), ALL[0]),
+        MessageReceived(one(1), MESSAGES[0]),
         TimerDue("agree/drive"),
     ]
-    theirs = [MessageReceived(one(1), "hello"), TimerDue("lease")]
-    both = [WriteFailed("vote", ""), WriteFailed("release", "4"), LinkDown(one(1))]
-    for event in mine + theirs + both:
-        joined.handle(1, event)
-    assert agreement.events[1:] == mine + both
-    assert switch.events[1:] == theirs + both
+    switchover_events = [MessageReceived(one(1), "hello"), TimerDue("lease")]
+    shared_events = [WriteFailed("vote", ""), WriteFailed("release", "4"), LinkDown(one(1))]
+    for event in agreement_events + switchover_events + shared_events:
+        federation.handle(1, event)
+    assert agreement.events[1:] == agreement_events + shared_events
+    assert switchover.events[1:] == switchover_events + shared_events
 
 
-def test_an_agreed_table_goes_to_the_switch_part_in_its_place():
+def test_an_agreed_table_goes_to_switchover_in_its_place():
     before, after = Persist("agreed", "1", {}), LogLine("after")
-    switch = Part(LogLine("switched"))
-    joined = Federation(Part(before, TableAgreed(table()), after), switch)
-    assert joined.handle(1, TimerDue("agree/known/1")) == [before, LogLine("switched"), after]
-    assert switch.events == [TableAgreed(table())]
+    switchover = RecordingMachine(LogLine("switched"))
+    federation = Federation(RecordingMachine(before, TableAgreed(table()), after), switchover)
+    assert federation.handle(1, TimerDue("agree/known/1")) == [before, LogLine("switched"), after]
+    assert switchover.events == [TableAgreed(table())]
--- a/tests/federation_pure/test_agreement_model.py
+++ b/tests/federation_pure/test_agreement_model.py
@@ -1,12 +1,12 @@
-"""The model check to a depth that takes seconds; bench/agreement_model.py goes deeper."""
+"""Model checking of the agreement to a depth that takes seconds; bench/agreement_model.py goes deeper."""
 
 from __future__ import annotations
 
 import pytest
-import test_agreement_bugs as bugs
-from agreement_model import Broken, beginnings, explore_all
+import test_agreement_bugs as faults
+from agreement_model import InvariantViolated, beginnings, explore_all
 
-# crashes, doubles, timers that are due; depth; states there are at least
+# crashes, duplicated frames, timer firings; depth; smallest number of states
 RUNS = {
     "from nothing": ((1, 1, 2), 4, 2_000),
     "from each step": ((1, 1, 1), 2, 3_000),
@@ -16,25 +16,25 @@
 
 @pytest.mark.parametrize("name", RUNS)
 def test_every_order_to_a_depth(name):
-    budget, depth, least = RUNS[name]
+    budget, depth, min_states = RUNS[name]
     visited = explore_all(beginnings(*budget)[name], depth)
     print(f"{name}: {visited}")
-    assert visited.depth == depth and visited.states >= least, visited
+    assert visited.depth == depth and visited.states >= min_states, visited
     assert visited.agreed or name == "from nothing", visited
 
 
 @pytest.mark.parametrize(
-    "plant",
+    "seed_fault",
     [
-        bugs.words_not_carried_over,
-        bugs.claim_not_carried_over,
-        bugs.half_is_a_majority,
-        bugs.turned_down_before_it_is_decided,
-        bugs.agreed_before_it_is_decided,
+        faults.accepted_votes_not_adopted,
+        faults.claim_not_adopted,
+        faults.half_is_a_majority,
+        faults.rejected_before_it_is_decided,
+        faults.agreed_before_it_is_decided,
     ],
 )
-def test_a_planted_bug_is_found(plant, monkeypatch):
-    begins = beginnings(0, 0, 1)["from each step, its frames lost"]
-    plant(monkeypatch)
-    with pytest.raises(Broken):
-        explore_all(begins, 5)
+def test_a_seeded_fault_is_found(seed_fault, monkeypatch):
+    initial_states = beginnings(0, 0, 1)["from each step, its frames lost"]
+    seed_fault(monkeypatch)
+    with pytest.raises(InvariantViolated):
+        explore_all(initial_states, 5)
--- a/tests/federation_pure/test_agreement_schedules.py
+++ b/tests/federation_pure/test_agreement_schedules.py
@@ -1,14 +1,14 @@
-"""Random schedules, two hundred of the thousand that are played by hand: see agreement_schedules."""
+"""Random schedules: two hundred seeds of agreement_schedules."""
 
 from __future__ import annotations
 
 import pytest
 from agreement_schedules import play
 
-PARTS, EACH = 8, 25
+PART_COUNT, SEEDS_EACH = 8, 25
 
 
-@pytest.mark.parametrize("part", range(PARTS))
-def test_schedules_come_to_one_end(part):
-    agreed = sum(len(play(seed).agreed) - 1 for seed in range(part * EACH, (part + 1) * EACH))
-    assert agreed >= EACH
+@pytest.mark.parametrize("part", range(PART_COUNT))
+def test_schedules_settle(part):
+    agreed = sum(len(play(seed).agreed) - 1 for seed in range(part * SEEDS_EACH, (part + 1) * SEEDS_EACH))
+    assert agreed >= SEEDS_EACH
--- a/tests/federation_pure/test_table.py
+++ b/tests/federation_pure/test_table.py
@@ -1,4 +1,4 @@
-"""The table's document is read strictly, and what may not follow the table in force is named by its place."""
+"""The table's document is parsed strictly; a table that may not follow is rejected by field."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import pytest
 
 from madderbeam.federation.errors import TableUnfit
-from madderbeam.federation.table import check, instances, parse, read, speakers
+from madderbeam.federation.table import check, instances, parse, participants, read
 from madderbeam.federation.values import MemberRow, Table
 from madderbeam.membership.values import MemberId
 
 
-def first() -> dict:
+def first_document() -> dict:
     return {
         "number": 1,
         "sites": {
@@ -24,12 +24,12 @@
     }
 
 
-def second(**changed) -> Table:
-    return read({**first(), "number": 2, **changed})
+def second_table(**changed) -> Table:
+    return read({**first_document(), "number": 2, **changed})
 
 
-def test_what_is_written_is_read_back():
-    table = read({**first(), "off": ["x/y"]})
+def test_a_document_is_read_back_as_written():
+    table = read({**first_document(), "off": ["x/y"]})
     assert read(table.document()) == table
     assert parse(json.dumps(table.document())) == table
     assert table.voters == (MemberId("macon", "m1"), MemberId("macon", "m2"), MemberId("savannah", "m1"))
@@ -39,7 +39,7 @@
     return {"sites": {"macon": {"m1": {"address": "10.0.0.1:7000", **macon}}}}
 
 
-UNFIT = [
+MALFORMED = [
     ({"number": 0}, "number is 0; allowed: whole numbers"),
     ({"number": True}, "number is True"),
     ({"number": None}, "number is not given"),
@@ -63,33 +63,42 @@
 ]
 
 
-@pytest.mark.parametrize(("changed", "told"), UNFIT, ids=[t for _, t in UNFIT])
-def test_unfit_documents_are_told_by_field_and_allowed_values(changed, told):
+@pytest.mark.parametrize(("changed", "message"), MALFORMED, ids=[t for _, t in MALFORMED])
+def test_malformed_documents_are_rejected_with_field_and_allowed_values(changed, message):
     with pytest.raises(TableUnfit) as caught:
-        read({**first(), **changed})
-    assert told in str(caught.value) and "\n" not in str(caught.value)
+        read({**first_document(), **changed})
+    assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_two_owners_in_a_file_are_found():
-    text = json.dumps(first()).replace('"2": "savannah"', '"1": "savannah"')
+def test_a_destination_with_two_owners_in_a_file_is_rejected():
+    text = json.dumps(first_document()).replace('"2": "savannah"', '"1": "savannah"')
     with pytest.raises(TableUnfit, match="1 stands twice"):
         parse(text)
     with pytest.raises(TableUnfit, match="no JSON"):
         parse("{")
 
 
-def without(document: dict, site: str) -> dict:
+def sites_without(document: dict, site: str) -> dict:
     return {s: rows for s, rows in document["sites"].items() if s != site}
 
 
 SAVANNAH = {"m1": {"address": "10.0.0.2:7000"}}
-REFUSED = [
+REJECTED = [
     ({"number": 3}, "number", "the next one is 2"),
     ({"owners": {"1": "macon", "2": "atlanta"}}, "owners.2", "atlanta is not a site"),
     ({"owners": {"1": "macon"}}, "owners.2", "no owner; savannah was it"),
-    ({"sites": {**first()["sites"], "savannah": SAVANNAH}}, "sites.savannah.m1", "address of macon/m2"),
     (
-        {"sites": {**first()["sites"], "savannah": {"m1": {"address": "10.0.1.1:7000", "votes": False}}}},
+        {"sites": {**first_document()["sites"], "savannah": SAVANNAH}},
+        "sites.savannah.m1",
+        "address of macon/m2",
+    ),
+    (
+        {
+            "sites": {
+                **first_document()["sites"],
+                "savannah": {"m1": {"address": "10.0.1.1:7000", "votes": False}},
+            }
+        },
         "sites.savannah",
         "loses its last voter",
     ),
@@ -98,28 +107,30 @@
 ]
 
 
-@pytest.mark.parametrize(("changed", "place", "told"), REFUSED, ids=[p + " " + t for _, p, t in REFUSED])
-def test_what_may_not_follow_is_refused_by_place(changed, place, told):
-    refused = check(second(**changed), read(first()))
-    assert refused is not None and refused.place == place and told in str(refused)
+@pytest.mark.parametrize(("changed", "place", "message"), REJECTED, ids=[p + " " + t for _, p, t in REJECTED])
+def test_a_table_that_may_not_follow_is_rejected_with_the_place(changed, place, message):
+    refused = check(second_table(**changed), read(first_document()))
+    assert refused is not None and refused.place == place and message in str(refused)
 
 
-def test_no_voter_and_a_member_twice_are_refused():
-    before = read(first())
-    mute = {s: tuple(replace(r, votes=False) for r in rows) for s, rows in before.sites.items()}
-    assert "no member votes" in str(check(replace(before, number=2, sites=mute), before))
-    twice = {**before.sites, "macon": (*before.sites["macon"], MemberRow("m1", ("10.0.0.9", 1)))}
-    assert check(replace(before, number=2, sites=twice), before).place == "sites.macon.m1"
+def test_no_voter_and_a_duplicated_member_are_rejected():
+    previous = read(first_document())
+    non_voting = {s: tuple(replace(r, votes=False) for r in rows) for s, rows in previous.sites.items()}
+    assert "no member votes" in str(check(replace(previous, number=2, sites=non_voting), previous))
+    duplicated = {**previous.sites, "macon": (*previous.sites["macon"], MemberRow("m1", ("10.0.0.9", 1)))}
+    assert check(replace(previous, number=2, sites=duplicated), previous).place == "sites.macon.m1"
 
 
-def test_a_site_all_of_whose_members_are_off_has_no_word():
-    before = read(first())
-    table = second(sites=without(first(), "savannah"), owners={"1": "macon", "2": "macon"})
-    assert instances(table, before) == ("macon", "savannah")
-    off = replace(table, off=frozenset({MemberId("savannah", "m1")}))
-    assert check(off, before) is None and instances(off, before) == ("macon",)
-    assert speakers(replace(second(), off=frozenset({MemberId("macon", "m1")})), before, "macon") == (
-        MemberId("macon", "m2"),
+def test_a_site_all_of_whose_members_are_off_has_no_vote():
+    previous = read(first_document())
+    table = second_table(
+        sites=sites_without(first_document(), "savannah"), owners={"1": "macon", "2": "macon"}
     )
-    moved = second(sites={"macon": {"m3": {"address": "10.0.0.3:7000"}}}, off=["macon/m1", "macon/m2"])
-    assert speakers(moved, before, "macon") == (MemberId("macon", "m3"),)
+    assert instances(table, previous) == ("macon", "savannah")
+    off = replace(table, off=frozenset({MemberId("savannah", "m1")}))
+    assert check(off, previous) is None and instances(off, previous) == ("macon",)
+    assert participants(
+        replace(second_table(), off=frozenset({MemberId("macon", "m1")})), previous, "macon"
+    ) == (MemberId("macon", "m2"),)
+    moved = second_table(sites={"macon": {"m3": {"address": "10.0.0.3:7000"}}}, off=["macon/m1", "macon/m2"])
+    assert participants(moved, previous, "macon") == (MemberId("macon", "m3"),)
