--- a/madderbeam/quota/__init__.py
+++ b/madderbeam/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Nested quotas with borrowing: decisions alone, no I/O; time comes in with each call."""
+"""Nested quotas: who may send how much per second and per hour, with borrowing. No I/O."""
--- a/madderbeam/quota/gate.py
+++ b/madderbeam/quota/gate.py
@@ -1,6 +1,6 @@
-"""Which node of the tree a message counts at, and what its front is told. Pure.
+"""Admission by quotas: the node at which a message counts, and the verdict for its client. No I/O.
 
-The tree is made from plain data (`quota` of a courier's rendered file): a list of nodes, parents first. A
+The tree is built from plain data (`quota` of a courier's rendered file): a list of nodes, parents first. A
 message counts at the node of its tenant and class, else of its tenant, else of its class, else at the root.
 """
 
@@ -12,29 +12,46 @@
 from typing import Any
 
 from madderbeam.quota.credits import Credit, Credits
-from madderbeam.quota.leased import Leased
+from madderbeam.quota.leased import LeasedLimits
 from madderbeam.quota.split import FILLING, HOUR, NEVER, Part, Split
-from madderbeam.quota.tree import DIMENSIONS, NONE, Limit, Limits, Never, Node, Passed, Refused, Tree, Use
+from madderbeam.quota.tree import (
+    DIMENSIONS,
+    NONE,
+    Limit,
+    Limits,
+    NeverFits,
+    Node,
+    Passed,
+    Rejected,
+    Tree,
+    UsageRow,
+)
 
 FIELDS = ("messages_per_s", "bytes_per_s", "messages_per_h", "bytes_per_h")
 BURSTS = {"messages_per_s": "burst_messages", "bytes_per_s": "burst_bytes"}
-BORROWED_WEIGHT = 0.25  # a message on borrowed room counts for so much of its worth, against the others held
-CROWDED = 0.5  # on borrowed room nothing is taken while more of the places is taken than this
-CROWDED_US = 1_000_000  # and one that would have borrowed comes back after this at the soonest
-LEASES_US = 2_000_000  # by leases one comes back after this at the latest: they may have moved
-KNOWN_MOST = 100_000  # pairs of tenant and class whose credits are kept
-SAVED_PART = 64  # state is saved before more than this part of an hour's bucket has gone since
-JITTER = 0.25  # of a time to come back, beyond it
-FORM = 1
+# factor on the priority weight of a message that borrows, relative to the other pending ones
+BORROWED_WEIGHT = 0.25
+BORROWING_PENDING_FRACTION_MAX = (
+    0.5  # no borrowing while more than this fraction of the pending capacity is in use
+)
+BORROWING_RETRY_AFTER_MIN_US = 1_000_000  # least Retry-After of a message that would have borrowed
+LEASED_RETRY_AFTER_MAX_US = 2_000_000  # most Retry-After with leases, since they may have changed by then
+CREDITS_MAX = 100_000  # pairs of tenant and class whose credits are remembered
+SAVED_PART = 64  # the state is saved before more than the bucket of an hourly limit divided by this is used
+RETRY_AFTER_JITTER = 0.25  # greatest fraction that is added to Retry-After
+FORMAT_VERSION = 1
 
 
 class QuotaError(ValueError):
-    """A tree that can't be; one line that names node and field."""
+    """The tree is invalid; one line that names node and field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What becomes of a message. `after_us` of one that is refused; `why` of one that can never pass."""
+    """Whether a message passes.
+
+    `after_us`: Retry-After of a rejected one; `why`: reason if it can never pass.
+    """
 
     passed: bool
     borrowed: bool = False
@@ -43,7 +60,7 @@
 
     @property
     def weight(self) -> float:
-        """Of its worth, against the others held."""
+        """Factor on its priority weight, relative to the other pending messages."""
         return BORROWED_WEIGHT if self.borrowed else 1.0
 
 
@@ -51,242 +68,268 @@
 
 
 def limits(raw: Mapping[str, Any], reserved: Mapping[str, Any], parts: int) -> Limits:
-    """Limits as they are written, for one of so many couriers."""
-    found: list[Limit | None] = []
+    """The limits in a configuration, for one of `parts` couriers."""
+    parsed: list[Limit | None] = []
     for name in FIELDS:
         if name not in raw:
-            found.append(None)
+            parsed.append(None)
             continue
         amount = max(1, int(raw[name]) // parts)
-        kept = min(amount, int(reserved.get(name, 0)) // parts)
+        reserved_amount = min(amount, int(reserved.get(name, 0)) // parts)
         burst = int(raw.get(BURSTS.get(name, ""), 0)) // parts
-        found.append(Limit(amount, burst, kept))
-    return (found[0], found[1], found[2], found[3])
+        parsed.append(Limit(amount, burst, reserved_amount))
+    return (parsed[0], parsed[1], parsed[2], parsed[3])
 
 
 class Gate:
-    """Counts what is handed in. Times are a monotonic clock's microseconds."""
+    """Counts the messages that clients send. Times are microseconds of a monotonic clock."""
 
     def __init__(
-        self, raw: Mapping[str, Any], now: int, chance: random.Random, places: int, leased: bool = False
+        self, raw: Mapping[str, Any], now_us: int, rng: random.Random, max_pending: int, leased: bool = False
     ) -> None:
-        """QuotaError for a tree that can't be. `places`: messages that may be held. `leased`: limits are by
-        leases, in place of equal parts."""
-        self.random, self.places = chance, places
-        self.by: dict[tuple[str, str], Node] = {}
+        """Raises QuotaError for an invalid tree.
+
+        `max_pending`: most messages that may be pending. `leased`: the limits are divided by leases instead
+        of equally.
+        """
+        self.rng, self.max_pending = rng, max_pending
+        self.node_by_sender: dict[tuple[str, str], Node] = {}
         couriers = int(raw.get("couriers", 1))
         parts = 1 if leased else couriers
         nodes: dict[str, Node] = {}
-        self.tree = Tree(NONE, now)
-        if raw.get("form") != FORM:
-            raise QuotaError(f"quota.form: must be {FORM}")
-        for n, row in enumerate(raw.get("nodes", ())):
+        self.tree = Tree(NONE, now_us)
+        if raw.get("form") != FORMAT_VERSION:
+            raise QuotaError(f"quota.form: must be {FORMAT_VERSION}")
+        for index, row in enumerate(raw.get("nodes", ())):
             try:
-                nodes[row["name"]] = self._node(row, nodes, parts, now)
+                nodes[row["name"]] = self._node(row, nodes, parts, now_us)
             except (KeyError, TypeError) as error:
-                raise QuotaError(f"quota.nodes[{n}]: {error!r} lacks or can't be used") from None
+                raise QuotaError(f"quota.nodes[{index}]: {error!r} lacks or can't be used") from None
             except ValueError as error:
                 raise QuotaError(f"quota: {error}") from None
         self.credits = Credits(self.tree)
-        self.known: dict[tuple[str, str], Credit] = {}
-        self.leased = Leased(self.tree, couriers, now) if leased else None
-        self.due = False  # so much of an hour's limit has gone that the state must be saved again
+        self.credit_by_sender: dict[tuple[str, str], Credit] = {}
+        self.leased = LeasedLimits(self.tree, couriers, now_us) if leased else None
+        self.due = False  # so much of an hourly limit is used that the state must be saved again
 
-    def _node(self, row: Mapping[str, Any], nodes: Mapping[str, Node], parts: int, now: int) -> Node:
+    def _node(self, row: Mapping[str, Any], nodes: Mapping[str, Node], parts: int, now_us: int) -> Node:
         own = limits(row.get("limit", {}), {}, parts)
         if not row.get("parent"):
-            node = self.tree.add(self.tree.root, row["name"], NONE, own, now)
+            node = self.tree.add(self.tree.root, row["name"], NONE, own, now_us)
         else:
             share = limits(row.get("share", {}), row.get("reserved", {}), parts)
-            node = self.tree.add(nodes[row["parent"]], row["name"], share, own, now)
+            node = self.tree.add(nodes[row["parent"]], row["name"], share, own, now_us)
         tenants, classes = row.get("tenants") or [""], row.get("classes") or [""]
         if tenants != [""] or classes != [""]:
             for tenant in tenants:
-                for cls in classes:
-                    self.by[tenant, cls] = node
+                for class_name in classes:
+                    self.node_by_sender[tenant, class_name] = node
         return node
 
-    def node(self, tenant: str, cls: str) -> Node:
-        """Where a message counts."""
-        for key in ((tenant, cls), (tenant, ""), ("", cls)):
-            if (found := self.by.get(key)) is not None:
+    def node(self, tenant: str, class_name: str) -> Node:
+        """The node at which a message counts."""
+        for key in ((tenant, class_name), (tenant, ""), ("", class_name)):
+            if (found := self.node_by_sender.get(key)) is not None:
                 return found
         return self.tree.root
 
-    def admit(self, tenant: str, cls: str, size: int, held: int, now: int) -> Verdict:
-        """A message of so many bytes; `held`: how many places are taken. What passes is counted at once,
-        and once: attempts do not count, one that is handed in again after a refusal counts as it passes."""
-        credit = self.known.get((tenant, cls)) or self._credit(tenant, cls)
-        credit.asked += 1
-        credit.asked_bytes += size
-        if credit.left and size <= credit.bytes and now < credit.until:
-            credit.left -= 1
-            credit.bytes -= size
+    def admit(self, tenant: str, class_name: str, size: int, held: int, now_us: int) -> Verdict:
+        """Decide on a message of `size` bytes; `held`: how many messages are pending.
+
+        A message that passes is counted at once, and only once: attempts do not count, and one that is sent
+        again after a rejection counts when it passes.
+        """
+        credit = self.credit_by_sender.get((tenant, class_name)) or self._credit(tenant, class_name)
+        credit.demand_messages += 1
+        credit.demand_bytes += size
+        if credit.messages_left and size <= credit.bytes_left and now_us < credit.until_us:
+            credit.messages_left -= 1
+            credit.bytes_left -= size
             return PASSED
-        self.due_leases(now)
-        until = NEVER if self.leased is None else self.leased.until
-        if self.credits.draw(credit, size, now, until):
-            self._count(credit.node)
+        self.due_leases(now_us)
+        until_us = NEVER if self.leased is None else self.leased.next_expiry_us
+        if self.credits.draw(credit, size, now_us, until_us):
+            self._check_saved(credit.node)
             return PASSED
-        return self._ask(credit, size, held, now)
-
-    def _credit(self, tenant: str, cls: str) -> Credit:
-        if len(self.known) >= KNOWN_MOST:
-            self.known = {key: credit for key, credit in self.known.items() if credit.plan is not None}
-        credit = self.known[tenant, cls] = Credit(self.node(tenant, cls))
+        return self._admit_by_tree(credit, size, held, now_us)
+
+    def _credit(self, tenant: str, class_name: str) -> Credit:
+        if len(self.credit_by_sender) >= CREDITS_MAX:
+            self.credit_by_sender = {
+                key: credit for key, credit in self.credit_by_sender.items() if credit.plan is not None
+            }
+        credit = self.credit_by_sender[tenant, class_name] = Credit(self.node(tenant, class_name))
         return credit
 
-    def _ask(self, credit: Credit, size: int, held: int, now: int) -> Verdict:
-        """The tree, for this message alone. Nothing is refused before all credits have come back."""
-        lend = held <= CROWDED * self.places
-        found = self.tree.admit(credit.node, size, now, lend)
-        if not isinstance(found, Passed) and self.credits.recall(now):
-            found = self.tree.admit(credit.node, size, now, lend)
-        if isinstance(found, Passed):
-            self._count(credit.node)
-            return Verdict(True, found.borrowed)
-        least = 0 if lend else CROWDED_US
+    def _admit_by_tree(self, credit: Credit, size: int, held: int, now_us: int) -> Verdict:
+        """Decide by the tree, for this message alone. Nothing is rejected before all credits are returned."""
+        may_borrow = held <= BORROWING_PENDING_FRACTION_MAX * self.max_pending
+        result = self.tree.admit(credit.node, size, now_us, may_borrow)
+        if not isinstance(result, Passed) and self.credits.return_all(now_us):
+            result = self.tree.admit(credit.node, size, now_us, may_borrow)
+        if isinstance(result, Passed):
+            self._check_saved(credit.node)
+            return Verdict(True, result.borrowed)
+        least_after_us = 0 if may_borrow else BORROWING_RETRY_AFTER_MIN_US
         if self.leased is not None:
             credit.largest = max(credit.largest, size)
-            never = self.leased.never(credit.node, size) if isinstance(found, Never) else None
-            after_us = LEASES_US if isinstance(found, Never) else min(found.after_us, LEASES_US)
-            found = never or Refused("", "", after_us)
-        if isinstance(found, Never):
+            never = self.leased.never_fits(credit.node, size) if isinstance(result, NeverFits) else None
+            after_us = (
+                LEASED_RETRY_AFTER_MAX_US
+                if isinstance(result, NeverFits)
+                else min(result.after_us, LEASED_RETRY_AFTER_MAX_US)
+            )
+            result = never or Rejected("", "", after_us)
+        if isinstance(result, NeverFits):
             return Verdict(
-                False, why=f"{size} bytes can never pass {found.node}: at most {found.most} {found.dimension}"
+                False,
+                why=f"{size} bytes can never pass {result.node}: at most {result.most} {result.dimension}",
             )
-        return Verdict(False, after_us=self._spread(max(found.after_us, least)))
+        return Verdict(False, after_us=self._with_jitter(max(result.after_us, least_after_us)))
 
-    def _spread(self, after_us: int) -> int:
-        """At that time it would pass if nothing else came; a flood's clients come one after the other."""
-        return after_us + int(self.random.uniform(0, JITTER) * (after_us + 200_000))
+    def _with_jitter(self, after_us: int) -> int:
+        """When the message would pass if nothing else came, with jitter to spread the clients of a flood."""
+        return after_us + int(self.rng.uniform(0, RETRY_AFTER_JITTER) * (after_us + 200_000))
 
-    # State that outlasts the process
+    # Durable state
 
-    def _count(self, node: Node) -> None:
-        """Look at the hours' limits on the way of a message that passed."""
-        for _, ways in node.ways or ():
+    def _check_saved(self, node: Node) -> None:
+        """Check whether a message used so much of an hourly limit that the state has to be saved."""
+        for _, ways in node.limits_by_dimension or ():
             for split, part in ways:
-                if split.per != HOUR:
+                if split.period != HOUR:
                     continue
-                gone = split.mark - split.pool > split.holds // SAVED_PART
+                is_due = split.saved_level - split.pool > split.capacity // SAVED_PART
                 if part is not None:
-                    whole = part.holds + part.reserved.holds
-                    gone = gone or part.mark - part.level - part.reserved.level > whole // SAVED_PART
-                self.due = self.due or gone
+                    capacity = part.capacity + part.reserved.capacity
+                    is_due = (
+                        is_due or part.saved_level - part.level - part.reserved.level > capacity // SAVED_PART
+                    )
+                self.due = self.due or is_due
 
     # Leases
 
-    def allot(self, name: str, amount: float, until: int, after: float, now: int) -> None:
-        """This courier's part of a node's limits until then, `after` from then on."""
+    def allot(self, name: str, amount: float, until_us: int, fallback: float, now_us: int) -> None:
+        """Set this courier's fraction of a node's limits until `until_us`; from then on it is `fallback`."""
         if self.leased is not None:
-            self.credits.recall(now)
-            self.leased.allot(name, amount, until, after, now)
+            self.credits.return_all(now_us)
+            self.leased.allot(name, amount, until_us, fallback, now_us)
 
-    def due_leases(self, now: int) -> None:
-        """Leases that have ended are not used, nor what was drawn under them."""
-        if self.leased is not None and now >= self.leased.until:
-            self.credits.recall(now)
-            self.leased.due(now)
+    def due_leases(self, now_us: int) -> None:
+        """Drop leases that have expired, and the credits drawn under them."""
+        if self.leased is not None and now_us >= self.leased.next_expiry_us:
+            self.credits.return_all(now_us)
+            self.leased.expire(now_us)
 
     def asked(self) -> dict[str, tuple[int, int, int]]:
-        """What was handed in at each leased node since it was asked last, refused or not: messages, bytes,
-        and bytes of the largest that was refused."""
+        """The messages sent at each leased node since the last call, rejected or not.
+
+        By node: messages, bytes, and the bytes of the largest message that was rejected.
+        """
         found: dict[str, tuple[int, int, int]] = {}
-        for credit in self.known.values():
-            node: Node | None = credit.node if credit.asked else None
+        for credit in self.credit_by_sender.values():
+            node: Node | None = credit.node if credit.demand_messages else None
             while node is not None and self.leased is not None:
                 if node.name in self.leased.lots:
                     messages, size, largest = found.get(node.name, (0, 0, 0))
                     found[node.name] = (
-                        messages + credit.asked,
-                        size + credit.asked_bytes,
+                        messages + credit.demand_messages,
+                        size + credit.demand_bytes,
                         max(largest, credit.largest),
                     )
                 node = node.parent
-            credit.asked = credit.asked_bytes = credit.largest = 0
+            credit.demand_messages = credit.demand_bytes = credit.largest = 0
         return found
 
-    def dump(self, now: int) -> list[list[Any]]:
-        """Levels and debts of the hours' limits, by node and dimension."""
+    def dump(self, now_us: int) -> list[list[Any]]:
+        """Levels and debts of the hourly limits, by node and dimension, as rows that `restore` reads."""
         rows: list[list[Any]] = []
         for node in self.tree.nodes():
-            for at, (split, part) in enumerate(zip(node.splits, node.parts, strict=True)):
-                if DIMENSIONS[at][1] != HOUR:
+            for dimension, (split, part) in enumerate(zip(node.splits, node.parts, strict=True)):
+                if DIMENSIONS[dimension][1] != HOUR:
                     continue
                 if split is not None:
-                    split.settle(now)
-                    rows.append([node.path, at, "pool", split.pool])
+                    split.advance(now_us)
+                    rows.append([node.path, dimension, "pool", split.pool])
                 if part is not None and node.parent is not None:
-                    above = node.parent.splits[at]
+                    above = node.parent.splits[dimension]
                     assert above is not None
-                    time = above.settle(now)
-                    levels = part.own(time), part.owes(time), part.reserved.at(time)
-                    rows.append([node.path, at, "part", *levels, part.borrowed])
-        self.mark()
+                    time_us = above.advance(now_us)
+                    levels = (
+                        part.bucket_level(time_us),
+                        part.debt_at(time_us),
+                        part.reserved.level_at(time_us),
+                    )
+                    rows.append([node.path, dimension, "part", *levels, part.borrowed])
+        self.mark_saved()
         return rows
 
-    def mark(self) -> None:
-        """What stands now is saved."""
+    def mark_saved(self) -> None:
+        """Remember the current levels as saved."""
         self.due = False
         for node in self.tree.nodes():
             for split in node.splits:
-                if split is not None and split.per == HOUR:
-                    split.mark = split.pool
+                if split is not None and split.period == HOUR:
+                    split.saved_level = split.pool
                     for part in split.parts:
-                        part.mark = part.level + part.reserved.level
-
-    def restore(self, rows: Iterable[Sequence[Any]], elapsed_us: int, now: int) -> None:
-        """Go on from what was saved so long ago. In the careful direction: what may have gone since
-        without being saved counts as gone. What does not fit (limits have changed) is cut to what there is
-        now; debts stay."""
-        for node in self.tree.nodes():  # what went in the last seconds was never saved: they begin empty
-            for at, split in enumerate(node.splits):
-                if split is not None and DIMENSIONS[at][1] != HOUR:
-                    time = split.settle(now)
+                        part.saved_level = part.level + part.reserved.level
+
+    def restore(self, rows: Iterable[Sequence[Any]], elapsed_us: int, now_us: int) -> None:
+        """Continue from rows that were saved `elapsed_us` ago.
+
+        It errs on the safe side: what may have been used since the save counts as used. Levels above the
+        current limits are cut, debts stay.
+        """
+        for node in self.tree.nodes():  # usage of the last seconds is never saved: those buckets start empty
+            for dimension, split in enumerate(node.splits):
+                if split is not None and DIMENSIONS[dimension][1] != HOUR:
+                    time_us = split.advance(now_us)
                     split.pool = 0
                     for part in split.parts:
-                        _set_part(split, part, 0, 0, 0, time)
-        known = {(node.path, at): node for node in self.tree.nodes() for at in range(4)}
+                        _set_part(split, part, 0, 0, 0, time_us)
+        known = {(node.path, dimension): node for node in self.tree.nodes() for dimension in range(4)}
         for row in rows:
             named = known.get((row[0], row[1]))
             if named is None:
                 continue
             split, part = named.splits[row[1]], named.parts[row[1]]
             if row[2] == "pool" and split is not None:
-                split.settle(now)
-                gone = split.holds // SAVED_PART
-                split.pool = max(0, min(split.pool_holds, int(row[3]) - gone + split.free * elapsed_us))
+                split.advance(now_us)
+                maybe_used = split.capacity // SAVED_PART
+                split.pool = max(
+                    0, min(split.pool_capacity, int(row[3]) - maybe_used + split.unshared_rate * elapsed_us)
+                )
             elif row[2] == "part" and part is not None and named.parent is not None:
                 above = named.parent.splits[row[1]]
                 assert above is not None
-                most = part.most_debt if self.leased is None else self.leased.most_debt(above, part)
-                _restore_part(above, part, row, elapsed_us, now, most)
-        self.mark()
+                debt_max = part.debt_max if self.leased is None else self.leased.most_debt(above, part)
+                _restore_part(above, part, row, elapsed_us, now_us, debt_max)
+        self.mark_saved()
 
-    def use(self, now: int) -> list[Use]:
-        self.credits.recall(now)
-        return list(self.tree.use(now))
+    def use(self, now_us: int) -> list[UsageRow]:
+        """Usage by node, with all credits returned."""
+        self.credits.return_all(now_us)
+        return list(self.tree.use(now_us))
 
 
-def _set_part(split: Split, part: Part, level: int, debt: int, reserved: int, time: int) -> None:
-    """A part as it stands from then on."""
+def _set_part(split: Split, part: Part, level: int, debt: int, reserved: int, time_us: int) -> None:
+    """Set the levels and the debt of a part as of `time_us`."""
     if part.state != FILLING:
-        split.flowing -= part.rate
-    part.level, part.debt, part.since = level, debt, time
-    part.reserved.level, part.reserved.since = reserved, time
-    part.state, part.pending = FILLING, NEVER
-    split._enter(part)
+        split.pool_inflow -= part.rate
+    part.level, part.debt, part.since_us = level, debt, time_us
+    part.reserved.level, part.reserved.since_us = reserved, time_us
+    part.state, part.next_check_us = FILLING, NEVER
+    split._set_state(part)
 
 
 def _restore_part(
-    split: Split, part: Part, row: Sequence[Any], elapsed_us: int, now: int, most_debt: int
+    split: Split, part: Part, row: Sequence[Any], elapsed_us: int, now_us: int, debt_max: int
 ) -> None:
-    time = split.settle(now)
-    gone = (part.holds + part.reserved.holds) // SAVED_PART
-    earned, owed = part.rate * elapsed_us, int(row[4])
-    level = max(0, min(part.holds, int(row[3]) + max(0, earned - owed) - gone))
-    reserved = max(0, min(part.reserved.holds, int(row[5]) + part.reserved.rate * elapsed_us - gone))
-    debt = max(0, min(most_debt, owed) - earned)
-    _set_part(split, part, level, debt, reserved, time)
+    time_us = split.advance(now_us)
+    maybe_used = (part.capacity + part.reserved.capacity) // SAVED_PART
+    earned, saved_debt = part.rate * elapsed_us, int(row[4])
+    level = max(0, min(part.capacity, int(row[3]) + max(0, earned - saved_debt) - maybe_used))
+    reserved = max(0, min(part.reserved.capacity, int(row[5]) + part.reserved.rate * elapsed_us - maybe_used))
+    debt = max(0, min(debt_max, saved_debt) - earned)
+    _set_part(split, part, level, debt, reserved, time_us)
     part.borrowed, part.repaid = int(row[6]), int(row[6]) - debt
--- a/madderbeam/quota/leased.py
+++ b/madderbeam/quota/leased.py
@@ -1,10 +1,10 @@
-"""A tree whose limits are this courier's leases: each node's are scaled by its part of the whole.
+"""A tree whose limits are divided by leases: each node's limits are scaled by this courier's fraction.
 
-A part of a limit scales its rate, its bucket and the shares of the node's children alike, in whole units
-rounded down: over all couriers no limit's rate is passed. Levels move with nothing: what a courier's bucket
-holds too much as its part falls is gone, and one whose part grows fills by its rate. A bucket holds one
-message (and `LEAST_BYTES`) at least while its part is not nought, or nothing could pass where many need
-little. Debts stay; they are paid by what the share earns now.
+A fraction scales a limit's rate, its buckets and the shares of the node's children alike, in whole units
+rounded down: so over all couriers no limit's rate is exceeded. Levels are not transferred: what a bucket
+holds beyond its capacity as the fraction falls is lost, and one whose fraction grows fills by its rate. A
+bucket holds at least one message (and `CAPACITY_MIN_BYTES`) while its fraction is above 0, or nothing could
+pass where many couriers need little. Debts stay, and are paid from what the share earns now.
 """
 
 from __future__ import annotations
@@ -12,153 +12,176 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from madderbeam.quota.split import FILLING, NEVER, UNIT, Part, Split
-from madderbeam.quota.tree import DIMENSIONS, Never, Node, Tree, levels
+from madderbeam.quota.split import FILLING, NEVER, UNITS_EACH, Part, Split
+from madderbeam.quota.tree import DIMENSIONS, NeverFits, Node, Tree, levels
 
-ONE = 1 << 20  # a whole limit
-NODES_MOST = 64  # the first by depth; the rest has equal parts
-LEAST_BYTES = 16_384
+WHOLE_LIMIT = 1 << 20  # the fraction of a whole limit
+LEASED_NODES_MAX = 64  # the first by depth; the others are divided equally
+CAPACITY_MIN_BYTES = 16_384
 
 
 @dataclass
-class Base:
-    """A limit as it is for all couriers together; `parts`: of its children, the same."""
+class UnscaledLimit:
+    """A limit for all couriers together.
+
+    `parts`: those of its children, with their unscaled rates and capacities.
+    """
 
     split: Split
-    least: int  # units that its bucket holds at least
+    capacity_min: int  # least capacity of its bucket, in level units
     rate: int
-    holds: int
+    capacity: int
     parts: list[tuple[Part, int, int, int, int, int]]
 
     @classmethod
-    def of(cls, split: Split, at: int) -> Base:
-        parts = [(p, p.reserved.rate, p.reserved.holds, p.rate, p.holds, p.most_debt) for p in split.parts]
-        least = UNIT if at % 2 == 0 else LEAST_BYTES * UNIT
-        return cls(split, min(split.holds, least), split.rate, split.holds, parts)
-
-    def scale(self, k: int, now: int) -> None:
-        """From now on a part `k` of ONE."""
+    def of(cls, split: Split, dimension: int) -> UnscaledLimit:
+        """The unscaled limit; `dimension` is the index in DIMENSIONS."""
+        parts = [
+            (part, part.reserved.rate, part.reserved.capacity, part.rate, part.capacity, part.debt_max)
+            for part in split.parts
+        ]
+        capacity_min = UNITS_EACH if dimension % 2 == 0 else CAPACITY_MIN_BYTES * UNITS_EACH
+        return cls(split, min(split.capacity, capacity_min), split.rate, split.capacity, parts)
+
+    def scale(self, fraction: int, now_us: int) -> None:
+        """Set this courier's fraction, in WHOLE_LIMIT."""
         split = self.split
-        time = split.settle(now)
-        split.due.clear()
-        split.flowing = 0
-        split.free = split.rate = self.rate * k // ONE
-        split.holds = max(self.holds * k // ONE, self.least if k else 0)
-        split.pool_holds = split.holds
-        for part, reserved, kept, rate, holds, most_debt in self.parts:
-            paid = part.debt - part.owes(time)
+        time_us = split.advance(now_us)
+        split.checks.clear()
+        split.pool_inflow = 0
+        split.unshared_rate = split.rate = self.rate * fraction // WHOLE_LIMIT
+        split.capacity = max(self.capacity * fraction // WHOLE_LIMIT, self.capacity_min if fraction else 0)
+        split.pool_capacity = split.capacity
+        for part, reserved, reserved_capacity, rate, capacity, debt_max in self.parts:
+            paid = part.debt - part.debt_at(time_us)
             part.repaid += paid
             part.debt -= paid
-            part.level, part.since = part.own(time), time
+            part.level, part.since_us = part.bucket_level(time_us), time_us
             bucket = part.reserved
-            bucket.level, bucket.since = bucket.at(time), time
-            bucket.rate, bucket.holds = reserved * k // ONE, kept * k // ONE
-            part.rate, part.holds = rate * k // ONE, holds * k // ONE
-            part.most_debt = max(most_debt * k // ONE, min(most_debt, self.least) if k else 0)
-            bucket.level, part.level = min(bucket.level, bucket.holds), min(part.level, part.holds)
-            split.free -= bucket.rate + part.rate
-            split.pool_holds -= bucket.holds + part.holds
-            part.state, part.pending = FILLING, NEVER
-            split._enter(part)
-        split.pool = min(split.pool, split.pool_holds)
-        split.mark = min(split.mark, split.pool)
-
-    def most(self, part: Part | None) -> int:
-        """Units that could ever be taken at once, with the whole limit."""
+            bucket.level, bucket.since_us = bucket.level_at(time_us), time_us
+            bucket.rate, bucket.capacity = (
+                reserved * fraction // WHOLE_LIMIT,
+                reserved_capacity * fraction // WHOLE_LIMIT,
+            )
+            part.rate, part.capacity = rate * fraction // WHOLE_LIMIT, capacity * fraction // WHOLE_LIMIT
+            part.debt_max = max(
+                debt_max * fraction // WHOLE_LIMIT, min(debt_max, self.capacity_min) if fraction else 0
+            )
+            bucket.level, part.level = min(bucket.level, bucket.capacity), min(part.level, part.capacity)
+            split.unshared_rate -= bucket.rate + part.rate
+            split.pool_capacity -= bucket.capacity + part.capacity
+            part.state, part.next_check_us = FILLING, NEVER
+            split._set_state(part)
+        split.pool = min(split.pool, split.pool_capacity)
+        split.saved_level = min(split.saved_level, split.pool)
+
+    def ever_available(self, part: Part | None) -> int:
+        """Level units that could ever be taken at once with the whole limit."""
         if part is None:
-            return self.holds - sum(kept + holds for _, _, kept, _, holds, _ in self.parts)
-        _, _, kept, _, holds, debt = next(row for row in self.parts if row[0] is part)
-        lent = self.holds - sum(row[2] + row[4] for row in self.parts)
-        return kept + holds + (min(lent, debt) if part.shared else lent)
+            return self.capacity - sum(
+                reserved_capacity + capacity for _, _, reserved_capacity, _, capacity, _ in self.parts
+            )
+        _, _, reserved_capacity, _, capacity, debt_max = next(row for row in self.parts if row[0] is part)
+        lent = self.capacity - sum(row[2] + row[4] for row in self.parts)
+        return reserved_capacity + capacity + (min(lent, debt_max) if part.has_share else lent)
 
 
 @dataclass
-class Lot:
-    """What this courier has of a node: `k` until `until`, then `after`."""
+class LeasedNode:
+    """This courier's fraction of a node's limits, in WHOLE_LIMIT, until `until_us`; then it is `fallback`."""
 
     node: Node
-    bases: list[Base]
+    bases: list[UnscaledLimit]
     k: int = 0
-    until: int = NEVER
+    until_us: int = NEVER
     after: int = 0
 
 
-class Leased:
-    """All limits of a tree, by leases. Nothing passes before the first word."""
+class LeasedLimits:
+    """All limits of a tree, divided by leases. Nothing passes before the first lease."""
 
-    def __init__(self, tree: Tree, parts: int, now: int) -> None:
-        """`parts`: couriers, of those nodes that have no lease."""
+    def __init__(self, tree: Tree, couriers: int, now_us: int) -> None:
+        """`couriers`: how many share the nodes that have no lease."""
         self.tree = tree
-        self.lots: dict[str, Lot] = {}  # by the node's name
-        self.bases: dict[Split, Base] = {}
-        self.until = NEVER  # when the first lease ends
-        self.unleased = 0  # nodes that have equal parts
+        self.lots: dict[str, LeasedNode] = {}  # by node name
+        self.bases: dict[Split, UnscaledLimit] = {}
+        self.next_expiry_us = NEVER  # when the first lease expires
+        self.unleased = 0  # nodes that are divided equally
         for node in _by_depth(tree.root):
-            bases = [Base.of(s, at) for at, s in enumerate(node.splits) if s is not None]
+            bases = [
+                UnscaledLimit.of(split, dimension)
+                for dimension, split in enumerate(node.splits)
+                if split is not None
+            ]
             if not bases:
                 continue
             self.bases.update((base.split, base) for base in bases)
-            leased = len(self.lots) < NODES_MOST
+            is_leased = len(self.lots) < LEASED_NODES_MAX
             for base in bases:
-                base.scale(0 if leased else ONE // parts, now)
-            if leased:
-                self.lots[node.name] = Lot(node, bases)
+                base.scale(0 if is_leased else WHOLE_LIMIT // couriers, now_us)
+            if is_leased:
+                self.lots[node.name] = LeasedNode(node, bases)
             else:
                 self.unleased += 1
 
-    def allot(self, name: str, amount: float, until: int, after: float, now: int) -> None:
-        """A part of the node's limits, until then; from then on `after`."""
-        lot = self.lots.get(name)
-        if lot is None:
+    def allot(self, name: str, amount: float, until_us: int, fallback: float, now_us: int) -> None:
+        """Set the fraction of a node's limits until `until_us`; from then on it is `fallback`."""
+        lease = self.lots.get(name)
+        if lease is None:
             return
-        lot.until, lot.after = until, int(after * ONE)
-        self._set(lot, int(amount * ONE) if now < until else lot.after, now)
-        self._next(now)
+        lease.until_us, lease.after = until_us, int(fallback * WHOLE_LIMIT)
+        self._set(lease, int(amount * WHOLE_LIMIT) if now_us < until_us else lease.after, now_us)
+        self._next(now_us)
 
     def most_debt(self, split: Split, part: Part) -> int:
-        """That a part may owe with the whole limit."""
+        """The most that a part may owe with the whole limit."""
         return next(row[5] for row in self.bases[split].parts if row[0] is part)
 
-    def due(self, now: int) -> None:
-        """Leases that have ended are not used."""
-        for lot in self.lots.values():
-            if now >= lot.until:
-                self._set(lot, lot.after, now)
-        self._next(now)
-
-    def _set(self, lot: Lot, k: int, now: int) -> None:
-        if k != lot.k:
-            lot.k = k
-            for base in lot.bases:
-                base.scale(k, now)
-
-    def _next(self, now: int) -> None:
-        self.until = min((lot.until for lot in self.lots.values() if lot.until > now), default=NEVER)
-
-    def never(self, node: Node, size: int) -> Never | None:
-        """Whether it could not pass with all limits whole."""
-        for at in range(4):
-            need = UNIT if at % 2 == 0 else size * UNIT
-            for here, split, part in levels(node, at):
-                if (most := self.bases[split].most(part)) < need:
-                    return Never(here.path, " a ".join(DIMENSIONS[at]), most // UNIT)
+    def expire(self, now_us: int) -> None:
+        """Scale the limits whose leases have expired."""
+        for lease in self.lots.values():
+            if now_us >= lease.until_us:
+                self._set(lease, lease.after, now_us)
+        self._next(now_us)
+
+    def _set(self, lease: LeasedNode, fraction: int, now_us: int) -> None:
+        if fraction != lease.k:
+            lease.k = fraction
+            for base in lease.bases:
+                base.scale(fraction, now_us)
+
+    def _next(self, now_us: int) -> None:
+        self.next_expiry_us = min(
+            (lease.until_us for lease in self.lots.values() if lease.until_us > now_us), default=NEVER
+        )
+
+    def never_fits(self, node: Node, size: int) -> NeverFits | None:
+        """The limit that the message would exceed even if all limits were whole, if any."""
+        for dimension in range(4):
+            need = UNITS_EACH if dimension % 2 == 0 else size * UNITS_EACH
+            for limited_node, split, part in levels(node, dimension):
+                if (most := self.bases[split].ever_available(part)) < need:
+                    return NeverFits(limited_node.path, " a ".join(DIMENSIONS[dimension]), most // UNITS_EACH)
         return None
 
     # Needs
 
-    def wanted(self, lot: Lot, messages: float, size: float, largest: int) -> float:
-        """The part of a node's limits that takes so many messages and bytes a second, of all dimensions the
-        one that needs most (as Dominant Resource Fairness has it), and one message of `largest` bytes."""
-        found = 0.0
-        for at, split in enumerate(lot.node.splits):
+    def wanted(self, lease: LeasedNode, messages: float, size: float, largest: int) -> float:
+        """The fraction of a node's limits that this many messages and bytes per second take.
+
+        The largest of all dimensions counts (the dominant resource of Dominant Resource Fairness), and so
+        does one message of `largest` bytes.
+        """
+        fraction = 0.0
+        for dimension, split in enumerate(lease.node.splits):
             if split is None:
                 continue
             base = self.bases[split]
-            each = (messages, size)[at % 2] * UNIT / 1e6
-            found = max(found, each / base.rate)
+            units_per_us = (messages, size)[dimension % 2] * UNITS_EACH / 1e6
+            fraction = max(fraction, units_per_us / base.rate)
             if largest:
-                found = max(found, (1 if at % 2 == 0 else largest) * UNIT / base.holds)
-        return min(1.0, found)
+                fraction = max(fraction, (1 if dimension % 2 == 0 else largest) * UNITS_EACH / base.capacity)
+        return min(1.0, fraction)
 
 
 def _by_depth(root: Node) -> Iterator[Node]:
--- a/madderbeam/quota/split.py
+++ b/madderbeam/quota/split.py
@@ -1,285 +1,317 @@
 """One limit of one node, and how it is split among the node's children. Exact: all levels are integers.
 
-What a limit yields goes three ways. Each child's *reserved* part fills a bucket that nobody else may take
-from. The rest of its *share* fills a bucket of its own, and flows into the node's *pool* while that is full.
-The pool also gets what no child has a share of. A child that is over its share borrows from the pool; from
-then on what its share earns goes to the pool until the debt is paid, also while it is quiet. The sum of what
-flows is the limit at every instant, and the buckets together hold the limit's burst, so no child, and no sum
-of them, can pass it.
-
-Children that do nothing cost nothing: each is in one of three states, and the instant at which it enters the
-next is known in advance.
+What a limit yields is divided in three. The *reserved* part of each child fills a bucket that no other child
+may take from. The rest of its *share* fills a bucket of its own, and flows into the node's *pool* while that
+bucket is full. The pool also gets what no child has a share of. A child that uses more than its share borrows
+from the pool; from then on what its share earns goes to the pool until the debt is paid, also while the child
+is idle. The flows add up to the limit at every instant, and the buckets together hold the limit's burst, so
+neither a child nor any set of children can exceed it.
+
+Idle children cost nothing: each is in one of three states, and the instant at which it enters the next is
+known in advance.
 """
 
 from __future__ import annotations
 
 import heapq
 
-UNIT = 14_400_000_000  # of a level, in one message or byte: rates by the hour stay whole numbers
+UNITS_EACH = 14_400_000_000  # level units per message or byte, so that rates per hour are integers
 HOUR_US = 3_600_000_000
 SECOND, HOUR = "second", "hour"
-REPAY_US = {SECOND: 10_000_000, HOUR: 900_000_000}  # within which any debt is paid, by the limit's time
-FULL, FILLING, OWES = range(3)
+REPAY_US = {SECOND: 10_000_000, HOUR: 900_000_000}  # any debt is paid within this, by the limit's period
+FULL, FILLING, IN_DEBT = range(3)
 NEVER = 1 << 62
 
 
-def rate_of(amount: int, per: str) -> int:
-    """Units a microsecond. An hour's limit fills at three quarters of its rate, and its bucket holds the
-    fourth: so no hour, wherever it begins, sees more than the limit."""
-    return amount * 14_400 if per == SECOND else amount * 3
+def rate_of(amount: int, period: str) -> int:
+    """Level units per microsecond for a limit of `amount` per second or hour.
 
+    An hourly limit fills at three quarters of its rate, and its bucket holds the other quarter: so no hour,
+    whenever it begins, sees more than the limit.
+    """
+    return amount * 14_400 if period == SECOND else amount * 3
 
-def burst_of(amount: int, per: str, burst: int) -> int:
-    """Units that its bucket holds; `burst`: messages or bytes, of limits by the second."""
-    return burst * UNIT if per == SECOND else amount * (UNIT // 4)
 
+def burst_of(amount: int, period: str, burst: int) -> int:
+    """Level units that the limit's bucket holds. `burst`: messages or bytes, for limits per second."""
+    return burst * UNITS_EACH if period == SECOND else amount * (UNITS_EACH // 4)
 
-def _over(units: int, rate: int) -> int:
-    """Microseconds until so many units have come, rounded up."""
+
+def _microseconds(units: int, rate: int) -> int:
+    """Microseconds until that many units have flowed, rounded up."""
     return -(-units // rate)
 
 
 class Bucket:
-    """Fills at a rate up to what it holds."""
+    """Fills at a rate up to its capacity."""
 
-    __slots__ = ("holds", "level", "rate", "since")
+    __slots__ = ("capacity", "level", "rate", "since_us")
 
-    def __init__(self, rate: int, holds: int, now: int) -> None:
-        self.rate, self.holds, self.level, self.since = rate, holds, holds, now
+    def __init__(self, rate: int, capacity: int, now_us: int) -> None:
+        self.rate, self.capacity, self.level, self.since_us = rate, capacity, capacity, now_us
 
-    def at(self, now: int) -> int:
-        """Its level then."""
-        return min(self.holds, self.level + self.rate * max(0, now - self.since))
+    def level_at(self, now_us: int) -> int:
+        """The level at `now_us`."""
+        return min(self.capacity, self.level + self.rate * max(0, now_us - self.since_us))
 
-    def take(self, units: int, now: int) -> None:
-        self.level, self.since = self.at(now) - units, max(now, self.since)
+    def take(self, units: int, now_us: int) -> None:
+        """Remove units, which may be negative to put some back."""
+        self.level, self.since_us = self.level_at(now_us) - units, max(now_us, self.since_us)
 
 
 class Part:
-    """One child's part in a split."""
+    """One child's part of a split limit."""
 
     __slots__ = (
         "borrowed",
+        "capacity",
         "debt",
-        "holds",
+        "debt_max",
+        "has_share",
         "level",
-        "mark",
-        "most_debt",
-        "pending",
+        "next_check_us",
         "rate",
         "repaid",
         "reserved",
-        "shared",
-        "since",
+        "saved_level",
+        "since_us",
         "state",
     )
 
-    def __init__(self, reserved: Bucket, rate: int, holds: int, repay_us: int, now: int) -> None:
-        """`rate`, `holds`: of the share beside its reserved part."""
-        self.reserved, self.rate, self.holds = reserved, rate, holds
-        self.level, self.debt, self.since, self.state = holds, 0, now, FULL
-        self.pending = NEVER  # when it is looked at next
-        self.most_debt = rate * repay_us
-        self.shared = bool(rate or reserved.rate)  # what it takes beyond its share is borrowed
-        self.borrowed = self.repaid = 0  # in all, in units
-        self.mark = holds + reserved.holds  # level as it was saved last, with that of its reserved part
+    def __init__(self, reserved: Bucket, rate: int, capacity: int, repay_us: int, now_us: int) -> None:
+        """`rate`, `capacity`: of the share without its reserved part."""
+        self.reserved, self.rate, self.capacity = reserved, rate, capacity
+        self.level, self.debt, self.since_us, self.state = capacity, 0, now_us, FULL
+        self.next_check_us = NEVER  # when its state is checked next
+        self.debt_max = rate * repay_us
+        self.has_share = bool(rate or reserved.rate)  # usage beyond its share is borrowed
+        self.borrowed = self.repaid = 0  # totals, in level units
+        self.saved_level = (
+            capacity + reserved.capacity
+        )  # level at the last save, including the reserved bucket
 
-    def own(self, now: int) -> int:
-        """The level of its own bucket; changes of state until then are done."""
-        return self.level + self.rate * (now - self.since) if self.state == FILLING else self.level
+    def bucket_level(self, now_us: int) -> int:
+        """The level of its own bucket; due state changes must have been made."""
+        return self.level + self.rate * (now_us - self.since_us) if self.state == FILLING else self.level
 
-    def owes(self, now: int) -> int:
-        return self.debt - self.rate * (now - self.since) if self.state == OWES else 0
+    def debt_at(self, now_us: int) -> int:
+        """The debt that is left at `now_us`."""
+        return self.debt - self.rate * (now_us - self.since_us) if self.state == IN_DEBT else 0
 
-    def ends(self) -> int:
-        """When it leaves the state that it is in, if that is not FULL."""
-        units = self.debt if self.state == OWES else self.holds - self.level
-        return self.since + _over(units, self.rate) if self.rate else NEVER
+    def state_ends_us(self) -> int:
+        """When it leaves its current state, unless that is FULL."""
+        units = self.debt if self.state == IN_DEBT else self.capacity - self.level
+        return self.since_us + _microseconds(units, self.rate) if self.rate else NEVER
 
 
 class Split:
     """A limit and its parts."""
 
     __slots__ = (
-        "count",
-        "due",
-        "flowing",
-        "free",
-        "holds",
-        "mark",
+        "capacity",
+        "check_count",
+        "checks",
         "parts",
-        "per",
+        "period",
         "pool",
-        "pool_holds",
+        "pool_capacity",
+        "pool_inflow",
         "rate",
-        "since",
+        "saved_level",
+        "since_us",
+        "unshared_rate",
     )
 
-    def __init__(self, amount: int, per: str, burst: int, now: int) -> None:
-        self.rate, self.holds, self.per = rate_of(amount, per), burst_of(amount, per, burst), per
-        self.free = self.rate  # of the rate, what no child has a share of
-        self.pool = self.pool_holds = self.holds
-        self.flowing = 0  # into the pool, of the shares of children that are full or owe
-        self.since = now
-        self.due: list[tuple[int, int, Part]] = []  # changes of state, by time
+    def __init__(self, amount: int, per: str, burst: int, now_us: int) -> None:
+        self.rate, self.capacity, self.period = rate_of(amount, per), burst_of(amount, per, burst), per
+        self.unshared_rate = self.rate  # the part of the rate that no child has a share of
+        self.pool = self.pool_capacity = self.capacity
+        self.pool_inflow = 0  # flow into the pool from shares of children that are full or in debt
+        self.since_us = now_us
+        self.checks: list[tuple[int, int, Part]] = []  # scheduled state changes, by time
         self.parts: list[Part] = []
-        self.count = 0
-        self.mark = self.pool  # as it was saved last
-
-    def part(self, share: int, reserved: int, burst: int, now: int) -> Part:
-        """A child's part. Its burst is a part of the limit's, as its share is; of what is not reserved the
-        pool holds a fourth, or nothing could be lent. ValueError if there is no room for it."""
-        rates = rate_of(share, self.per), rate_of(reserved, self.per)
-        whole = burst_of(share, self.per, burst)
-        kept = whole * reserved // share
-        holds = kept + (whole - kept) * 3 // 4
-        if reserved > share or rates[0] > self.free or holds > self.pool_holds:
+        self.check_count = 0
+        self.saved_level = self.pool  # pool level at the last save
+
+    def add_part(self, share: int, reserved: int, burst: int, now_us: int) -> Part:
+        """Add a child's part.
+
+        Its burst is a fraction of the limit's, as its share is. Of what is not reserved the pool holds a
+        quarter, or nothing could be lent. Raises ValueError if the shares or bursts exceed the limit.
+        """
+        rates = rate_of(share, self.period), rate_of(reserved, self.period)
+        burst_units = burst_of(share, self.period, burst)
+        reserved_capacity = burst_units * reserved // share
+        capacity = reserved_capacity + (burst_units - reserved_capacity) * 3 // 4
+        if reserved > share or rates[0] > self.unshared_rate or capacity > self.pool_capacity:
             raise ValueError("the shares of a node's children, and their bursts, are within its limit")
-        self.settle(now)
-        self.free -= rates[0]
-        self.pool_holds -= holds
-        self.pool = min(self.pool, self.pool_holds)
-        made = Part(Bucket(rates[1], kept, now), rates[0] - rates[1], holds - kept, REPAY_US[self.per], now)
-        self.flowing += made.rate
-        self.parts.append(made)
-        return made
+        self.advance(now_us)
+        self.unshared_rate -= rates[0]
+        self.pool_capacity -= capacity
+        self.pool = min(self.pool, self.pool_capacity)
+        part = Part(
+            Bucket(rates[1], reserved_capacity, now_us),
+            rates[0] - rates[1],
+            capacity - reserved_capacity,
+            REPAY_US[self.period],
+            now_us,
+        )
+        self.pool_inflow += part.rate
+        self.parts.append(part)
+        return part
 
     # Time
 
-    def settle(self, now: int) -> int:
-        """Do what is due until then; the time, which never goes back."""
-        due = self.due
-        while due and due[0][0] <= now:
-            at, _, part = heapq.heappop(due)
-            if part.pending != at:
-                continue  # an earlier one was foreseen since
-            part.pending = NEVER
+    def advance(self, now_us: int) -> int:
+        """Make all state changes due until `now_us`. Returns the time that counts, which never goes back."""
+        queue = self.checks
+        while queue and queue[0][0] <= now_us:
+            at_us, _, part = heapq.heappop(queue)
+            if part.next_check_us != at_us:
+                continue  # an earlier check was scheduled since
+            part.next_check_us = NEVER
             if part.state == FULL:
                 continue
-            if (end := part.ends()) > at:  # it has taken more since
-                self._foresee(part, end)
+            if (end := part.state_ends_us()) > at_us:  # it has used more since
+                self._schedule(part, end)
             else:
-                self._flow(at)
-                self._change(part, at)
-        self._flow(now)
-        return self.since
-
-    def _flow(self, now: int) -> None:
-        if now > self.since:
-            self.pool = min(self.pool_holds, self.pool + (self.free + self.flowing) * (now - self.since))
-            self.since = now
-
-    def _change(self, part: Part, at: int) -> None:
-        """What a part owed is paid, or its bucket is full. Instants are whole: what came too much goes on."""
-        came = part.rate * (at - part.since)
-        part.since = at
-        if part.state == OWES:
+                self._flow(at_us)
+                self._change(part, at_us)
+        self._flow(now_us)
+        return self.since_us
+
+    def _flow(self, now_us: int) -> None:
+        if now_us > self.since_us:
+            self.pool = min(
+                self.pool_capacity,
+                self.pool + (self.unshared_rate + self.pool_inflow) * (now_us - self.since_us),
+            )
+            self.since_us = now_us
+
+    def _change(self, part: Part, at_us: int) -> None:
+        """A part's debt is paid, or its bucket is full.
+
+        Instants are whole microseconds; the surplus since the exact instant is passed on.
+        """
+        earned = part.rate * (at_us - part.since_us)
+        part.since_us = at_us
+        if part.state == IN_DEBT:
             part.repaid += part.debt
-            over = came - part.debt
+            surplus = earned - part.debt
             part.debt = 0
-            part.level += over
-            self.pool -= min(self.pool, over)
+            part.level += surplus
+            self.pool -= min(self.pool, surplus)
         else:
-            part.level += came
-            over = max(0, part.level - part.holds)
-            part.level -= over
-            self.pool = min(self.pool_holds, self.pool + over)
-        self._enter(part)
-
-    def _enter(self, part: Part) -> None:
-        """The state that a part is in as it stands, and when it leaves it."""
-        flowed = part.state != FILLING
-        part.state = OWES if part.debt else FILLING if part.level < part.holds and part.rate else FULL
-        self.flowing += part.rate * ((part.state != FILLING) - flowed)
-        if part.state != FULL and (end := part.ends()) < part.pending:
-            self._foresee(part, end)
-
-    def _foresee(self, part: Part, at: int) -> None:
-        """One instant for each part stands in the queue: as a part takes more it comes too early, and then
-        the next is foreseen."""
-        part.pending = at
-        self.count += 1
-        heapq.heappush(self.due, (at, self.count, part))
-
-    # Taking; `now` is what settle gave
-
-    def lends(self, part: Part, now: int) -> int:
-        """Units that a part may take from the pool."""
-        return min(self.pool, part.most_debt - part.owes(now)) if part.shared else self.pool
-
-    def take(self, part: Part, reserved: int, own: int, pool: int, now: int) -> None:
-        """Units of each kind, which must be there."""
+            part.level += earned
+            surplus = max(0, part.level - part.capacity)
+            part.level -= surplus
+            self.pool = min(self.pool_capacity, self.pool + surplus)
+        self._set_state(part)
+
+    def _set_state(self, part: Part) -> None:
+        """Set the state that a part is in by its levels, and schedule its end."""
+        was_flowing = part.state != FILLING
+        part.state = IN_DEBT if part.debt else FILLING if part.level < part.capacity and part.rate else FULL
+        self.pool_inflow += part.rate * ((part.state != FILLING) - was_flowing)
+        if part.state != FULL and (end := part.state_ends_us()) < part.next_check_us:
+            self._schedule(part, end)
+
+    def _schedule(self, part: Part, at_us: int) -> None:
+        """Schedule a check of the part's state.
+
+        There is one check per part in the queue: when the part uses more, the check comes too early and
+        schedules the next.
+        """
+        part.next_check_us = at_us
+        self.check_count += 1
+        heapq.heappush(self.checks, (at_us, self.check_count, part))
+
+    # Usage; `now_us` is the result of `advance`
+
+    def lendable(self, part: Part, now_us: int) -> int:
+        """Level units that the part may take from the pool."""
+        return min(self.pool, part.debt_max - part.debt_at(now_us)) if part.has_share else self.pool
+
+    def take(self, part: Part, reserved: int, own: int, pool: int, now_us: int) -> None:
+        """Take units from the reserved bucket, the own bucket and the pool, which must have them."""
         if reserved:
-            part.reserved.take(reserved, now)
-        if not pool and part.state == FILLING:  # the usual case: it goes on filling
-            part.level, part.since = part.level + part.rate * (now - part.since) - own, now
+            part.reserved.take(reserved, now_us)
+        if not pool and part.state == FILLING:  # the usual case: its bucket keeps filling
+            part.level, part.since_us = part.level + part.rate * (now_us - part.since_us) - own, now_us
             return
         if not own and not pool:
             return
-        paid = part.debt - part.owes(now) if part.state == OWES else 0
+        paid = part.debt - part.debt_at(now_us) if part.state == IN_DEBT else 0
         part.repaid += paid
-        part.level, part.debt, part.since = part.own(now) - own, part.debt - paid, now
+        part.level, part.debt, part.since_us = part.bucket_level(now_us) - own, part.debt - paid, now_us
         self.pool -= pool
-        if part.shared and pool:
+        if part.has_share and pool:
             part.debt += pool
             part.borrowed += pool
-        self._enter(part)
+        self._set_state(part)
 
-    # Credits: what was taken for several messages at once. While one is out the buckets that it came from
-    # hold so much less: level and credit together are never more than the bucket, so that the limit holds in
+    # Credits: units taken for several messages at once. While a credit is outstanding, the buckets that it
+    # came from hold that much less: level and credit together never exceed the bucket, so the limit holds in
     # any window.
 
-    def lock(self, part: Part | None, reserved: int, own: int, pool: int, now: int) -> None:
-        """Take these units, which must be there, for messages that come."""
+    def lock(self, part: Part | None, reserved: int, own: int, pool: int, now_us: int) -> None:
+        """Take these units, which must be available, for a credit."""
         if part is None:
             self.pool -= pool
         else:
-            self.take(part, reserved, own, pool, now)
-            part.reserved.holds -= reserved
+            self.take(part, reserved, own, pool, now_us)
+            part.reserved.capacity -= reserved
             if own:
-                part.holds -= own
-                self._enter(part)
-        self.pool_holds -= pool
+                part.capacity -= own
+                self._set_state(part)
+        self.pool_capacity -= pool
 
     def unlock(
-        self, part: Part | None, locked: tuple[int, int, int], back: tuple[int, int, int], now: int
+        self, part: Part | None, locked: tuple[int, int, int], returned: tuple[int, int, int], now_us: int
     ) -> None:
-        """What was locked is over; `back` of it was not used. `now`: what settle gave."""
+        """A credit has ended: give back the units of it that were not used.
+
+        `now_us`: the result of `advance`.
+        """
         if part is not None:
             if locked[0]:
-                part.reserved.take(-back[0], now)
-                part.reserved.holds += locked[0]
+                part.reserved.take(-returned[0], now_us)
+                part.reserved.capacity += locked[0]
             if locked[1]:
                 if part.state == FILLING:
-                    part.level, part.since = part.own(now), now
+                    part.level, part.since_us = part.bucket_level(now_us), now_us
                 elif part.state == FULL:
-                    part.since = now
-                part.holds += locked[1]
-                part.level += back[1]
-                self._enter(part)
-        self.pool_holds += locked[2]
-        self.pool += back[2]
-
-    # What would be
-
-    def _steady(self) -> int:
-        """What flows into the pool for as long as nothing else comes, at least."""
-        return self.free + sum(part.rate for part in self.parts if part.state == FULL)
-
-    def later(self, part: Part | None, now: int, after: int) -> int:
-        """Units that this part could take after so many microseconds if nothing else came, at least."""
-        pool = min(self.pool_holds, self.pool + self._steady() * after)
+                    part.since_us = now_us
+                part.capacity += locked[1]
+                part.level += returned[1]
+                self._set_state(part)
+        self.pool_capacity += locked[2]
+        self.pool += returned[2]
+
+    # Forecasts
+
+    def _steady_inflow(self) -> int:
+        """The flow into the pool that lasts at least while nothing else is used."""
+        return self.unshared_rate + sum(part.rate for part in self.parts if part.state == FULL)
+
+    def available_after(self, part: Part | None, now_us: int, after_us: int) -> int:
+        """Level units that this part could take at least, `after_us` later, if nothing else is used."""
+        pool = min(self.pool_capacity, self.pool + self._steady_inflow() * after_us)
         if part is None:
             return pool
-        owes = part.owes(now)
-        came = part.rate * after
-        lent = min(pool, part.most_debt - max(0, owes - came)) if part.shared else pool
-        own = min(part.holds, part.own(now) + max(0, came - owes)) if part.state != FULL else part.level
-        return part.reserved.at(now + after) + own + max(0, lent)
-
-    def most(self, part: Part | None) -> int:
-        """Units that a part could ever take at once."""
+        debt = part.debt_at(now_us)
+        earned = part.rate * after_us
+        lent = min(pool, part.debt_max - max(0, debt - earned)) if part.has_share else pool
+        own = (
+            min(part.capacity, part.bucket_level(now_us) + max(0, earned - debt))
+            if part.state != FULL
+            else part.level
+        )
+        return part.reserved.level_at(now_us + after_us) + own + max(0, lent)
+
+    def ever_available(self, part: Part | None) -> int:
+        """Level units that the part could ever take at once."""
         if part is None:
-            return self.pool_holds
-        lent = min(self.pool_holds, part.most_debt) if part.shared else self.pool_holds
-        return part.reserved.holds + part.holds + lent
+            return self.pool_capacity
+        lent = min(self.pool_capacity, part.debt_max) if part.has_share else self.pool_capacity
+        return part.reserved.capacity + part.capacity + lent
--- a/madderbeam/shared/__init__.py
+++ b/madderbeam/shared/__init__.py
@@ -1,1 +1,4 @@
-"""What one member of a site learns all heed, and limits that hold over all of them. Decisions with no I/O."""
+"""State that the couriers of one site share: findings about partners, and leases on site-wide limits.
+
+No I/O.
+"""
--- a/madderbeam/shared/candidacy.py
+++ b/madderbeam/shared/candidacy.py
@@ -1,6 +1,7 @@
-"""When this member asks for a slot's regime: the first by hash among the living, the next if it is silent.
+"""When this member requests the lease term of a group: the first live member by hash does, else the next.
 
-Who asks is a matter of speed alone: whoever does, the members' words see to it that one grants at a time.
+Which member requests it affects only how fast a grantor is found; the votes ensure that there is one at a
+time.
 """
 
 from __future__ import annotations
@@ -11,68 +12,75 @@
 from madderbeam.membership.values import MemberId, MemberView
 from madderbeam.relay.choice import lives
 from madderbeam.shared.lease_settings import LeaseSettings
-from madderbeam.shared.majority import ranked
-from madderbeam.shared.regime import Voter
-from madderbeam.shared.site import Seating
+from madderbeam.shared.majority import by_rendezvous_score
+from madderbeam.shared.regime import TermVoter
+from madderbeam.shared.site import SiteMembership
 
-TRIES_MOST = 5  # doublings of the time between two attempts
-TICKS = 4  # in a turn
+BACKOFF_DOUBLINGS_MAX = 5  # doublings of the backoff between two attempts
+TICKS_PER_RENEWAL = 4  # per renewal interval
 
 
 class Candidacy:
-    """`free_us`: since when no regime is confirmed here."""
+    """Decides when to request a term. `free_since_us`: since when no confirmed term is valid here."""
 
-    def __init__(self, settings: LeaseSettings, seating: Seating, slot: int, chance: Random) -> None:
-        self.settings, self.seating, self.slot, self.chance = settings, seating, slot, chance
-        self.free_us: int | None = None
+    def __init__(self, settings: LeaseSettings, membership: SiteMembership, group: int, rng: Random) -> None:
+        self.settings, self.membership, self.group, self.rng = settings, membership, group, rng
+        self.free_since_us: int | None = None
         self.not_before_us = 0
-        self.tries = 0
-        self.passed: MemberId | None = None  # its regime ran out: the next one's turn
+        self.failures = 0
+        # grantor whose term expired, passed over in favour of the next member
+        self.skipped: MemberId | None = None
 
     def failed(self, now_us: int, left_us: int = 0) -> None:
-        """Not before others had their chance, and not in step with them."""
-        turn = self.settings.turn_us
-        self.tries = min(self.tries + 1, TRIES_MOST)
-        wait_us = turn // 2 + self.chance.randrange(turn << (self.tries - 1))
+        """Back off at random, so that other members get a chance and candidates do not stay in step."""
+        interval_us = self.settings.renewal_interval_us
+        self.failures = min(self.failures + 1, BACKOFF_DOUBLINGS_MAX)
+        wait_us = interval_us // 2 + self.rng.randrange(interval_us << (self.failures - 1))
         self.not_before_us = now_us + max(left_us, wait_us)
 
-    def ruled(self) -> None:
-        self.tries, self.not_before_us = 0, 0
-
-    def heard(self, granter: MemberId) -> None:
-        """It asks again."""
-        if self.passed == granter:
-            self.passed = None
-
-    def ended(self, now_us: int, granter: MemberId) -> None:
-        """Its word: let the next one ask."""
-        self.free_us = now_us
-        self.passed = granter
-
-    def due(self, now_us: int, voter: Voter, views: Mapping[MemberId, MemberView], wants: bool) -> bool:
-        """Whether to ask now. `wants`: this member is not draining."""
-        if not voter.ready(now_us) or not voter.free(now_us):
-            self.free_us = None
+    def succeeded(self) -> None:
+        """This member's term has begun: reset the backoff."""
+        self.failures, self.not_before_us = 0, 0
+
+    def grantor_seen(self, grantor: MemberId) -> None:
+        """The grantor requests again, so it is no longer passed over."""
+        if self.skipped == grantor:
+            self.skipped = None
+
+    def term_ended(self, now_us: int, grantor: MemberId) -> None:
+        """The grantor has ended its term: another member may request one at once."""
+        self.free_since_us = now_us
+        self.skipped = grantor
+
+    def should_request(
+        self, now_us: int, voter: TermVoter, views: Mapping[MemberId, MemberView], may_grant: bool
+    ) -> bool:
+        """Whether to request a term now. `may_grant`: this member is not draining."""
+        if not voter.may_vote(now_us) or not voter.is_free(now_us):
+            self.free_since_us = None
             return False
-        if self.free_us is None:
-            self.free_us = max(voter.until_us, voter.ready_us or 0)
-            if voter.bound is not None:
-                self.passed = voter.bound[0]
-        if now_us < self.not_before_us or not self._may(wants, views):
+        if self.free_since_us is None:
+            self.free_since_us = max(voter.confirmed_until_us, voter.votes_from_us or 0)
+            if voter.confirmed is not None:
+                self.skipped = voter.confirmed[0]
+        if now_us < self.not_before_us or not self._may(may_grant, views):
             return False
-        step_us = self.settings.turn_us // TICKS
-        return now_us >= self.free_us + self._rank(views) * step_us
+        step_us = self.settings.renewal_interval_us // TICKS_PER_RENEWAL
+        return now_us >= self.free_since_us + self._rank(views) * step_us
 
-    def _may(self, wants: bool, views: Mapping[MemberId, MemberView]) -> bool:
-        named = self.seating.me in self.seating.current
-        return named and (wants or not any(self.fit(m, views) for m in self.seating.current))
+    def _may(self, may_grant: bool, views: Mapping[MemberId, MemberView]) -> bool:
+        is_named = self.membership.own_id in self.membership.current
+        return is_named and (
+            may_grant or not any(self.is_eligible(m, views) for m in self.membership.current)
+        )
 
-    def fit(self, member: MemberId, views: Mapping[MemberId, MemberView]) -> bool:
+    def is_eligible(self, member: MemberId, views: Mapping[MemberId, MemberView]) -> bool:
+        """Whether the member is live, not draining and not passed over."""
         view = views.get(member)
-        return view is not None and lives(view) and not view.draining and member != self.passed
+        return view is not None and lives(view) and not view.draining and member != self.skipped
 
     def _rank(self, views: Mapping[MemberId, MemberView]) -> int:
-        """How many come before it."""
-        order = ranked(self.slot, self.seating.current)
-        before = order[: order.index(self.seating.me)]
-        return sum(self.fit(m, views) for m in before)
+        """How many eligible members come before this one in the group's order."""
+        order = by_rendezvous_score(self.group, self.membership.current)
+        before = order[: order.index(self.membership.own_id)]
+        return sum(self.is_eligible(m, views) for m in before)
--- a/madderbeam/shared/granting.py
+++ b/madderbeam/shared/granting.py
@@ -1,4 +1,4 @@
-"""A granter's side of one slot: its regime, the answers to it, and the grants that they bring."""
+"""A lease grantor's side of one lease group: its term, the replies to it, and the grants that follow."""
 
 from __future__ import annotations
 
@@ -6,168 +6,189 @@
 
 from madderbeam.membership.values import MemberId
 from madderbeam.shared.granter import Pot
-from madderbeam.shared.lease_messages import Ask, Back, End, Grant, Told, Took
-from madderbeam.shared.lease_settings import LeaseSettings, shorter
-from madderbeam.shared.outgoing import Outgoing
-from madderbeam.shared.regime import Regime
-from madderbeam.shared.site import Seating
+from madderbeam.shared.lease_messages import Grant, GrantAck, LeaseReturn, TermEnd, TermReply, TermRequest
+from madderbeam.shared.lease_settings import LeaseSettings, shortest_us
+from madderbeam.shared.outgoing import OutgoingActions
+from madderbeam.shared.regime import LeaseTerm
+from madderbeam.shared.site import SiteMembership
 from madderbeam.shared.values import Limit
 
 
-class Granting:
-    """Grants while its regime runs."""
+class Grantor:
+    """Sends grants while its lease term runs."""
 
     def __init__(
-        self, settings: LeaseSettings, seating: Seating, out: Outgoing, slot: int, first: int
+        self,
+        settings: LeaseSettings,
+        membership: SiteMembership,
+        out: OutgoingActions,
+        group: int,
+        first_number: int,
     ) -> None:
-        self.settings, self.seating, self.out, self.slot = settings, seating, out, slot
-        self.regime = Regime(settings, slot, first)
-        self.pots: dict[str, Pot] = {}
+        self.settings, self.membership, self.out, self.group = settings, membership, out, group
+        self.term = LeaseTerm(settings, group, first_number)
+        self.pools: dict[str, Pot] = {}
         self.limits: dict[str, Limit] = {}
-        self.seq = first  # of grants
-        self.asked_us = 0
-        self._answers: dict[MemberId, int] = {}  # the question that each answered last
-        self._changed: set[str] = set()  # resources of which another need was told since the last division
-        self._backs: dict[MemberId, int] = {}  # up to which question each takes nothing
+        self.seq = first_number  # number of the last grant
+        self.requested_us = 0
+        self._replied: dict[MemberId, int] = {}  # the last request that each member replied to
+        self._changed: set[str] = set()  # resources whose reported need changed since the last division
+        self._returned: dict[MemberId, int] = {}  # by member, the last request for which it accepts no grant
 
     def runs(self) -> bool:
-        return self.regime.runs(self.out.now_us)
+        """Whether this member's lease term is confirmed and has not expired."""
+        return self.term.is_running(self.out.now_us)
 
     def limit(self, limit: Limit) -> None:
+        """Add or change a limit."""
         self.limits[limit.resource] = limit
-        if limit.resource in self.pots:
-            self.pots[limit.resource].limit = limit
+        if limit.resource in self.pools:
+            self.pools[limit.resource].limit = limit
 
     def begin(self) -> None:
-        self.regime.begin(self.out.now_us)
+        """Start a new lease term and request its confirmation."""
+        self.term.begin(self.out.now_us)
         self._clear()
-        self.ask()
+        self.request()
 
     def end(self) -> None:
-        """It grants nothing more by this regime, and says so."""
-        if self.regime.on:
-            self.regime.stop()
+        """Stop granting under the current term, and tell all members."""
+        if self.term.is_active:
+            self.term.end()
             self._clear()
-            self._all(End(self.slot, self.regime.number))
+            self._send_to_all(TermEnd(self.group, self.term.number))
 
     def _clear(self) -> None:
-        self.pots.clear()
-        self._answers.clear()
-        self._backs.clear()
+        self.pools.clear()
+        self._replied.clear()
+        self._returned.clear()
         self._changed.clear()
 
-    def ask(self) -> None:
-        self.asked_us = self.out.now_us
-        ask = self.regime.asked(self.out.now_us)
-        seats = self.seating.seats(self.out.now_us)
-        self._all(Ask(self.slot, self.regime.number, ask, self.settings.lease_us, seats))
+    def request(self) -> None:
+        """Request confirmation or renewal of the term from all members."""
+        self.requested_us = self.out.now_us
+        request = self.term.new_request(self.out.now_us)
+        joined = self.membership.joined_bitmap(self.out.now_us)
+        self._send_to_all(TermRequest(self.group, self.term.number, request, self.settings.lease_us, joined))
 
-    def _all(self, message: Any) -> None:
-        for member in self.seating.members:
+    def _send_to_all(self, message: Any) -> None:
+        for member in self.membership.members:
             self.out.send(member, message)
 
-    def turn(self) -> None:
-        """Decides anew who should have what."""
-        named = self.seating.members
-        self._answers = {m: a for m, a in self._answers.items() if m in named}
-        now_us, since_us = self.out.now_us, self.regime.since_us
-        for pot in self.pots.values():
-            pot.due(now_us)
+    def divide_all(self) -> None:
+        """Drop what has expired and divide each resource anew."""
+        members = self.membership.members
+        self._replied = {m: request for m, request in self._replied.items() if m in members}
+        now_us, since_us = self.out.now_us, self.term.running_since_us
+        for pool in self.pools.values():
+            pool.expire(now_us)
             if since_us is not None and self.runs():
-                pot.divide(now_us, self._wait_us(pot), now_us < since_us + self.settings.turn_us)
-
-    def told(self, member: MemberId, message: Told) -> None:
-        """An answer."""
-        now_us, regime = self.out.now_us, self.regime
-        asked_us = regime.when(message.ask)
-        if not regime.on or message.regime != regime.number or asked_us is None:
+                pool.divide(
+                    now_us, self._wait_until_us(pool), now_us < since_us + self.settings.renewal_interval_us
+                )
+
+    def handle_reply(self, member: MemberId, message: TermReply) -> None:
+        """Handle a reply to a term request."""
+        now_us, term = self.out.now_us, self.term
+        requested_us = term.requested_at_us(message.ask)
+        if not term.is_active or message.regime != term.number or requested_us is None:
             return
-        if regime.since_us is not None and not self.runs():
-            self.end()  # another may have granted since
+        if term.running_since_us is not None and not self.runs():
+            self.end()  # another member may have granted since
             return
-        self.seating.learn(now_us, message.joined)
-        self.seating.joins(now_us, member)
-        ran = self.runs()
+        self.membership.merge_joined(now_us, message.joined)
+        self.membership.record_joined(now_us, member)
+        was_running = self.runs()
         for holding in message.holdings:
-            pot = self._pot(holding.resource)
-            if pot is not None:
-                pot.told(now_us, asked_us, member, holding)
-                pot.took(member, message.seq)
-        self._answers[member] = max(message.ask, self._answers.get(member, 0))
+            pool = self._pool(holding.resource)
+            if pool is not None:
+                pool.record_reply(now_us, requested_us, member, holding)
+                pool.acknowledge(member, message.seq)
+        self._replied[member] = max(message.ask, self._replied.get(member, 0))
         if message.votes:
-            regime.told(now_us, member, message.ask, message.earlier_us, self.seating.sets)
-        if ran:
+            term.record_vote(now_us, member, message.ask, message.earlier_us, self.membership.member_sets)
+        if was_running:
             self.grant(member)
         elif self.runs():
-            self._run()
-
-    def _pot(self, resource: str) -> Pot | None:
-        if resource not in self.pots and resource in self.limits:
-            self.pots[resource] = Pot(self.settings, self.seating, self.limits[resource])
-        return self.pots.get(resource)
-
-    def _run(self) -> None:
-        for pot in self.pots.values():
-            pot.begin(self.out.now_us)
-        self.turn()
-        for member in self._answers:
+            self._start_granting()
+
+    def _pool(self, resource: str) -> Pot | None:
+        if resource not in self.pools and resource in self.limits:
+            self.pools[resource] = Pot(self.settings, self.membership, self.limits[resource])
+        return self.pools.get(resource)
+
+    def _start_granting(self) -> None:
+        for pool in self.pools.values():
+            pool.begin_term(self.out.now_us)
+        self.divide_all()
+        for member in self._replied:
             self.grant(member)
 
     def grant(self, member: MemberId) -> None:
-        """In answer to its last word, until the regime ends at most."""
-        now_us, until_us, ask = self.out.now_us, self.regime.until_us, self._answers[member]
-        if now_us >= until_us or ask <= self._backs.get(member, 0):
+        """Grant the member its shares in reply to its last message, until the term's end at most."""
+        now_us, until_us, request = self.out.now_us, self.term.until_us, self._replied[member]
+        if now_us >= until_us or request <= self._returned.get(member, 0):
             return
         self.seq += 1
-        parts = [
-            (resource, pot.grant(now_us, self._wait_us(pot), member, ask, self.seq, until_us))
-            for resource, pot in self.pots.items()
-            if member in pot.shares
+        amounts = [
+            (resource, pool.grant(now_us, self._wait_until_us(pool), member, request, self.seq, until_us))
+            for resource, pool in self.pools.items()
+            if member in pool.shares
         ]
-        span_us = shorter(until_us - now_us, self.settings.drift_ppm)
-        if parts:
+        span_us = shortest_us(until_us - now_us, self.settings.drift_ppm)
+        if amounts:
             self.out.count("granted")
-            grant = Grant(self.slot, self.regime.number, ask, self.seq, span_us, tuple(parts))
+            grant = Grant(self.group, self.term.number, request, self.seq, span_us, tuple(amounts))
             self.out.send(member, grant)
 
-    def _wait_us(self, pot: Pot) -> int:
-        """Until then may be in use what others gave before, of this resource. What lingers may be though no
-        earlier regime ran when this one began."""
-        if not pot.limit.lingers_us:
-            return self.regime.wait_us
-        return max(self.regime.wait_us, self.regime.since_us or 0) + pot.lingers_us
-
-    def took(self, member: MemberId, message: Took) -> None:
-        """It took a lower part at once: what that leaves is free; or it needs something else. Both count with
-        the next `refresh`."""
-        if not self.runs() or message.regime != self.regime.number:
+    def _wait_until_us(self, pool: Pot) -> int:
+        """Until when earlier grantors' grants of this resource may still be in use.
+
+        A lingering resource may be in use even though no earlier term was running when this one began.
+        """
+        if not pool.limit.lingers_us:
+            return self.term.earlier_grants_until_us
+        return max(self.term.earlier_grants_until_us, self.term.running_since_us or 0) + pool.lingers_us
+
+    def handle_ack(self, member: MemberId, message: GrantAck) -> None:
+        """Handle an acknowledgement of a lowered grant, whose difference is then free, or a changed need.
+
+        Both take effect with the next `refresh`.
+        """
+        if not self.runs() or message.regime != self.term.number:
             return
-        holdings = {h.resource: h for h in message.holdings}
-        for resource, pot in self.pots.items():
-            if not pot.limit.lingers_us:
-                pot.took(member, message.seq)
+        holdings = {holding.resource: holding for holding in message.holdings}
+        for resource, pool in self.pools.items():
+            if not pool.limit.lingers_us:
+                pool.acknowledge(member, message.seq)
             elif resource in holdings:
-                pot.uses(self.out.now_us, member, holdings[resource])
-                pot.took(member, message.seq)
+                pool.record_use(self.out.now_us, member, holdings[resource])
+                pool.acknowledge(member, message.seq)
             if resource in holdings:
-                pot.needs(self.out.now_us, member, holdings[resource])
+                pool.record_need(self.out.now_us, member, holdings[resource])
                 self._changed.add(resource)
 
     def refresh(self) -> None:
-        """In between two turns: parts by the needs that were told since, and grants to those whose part is
-        another than what they have, as far as it is free."""
+        """Between two renewals, grant amounts that have changed.
+
+        Divides by the needs reported since, and sends grants to members whose share differs from what they
+        have, as far as it is free.
+        """
         if self.runs():
             now_us = self.out.now_us
-            for resource in self._changed & self.pots.keys():
-                self.pots[resource].divide(now_us, self._wait_us(self.pots[resource]), False)
+            for resource in self._changed & self.pools.keys():
+                self.pools[resource].divide(now_us, self._wait_until_us(self.pools[resource]), False)
             self._changed.clear()
-            for member in list(self._answers):
-                if any(pot.off(now_us, self._wait_us(pot), member) for pot in self.pots.values()):
+            for member in list(self._replied):
+                if any(
+                    pool.needs_grant(now_us, self._wait_until_us(pool), member)
+                    for pool in self.pools.values()
+                ):
                     self.grant(member)
 
-    def back(self, member: MemberId, message: Back) -> None:
-        """What it had is free."""
-        if self.regime.on and message.regime == self.regime.number:
-            self._backs[member] = max(message.ask, self._backs.get(member, 0))
-            for pot in self.pots.values():
-                pot.back(self.out.now_us, member, message.ask)
+    def handle_return(self, member: MemberId, message: LeaseReturn) -> None:
+        """Handle a member's return of what it was granted."""
+        if self.term.is_active and message.regime == self.term.number:
+            self._returned[member] = max(message.ask, self._returned.get(member, 0))
+            for pool in self.pools.values():
+                pool.record_return(self.out.now_us, member, message.ask)
--- a/madderbeam/shared/leases.py
+++ b/madderbeam/shared/leases.py
@@ -1,7 +1,8 @@
-"""Leases on limits: joins slots, settings of limits and needs, timers and the record of a member.
+"""Leases on limits: passes events to the lease groups, and has a member's limits, needs, timers and record.
 
-Before it ever confirmed a regime a member uses its fixed parts; afterwards its lease while that runs by its
-own clock, else its floors. The clock must go on while the machine sleeps, or `Resumed` be handed in first.
+A member that has never confirmed a lease term uses its fixed share of each limit. Afterwards it uses its
+lease while that is valid by its own clock, else its floor. The clock must keep running while the machine is
+suspended, or `PauseDetected` has to be handled before any other event.
 """
 
 from __future__ import annotations
@@ -27,52 +28,68 @@
     TimerDue,
     WriteFailed,
 )
-from madderbeam.shared.candidacy import TICKS
+from madderbeam.shared.candidacy import TICKS_PER_RENEWAL
 from madderbeam.shared.holder import Holder
-from madderbeam.shared.lease_messages import AMOUNT_MOST, NAME_MOST
-from madderbeam.shared.lease_settings import LeaseSettings, longer
-from madderbeam.shared.outgoing import Outgoing
-from madderbeam.shared.site import Seating
-from madderbeam.shared.slot import Slot
+from madderbeam.shared.lease_messages import AMOUNT_MAX, NAME_MAX_CHARACTERS
+from madderbeam.shared.lease_settings import LeaseSettings, longest_us
+from madderbeam.shared.outgoing import OutgoingActions
+from madderbeam.shared.site import SiteMembership
+from madderbeam.shared.slot import LeaseGroup
 from madderbeam.shared.values import Allot, Limit, Need, Site
 
-VIEWS_MOST = 4_096
-LINGERS_MOST_US = 3_600_000_000
+VIEWS_MAX = 4_096
+LINGERS_MAX_US = 3_600_000_000
 
 
-def nothing(resource: str) -> float:
-    """In use, where no resource lingers."""
+def no_use(resource: str) -> float:
+    """The amount in use, for callers without lingering resources: always 0."""
     return 0.0
 
 
 class Leases:
-    """`handle(now_us, event)`: Site, Limit, Need, MemberChanged, FromLink, Due, Resumed, Draining, Leaving,
-    Unwritten in; Allot, ToLink, SetTimer, Persist and Note out. `records`: kinds and keys as persisted."""
+    """All leases of one member.
+
+    `handle(now_us, event)` takes SiteMembers, Limit, Need, MemberChanged, MessageReceived, TimerDue,
+    PauseDetected, SetDraining, Leave and WriteFailed, and returns SetAllowance, SendMessage, SetTimer,
+    Persist and LogLine. `records` maps (kind, key) to the values of earlier Persist actions.
+    """
 
     def __init__(
         self,
         settings: LeaseSettings,
-        me: MemberId,
-        life: Incarnation,
-        chance: Random,
+        own_id: MemberId,
+        incarnation: Incarnation,
+        rng: Random,
         records: Mapping[tuple[str, str], Any],
-        uses: Callable[[str], float] = nothing,
+        usage_of: Callable[[str], float] = no_use,
     ) -> None:
-        """`uses`: what is in use now of a resource that lingers."""
-        self.settings, self.me, self.chance = settings, me, chance
-        self.out = Outgoing(me)
-        self.holder = Holder(settings, uses)
-        self.seating = Seating(settings, me, bool(records.get(("lease", "joined"))))
+        """`usage_of` returns how much of a lingering resource is in use now."""
+        self.settings, self.own_id, self.rng = settings, own_id, rng
+        self.out = OutgoingActions(own_id)
+        self.holder = Holder(settings, usage_of)
+        self.membership = SiteMembership(settings, own_id, bool(records.get(("lease", "joined"))))
         self.views: dict[MemberId, MemberView] = {}
-        self._written = me in self.seating.joined
-        self._writing = False
+        self._is_join_durable = own_id in self.membership.joined
+        self._is_writing = False
         self._draining = False
         self._started = False
-        self._told_us: int | None = None  # since when there are no leases, or when the log last told so
-        first = life.start << 24
+        self._unshared_since_us: int | None = (
+            None  # since when leases are missing, or when that was last logged
+        )
+        first_number = incarnation.start << 24
         self.slots = [
-            Slot(settings, n, self.seating, self.holder, self.out, self.views, first, chance, self._join)
-            for n in range(settings.slots)
+            LeaseGroup(
+                settings,
+                number,
+                self.membership,
+                self.holder,
+                self.out,
+                self.views,
+                first_number,
+                rng,
+                self._join,
+            )
+            for number in range(settings.slots)
         ]
         self._by_event: dict[type, Callable[[Any], None]] = {
             Site: self._site,
@@ -88,76 +105,85 @@
         }
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
-        """Other events are none of its own."""
-        take = self._by_event.get(type(event))
-        if take is None:
+        """The actions that the event leads to. Events of other types are ignored."""
+        handler = self._by_event.get(type(event))
+        if handler is None:
             return []
         self.out.now_us = now_us
-        take(event)
+        handler(event)
         while self.out.to_self:
-            self._message(self.me, self.out.to_self.popleft())
-        return self.out.taken()
+            self._message(self.own_id, self.out.to_self.popleft())
+        return self.out.take_all()
 
     def amount(self, resource: str, now_us: int) -> float:
-        """What may be used now, in the resource's unit; 0 of one that is not known. To be asked just before
-        each use: a lease that has ended is not used."""
+        """How much may be used now, in the resource's unit; 0 for an unknown resource.
+
+        Callers ask just before each use, so that an expired lease is never used.
+        """
         return self.holder.amount(resource, now_us)
 
-    def slot(self, resource: str) -> Slot:
-        """The slot to which a resource is dealt."""
+    def group_of(self, resource: str) -> LeaseGroup:
+        """The lease group to which the resource is assigned by hash."""
         return self.slots[zlib.crc32(resource.encode()) % len(self.slots)]
 
     # Limits and needs
 
     def _limit(self, event: Limit) -> None:
         known = event.resource in self.holder.limits
-        name_fits = 0 < len(event.resource) <= NAME_MOST
-        amounts_fit = 0 < event.total <= AMOUNT_MOST and 0 <= event.fixed <= event.total
-        amounts_fit = amounts_fit and 0 <= event.lingers_us <= LINGERS_MOST_US
+        name_fits = 0 < len(event.resource) <= NAME_MAX_CHARACTERS
+        amounts_fit = 0 < event.total <= AMOUNT_MAX and 0 <= event.fixed <= event.total
+        amounts_fit = amounts_fit and 0 <= event.lingers_us <= LINGERS_MAX_US
         has_room = known or len(self.holder.limits) < self.settings.resources_most
         if not (name_fits and amounts_fit and has_room):
-            what = (f"limit {event.resource[:NAME_MOST]}: total {event.total}, fixed {event.fixed}; allowed: "
-                    f"total above 0, fixed from 0 to it, {self.settings.resources_most} limits")  # fmt: skip
-            self.out.note("a limit is not taken", LimitUnfit(what))
+            problem = (
+                f"limit {event.resource[:NAME_MAX_CHARACTERS]}: total {event.total}, fixed {event.fixed}; "
+                f"allowed: total above 0, fixed from 0 to it, {self.settings.resources_most} limits"
+            )
+            self.out.log("limit ignored", LimitUnfit(problem))
             return
-        lingers_us = longer(event.lingers_us, self.settings.drift_ppm)
-        self.seating.lingers_us = max(self.seating.lingers_us, lingers_us)
-        self.holder.limit(event, self.seating.own(self.out.now_us, event))
-        slot = self.slot(event.resource)
+        lingers_us = longest_us(event.lingers_us, self.settings.drift_ppm)
+        self.membership.lingers_us = max(self.membership.lingers_us, lingers_us)
+        self.holder.limit(event, self.membership.unleased_amount(self.out.now_us, event))
+        slot = self.group_of(event.resource)
         if not known:
             slot.resources.append(event.resource)
         slot.granting.limit(event)
-        lot = self.holder.lots[event.resource]
-        self.out.do(Allot(event.resource, lot.amount, lot.until_us, lot.after))
+        lease = self.holder.lots[event.resource]
+        self.out.add(Allot(event.resource, lease.amount, lease.until_us, lease.fallback))
 
     def _need(self, event: Need) -> None:
-        fits = all(math.isfinite(x) and 0 <= x <= AMOUNT_MOST for x in (event.amount, event.worth))
+        fits = all(
+            math.isfinite(number) and 0 <= number <= AMOUNT_MAX for number in (event.amount, event.worth)
+        )
         if event.resource in self.holder.limits and fits:
             self.holder.needs[event.resource] = (event.amount, event.worth)
 
-    # Who is there
+    # Membership
 
     def _site(self, event: Site) -> None:
-        self.seating.change(self.out.now_us, event)
+        self.membership.update(self.out.now_us, event)
         self._floors()
         for slot in self.slots:
             slot.voter.start(self.out.now_us)
         if not self._started:
             self._started = True
-            self._told_us = self.out.now_us
-            self.out.timer(self.out.now_us + self.chance.randrange(self._tick_us()) + 1, "tick")
+            self._unshared_since_us = self.out.now_us
+            self.out.timer(self.out.now_us + self.rng.randrange(self._tick_us()) + 1, "tick")
 
     def _floors(self) -> None:
-        """What is used without a lease may have changed."""
+        """Reports the amounts that are used without a lease, where they have changed."""
         for limit in self.holder.limits.values():
-            lot, after = self.holder.lots[limit.resource], self.seating.own(self.out.now_us, limit)
-            if lot.after != after:
-                self.holder.limit(limit, after)
-                self.out.do(Allot(limit.resource, lot.amount, lot.until_us, lot.after))
+            lease, fallback = (
+                self.holder.lots[limit.resource],
+                self.membership.unleased_amount(self.out.now_us, limit),
+            )
+            if lease.fallback != fallback:
+                self.holder.limit(limit, fallback)
+                self.out.add(Allot(limit.resource, lease.amount, lease.until_us, lease.fallback))
 
     def _changed(self, event: MemberChanged) -> None:
         view = event.view
-        if view.id != self.me and (view.id in self.views or len(self.views) < VIEWS_MOST):
+        if view.id != self.own_id and (view.id in self.views or len(self.views) < VIEWS_MAX):
             self.views[view.id] = view
 
     def _from_link(self, event: MessageReceived) -> None:
@@ -166,110 +192,122 @@
     def _message(self, member: MemberId, message: Any) -> None:
         number = getattr(message, "slot", -1)
         if self._started and 0 <= number < len(self.slots):
-            self.slots[number].take(member, message)
+            self.slots[number].handle(member, message)
 
     # Time
 
     def _tick_us(self) -> int:
-        return max(1, self.settings.turn_us // TICKS)
+        return max(1, self.settings.renewal_interval_us // TICKS_PER_RENEWAL)
 
     def _due(self, event: TimerDue) -> None:
         if event.token == "lease/tick" and self._started:
             self.out.timer(self.out.now_us + self._tick_us(), "tick")
             self._tick()
         elif event.token == "lease/joined":
-            self._written = True
+            self._is_join_durable = True
 
     def _tick(self) -> None:
-        self.seating.due(self.out.now_us)
+        self.membership.expire(self.out.now_us)
         self._floors()
         for slot in self.slots:
             slot.tick(not self._draining)
         self._report()
 
     def _report(self) -> None:
-        """Tells of limits that nobody grants, and of the end of that."""
-        now_us, lots = self.out.now_us, self.holder.lots
-        unshared = [r for r, lot in lots.items() if now_us >= lot.until_us]
-        if not unshared or self._draining or self.me not in self.seating.current:
-            self._told_us = now_us
-        elif self._told_us is not None and now_us - self._told_us >= self.settings.silent_report_us:
-            self._told_us = now_us
-            what = f"no lease on {len(unshared)} of {len(lots)} limits, {unshared[0]} among them"
-            self.out.note("limits are not shared", LimitsUnshared(what))
+        """Logs, at intervals, that limits have no lease because no member grants any."""
+        now_us, leases = self.out.now_us, self.holder.lots
+        unshared = [resource for resource, lease in leases.items() if now_us >= lease.until_us]
+        if not unshared or self._draining or self.own_id not in self.membership.current:
+            self._unshared_since_us = now_us
+        elif (
+            self._unshared_since_us is not None
+            and now_us - self._unshared_since_us >= self.settings.silent_report_us
+        ):
+            self._unshared_since_us = now_us
+            problem = f"no lease on {len(unshared)} of {len(leases)} limits, {unshared[0]} among them"
+            self.out.log("limits have no lease", LimitsUnshared(problem))
 
     def _resumed(self, event: PauseDetected) -> None:
-        """What was known may be over: no lease is used that was given before."""
+        """Drops all leases and terms: others may have been granted the amounts during the pause."""
         for resource in self.holder.lots:
-            lot = self.holder.lots[resource]
-            if lot.until_us > self.out.now_us and (allot := self.holder.set(resource, lot.after, 0)):
-                self.out.do(allot)
+            lease = self.holder.lots[resource]
+            if lease.until_us > self.out.now_us and (
+                allot := self.holder.set_lease(resource, lease.fallback, 0)
+            ):
+                self.out.add(allot)
         for slot in self.slots:
-            slot.stop()
+            slot.abandon_term()
         if self._started:
             self.out.timer(self.out.now_us + self._tick_us(), "tick")
 
     # The record
 
     def _join(self) -> bool:
-        """This member's word to a regime: from now on it falls back to floors, over restarts as well. Given
-        only once that is on disk. What it used until then counts as a lease."""
-        if self._written:
+        """Makes it durable that this member confirms lease terms; True once that is on disk.
+
+        From then on it falls back to its floors instead of its fixed shares, also after a restart. It replies
+        to no term request before. What it uses until then counts as a lease, since others may still reserve
+        it.
+        """
+        if self._is_join_durable:
             return True
         now_us = self.out.now_us
-        if self.me not in self.seating.joined:
-            self.seating.joins(now_us, self.me)
+        if self.own_id not in self.membership.joined:
+            self.membership.record_joined(now_us, self.own_id)
             for resource, limit in self.holder.limits.items():
-                fixed = self.holder.lots[resource].after
-                self.holder.limit(limit, self.seating.own(self.out.now_us, limit))
-                if allot := self.holder.set(resource, fixed, now_us + self.settings.lease_us):
-                    self.out.do(allot)
-        if not self._writing:
-            self._writing = True
-            self.out.last(Persist("lease", "joined", True), SetTimer(now_us, "lease/joined"))
+                fixed = self.holder.lots[resource].fallback
+                self.holder.limit(limit, self.membership.unleased_amount(self.out.now_us, limit))
+                if allot := self.holder.set_lease(resource, fixed, now_us + self.settings.lease_us):
+                    self.out.add(allot)
+        if not self._is_writing:
+            self._is_writing = True
+            self.out.add_last(Persist("lease", "joined", True), SetTimer(now_us, "lease/joined"))
         return False
 
     def _unwritten(self, event: WriteFailed) -> None:
-        """It is written with the next question. Of another record: this one may have stood behind it."""
-        self._writing = False
+        """The record is written again with the next lease request.
+
+        The failed write may be of another record: ours may have been queued behind it.
+        """
+        self._is_writing = False
 
-    # Handing back
+    # Returning leases
 
     def _drain(self, event: SetDraining) -> None:
         if event.on and not self._draining:
-            self._hand_back()
-        self._draining = self.holder.idle = event.on
+            self._return_leases()
+        self._draining = self.holder.wants_nothing = event.on
 
     def _leave(self, event: Leave) -> None:
-        self._hand_back()
+        self._return_leases()
 
-    def _hand_back(self) -> None:
-        self._draining = self.holder.idle = True
+    def _return_leases(self) -> None:
+        self._draining = self.holder.wants_nothing = True
         for slot in self.slots:
-            slot.give_up()
-            if slot.granting.regime.on and slot.others():
+            slot.return_leases()
+            if slot.granting.term.is_active and slot.can_others_grant():
                 slot.granting.end()
 
-    # What is shown
+    # Status
 
     def status(self, now_us: int) -> dict[str, Any]:
-        """For GET /federation: who grants, since when, what is given and taken."""
+        """For GET /federation: who grants since when, what it has granted, and what this member holds."""
         self.out.now_us = now_us
         leases = {}
-        for resource, lot in self.holder.lots.items():
+        for resource, lease in self.holder.lots.items():
             limit = self.holder.limits[resource]
-            runs = now_us < lot.until_us
+            is_valid = now_us < lease.until_us
             leases[resource] = {
-                "amount": lot.amount if runs else lot.after,
-                "left_ms": (lot.until_us - now_us) // 1000 if runs else None,
-                "after": lot.after,
+                "amount": lease.amount if is_valid else lease.fallback,
+                "left_ms": (lease.until_us - now_us) // 1000 if is_valid else None,
+                "after": lease.fallback,
                 "total": limit.total,
                 "fixed": limit.fixed,
-                "slot": self.slot(resource).slot,
-                **({"used": self.holder.uses(resource)} if limit.lingers_us else {}),
+                "slot": self.group_of(resource).number,
+                **({"used": self.holder.usage_of(resource)} if limit.lingers_us else {}),
             }
         return {
-            "joined": self.me in self.seating.joined,
+            "joined": self.own_id in self.membership.joined,
             "slots": [slot.status() for slot in self.slots],
             "leases": leases,
             "figures": self.figures,
@@ -277,5 +315,5 @@
 
     @property
     def figures(self) -> dict[str, int]:
-        """Counts since the start: regimes asked for, begun and lapsed, grants given."""
-        return dict(self.out.figures)
+        """Counts since the start: lease terms requested, begun and lapsed, and grants sent."""
+        return dict(self.out.counters)
--- a/madderbeam/shared/majority.py
+++ b/madderbeam/shared/majority.py
@@ -1,7 +1,7 @@
-"""Who must agree: more than half of each set of members that a table in force somewhere names.
+"""Quorums: more than half of each set of members that some table in force names.
 
-Of an even number one member counts for a half more, so that one half of two, and never both, can agree
-(a distinguished member breaks ties, as in Jajodia and Mutchler, 1990).
+In a set of even size one member counts half a vote more, so that exactly one half of the set can have a
+majority (a distinguished member breaks ties, as in Jajodia and Mutchler, 1990).
 """
 
 from __future__ import annotations
@@ -15,25 +15,32 @@
 Members = tuple[MemberId, ...]
 
 
-def origin(slot: int) -> MemberId:
-    """What stands for a slot's resources in rendezvous hashing."""
-    return MemberId("leases", str(slot))
+def hash_origin(group: int) -> MemberId:
+    """The id that stands for a group's resources in rendezvous hashing."""
+    return MemberId("leases", str(group))
 
 
 @lru_cache(maxsize=1_024)
-def ranked(slot: int, members: Members) -> Members:
-    """By rendezvous hash: the first is to grant, the next where it is gone."""
-    return tuple(sorted(members, key=lambda m: (score(origin(slot), m), m), reverse=True))
+def by_rendezvous_score(group: int, members: Members) -> Members:
+    """The members in the order of their rendezvous scores: the first is to grant, the next if it is gone."""
+    return tuple(
+        sorted(members, key=lambda member: (score(hash_origin(group), member), member), reverse=True)
+    )
 
 
-def carried(slot: int, members: Members, of: Collection[MemberId]) -> bool:
-    """More than half of the members, the tie broken by the first by hash; never so without members."""
-    here = sum(m in of for m in members)
-    tied = len(members) % 2 == 0 and here * 2 == len(members)
-    return here * 2 > len(members) or (tied and here > 0 and ranked(slot, members)[0] in of)
+def has_majority(group: int, members: Members, agreeing: Collection[MemberId]) -> bool:
+    """Whether the members in `of` are a majority.
 
+    The first by hash breaks a tie; no members is no majority.
+    """
+    present = sum(member in agreeing for member in members)
+    tied = len(members) % 2 == 0 and present * 2 == len(members)
+    return present * 2 > len(members) or (
+        tied and present > 0 and by_rendezvous_score(group, members)[0] in agreeing
+    )
 
-def all_carried(slot: int, sets: Iterable[Members], of: Collection[MemberId]) -> bool:
-    """A majority of each set: any two that have one share a member in each set that both go by."""
+
+def has_all_majorities(group: int, sets: Iterable[Members], agreeing: Collection[MemberId]) -> bool:
+    """Whether there is a majority of each set. Any two such quorums that share a set share a member of it."""
     sets = list(sets)
-    return bool(sets) and all(carried(slot, members, of) for members in sets)
+    return bool(sets) and all(has_majority(group, members, agreeing) for members in sets)
--- a/madderbeam/shared/news.py
+++ b/madderbeam/shared/news.py
@@ -1,7 +1,7 @@
-"""News of partners: what members of one site learnt, folded by each by the rule of its kind.
+"""Findings about partners that the members of one site gossip, merged at each member by rules per kind.
 
-Each member tells its own news as rumours, one a subject, and takes them back the same way when they are over.
-A span that lies in a rumour counts from when it is heard here: late news hold back longer, never less.
+Each member gossips its own findings, one entry per subject, and withdraws them the same way. A duration in an
+entry counts from when it is received: a delayed entry restricts calls for longer, never shorter.
 """
 
 from __future__ import annotations
@@ -29,28 +29,29 @@
 
 TIMER = "news"
 PREFIX = "news/"
-LONGEST_US = 3_600_000_000  # a span over this is cut to it
-LONGEST = {
+LONGEST_US = 3_600_000_000  # a longer duration is cut to this
+DURATION_MAX_US_BY_KIND = {
     Kind.DOUBT: 5_000_000,
     Kind.OUTAGE: 60_000_000,
     Kind.BACK: 600_000_000,
     Kind.FULL: 10_000_000,
     Kind.LIMIT: 60_000_000,
-}  # or over this, where such a thing never holds so long
-EACH_MOST = 512  # subjects of one member
-UID_MOST = 96  # bytes
+}  # lower caps for kinds that never last so long
+SUBJECTS_PER_MEMBER_MAX = 512  # subjects per member
+UID_MAX_BYTES = 96  # bytes
 FORM = struct.Struct(">BQd")
-HALF = 2  # a member tells its news again once so much of a part of their time is over
-WITNESSES = 2  # members that have to see an outage for one that has seen nothing itself
-URGENT = frozenset({Kind.WAIT, Kind.DOUBT, Kind.OUTAGE, Kind.BACK})  # told at once, unless others have
-WITNESSED = frozenset({Kind.DOUBT, Kind.OUTAGE})  # shared/returning.py weighs who says so
+RESEND_DIVISOR = 2  # a finding is sent again once no more than 1/RESEND_DIVISOR of its duration is left
+WITNESSES = 2  # members that have to report an outage before one that saw nothing itself believes it
+# disseminated at once, unless enough others have
+URGENT_KINDS = frozenset({Kind.WAIT, Kind.DOUBT, Kind.OUTAGE, Kind.BACK})
+WEIGHED_KINDS = frozenset({Kind.DOUBT, Kind.OUTAGE})  # weighed by the number of reporters
 
 Subject = tuple[Kind, int, str]
 
 
 @dataclass
-class Told:
-    """One member's word on a subject, by this process's clock."""
+class FindingRecord:
+    """One member's finding on a subject, by this process's clock."""
 
     until_us: int
     value: float = 0.0
@@ -58,238 +59,255 @@
 
 
 @dataclass
-class Owner:
-    """One member's news."""
+class MemberFindings:
+    """The findings of one member."""
 
-    told: dict[Subject, Told] = field(default_factory=dict)
+    told: dict[Subject, FindingRecord] = field(default_factory=dict)
 
 
 class NewsBoard:
-    """`handle(now_us, event)`: Learnt, Site, Heard, MemberChanged and Due in; Spread, Heed, Lapsed, SetTimer
-    and Note out. Waits, full tables: the longest holds; drains: the earliest; limits: the least. Doubts and
-    outages are kept, and left to whoever asks `counting`."""
-
-    def __init__(self, me: MemberId, life: Incarnation) -> None:
-        self.me, self.version = me, life.start << 32
-        self.members: frozenset[MemberId] = frozenset({me})
-        self.owners: dict[MemberId, Owner] = {me: Owner()}
-        self.keys: dict[tuple[MemberId, str], Subject] = {}  # of others' rumours
-        self.heeded: dict[Subject, tuple[int, float]] = {}  # what the host was told: until, value
-        self.answered_us: dict[int, int] = {}  # by destination: when it last answered here
-        self.gone: frozenset[MemberId] = frozenset()
+    """The findings of all members, and the merged result.
+
+    `handle(now_us, event)` takes LocalFinding, SiteMembers, GossipReceived, MemberChanged, IncarnationRaised
+    and TimerDue, and returns Disseminate, ApplyFinding, FindingExpired, SetTimer and LogLine. Of Retry-After
+    and full tables the latest end wins, of drains the earliest end, of rate limits the lowest rate.
+    Suspicions and outages are only kept here, for callers of `valid_reports`.
+    """
+
+    def __init__(self, own_id: MemberId, incarnation: Incarnation) -> None:
+        self.own_id, self.version = own_id, incarnation.start << 32
+        self.members: frozenset[MemberId] = frozenset({own_id})
+        self.owners: dict[MemberId, MemberFindings] = {own_id: MemberFindings()}
+        self.keys: dict[tuple[MemberId, str], Subject] = {}  # of other members' gossip entries
+        self.applied: dict[Subject, tuple[int, float]] = {}  # what was last reported to the host: end, value
+        self.answered_us: dict[int, int] = {}  # by destination: when it last answered this courier
+        self.departed: frozenset[MemberId] = frozenset()
         self.cut = self.refused = 0
         self._events: dict[type, Callable[[int, Any], list[Any]]] = {
             Learnt: self._learnt,
             Site: self._site,
-            GossipReceived: self._heard,
-            MemberChanged: self._member,
-            IncarnationRaised: self._raised,
+            GossipReceived: self._gossip_received,
+            MemberChanged: self._member_changed,
+            IncarnationRaised: self._incarnation_raised,
         }
 
-    # What others ask
+    # Queries
 
     def answered(self, now_us: int, dest: int) -> None:
-        """The destination answered a call: what is said of an outage before is void here."""
+        """The destination answered a call: earlier reports of an outage no longer count for this member."""
         self.answered_us[dest] = now_us
 
-    def counting(self, kind: Kind, dest: int, now_us: int) -> dict[MemberId, Told]:
-        """Living members that say this of a destination now, and have since it last answered here."""
+    def valid_reports(self, kind: Kind, dest: int, now_us: int) -> dict[MemberId, FindingRecord]:
+        """Findings of live members on the destination that began after it last answered this courier."""
         since_us, subject = self.answered_us.get(dest, -1), (kind, dest, "")
         return {
-            owner: told
-            for owner, news in self.owners.items()
-            if owner not in self.gone
-            and (told := news.told.get(subject)) is not None
-            and told.until_us > now_us
-            and told.since_us > since_us
+            owner: record
+            for owner, findings in self.owners.items()
+            if owner not in self.departed
+            and (record := findings.told.get(subject)) is not None
+            and record.until_us > now_us
+            and record.since_us > since_us
         }
 
-    def named(self, kinds: frozenset[Kind]) -> set[int]:
-        """The destinations that somebody says one of these of."""
-        return {dest for news in self.owners.values() for kind, dest, _ in news.told if kind in kinds}
+    def reported_destinations(self, kinds: frozenset[Kind]) -> set[int]:
+        """Destinations on which any member has a finding of one of these kinds."""
+        return {dest for findings in self.owners.values() for kind, dest, _ in findings.told if kind in kinds}
 
     @property
     def living(self) -> int:
-        """Members of this site that are not known to be gone, this one included."""
-        return len(self.members - self.gone)
+        """Number of members of this site that are not known to be gone, including this one."""
+        return len(self.members - self.departed)
 
     def status(self, now_us: int) -> list[dict[str, Any]]:
-        """For GET /federation: what is shared, by whom, how old."""
+        """For GET /federation: each finding, who reported it and for how long."""
         return [
             {
                 "kind": kind.value,
                 "dest": dest,
                 "uid": uid,
                 "by": str(owner),
-                "for_ms": (now_us - told.since_us) // 1000,
-                "left_ms": (told.until_us - now_us) // 1000,
-                **({"value": told.value} if told.value else {}),
+                "for_ms": (now_us - record.since_us) // 1000,
+                "left_ms": (record.until_us - now_us) // 1000,
+                **({"value": record.value} if record.value else {}),
             }
-            for owner, news in sorted(self.owners.items())
-            for (kind, dest, uid), told in news.told.items()
-            if told.until_us > now_us
+            for owner, findings in sorted(self.owners.items())
+            for (kind, dest, uid), record in findings.told.items()
+            if record.until_us > now_us
         ]
 
-    def revalued(self, now_us: int, kind: Kind, dest: int, value: float) -> list[Any]:
-        """What this member says of it has another value, for as long as it was said."""
-        told = self.owners[self.me].told.get((kind, dest, ""))
-        if told is None or told.until_us <= now_us or told.value == value:
+    def change_value(self, now_us: int, kind: Kind, dest: int, value: float) -> list[Any]:
+        """Change the value of this member's own finding, which keeps its start and end."""
+        record = self.owners[self.own_id].told.get((kind, dest, ""))
+        if record is None or record.until_us <= now_us or record.value == value:
             return []
-        told.value = value
-        return [self._spread((kind, dest, ""), told.until_us - now_us, value, kind in URGENT)]
+        record.value = value
+        return [self._disseminate((kind, dest, ""), record.until_us - now_us, value, kind in URGENT_KINDS)]
 
     # Events
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
-        take = self._events.get(type(event))
-        actions = take(now_us, event) if take else []
+        """The actions that the event leads to."""
+        handler = self._events.get(type(event))
+        actions = handler(now_us, event) if handler else []
         if isinstance(event, TimerDue) and event.token != TIMER:
             return []
-        return actions + self._fold(now_us)
+        return actions + self._merge(now_us)
 
     def _site(self, now_us: int, event: Site) -> list[Any]:
-        self.members = frozenset({*event.members, self.me})
-        for owner in [o for o in self.owners if o not in self.members]:
+        self.members = frozenset({*event.members, self.own_id})
+        for owner in [member for member in self.owners if member not in self.members]:
             del self.owners[owner]
-        self.keys = {k: s for k, s in self.keys.items() if k[0] in self.members}
+        self.keys = {key: subject for key, subject in self.keys.items() if key[0] in self.members}
         return []
 
-    def _raised(self, now_us: int, event: IncarnationRaised) -> list[Any]:
-        """An earlier life, which this folder does not know, may have told more."""
+    def _incarnation_raised(self, now_us: int, event: IncarnationRaised) -> list[Any]:
+        """An earlier incarnation, unknown to this data directory, may have sent higher versions."""
         self.version = max(self.version, event.life.start << 32)
         return []
 
-    def _member(self, now_us: int, event: MemberChanged) -> list[Any]:
-        """News of one that died age as if it lived; it is only no witness and no trier any more."""
+    def _member_changed(self, now_us: int, event: MemberChanged) -> list[Any]:
+        """A member's state has changed.
+
+        The findings of a dead member expire as usual, but it no longer counts as a reporter or as the prober.
+        """
         gone = event.view.state in (State.DEAD, State.LEFT)
-        self.gone = self.gone | {event.view.id} if gone else self.gone - {event.view.id}
+        self.departed = self.departed | {event.view.id} if gone else self.departed - {event.view.id}
         return []
 
     def _learnt(self, now_us: int, event: Learnt) -> list[Any]:
-        news = event.news
-        subject, told = (news.kind, news.dest, news.uid), self.owners[self.me].told
-        if len(news.uid.encode()) > UID_MOST:
+        finding = event.news
+        subject, records = (finding.kind, finding.dest, finding.uid), self.owners[self.own_id].told
+        if len(finding.uid.encode()) > UID_MAX_BYTES:
             return []
-        left_us = max(0, min(news.left_us, _longest(news.kind)))
-        before = told.get(subject)
+        left_us = max(0, min(finding.left_us, _longest(finding.kind)))
+        before = records.get(subject)
         until_us = now_us + left_us
         if before is not None and before.until_us > now_us and left_us:
-            if news.kind is Kind.DRAIN:
-                return []  # heard again: it runs from when it was heard first
-            if news.kind in (Kind.WAIT, Kind.FULL):
+            if finding.kind is Kind.DRAIN:
+                return []  # a repeated drain keeps its first start
+            if finding.kind in (Kind.WAIT, Kind.FULL):
                 if until_us <= before.until_us:
-                    return []  # the longest holds
-            elif before.until_us - now_us > left_us // HALF and before.value == news.value:
-                return []  # others know it for long enough
-        if before is None and (not left_us or len(told) >= EACH_MOST):
+                    return []  # the latest end wins
+            elif before.until_us - now_us > left_us // RESEND_DIVISOR and before.value == finding.value:
+                return []  # others have it for long enough
+        if before is None and (not left_us or len(records) >= SUBJECTS_PER_MEMBER_MAX):
             self.refused += bool(left_us)
             return []
         since_us = before.since_us if before is not None and before.until_us > now_us else now_us
-        told[subject] = Told(until_us, news.value, since_us)
-        again = before is not None and before.until_us > now_us and news.kind in WITNESSED
-        turned = again and before is not None and before.value != news.value
-        urgent = news.kind in URGENT and (turned or self._needed(now_us, subject, until_us, again))
-        return [self._spread(subject, until_us - now_us, news.value, urgent)]
-
-    def _needed(self, now_us: int, subject: Subject, until_us: int, again: bool) -> bool:
-        """What enough others say already has time until the next probes: the first say it at once, and of
-        those that say it again the first in their order."""
+        records[subject] = FindingRecord(until_us, finding.value, since_us)
+        is_repeated = before is not None and before.until_us > now_us and finding.kind in WEIGHED_KINDS
+        value_changed = is_repeated and before is not None and before.value != finding.value
+        is_urgent = finding.kind in URGENT_KINDS and (
+            value_changed or self._needs_dissemination(now_us, subject, until_us, is_repeated)
+        )
+        return [self._disseminate(subject, until_us - now_us, finding.value, is_urgent)]
+
+    def _needs_dissemination(self, now_us: int, subject: Subject, until_us: int, is_repeated: bool) -> bool:
+        """Whether this finding has to be disseminated at once.
+
+        If enough others report it already, it may wait for the next probes: the first reporters disseminate
+        it at once, and of those that repeat it the first by member id.
+        """
         others = [
-            o
-            for o, n in self.owners.items()
-            if o != self.me
-            and (t := n.told.get(subject)) is not None
-            and t.until_us > now_us
-            and (t.until_us >= until_us or subject[0] in WITNESSED)
-            and not (again and o > self.me)
+            owner
+            for owner, findings in self.owners.items()
+            if owner != self.own_id
+            and (record := findings.told.get(subject)) is not None
+            and record.until_us > now_us
+            and (record.until_us >= until_us or subject[0] in WEIGHED_KINDS)
+            and not (is_repeated and owner > self.own_id)
         ]
         return len(others) < WITNESSES
 
-    def _spread(self, subject: Subject, left_us: int, value: float, at_once: bool) -> Disseminate:
+    def _disseminate(self, subject: Subject, left_us: int, value: float, at_once: bool) -> Disseminate:
         kind, dest, uid = subject
         self.version += 1
-        place = f"/{_short(uid)}" if uid else ""
+        suffix = f"/{_short(uid)}" if uid else ""
         body = FORM.pack(len(uid.encode()), max(0, left_us), value) + uid.encode()
-        return Disseminate(f"{PREFIX}{kind.value}/{dest}{place}", self.version, body, left_us, at_once)
+        return Disseminate(f"{PREFIX}{kind.value}/{dest}{suffix}", self.version, body, left_us, at_once)
 
-    def _heard(self, now_us: int, event: GossipReceived) -> list[Any]:
-        rumour = event.rumour
-        if not rumour.key.startswith(PREFIX) or rumour.owner not in self.members or rumour.owner == self.me:
+    def _gossip_received(self, now_us: int, event: GossipReceived) -> list[Any]:
+        entry = event.rumour
+        if not entry.key.startswith(PREFIX) or entry.owner not in self.members or entry.owner == self.own_id:
             return []
         try:
-            kind, dest, uid, left_us, value = _read(rumour.key, rumour.body)
+            kind, dest, uid, left_us, value = _read(entry.key, entry.body)
         except (ValueError, struct.error) as error:
             self.refused += 1
             return [
-                LogLine(f"news of {rumour.owner} can't be read", NewsRefused(f"{rumour.key[:60]}: {error}"))
+                LogLine(f"a finding of {entry.owner} is malformed", NewsRefused(f"{entry.key[:60]}: {error}"))
             ]
-        told = self.owners.setdefault(rumour.owner, Owner()).told
+        records = self.owners.setdefault(entry.owner, MemberFindings()).told
         subject = (kind, dest, uid)
-        if subject not in told and len(told) >= EACH_MOST:
+        if subject not in records and len(records) >= SUBJECTS_PER_MEMBER_MAX:
             self.refused += 1
             return []
-        notes: list[Any] = []
+        log_lines: list[Any] = []
         if left_us > (longest := _longest(kind)):
             self.cut += 1
-            notes.append(
+            log_lines.append(
                 LogLine(
-                    "news are cut",
+                    "a finding's duration is too long and was cut",
                     NewsRefused(
-                        f"{rumour.owner} tells a {kind.value} of {left_us // 1_000_000} s for destination "
-                        f"{dest}; {longest // 1_000_000} s at most count"
+                        f"{entry.owner} reports a {kind.value} of {left_us // 1_000_000} s for destination "
+                        f"{dest}; at most {longest // 1_000_000} s are used"
                     ),
                 )
             )
-        before = told.get(subject)
+        before = records.get(subject)
         since_us = before.since_us if before is not None and before.until_us > now_us else now_us
-        told[subject] = Told(now_us + min(left_us, longest), value, since_us)
-        return notes
+        records[subject] = FindingRecord(now_us + min(left_us, longest), value, since_us)
+        return log_lines
 
     # What follows
 
-    def _fold(self, now_us: int) -> list[Any]:
-        """Tell the host what others' news make of each subject, where that has changed."""
-        found: dict[Subject, tuple[int, float, MemberId]] = {}
-        for owner, news in self.owners.items():
-            for subject in [s for s, t in news.told.items() if t.until_us <= now_us]:
-                del news.told[subject]
-            if owner == self.me:
+    def _merge(self, now_us: int) -> list[Any]:
+        """The changes of the merged findings, for the host."""
+        merged: dict[Subject, tuple[int, float, MemberId]] = {}
+        for owner, findings in self.owners.items():
+            for subject in [key for key, record in findings.told.items() if record.until_us <= now_us]:
+                del findings.told[subject]
+            if owner == self.own_id:
                 continue
-            for subject, told in news.told.items():
-                if subject[0] not in WITNESSED:
-                    found[subject] = _merged(subject[0], found.get(subject), told, owner)
+            for subject, finding in findings.told.items():
+                if subject[0] not in WEIGHED_KINDS:
+                    merged[subject] = _merged(subject[0], merged.get(subject), finding, owner)
         actions: list[Any] = []
-        for subject, (until_us, value, owner) in found.items():
-            if self.heeded.get(subject) != (until_us, value):
-                self.heeded[subject] = (until_us, value)
+        for subject, (until_us, value, owner) in merged.items():
+            if self.applied.get(subject) != (until_us, value):
+                self.applied[subject] = (until_us, value)
                 actions.append(Heed(News(*subject, until_us - now_us, value), owner))
-        for subject in [s for s in self.heeded if s not in found]:
-            del self.heeded[subject]
+        for subject in [key for key in self.applied if key not in merged]:
+            del self.applied[subject]
             actions.append(Lapsed(*subject))
-        self.answered_us = {d: at for d, at in self.answered_us.items() if now_us - at < LONGEST_US}
-        ends = [t.until_us for news in self.owners.values() for t in news.told.values()]
+        self.answered_us = {
+            dest: answered_us
+            for dest, answered_us in self.answered_us.items()
+            if now_us - answered_us < LONGEST_US
+        }
+        ends = [record.until_us for findings in self.owners.values() for record in findings.told.values()]
         return [*actions, SetTimer(min(ends), TIMER)] if ends else actions
 
 
 def _merged(
-    kind: Kind, before: tuple[int, float, MemberId] | None, told: Told, owner: MemberId
+    kind: Kind, before: tuple[int, float, MemberId] | None, record: FindingRecord, owner: MemberId
 ) -> tuple[int, float, MemberId]:
-    one = (told.until_us, told.value, owner)
+    candidate = (record.until_us, record.value, owner)
     if before is None:
-        return one
+        return candidate
     if kind is Kind.DRAIN:
-        return min(before, one)
+        return min(before, candidate)
     if kind is Kind.LIMIT:
-        return min((before, one), key=lambda row: (row[1], row[0], row[2]))
-    return max(before, one)
+        return min((before, candidate), key=lambda row: (row[1], row[0], row[2]))
+    return max(before, candidate)
 
 
 def _longest(kind: Kind) -> int:
-    return LONGEST.get(kind, LONGEST_US)
+    return DURATION_MAX_US_BY_KIND.get(kind, LONGEST_US)
 
 
 def _short(uid: str) -> str:
-    """Tells endpoints of a destination apart in a key; the whole id is in the body."""
+    """A hash that tells the endpoints of a destination apart in a key; the whole id is in the body."""
     return hashlib.blake2b(uid.encode(), digest_size=8).hexdigest()
 
 
@@ -299,11 +317,11 @@
     uid = body[FORM.size :].decode()
     if not 2 <= len(parts) <= 3 or not parts[1].isdecimal() or len(parts[1]) > 12:
         raise ValueError("key: must be news/KIND/DEST")
-    if len(body) != FORM.size + size or size > UID_MOST:
-        raise ValueError(f"uid: must have at most {UID_MOST} bytes")
+    if len(body) != FORM.size + size or size > UID_MAX_BYTES:
+        raise ValueError(f"uid: must have at most {UID_MAX_BYTES} bytes")
     if not 0 <= value < 1e12:
         raise ValueError("value: must be from 0, under 1e12")
     kind = Kind(parts[0])
     if kind is Kind.LIMIT and left_us and not value:
-        raise ValueError("value: a limit of nought is none")
+        raise ValueError("value: a rate limit must not be 0")
     return kind, int(parts[1]), uid, left_us, value
--- a/madderbeam/shared/regime.py
+++ b/madderbeam/shared/regime.py
@@ -1,8 +1,9 @@
-"""Regimes: one member at a time grants, by the word of a majority (leases: Gray and Cheriton, 1989).
+"""Lease terms: one member at a time grants, confirmed by a majority (leases: Gray and Cheriton, 1989).
 
-The granter counts a regime from before it asked; who confirmed it confirms no other until it has ended by the
-slowest clock, and, since nobody knows what was confirmed before a start, nothing for that long after one.
-A granter that ends its regime early says so; then only what it gave must be waited out.
+The grantor counts a term from before it sent the request. A member that confirmed a term confirms no other
+grantor's until that term has expired by the slowest clock. After a start, since nobody knows what was
+confirmed before, it confirms nothing for that long. A grantor that ends its term early announces that; then
+only its outstanding grants have to be waited out.
 """
 
 from __future__ import annotations
@@ -10,116 +11,140 @@
 from collections.abc import Iterable
 
 from madderbeam.membership.values import MemberId
-from madderbeam.shared.lease_settings import LeaseSettings, longer
-from madderbeam.shared.majority import Members, all_carried
+from madderbeam.shared.lease_settings import LeaseSettings, longest_us
+from madderbeam.shared.majority import Members, has_all_majorities
 
-ASKS_MOST = 8  # whose answers still count
+REQUESTS_MAX = 8  # requests whose replies still count
 
 
-class Voter:
-    """What this member has confirmed in a slot."""
+class TermVoter:
+    """Which lease terms this member has confirmed in a group."""
 
     def __init__(self, settings: LeaseSettings) -> None:
         self.settings = settings
-        self.ready_us: int | None = None  # none yet: it has not been started
-        self.answers_us = 0
-        self.bound: tuple[MemberId, int] | None = None
-        self.until_us = 0  # of what it is bound to
-        self.earlier_us = 0  # until then may run what was given by those that it confirmed before
+        self.votes_from_us: int | None = None  # None until it is started
+        self.replies_from_us = 0
+        self.confirmed: tuple[MemberId, int] | None = None
+        self.confirmed_until_us = 0  # end of the term that it is bound to
+        self.earlier_grants_until_us = 0  # until then, grants of grantors confirmed earlier may be valid
 
     def start(self, now_us: int) -> None:
-        """It may have confirmed something just before: until it is ready it has no vote. And one that it told
-        then what it holds may be about to begin: until that has begun or failed it takes nothing."""
-        if self.ready_us is None:
-            self.ready_us = now_us + self.settings.over_us
-            self.answers_us = now_us + longer(self.settings.turn_us, self.settings.drift_ppm)
-
-    def ready(self, now_us: int) -> bool:
-        return self.ready_us is not None and now_us >= self.ready_us
-
-    def answers(self, now_us: int) -> bool:
-        return self.ready_us is not None and now_us >= self.answers_us
-
-    def free(self, now_us: int) -> bool:
-        """It has confirmed nothing that may still run."""
-        return self.bound is None or now_us >= self.until_us
-
-    def left_us(self, now_us: int) -> int:
-        return 0 if self.free(now_us) else self.until_us - now_us
-
-    def allows(self, now_us: int, member: MemberId, regime: int) -> bool:
-        """Nothing that it confirmed stands against it. A granter's later regime ends its own earlier."""
-        if self.free(now_us) or self.bound is None:
+        """Begin the waiting periods after a start.
+
+        It may have confirmed a term just before, so it has no vote until it is ready. A grantor to which it
+        reported its holdings just before may be about to begin its term; until that has begun or failed it
+        does not reply at all.
+        """
+        if self.votes_from_us is None:
+            self.votes_from_us = now_us + self.settings.expiry_bound_us
+            self.replies_from_us = now_us + longest_us(
+                self.settings.renewal_interval_us, self.settings.drift_ppm
+            )
+
+    def may_vote(self, now_us: int) -> bool:
+        """Whether replies count as votes."""
+        return self.votes_from_us is not None and now_us >= self.votes_from_us
+
+    def may_reply(self, now_us: int) -> bool:
+        """Whether term requests are replied to."""
+        return self.votes_from_us is not None and now_us >= self.replies_from_us
+
+    def is_free(self, now_us: int) -> bool:
+        """Whether it has confirmed nothing that may still run."""
+        return self.confirmed is None or now_us >= self.confirmed_until_us
+
+    def remaining_us(self, now_us: int) -> int:
+        """How long the confirmed term may still run."""
+        return 0 if self.is_free(now_us) else self.confirmed_until_us - now_us
+
+    def may_confirm(self, now_us: int, member: MemberId, term: int) -> bool:
+        """Whether it may confirm this term. A later term of the same grantor ends that one's earlier ones."""
+        if self.is_free(now_us) or self.confirmed is None:
             return True
-        return self.bound[0] == member and regime >= self.bound[1]
-
-    def bind(self, now_us: int, member: MemberId, regime: int) -> bool:
-        """It answers no other for a lease from now on. Whether that counts as its vote."""
-        if self.bound != (member, regime):
-            self.earlier_us = max(self.earlier_us, self.until_us)
-        self.bound, self.until_us = (member, regime), now_us + self.settings.over_us
-        return self.ready(now_us)
-
-    def end(self, member: MemberId, regime: int) -> None:
-        """Its granter's word that it grants nothing by it any more."""
-        if self.bound is not None and self.bound[0] == member and self.bound[1] <= regime:
-            self.earlier_us = max(self.earlier_us, self.until_us)
-            self.bound, self.until_us = None, 0
-
-
-class Regime:
-    """This member's own regime in a slot, asked for or running until `until_us`."""
-
-    def __init__(self, settings: LeaseSettings, slot: int, first: int) -> None:
-        """`first`: no regime or ask of an earlier life has a number as high."""
-        self.settings, self.slot = settings, slot
-        self.number = first  # of the regime
-        self.ask = first
-        self.on = False  # asked for or running
-        self.began_us = 0  # when it was first asked for
-        self.since_us: int | None = None  # since when it has run
+        return self.confirmed[0] == member and term >= self.confirmed[1]
+
+    def confirm(self, now_us: int, member: MemberId, term: int) -> bool:
+        """Confirm no other grantor's term for a lease from now on.
+
+        Returns whether the reply counts as a vote.
+        """
+        if self.confirmed != (member, term):
+            self.earlier_grants_until_us = max(self.earlier_grants_until_us, self.confirmed_until_us)
+        self.confirmed, self.confirmed_until_us = (member, term), now_us + self.settings.expiry_bound_us
+        return self.may_vote(now_us)
+
+    def term_ended(self, member: MemberId, term: int) -> None:
+        """Handle the grantor's announcement that it grants nothing more under this term."""
+        if self.confirmed is not None and self.confirmed[0] == member and self.confirmed[1] <= term:
+            self.earlier_grants_until_us = max(self.earlier_grants_until_us, self.confirmed_until_us)
+            self.confirmed, self.confirmed_until_us = None, 0
+
+
+class LeaseTerm:
+    """This member's own term in a group, requested or running until `until_us`."""
+
+    def __init__(self, settings: LeaseSettings, group: int, first_number: int) -> None:
+        """`first_number`: higher than any term or request number of an earlier incarnation."""
+        self.settings, self.group = settings, group
+        self.number = first_number  # the term's number
+        self.last_request = first_number
+        self.is_active = False  # requested or running
+        self.requested_since_us = 0  # when it was first requested
+        self.running_since_us: int | None = None  # since when it has been running
         self.until_us = 0
-        self.wait_us = 0  # until then may run what others gave before
-        self._asks: dict[int, tuple[int, set[MemberId]]] = {}
+        self.earlier_grants_until_us = 0  # until then, earlier grantors' grants may be valid
+        self._requests: dict[int, tuple[int, set[MemberId]]] = {}
 
-    def runs(self, now_us: int) -> bool:
-        return self.on and now_us < self.until_us
+    def is_running(self, now_us: int) -> bool:
+        """Whether the term is confirmed and has not expired."""
+        return self.is_active and now_us < self.until_us
 
     def begin(self, now_us: int) -> None:
+        """Take a new term number; the term is requested from now on."""
         self.number += 1
-        self.on, self.began_us, self.since_us = True, now_us, None
-        self.until_us = self.wait_us = 0
-        self._asks.clear()
-
-    def stop(self) -> None:
-        """Nothing is granted by it any more."""
-        self.on, self.since_us, self.until_us = False, None, 0
-        self._asks.clear()
-
-    def asked(self, now_us: int) -> int:
-        """The number of a new question. It counts from now, whenever the answers come."""
-        self.ask += 1
-        self._asks[self.ask] = (now_us, set())
-        while len(self._asks) > ASKS_MOST:
-            del self._asks[next(iter(self._asks))]
-        return self.ask
-
-    def when(self, ask: int) -> int | None:
-        """When this was asked, if its answers still count."""
-        return self._asks[ask][0] if ask in self._asks else None
-
-    def told(self, now_us: int, member: MemberId, ask: int, earlier_us: int, sets: Iterable[Members]) -> None:
-        """A member confirmed. It begins to run only soon after it was first asked for: until then what was
-        told of holdings is so still."""
-        if not self.on or ask not in self._asks:
+        self.is_active, self.requested_since_us, self.running_since_us = True, now_us, None
+        self.until_us = self.earlier_grants_until_us = 0
+        self._requests.clear()
+
+    def end(self) -> None:
+        """End the term: nothing more is granted under it."""
+        self.is_active, self.running_since_us, self.until_us = False, None, 0
+        self._requests.clear()
+
+    def new_request(self, now_us: int) -> int:
+        """Number of a new request. Its lease counts from now, whenever the replies arrive."""
+        self.last_request += 1
+        self._requests[self.last_request] = (now_us, set())
+        while len(self._requests) > REQUESTS_MAX:
+            del self._requests[next(iter(self._requests))]
+        return self.last_request
+
+    def requested_at_us(self, request: int) -> int | None:
+        """When this request was sent, if its replies still count."""
+        return self._requests[request][0] if request in self._requests else None
+
+    def record_vote(
+        self, now_us: int, member: MemberId, request: int, earlier_us: int, sets: Iterable[Members]
+    ) -> None:
+        """Count a member's vote, and begin or extend the term once the majorities have confirmed.
+
+        A term begins only soon after its first request, while the holdings that members reported are still
+        accurate.
+        """
+        if not self.is_active or request not in self._requests:
             return
-        asked_us, voters = self._asks[ask]
+        requested_us, voters = self._requests[request]
         voters.add(member)
         if earlier_us:
-            self.wait_us = max(self.wait_us, now_us + longer(earlier_us, self.settings.drift_ppm))
-        late = self.since_us is None and now_us >= self.began_us + self.settings.turn_us
-        if late or not all_carried(self.slot, sets, voters):
+            self.earlier_grants_until_us = max(
+                self.earlier_grants_until_us, now_us + longest_us(earlier_us, self.settings.drift_ppm)
+            )
+        is_too_late = (
+            self.running_since_us is None
+            and now_us >= self.requested_since_us + self.settings.renewal_interval_us
+        )
+        if is_too_late or not has_all_majorities(self.group, sets, voters):
             return
-        self.until_us = max(self.until_us, asked_us + self.settings.lease_us)
-        if self.since_us is None and self.runs(now_us):
-            self.since_us = now_us
+        self.until_us = max(self.until_us, requested_us + self.settings.lease_us)
+        if self.running_since_us is None and self.is_running(now_us):
+            self.running_since_us = now_us
--- a/madderbeam/shared/site.py
+++ b/madderbeam/shared/site.py
@@ -1,7 +1,7 @@
-"""Who belongs to the site by all tables that are in force somewhere, and who has ever confirmed a regime.
+"""Which members belong to the site by any table in force, and which have ever confirmed a lease term.
 
-A member that has uses its floor where it has no lease; one that has not uses its fixed part. So what is kept
-for a silent one is its fixed part until it is known to have confirmed.
+A member that has confirmed one uses its floor while it has no lease, one that has not uses its fixed share.
+So a fixed share is reserved for an unreachable member until it is known to have confirmed a term.
 """
 
 from __future__ import annotations
@@ -10,97 +10,134 @@
 import zlib
 
 from madderbeam.membership.values import MemberId
-from madderbeam.shared.lease_messages import Seats
-from madderbeam.shared.lease_settings import LeaseSettings, longer
+from madderbeam.shared.lease_messages import MemberBitmap
+from madderbeam.shared.lease_settings import LeaseSettings, longest_us
 from madderbeam.shared.majority import Members
 from madderbeam.shared.values import Limit, Site
 
 
-class Seating:
-    """`sets`: the members by the table in force here, then by each that others may still go by."""
+class SiteMembership:
+    """Which members there are.
 
-    def __init__(self, settings: LeaseSettings, me: MemberId, joined: bool) -> None:
-        self.settings, self.me = settings, me
-        self.sets: tuple[Members, ...] = ()
-        self.first = True
-        self.settled_us: int | None = None  # then it may be sure that its floor is kept for it
+    `member_sets`: by the table in force here, then by each earlier one still in use.
+    """
+
+    def __init__(self, settings: LeaseSettings, own_id: MemberId, joined: bool) -> None:
+        self.settings, self.own_id = settings, own_id
+        self.member_sets: tuple[Members, ...] = ()
+        self.is_first_table = True
+        self.floor_reserved_from_us: int | None = (
+            None  # from then on all grantors reserve a floor for this member
+        )
         self.current: Members = ()  # by the table in force here
         self.members: Members = ()  # of all sets
-        self.joined: dict[MemberId, int] = {me: 0} if joined else {}  # and when it surely has no fixed part
-        self._kept: dict[Members, int] = {}  # sets that no table has any more, and until when they count
-        self._site: tuple[Members, ...] = ()
-        self._names = 0
-        self.lingers_us = 0  # the longest of any limit, by the slowest clock
-
-    def change(self, now_us: int, site: Site) -> None:
-        """A set counts for a lease and a turn longer: what its members confirmed or gave may still run, and
-        what lingers be in use."""
-        self.first, self.current = site.first, tuple(sorted(set(site.members)))
-        if self.settled_us is None:
-            self.settled_us = now_us + self.settings.settled_us
-        told = tuple(dict.fromkeys(tuple(sorted(set(s))) for s in (site.members, *site.earlier) if s))
-        for gone in self._site:
-            self._kept[gone] = now_us + self.settings.settled_us + self.lingers_us
-        self._site = told
-        self.due(now_us)
-
-    def due(self, now_us: int) -> None:
-        """Sets whose time is over count no more."""
-        self._kept = {s: at for s, at in self._kept.items() if at > now_us and s not in self._site}
-        sets = self._site + tuple(self._kept)
-        if sets != self.sets:
-            self.sets = sets
-            self.members = tuple(sorted({m for s in sets for m in s}))
-            self.joined = {m: at for m, at in self.joined.items() if m in self.members or m == self.me}
-            self._names = zlib.crc32(" ".join(map(str, self.members)).encode())
-
-    def own(self, now_us: int, limit: Limit) -> float:
-        """What this member uses without a lease, once it knows its site. By the first table its fixed part,
-        until it has confirmed a regime. Else a floor: while tables differ the least by any, nothing if one
-        does not name it; and not before a lease and a turn after its start, since others may have had all."""
-        if self.settled_us is None or not all(self.me in s for s in (self.current, *self.sets)):
+        # with the time from which it uses no fixed share
+        self.joined: dict[MemberId, int] = {own_id: 0} if joined else {}
+        self._retained: dict[Members, int] = {}  # sets of replaced tables, and until when they count
+        self._in_use: tuple[Members, ...] = ()
+        self._order_checksum = 0
+        self.lingers_us = 0  # the longest of all limits, by the slowest clock
+
+    def update(self, now_us: int, site: Site) -> None:
+        """Another table is in force, or a replaced one is no longer in use.
+
+        A dropped set counts for a lease and a renewal more: terms and grants that its members confirmed or
+        gave may still run, and lingering resources be in use.
+        """
+        self.is_first_table, self.current = site.first, tuple(sorted(set(site.members)))
+        if self.floor_reserved_from_us is None:
+            self.floor_reserved_from_us = now_us + self.settings.table_settled_us
+        sets = tuple(
+            dict.fromkeys(tuple(sorted(set(members))) for members in (site.members, *site.earlier) if members)
+        )
+        for dropped in self._in_use:
+            self._retained[dropped] = now_us + self.settings.table_settled_us + self.lingers_us
+        self._in_use = sets
+        self.expire(now_us)
+
+    def expire(self, now_us: int) -> None:
+        """Drop the sets whose time is over."""
+        self._retained = {
+            members: until_us
+            for members, until_us in self._retained.items()
+            if until_us > now_us and members not in self._in_use
+        }
+        sets = self._in_use + tuple(self._retained)
+        if sets != self.member_sets:
+            self.member_sets = sets
+            self.members = tuple(sorted({member for members in sets for member in members}))
+            self.joined = {
+                member: until_us
+                for member, until_us in self.joined.items()
+                if member in self.members or member == self.own_id
+            }
+            self._order_checksum = zlib.crc32(" ".join(map(str, self.members)).encode())
+
+    def unleased_amount(self, now_us: int, limit: Limit) -> float:
+        """The amount that this member uses without a lease, once it knows its site.
+
+        By the first table that is its fixed share, until it has confirmed a term. Otherwise it is a floor:
+        the least by any table while members use different ones, and nothing if one of them does not name it.
+        There is none until a lease and a renewal after its start, since others may have been granted
+        everything.
+        """
+        if self.floor_reserved_from_us is None or not all(
+            self.own_id in members for members in (self.current, *self.member_sets)
+        ):
             return 0.0
-        if not self.first and now_us < self.settled_us + longer(limit.lingers_us, self.settings.drift_ppm):
+        if not self.is_first_table and now_us < self.floor_reserved_from_us + longest_us(
+            limit.lingers_us, self.settings.drift_ppm
+        ):
             return 0.0
-        part = min([limit.fixed, *(limit.total / len(s) for s in self.sets)])
-        if self.first and self.me not in self.joined:
-            return math.floor(part) if limit.whole else part
+        part = min([limit.fixed, *(limit.total / len(members) for members in self.member_sets)])
+        if self.is_first_table and self.own_id not in self.joined:
+            return math.floor(part) if limit.in_whole_units else part
         return self._floor(limit, part)
 
-    def _floor(self, limit: Limit, part: float) -> float:
-        """Of such a part. Of whole units one at least where the part has one, and grows with the part."""
-        kept = part * self.settings.floor
-        return kept if not limit.whole else float(max(math.floor(kept), part >= 1))
+    def _floor(self, limit: Limit, fixed_share: float) -> float:
+        """The floor for a fixed share.
+
+        It grows with the share; of whole units it is at least one where the share has one.
+        """
+        floor = fixed_share * self.settings.floor
+        return floor if not limit.in_whole_units else float(max(math.floor(floor), fixed_share >= 1))
 
     def base(self, now_us: int, limit: Limit, member: MemberId) -> float:
-        """What is kept for a member that holds no lease: the most that it takes by whatever table it goes."""
-        joined = self.has_floor(now_us - longer(limit.lingers_us, self.settings.drift_ppm), member)
+        """The amount reserved for a member without a lease: the most that it may use by any table."""
+        joined = self.has_floor(now_us - longest_us(limit.lingers_us, self.settings.drift_ppm), member)
         most = 0.0
-        for members in self.sets:
+        for members in self.member_sets:
             if member in members:
                 part = max(limit.fixed, limit.total / len(members))
-                has_fixed = not joined and (self.first or members != self.current)
+                has_fixed = not joined and (self.is_first_table or members != self.current)
                 most = max(most, part if has_fixed else self._floor(limit, part))
         return most
 
-    def joins(self, now_us: int, member: MemberId) -> None:
-        """It has confirmed a regime. Its fixed part it may use for a lease more, and as long all keep it."""
-        self.joined.setdefault(member, now_us + self.settings.over_us)
+    def record_joined(self, now_us: int, member: MemberId) -> None:
+        """The member has confirmed a term.
+
+        It may use its fixed share for another lease, for which all members keep reserving it.
+        """
+        self.joined.setdefault(member, now_us + self.settings.expiry_bound_us)
 
     def has_floor(self, now_us: int, member: MemberId) -> bool:
+        """Whether the member certainly uses no more than its floor without a lease."""
         return now_us >= self.joined.get(member, now_us + 1)
 
-    def seats(self, now_us: int) -> Seats:
-        """Who has a floor, as it is told to others."""
+    def joined_bitmap(self, now_us: int) -> MemberBitmap:
+        """The members that have floors, as sent to others."""
         bits = 0
-        for n, member in enumerate(self.members):
-            bits |= self.has_floor(now_us, member) << n
-        return Seats(self._names, bits.to_bytes(len(self.members) // 8 + 1, "little"))
-
-    def learn(self, now_us: int, seats: Seats) -> None:
-        """Another's word on it. Where tables differ it is not read, which keeps more than needed."""
-        if seats.names == self._names:
-            bits = int.from_bytes(seats.bits, "little")
-            for n, member in enumerate(self.members):
-                if bits >> n & 1 and not self.has_floor(now_us, member):
+        for index, member in enumerate(self.members):
+            bits |= self.has_floor(now_us, member) << index
+        return MemberBitmap(self._order_checksum, bits.to_bytes(len(self.members) // 8 + 1, "little"))
+
+    def merge_joined(self, now_us: int, bitmap: MemberBitmap) -> None:
+        """Merge the set of another member.
+
+        It is ignored where tables differ, which reserves more than needed.
+        """
+        if bitmap.names == self._order_checksum:
+            bits = int.from_bytes(bitmap.bits, "little")
+            for index, member in enumerate(self.members):
+                if bits >> index & 1 and not self.has_floor(now_us, member):
                     self.joined[member] = now_us
--- a/madderbeam/shared/slot.py
+++ b/madderbeam/shared/slot.py
@@ -1,4 +1,4 @@
-"""One slot: confirms regimes, follows the granter that it confirmed, asks for its own in its turn."""
+"""One lease group: this member votes on its terms, follows their grantor, and may become grantor itself."""
 
 from __future__ import annotations
 
@@ -8,183 +8,207 @@
 
 from madderbeam.membership.values import MemberId, MemberView
 from madderbeam.shared.candidacy import Candidacy
-from madderbeam.shared.granting import Granting
+from madderbeam.shared.granting import Grantor
 from madderbeam.shared.holder import Holder
-from madderbeam.shared.lease_messages import Ask, Back, End, Grant, Refused, Told, Took
+from madderbeam.shared.lease_messages import (
+    Grant,
+    GrantAck,
+    LeaseReturn,
+    TermEnd,
+    TermRejected,
+    TermReply,
+    TermRequest,
+)
 from madderbeam.shared.lease_settings import LeaseSettings
-from madderbeam.shared.outgoing import Outgoing
-from madderbeam.shared.regime import Voter
-from madderbeam.shared.site import Seating
+from madderbeam.shared.outgoing import OutgoingActions
+from madderbeam.shared.regime import TermVoter
+from madderbeam.shared.site import SiteMembership
 
-SPAN_TOLD_MOST_US = 2 * 3_600 * 1_000_000
+REPORTED_SPAN_MAX_US = 2 * 3_600 * 1_000_000
 
 
-class Slot:
-    """`join`: makes this member's first word to a regime durable; whether it is."""
+class LeaseGroup:
+    """A group of resources that are granted together by one grantor at a time.
+
+    `join` makes it durable that this member confirms lease terms, before its first reply to one, and returns
+    whether it is.
+    """
 
     def __init__(
         self,
         settings: LeaseSettings,
-        slot: int,
-        seating: Seating,
+        number: int,
+        membership: SiteMembership,
         holder: Holder,
-        out: Outgoing,
+        out: OutgoingActions,
         views: Mapping[MemberId, MemberView],
-        first: int,
-        chance: Random,
+        first_number: int,
+        rng: Random,
         join: Callable[[], bool],
     ) -> None:
-        self.settings, self.slot, self.seating, self.holder = settings, slot, seating, holder
+        self.settings, self.number, self.membership, self.holder = settings, number, membership, holder
         self.out, self.views, self.join = out, views, join
-        self.resources: list[str] = []  # dealt to this slot
-        self.voter = Voter(settings)
-        self.granting = Granting(settings, seating, out, slot, first)
-        self.candidacy = Candidacy(settings, seating, slot, chance)
-        self.granter: MemberId | None = None  # as far as is known here
-        self.since_us = 0  # since when it has granted to this member
-
-    # Own regime
-
-    def tick(self, wants: bool) -> None:
-        """Several times in a turn. `wants`: this member is not draining."""
-        self._tell_needs()
-        now_us, granting = self.out.now_us, self.granting
-        regime = granting.regime
-        if not regime.on:
-            if self.candidacy.due(now_us, self.voter, self.views, wants):
+        self.resources: list[str] = []  # assigned to this group by hash
+        self.voter = TermVoter(settings)
+        self.granting = Grantor(settings, membership, out, number, first_number)
+        self.candidacy = Candidacy(settings, membership, number, rng)
+        self.current_grantor: MemberId | None = None  # as far as this member knows
+        self.granted_since_us = 0  # since when this grantor has granted to this member
+
+    # This member's own term
+
+    def tick(self, may_grant: bool) -> None:
+        """Runs several times per renewal interval. `may_grant`: this member is not draining."""
+        self._report_changed_needs()
+        now_us, grantor = self.out.now_us, self.granting
+        term = grantor.term
+        if not term.is_active:
+            if self.candidacy.should_request(now_us, self.voter, self.views, may_grant):
                 self.out.count("asked for")
-                granting.begin()
-        elif regime.since_us is None and now_us >= regime.began_us + self.settings.turn_us:
-            granting.end()
+                grantor.begin()
+        elif (
+            term.running_since_us is None
+            and now_us >= term.requested_since_us + self.settings.renewal_interval_us
+        ):
+            grantor.end()
             self.candidacy.failed(now_us)
-        elif regime.since_us is not None and not granting.runs():
+        elif term.running_since_us is not None and not grantor.runs():
             self.out.count("lapsed")
-            granting.end()
+            grantor.end()
             self.candidacy.failed(now_us)
-        elif not wants and self.others():
-            granting.end()
-        elif regime.since_us is None or now_us >= granting.asked_us + self.settings.turn_us:
-            granting.turn()
-            granting.ask()
+        elif not may_grant and self.can_others_grant():
+            grantor.end()
+        elif (
+            term.running_since_us is None
+            or now_us >= grantor.requested_us + self.settings.renewal_interval_us
+        ):
+            grantor.divide_all()
+            grantor.request()
         else:
-            granting.refresh()
+            grantor.refresh()
 
-    def _tell_needs(self) -> None:
-        """What it needs is much more or less than its granter knows: not only with the next answer."""
-        followed = self.holder.followed.get(self.slot)
-        changed = self.holder.changed(self.out.now_us, self.resources) if followed is not None else ()
+    def _report_changed_needs(self) -> None:
+        """Reports at once a need that differs much from what the grantor knows."""
+        followed = self.holder.followed.get(self.number)
+        changed = self.holder.changed_needs(self.out.now_us, self.resources) if followed is not None else ()
         if followed is not None and changed:
-            self.out.send(followed.granter, Took(self.slot, followed.regime, followed.seq, changed))
+            self.out.send(followed.grantor, GrantAck(self.number, followed.term, followed.seq, changed))
 
-    def others(self) -> bool:
-        """Somebody else can grant."""
-        return any(m != self.out.me and self.candidacy.fit(m, self.views) for m in self.seating.current)
+    def can_others_grant(self) -> bool:
+        """Whether another member could grant."""
+        return any(
+            m != self.out.own_id and self.candidacy.is_eligible(m, self.views)
+            for m in self.membership.current
+        )
 
-    def stop(self) -> None:
-        """It was paused: it can't tell what was granted since."""
-        if self.granting.regime.on:
+    def abandon_term(self) -> None:
+        """End this member's term after a pause, since others may have granted meanwhile."""
+        if self.granting.term.is_active:
             self.granting.end()
             self.candidacy.failed(self.out.now_us)
 
     # Messages
 
-    def take(self, member: MemberId, message: Any) -> None:
-        """One of this slot."""
-        if isinstance(message, Ask):
-            self._asked(member, message)
-        elif isinstance(message, Told):
-            ran = self.granting.runs()
-            self.granting.told(member, message)
-            if self.granting.runs() and not ran:
+    def handle(self, member: MemberId, message: Any) -> None:
+        """Handle a lease message of this group."""
+        if isinstance(message, TermRequest):
+            self._handle_request(member, message)
+        elif isinstance(message, TermReply):
+            was_running = self.granting.runs()
+            self.granting.handle_reply(member, message)
+            if self.granting.runs() and not was_running:
                 self.out.count("began")
-                self.candidacy.ruled()
-        elif isinstance(message, Refused):
-            self._refused(message)
+                self.candidacy.succeeded()
+        elif isinstance(message, TermRejected):
+            self._handle_rejection(message)
         elif isinstance(message, Grant):
-            self._granted(member, message)
-        elif isinstance(message, Took):
-            self.granting.took(member, message)
-        elif isinstance(message, Back):
-            self.granting.back(member, message)
-        elif isinstance(message, End):
-            self._ended(member, message)
-
-    def _asked(self, member: MemberId, message: Ask) -> None:
+            self._handle_grant(member, message)
+        elif isinstance(message, GrantAck):
+            self.granting.handle_ack(member, message)
+        elif isinstance(message, LeaseReturn):
+            self.granting.handle_return(member, message)
+        elif isinstance(message, TermEnd):
+            self._handle_term_end(member, message)
+
+    def _handle_request(self, member: MemberId, message: TermRequest) -> None:
         now_us, voter = self.out.now_us, self.voter
-        if member not in self.seating.members or not voter.answers(now_us):
+        if member not in self.membership.members or not voter.may_reply(now_us):
             return
-        if not voter.allows(now_us, member, message.regime) or message.lease_us > self.settings.lease_us:
-            left_us = min(voter.left_us(now_us), SPAN_TOLD_MOST_US)
-            self.out.send(member, Refused(self.slot, message.regime, message.ask, left_us))
+        if not voter.may_confirm(now_us, member, message.regime) or message.lease_us > self.settings.lease_us:
+            left_us = min(voter.remaining_us(now_us), REPORTED_SPAN_MAX_US)
+            self.out.send(member, TermRejected(self.number, message.regime, message.ask, left_us))
             return
         if not self.join():
             return
-        self.seating.learn(now_us, message.joined)
-        self.candidacy.heard(member)
-        votes = voter.bind(now_us, member, message.regime)
-        followed = self.holder.answers(now_us, self.slot, member, message.regime, message.ask)
-        earlier_us = min(max(0, voter.earlier_us - now_us), SPAN_TOLD_MOST_US)
+        self.membership.merge_joined(now_us, message.joined)
+        self.candidacy.grantor_seen(member)
+        votes = voter.confirm(now_us, member, message.regime)
+        followed = self.holder.record_reply(now_us, self.number, member, message.regime, message.ask)
+        earlier_us = min(max(0, voter.earlier_grants_until_us - now_us), REPORTED_SPAN_MAX_US)
         holdings = self.holder.holdings(now_us, self.resources)
-        told = Told(
-            self.slot,
+        reply = TermReply(
+            self.number,
             message.regime,
             message.ask,
             votes,
             earlier_us,
             followed.seq,
-            self.seating.seats(now_us),
+            self.membership.joined_bitmap(now_us),
             holdings,
         )
-        self.out.send(member, told)
+        self.out.send(member, reply)
 
-    def _refused(self, message: Refused) -> None:
-        regime = self.granting.regime
-        if regime.on and message.regime == regime.number and regime.since_us is None:
+    def _handle_rejection(self, message: TermRejected) -> None:
+        term = self.granting.term
+        if term.is_active and message.regime == term.number and term.running_since_us is None:
             self.candidacy.not_before_us = max(
                 self.candidacy.not_before_us,
-                self.out.now_us + min(message.left_us, self.settings.over_us),
+                self.out.now_us + min(message.left_us, self.settings.expiry_bound_us),
             )
 
-    def _granted(self, member: MemberId, message: Grant) -> None:
-        if self.out.me not in self.seating.current:
-            return  # what it has ends by itself
+    def _handle_grant(self, member: MemberId, message: Grant) -> None:
+        if self.out.own_id not in self.membership.current:
+            return  # its leases expire by themselves
         now_us = self.out.now_us
-        had = {r: self.holder.amount(r, now_us) for r, _ in message.parts}
+        amounts_before = {resource: self.holder.amount(resource, now_us) for resource, _ in message.parts}
         allots = self.holder.take(now_us, member, message)
         for allot in allots:
-            self.out.do(allot)
-        if any(allot.amount < had[allot.resource] for allot in allots):
+            self.out.add(allot)
+        if any(allot.amount < amounts_before[allot.resource] for allot in allots):
             holdings = self.holder.lingering(now_us, self.resources)
-            self.out.send(member, Took(self.slot, message.regime, message.seq, holdings))
-        if allots and self.granter != member:
-            self.granter, self.since_us = member, self.out.now_us
-
-    def _ended(self, member: MemberId, message: End) -> None:
-        if self.voter.bound is not None and self.voter.bound[0] == member:
-            self.voter.end(member, message.regime)
-            if self.voter.bound is None:
-                self.candidacy.ended(self.out.now_us, member)
-
-    def give_up(self) -> None:
-        """It uses no more than its floors, and says so to its granter."""
-        allots, ask = self.holder.give_up(self.out.now_us, self.slot, self.resources)
+            self.out.send(member, GrantAck(self.number, message.regime, message.seq, holdings))
+        if allots and self.current_grantor != member:
+            self.current_grantor, self.granted_since_us = member, self.out.now_us
+
+    def _handle_term_end(self, member: MemberId, message: TermEnd) -> None:
+        if self.voter.confirmed is not None and self.voter.confirmed[0] == member:
+            self.voter.term_ended(member, message.regime)
+            if self.voter.confirmed is None:
+                self.candidacy.term_ended(self.out.now_us, member)
+
+    def return_leases(self) -> None:
+        """Use no more than the floors, and return the leases to the grantor."""
+        allots, request = self.holder.return_leases(self.out.now_us, self.number, self.resources)
         for allot in allots:
-            self.out.do(allot)
-        followed = self.holder.followed.get(self.slot)
+            self.out.add(allot)
+        followed = self.holder.followed.get(self.number)
         if followed is not None:
-            self.out.send(followed.granter, Back(self.slot, followed.regime, ask))
+            self.out.send(followed.grantor, LeaseReturn(self.number, followed.term, request))
 
     def status(self) -> dict[str, Any]:
         """For GET /federation."""
-        now_us, regime = self.out.now_us, self.granting.regime
-        given = {r: {str(m): a for m, a in p.figures(now_us).items()} for r, p in self.granting.pots.items()}
-        runs = self.granting.runs()
+        now_us, term = self.out.now_us, self.granting.term
+        granted = {
+            resource: {str(member): amount for member, amount in pool.granted_amounts(now_us).items()}
+            for resource, pool in self.granting.pools.items()
+        }
+        is_running = self.granting.runs()
         return {
-            "slot": self.slot,
-            "granter": None if self.granter is None else str(self.granter),
-            "since_ms": None if self.granter is None else (now_us - self.since_us) // 1000,
-            "grants": runs,
-            "regime": regime.number if runs else None,
-            "regime_ms": (now_us - (regime.since_us or now_us)) // 1000 if runs else None,
-            "given": given if runs else {},
+            "slot": self.number,
+            "granter": None if self.current_grantor is None else str(self.current_grantor),
+            "since_ms": None if self.current_grantor is None else (now_us - self.granted_since_us) // 1000,
+            "grants": is_running,
+            "regime": term.number if is_running else None,
+            "regime_ms": (now_us - (term.running_since_us or now_us)) // 1000 if is_running else None,
+            "given": granted if is_running else {},
         }
--- a/madderbeam/shared/values.py
+++ b/madderbeam/shared/values.py
@@ -1,8 +1,8 @@
-"""The values of what a site's members share: news of partners, who tries a returning one, leases on limits.
+"""Events and actions of what a site's members share: findings about partners, and leases on limits.
 
-Beside these the machines take MemberChanged, Heard, FromLink, LinkUp, LinkDown, Resumed, Due and Unwritten,
-and give Spread, ToLink, SetTimer, Persist and Note (membership/values.py). Only spans travel between
-processes.
+The state machines also take MemberChanged, GossipReceived, MessageReceived, PauseDetected, TimerDue and
+WriteFailed, and return Disseminate, SendMessage, SetTimer, Persist and LogLine (membership/values.py).
+Processes send each other only durations, never points in time, since their clocks are not synchronized.
 """
 
 from __future__ import annotations
@@ -14,21 +14,30 @@
 
 
 class Kind(Enum):
-    """What there is news of. Each has a merge rule that commutes."""
+    """What a finding is about.
 
-    WAIT = "wait"  # told by the partner: the longest holds
-    DRAIN = "drain"  # heard from its list: the earliest holds
-    DOUBT = "doubt"  # a call there failed, and none was answered since: not an outage yet
-    OUTAGE = "outage"  # nothing is answered there; value: turns of trying it had, and a half while it tries
-    BACK = "back"  # it answers again: cold
-    FULL = "full"  # its connection table has no room
-    LIMIT = "limit"  # it refused as full: the pace of one courier since, messages a second; the least holds
+    The value is part of the gossip key. The findings of several members on one subject are merged by a
+    commutative rule of the kind.
+    """
+
+    WAIT = "wait"  # Retry-After from the partner: the latest end wins
+    DRAIN = "drain"  # read from the endpoint list: the earliest end wins
+    DOUBT = "doubt"  # a call failed and none succeeded since: a suspicion, not yet an outage
+    # no call succeeds; value: probing turns that the reporter has had, plus a half while it probes
+    OUTAGE = "outage"
+    BACK = "back"  # it answers again and has to be ramped up as cold
+    FULL = "full"  # its connection table is full
+    # it rejected calls for overload; value: messages per second that one courier sends since; the lowest wins
+    LIMIT = "limit"
 
 
 @dataclass(frozen=True)
 class News:
-    """One thing that a member learnt of a partner. `uid`: the endpoint's id, "" for all of the destination.
-    `left_us`: how long it holds still, at most an hour; `value`: as the kind has it."""
+    """One finding of a member about a partner.
+
+    `uid` is the endpoint's id, or "" for the whole destination. `left_us` is how long the finding stays
+    valid, at most an hour; `value` has the meaning that its kind gives it.
+    """
 
     kind: Kind
     dest: int
@@ -42,9 +51,12 @@
 
 @dataclass(frozen=True)
 class Site:
-    """The members that the table in force gives to this site, this one included. `earlier`: those of each
-    table before it that a member of the site may still go by: one leaves once all whom it names have a newer
-    one in force or are called off. `first`: the federation's first table, so that no other went before."""
+    """The members that the ownership table in force gives to this site, including this one.
+
+    `earlier` holds the members by each earlier table that some member of the site may still use; an earlier
+    table is left out once all members that it names have a newer one in force or are removed.
+    `is_first_table`: the federation has had no other table before.
+    """
 
     members: tuple[MemberId, ...]
     earlier: tuple[tuple[MemberId, ...], ...] = ()
@@ -53,44 +65,47 @@
 
 @dataclass(frozen=True)
 class Learnt:
-    """This courier learnt it itself, from an answer or its list."""
+    """This courier found it out itself, from a reply or from its endpoint list."""
 
     news: News
 
 
 @dataclass(frozen=True)
 class Failed:
-    """A call of this courier's to the destination failed in a way that an outage would show."""
+    """A call of this courier to the destination failed in a way that an outage would show."""
 
     dest: int
 
 
 @dataclass(frozen=True)
 class Answered:
-    """One was answered, where a word of this member's stood against that."""
+    """A call to the destination was answered while this member reported a suspicion or an outage of it."""
 
     dest: int
 
 
 @dataclass(frozen=True)
 class Limit:
-    """What all members together may use of a resource, and what one has without any lease (its fixed part:
-    the whole over the members). Resources: `rate/DEST` (messages a second), `places/DEST` (connections to its
-    endpoints), `quota/NODE` (parts of a node's limits).
+    """The total that all members together may use of a resource.
 
-    `whole`: dealt in whole units, with a floor of one where each has one. `lingers_us`: what is begun under a
-    lease may be in use for so long after it has fallen or ended."""
+    `fixed` is the equal share (the total over the members) that a member may use before it ever has a lease.
+    Resources: `rate/DEST` (messages per second), `places/DEST` (connections to its endpoints), `quota/NODE`
+    (fractions of a quota node's limits).
+
+    `in_whole_units`: divided in whole units, with a floor of one unit where the equal share is at least one.
+    `lingers_us`: how long what was begun under a lease may stay in use after the lease was lowered or ended.
+    """
 
     resource: str
     total: float
     fixed: float
-    whole: bool = False
+    in_whole_units: bool = False
     lingers_us: int = 0
 
 
 @dataclass(frozen=True)
 class Need:
-    """What this courier could use of a resource now, and what a unit of it is worth."""
+    """How much of a resource this courier could use now, and the priority weight of one unit."""
 
     resource: str
     amount: float
@@ -102,7 +117,10 @@
 
 @dataclass(frozen=True)
 class Heed:
-    """Another member's news: hold back by it for so long. Never loosens anything that this one knows."""
+    """Restrict calls by another member's finding for its `left_us`.
+
+    It never loosens a restriction that this courier set itself.
+    """
 
     news: News
     source: MemberId
@@ -110,7 +128,7 @@
 
 @dataclass(frozen=True)
 class Lapsed:
-    """It holds no more."""
+    """The finding of this kind no longer applies."""
 
     kind: Kind
     dest: int
@@ -119,7 +137,7 @@
 
 @dataclass(frozen=True)
 class TryFor:
-    """This member tries the partner on behalf of all (or no longer does)."""
+    """This member starts (`enabled`) or stops probing the destination on behalf of the whole site."""
 
     dest: int
     on: bool
@@ -127,8 +145,10 @@
 
 @dataclass(frozen=True)
 class Allot:
-    """What this courier may use of a resource until `until_us` by its own clock; from then on `after` (its
-    floor), unless another Allot came."""
+    """How much this courier may use of a resource until `until_us` by its own clock.
+
+    After that it may use `fallback` (its floor), unless another such action came first.
+    """
 
     resource: str
     amount: float
--- a/tests/quota/test_credits.py
+++ b/tests/quota/test_credits.py
@@ -1,4 +1,4 @@
-"""Credits and leases: what is drawn in bulk, or scaled by a part, passes no limit in any window."""
+"""Credits and leases: what is drawn in bulk, or scaled by a fraction, exceeds no limit in any window."""
 
 import random
 from unittest import mock
@@ -7,9 +7,9 @@
 
 from madderbeam.quota.credits import Credits
 from madderbeam.quota.gate import Gate
-from madderbeam.quota.leased import NODES_MOST, Base
+from madderbeam.quota.leased import LEASED_NODES_MAX, UnscaledLimit
 from madderbeam.quota.split import Split
-from madderbeam.quota.tree import SPARE, Tree
+from madderbeam.quota.tree import CREDIT_SPARE_FACTOR, Tree
 
 S = 1_000_000
 RATE, BURST, SIZES = 400, 200, 100_000
@@ -20,15 +20,15 @@
 
 
 def rows(messages=RATE, burst=BURST):
-    """One organisation of two ensembles, limited in messages and bytes; a quarter of each share reserved."""
+    """One organization of two ensembles, limited in messages and bytes, a quarter of each share reserved."""
     share = {"messages_per_s": messages // 2, "bytes_per_s": SIZES // 2}
-    kept = {"messages_per_s": messages // 8}
+    reserved = {"messages_per_s": messages // 8}
     both = {"burst_messages": burst, "burst_bytes": SIZES}
     parts = {"burst_messages": burst // 2, "burst_bytes": SIZES // 2}
     return [
         node("school", limit={"messages_per_s": messages, "bytes_per_s": SIZES, **both}),
         *(
-            node(name, "school", [name], share={**share, **parts}, reserved=kept)
+            node(name, "school", [name], share={**share, **parts}, reserved=reserved)
             for name in ("choir", "band")
         ),
     ]
@@ -40,7 +40,7 @@
 
 
 class Bucket:
-    """What may pass in any window: a level that must never fall under nought."""
+    """What may pass in any window: a level that must never fall below 0."""
 
     def __init__(self, rate, holds):
         self.rate, self.holds, self.level, self.at = rate, holds, holds, 0
@@ -52,19 +52,19 @@
 
 
 class Site:
-    """Several couriers' gates and what all let pass; parts move among them, their sum is at most one."""
+    """The gates of several couriers, and what they let pass. Moving fractions add up to at most one."""
 
     def __init__(self, seed, couriers=1, leased=False):
         self.chance, self.now = random.Random(seed), 0
         self.gates = [gate(leased, couriers=couriers) for _ in range(couriers)]
-        slack = couriers if leased else 0  # one message and its bytes at each, beyond the burst
+        slack = couriers if leased else 0  # one message and its bytes at each courier, beyond the burst
         self.messages = Bucket(RATE, BURST + slack)
         self.bytes = Bucket(SIZES, SIZES + slack * 16_384)
         self.passed, self.asked = 0, 0
         self.parts = [0.0] * couriers
 
     def move(self):
-        """Those that fall are told first."""
+        """Move the fractions. Couriers whose fraction falls get theirs first."""
         weights = [self.chance.random() ** 3 for _ in self.gates]
         parts = [w / sum(weights) for w in weights]
         order = sorted(range(len(parts)), key=lambda n: parts[n] - self.parts[n])
@@ -87,38 +87,40 @@
                 self.messages.passed(1, self.now)
                 self.bytes.passed(size, self.now)
             if self.chance.random() < 0.002:
-                self.sums()
-        self.sums()
+                self.check_sums()
+        self.check_sums()
         return self
 
-    def sums(self):
-        """Exact: what is owed is what was borrowed and not repaid, and nothing is over its bucket."""
+    def check_sums(self):
+        """Exact sums: debts are what was borrowed and not repaid; no bucket exceeds its capacity."""
         for made in self.gates:
-            made.credits.recall(self.now)
+            made.credits.return_all(self.now)
             for n in made.tree.nodes():
                 for split in n.splits:
                     if split is None:
                         continue
-                    time = split.settle(self.now)
-                    holds = split.pool_holds + sum(p.holds + p.reserved.holds for p in split.parts)
-                    levels = split.pool + sum(p.own(time) + p.reserved.at(time) for p in split.parts)
-                    assert holds == split.holds and levels <= holds
+                    time = split.advance(self.now)
+                    holds = split.pool_capacity + sum(p.capacity + p.reserved.capacity for p in split.parts)
+                    levels = split.pool + sum(
+                        p.bucket_level(time) + p.reserved.level_at(time) for p in split.parts
+                    )
+                    assert holds == split.capacity and levels <= holds
                     for p in split.parts:
-                        repaid = p.repaid + p.debt - p.owes(time)
-                        assert p.borrowed - repaid == p.owes(time) >= 0
+                        repaid = p.repaid + p.debt - p.debt_at(time)
+                        assert p.borrowed - repaid == p.debt_at(time) >= 0
 
 
-def test_what_is_drawn_in_bulk_passes_no_limit_in_any_window():
+def test_credits_exceed_no_limit_in_any_window():
     sites = [Site(seed).play() for seed in range(6)]
     assert sum(s.passed for s in sites) > 10_000
 
 
-def test_parts_that_move_among_couriers_pass_no_limit_together():
+def test_moving_fractions_exceed_no_limit_together():
     sites = [Site(seed, 4, leased=True).play() for seed in range(6)]
     assert sum(s.passed for s in sites) > 5_000
 
 
-def _unlocked_lock(self, part, reserved, own, pool, now):
+def _lock_without_capacity(self, part, reserved, own, pool, now):
     if part is None:
         self.pool -= pool
     else:
@@ -129,37 +131,37 @@
     return False
 
 
-_settle, _scale = Tree.settle, Base.scale
+_settle, _scale = Tree.return_credit, UnscaledLimit.scale
 
 
-def _all_back(node_, plan, messages, size, now):
-    """More than was left goes back."""
+def _more_returned(node_, plan, messages, size, now):
+    """More is returned than was left."""
     _settle(node_, plan, messages + 1, size, now)
 
 
 def _keeps_level(self, k, now):
-    """Levels grow with the part."""
+    """Levels grow with the fraction."""
     pool = self.split.pool
     _scale(self, k, now)
-    self.split.pool = max(pool, self.split.pool_holds)
+    self.split.pool = max(pool, self.split.pool_capacity)
 
 
 BUGS = {
-    "buckets hold all while a credit is out": (Split, "lock", _unlocked_lock),
-    "more goes back than was left": (Tree, "settle", staticmethod(_all_back)),
-    "a part that grows is given a full bucket": (Base, "scale", _keeps_level),
+    "buckets keep their capacity while a credit is outstanding": (Split, "lock", _lock_without_capacity),
+    "more is returned than was left": (Tree, "return_credit", staticmethod(_more_returned)),
+    "a growing fraction gets a full bucket": (UnscaledLimit, "scale", _keeps_level),
 }
 
 
 @pytest.mark.parametrize("name", BUGS)
-def test_a_planted_bug_is_found(name):
+def test_a_seeded_fault_is_found(name):
     with mock.patch.object(*BUGS[name]), pytest.raises(AssertionError):
         for seed in range(20):
             Site(seed, 4, leased=True).play()
             Site(seed).play()
 
 
-def test_the_ordinary_message_asks_no_limit():
+def test_the_ordinary_message_checks_no_limit():
     made, asked = gate(), []
     plan = Tree._plan
     with mock.patch.object(Tree, "_plan", lambda *args: asked.append(1) or plan(*args)):
@@ -168,11 +170,11 @@
     assert len(asked) < 60
 
 
-def test_nothing_is_refused_while_a_credit_is_out():
+def test_nothing_is_rejected_while_a_credit_is_outstanding():
     made = gate()
     for n in range(40):
         assert made.admit("choir", "notice", 0, 0, n).passed
-    assert made.credits.out
+    assert made.credits.outstanding
     passed = sum(made.admit("band", "notice", 0, 0, 100).passed for _ in range(400))
     exact = gate()
     with mock.patch.object(Credits, "draw", lambda *args: False):
@@ -181,41 +183,45 @@
         assert sum(exact.admit("band", "notice", 0, 0, 100).passed for _ in range(400)) == passed
 
 
-def test_a_credit_is_drawn_of_plenty_alone_and_borrows_nothing():
+def test_a_credit_is_drawn_from_plenty_only_and_borrows_nothing():
     made = gate()
     while made.admit("choir", "notice", 0, 0, 0).passed:
-        for credit in made.credits.out:
-            assert credit.size * (SPARE + 1) <= BURST // 2
+        for credit in made.credits.outstanding:
+            assert credit.size * (CREDIT_SPARE_FACTOR + 1) <= BURST // 2
     assert made.use(0)[0].owed > 0  # the rest was borrowed, a message at a time
 
 
-def test_what_a_credit_has_left_goes_back_within_a_second():
+def test_what_a_credit_has_left_is_returned_within_a_second():
     made = gate()
     for n in range(10):
         made.admit("choir", "notice", 0, 0, n)
     assert made.admit("choir", "notice", 0, 0, 5 * S).passed
     whole = made.tree.root.children["school"].splits[0]
-    assert not made.credits.out  # the one of five seconds ago was given up with the first message after it
-    now = whole.settle(6 * S)
-    assert whole.holds == whole.pool + sum(p.own(now) + p.reserved.at(now) for p in whole.parts)
+    assert (
+        not made.credits.outstanding
+    )  # the one drawn five seconds ago was returned with the first message after it
+    now = whole.advance(6 * S)
+    assert whole.capacity == whole.pool + sum(
+        p.bucket_level(now) + p.reserved.level_at(now) for p in whole.parts
+    )
 
 
 # Leases
 
 
-def test_nothing_passes_before_the_first_word_nor_by_a_lease_that_ended():
+def test_nothing_passes_before_the_first_lease_nor_under_an_expired_one():
     made = gate(leased=True, couriers=4)
     found = made.admit("choir", "notice", 10, 0, 0)
     assert not found.passed and not found.why and 0 < found.after_us < 3 * S
     made.allot("school", 1.0, 4 * S, 0.0, 0)
-    while made.admit("choir", "notice", 10, 0, 4 * S - 1).passed and not made.credits.out:
+    while made.admit("choir", "notice", 10, 0, 4 * S - 1).passed and not made.credits.outstanding:
         pass
-    assert made.credits.out  # there is one whose second is not over
+    assert made.credits.outstanding  # a credit is outstanding whose second is not over
     assert not made.admit("choir", "notice", 10, 0, 4 * S).passed
     assert made.leased.lots["school"].k == 0
 
 
-def test_a_message_that_a_whole_limit_lets_pass_is_told_to_come_back_and_another_that_it_can_not():
+def test_a_message_gets_retry_after_if_the_whole_limit_could_pass_it():
     made = gate(leased=True)
     made.allot("school", 0.01, 4 * S, 0.0, 0)
     assert made.admit("choir", "notice", 60_000, 0, 0).after_us > 0
@@ -225,7 +231,7 @@
     assert made.leased.wanted(lot, 0.0, 0.0, largest) >= 0.6
 
 
-def test_need_is_that_of_the_dimension_which_needs_most():
+def test_the_need_is_that_of_the_dominant_dimension():
     made = gate(leased=True)
     lot = made.leased.lots["school"]
     assert made.leased.wanted(lot, RATE / 4, SIZES / 2, 0) == pytest.approx(0.5)
@@ -233,7 +239,7 @@
     assert made.leased.wanted(lot, 9 * RATE, 0.0, 0) == 1.0
 
 
-def test_debts_stay_as_a_part_falls_and_are_paid_by_what_is_earned_then():
+def test_debts_stay_as_a_fraction_falls_and_are_paid_by_its_earnings():
     made = gate(leased=True)
     made.allot("school", 1.0, 4 * S, 0.0, 0)
     now = 3 * S
@@ -245,10 +251,10 @@
     half = next(n for n in range(1, 2_000) if not made.use(now + n * S // 100)[0].owed)
     assert half == pytest.approx(owed / (RATE / 2 - RATE / 8) * 2 * 100, abs=3)
     kept = made.dump(now)
-    assert not kept  # these limits are by the second
+    assert not kept  # these limits are per second
 
 
-def test_a_debt_by_the_hour_outlasts_a_restart_before_the_first_lease():
+def test_an_hourly_debt_survives_a_restart_before_the_first_lease():
     hourly = [
         node("school", limit={"messages_per_h": 4_000}),
         *(node(n, "school", [n], share={"messages_per_h": 2_000}) for n in ("choir", "band")),
@@ -264,10 +270,12 @@
     assert not again.admit("choir", "notice", 0, 0, 0).passed
 
 
-def test_quotas_beyond_those_that_are_leased_have_equal_parts():
-    many = [node(f"n{n}", tenants=[f"t{n}"], limit={"messages_per_s": 40}) for n in range(NODES_MOST + 1)]
+def test_quotas_beyond_those_leased_are_divided_equally():
+    many = [
+        node(f"n{n}", tenants=[f"t{n}"], limit={"messages_per_s": 40}) for n in range(LEASED_NODES_MAX + 1)
+    ]
     made = gate(leased=True, couriers=4, nodes=many)
     assert made.leased.unleased == 1
-    last = f"t{NODES_MOST}"
+    last = f"t{LEASED_NODES_MAX}"
     assert sum(made.admit(last, "notice", 0, 0, 0).passed for _ in range(30)) == 10
     assert not made.admit("t0", "notice", 0, 0, 0).passed
