--- a/tests/quota/test_gate.py
+++ b/tests/quota/test_gate.py
@@ -1,5 +1,7 @@
-"""The gate: which node counts, what is told, what outlasts the process; and a courier with quotas on
-loopback."""
+"""Admission by quotas: which node counts, what the client is told, what survives the process.
+
+Also a courier with quotas on loopback.
+"""
 
 import asyncio
 import json
@@ -29,37 +31,37 @@
 
 
 def school(reserved=5, hour=None):
-    """A school of two ensembles, ten messages a second each of twenty; deposits have a part reserved."""
-    more = {"messages_per_h": hour} if hour else {}
-    part = {"messages_per_h": hour // 2} if hour else {}
-    kept = {"messages_per_h": hour // 4} if hour else {}
+    """A school of two ensembles, with ten messages a second each of twenty, some of each share reserved."""
+    hourly_limit = {"messages_per_h": hour} if hour else {}
+    hourly_share = {"messages_per_h": hour // 2} if hour else {}
+    hourly_reserved = {"messages_per_h": hour // 4} if hour else {}
     return [
-        node("school", limit={"messages_per_s": 20, **more}),
+        node("school", limit={"messages_per_s": 20, **hourly_limit}),
         node(
             "choir",
             "school",
             ["choir"],
-            share={"messages_per_s": 10, **part},
-            reserved={"messages_per_s": reserved, **kept},
+            share={"messages_per_s": 10, **hourly_share},
+            reserved={"messages_per_s": reserved, **hourly_reserved},
         ),
         node(
             "band",
             "school",
             ["band"],
-            share={"messages_per_s": 10, **part},
-            reserved={"messages_per_s": reserved, **kept},
+            share={"messages_per_s": 10, **hourly_share},
+            reserved={"messages_per_s": reserved, **hourly_reserved},
         ),
     ]
 
 
 def passes(g, tenant, now, most=1000, size=0, cls="notice", held=0):
-    found = 0
-    while found < most and g.admit(tenant, cls, size, held, now).passed:
-        found += 1
-    return found
+    passed = 0
+    while passed < most and g.admit(tenant, cls, size, held, now).passed:
+        passed += 1
+    return passed
 
 
-def test_a_message_counts_at_its_most_particular_node():
+def test_a_message_counts_at_its_most_specific_node():
     g = gate(
         node("federation", limit={"messages_per_s": 100}),
         node("choir", "federation", ["choir"], share={"messages_per_s": 50}),
@@ -70,7 +72,7 @@
     assert [g.node(*key).name for key in keys] == ["choir", "choir-deposits", "deposits", g.tree.root.name]
 
 
-def test_a_flood_borrows_up_to_its_organisation_and_takes_nothing_of_another():
+def test_a_flood_borrows_within_its_organization_only():
     g = gate(*school(), node("other", limit={"messages_per_s": 8}, tenants=["other"]))
     assert passes(g, "choir", 0) <= 20 - 5  # never what the band has reserved
     assert passes(g, "band", 0) >= 5 and passes(g, "other", 0) == 8
@@ -78,7 +80,7 @@
     assert sum(later) <= 3 * 20
 
 
-def test_what_is_borrowed_weighs_less_and_gets_no_place_among_many_held():
+def test_borrowing_messages_weigh_less_and_are_rejected_among_many_pending():
     g = gate(*school())
     verdicts = [g.admit("choir", "notice", 0, 0, 0) for _ in range(12)]
     own = [v for v in verdicts if v.passed and not v.borrowed]
@@ -87,11 +89,11 @@
     g = gate(*school())
     found = [g.admit("choir", "notice", 0, 60, 0) for _ in range(12)]
     assert [v.passed for v in found].count(True) == len(own) and found[-1].after_us > 0
-    assert not any(u.owed for u in g.use(0))  # what was refused has borrowed nothing
-    assert g.admit("band", "notice", 0, 99, 0).passed  # on its own room it is the module's matter
+    assert not any(u.owed for u in g.use(0))  # rejected messages borrow nothing
+    assert g.admit("band", "notice", 0, 99, 0).passed  # within its own share only the engine decides
 
 
-def test_the_time_to_come_back_is_true_and_not_the_same_for_all():
+def test_retry_after_is_accurate_and_jittered():
     g = gate(*school())
     passes(g, "choir", 0)
     told = [g.admit("choir", "notice", 0, 0, 0).after_us for _ in range(50)]
@@ -99,20 +101,20 @@
     assert g.admit("choir", "notice", 0, 0, min(told)).passed
 
 
-def test_64_kib_against_10_kib_a_second_can_never_pass_and_is_told_so():
+def test_64_kib_against_10_kib_a_second_can_never_pass():
     g = gate(node("choir", tenants=["choir"], limit={"bytes_per_s": 10_240}))
     found = g.admit("choir", "notice", 65_536, 0, 0)
     assert not found.passed and "can never pass" in found.why and "10240" in found.why and not found.after_us
     assert g.admit("choir", "notice", 10_240, 0, 0).passed
 
 
-def test_a_borrower_that_goes_quiet_repays_and_a_lender_that_wakes_has_its_reserved_part():
+def test_an_idle_borrower_repays_and_a_returning_lender_has_its_reserved_part():
     g = gate(*school(reserved=5))
     passes(g, "choir", 0)
     owed = {u.node: u.owed for u in g.use(1)}
     assert owed["all/school/choir"] > 0
     assert passes(g, "band", 2) >= 5
-    assert not {u.owed for u in g.use(11 * S)} - {0}  # paid within ten seconds, in silence
+    assert not {u.owed for u in g.use(11 * S)} - {0}  # repaid within ten seconds while idle
 
 
 def restarted(g, nodes, kept, after_us, now=50 * S):
@@ -121,7 +123,7 @@
     return fresh
 
 
-def test_debts_and_the_hour_outlast_the_process():
+def test_debts_and_hourly_usage_survive_the_process():
     nodes = school(hour=4000)
     g = gate(*nodes)
     for n in range(600):
@@ -133,10 +135,10 @@
     for key in (("all/school/choir", "messages a hour"), ("all/school/band", "messages a hour")):
         assert after[key].owed == before[key].owed
         assert before[key].room * 0.9 <= after[key].room <= before[key].room
-    assert passes(again, "choir", 50 * S) == 0  # the seconds' buckets begin empty
+    assert passes(again, "choir", 50 * S) == 0  # buckets per second start empty
 
 
-def test_limits_that_shrink_below_what_is_in_use_and_grow_again_keep_the_debt():
+def test_limits_that_shrink_below_usage_keep_the_debt():
     nodes = school(hour=4000)
     g = gate(*nodes)
     for n in range(600):
@@ -157,7 +159,7 @@
     ),
     st.integers(0, 10),
 )
-def test_no_hour_sees_more_than_the_limit_over_kills_and_clocks_that_step_back(steps, back_s):
+def test_no_hour_exceeds_the_limit_over_kills_and_clock_steps(steps, back_s):
     nodes, limit = school(hour=80), 80
     g, now, kept, took = gate(*nodes), 0, None, []
     kept, saved = g.dump(now), now
@@ -188,8 +190,8 @@
             assert g.admit(f"t{n}", "notice", 100, 0, hour * HOUR_US + n).passed
     g.use(5 * HOUR_US)
     assert all(
-        not split.due for top in g.tree.nodes() for split in top.splits if split
-    )  # nothing is kept of them
+        not split.checks for top in g.tree.nodes() for split in top.splits if split
+    )  # nothing is scheduled for them
     deep = [node("l0", limit={"messages_per_s": 1000})]
     deep += [node(f"l{n}", f"l{n - 1}", limit={"messages_per_s": 1000}) for n in range(1, 9)]
     deep.append(node("leaf", "l8", ["choir"]))
@@ -197,7 +199,7 @@
 
 
 @pytest.mark.parametrize(
-    "nodes, told",
+    "nodes, expected",
     [
         (
             [node("a", limit={"messages_per_s": 1}), node("b", "a", share={"messages_per_s": 2})],
@@ -208,13 +210,13 @@
         ([{"parent": ""}], "name"),
     ],
 )
-def test_a_tree_that_does_not_add_up(nodes, told):
+def test_an_inconsistent_tree_is_rejected(nodes, expected):
     with pytest.raises(QuotaError) as error:
         gate(*nodes)
-    assert told in str(error.value) and "\n" not in str(error.value)
+    assert expected in str(error.value) and "\n" not in str(error.value)
 
 
-# In the estate and on loopback
+# In an estate and on loopback
 
 TREE = """
 [[quota]]
@@ -274,13 +276,13 @@
 
 
 @limited
-async def test_a_flood_is_refused_with_a_time_and_the_others_go_on(made, client):
+async def test_a_flood_is_rejected_with_retry_after_and_the_others_continue(made, client):
     begun = asyncio.get_running_loop().time()
     answers = [await client.send(message(f"t{n}")) for n in range(80)]
-    room = 40 + 40 * (asyncio.get_running_loop().time() - begun)  # burst, and what came meanwhile
+    room = 40 + 40 * (asyncio.get_running_loop().time() - begun)  # the burst, and what flowed in since
     assert 5 < answers.count("+OK") <= room and all(a == "+OK" or a.startswith("-BUSY ") for a in answers)
     assert [await client.send(message(f"u{n}", "u")) for n in range(20)] == ["+OK"] * 20
-    again = [n for n, told in enumerate(answers) if told == "+OK"][:5]  # known: not counted again
+    again = [n for n, told in enumerate(answers) if told == "+OK"][:5]  # already accepted: not counted again
     assert [await client.send(message(f"t{n}")) for n in again] == ["+OK"] * 5
     figures = dict(line.split("=") for line in made.host.all_figures().splitlines())
     assert int(figures["app.quota.refused"]) == sum(a != "+OK" for a in answers)
@@ -292,7 +294,7 @@
 
 
 @limited
-async def test_a_restart_does_not_give_a_flood_new_room(made, client):
+async def test_a_restart_does_not_refill_the_buckets(made, client):
     for n in range(80):
         await client.send(message(f"t{n}"))
     await bounded(made.settled())
@@ -306,7 +308,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, change",
+    "expected, change",
     [
         ("stands twice", ('name = "band"', 'name = "choir"')),
         ("no node", ('parent = "school"\ntenants = ["t"]', 'parent = "scool"\ntenants = ["t"]')),
@@ -316,7 +318,7 @@
         ("no parent", ('parent = "school"\ntenants = ["t"]', 'tenants = ["t"]')),
     ],
 )
-def test_a_mistake_in_the_tree_is_told_with_its_line(told, change, tmp_path):
+def test_a_mistake_in_the_tree_is_reported_with_its_line(expected, change, tmp_path):
     assert change[0] in TREE
     estate = TWO.replace("[[application]]", TREE.replace(*change, 1) + "\n[[application]]")
     (tmp_path / "estate.toml").write_text(estate)
@@ -324,4 +326,4 @@
         '[[partner]]\nname = "v"\nnumber = 1\nper_s = 5\nendpoints = ["127.0.0.1:1"]\n'
     )
     problems = check(tmp_path / "estate.toml").problems
-    assert any(told in str(p) for p in problems), problems
+    assert any(expected in str(p) for p in problems), problems
--- a/tests/quota/test_tree.py
+++ b/tests/quota/test_tree.py
@@ -1,4 +1,4 @@
-"""Nested quotas: shares, borrowing, debts, and times to come back that are true."""
+"""Nested quotas: shares, borrowing, debts, and an accurate Retry-After."""
 
 import time
 
@@ -7,20 +7,20 @@
 from hypothesis import strategies as st
 
 from madderbeam.quota import split as s
-from madderbeam.quota.tree import DIMENSIONS, Limit, Never, Passed, Refused, Tree
+from madderbeam.quota.tree import DIMENSIONS, Limit, NeverFits, Passed, Rejected, Tree
 
 S = 1_000_000
 
 
 def by_second(amount, burst=0, reserved=0, at=0):
-    """Limits of one dimension alone."""
+    """Limits of one dimension only."""
     limits = [None] * 4
     limits[at] = Limit(amount, burst, reserved)
     return tuple(limits)
 
 
 def two(reserved=0, limit=20, share=10):
-    """A federation of two schools, ten messages a second each of twenty."""
+    """A federation of two schools, with ten messages a second each of twenty."""
     tree = Tree(by_second(limit))
     return tree, *(tree.add(tree.root, name, by_second(share, reserved=reserved)) for name in "ab")
 
@@ -38,17 +38,17 @@
     return sum(isinstance(tree.admit(node, 0, at), Passed) for at in range(begin, begin + seconds * S, every))
 
 
-def test_a_node_borrows_what_its_sibling_leaves_and_pays_it_back_while_it_is_quiet():
+def test_a_node_borrows_what_its_sibling_leaves_and_repays_while_idle():
     tree, a, b = two()
-    assert passes(tree, a, 0) == 12  # its own bucket, and the pool's
+    assert passes(tree, a, 0) == 12  # its own bucket and the pool
     assert flood(tree, a, 0, 5) == pytest.approx(5 * 20, abs=2)  # its share and b's
     part = a.parts[0]
-    assert part.borrowed >= 45 * s.UNIT and part.owes(tree.root.splits[0].settle(5 * S)) > 0
-    tree.root.splits[0].settle(5 * S + s.REPAY_US[s.SECOND])
+    assert part.borrowed >= 45 * s.UNITS_EACH and part.debt_at(tree.root.splits[0].advance(5 * S)) > 0
+    tree.root.splits[0].advance(5 * S + s.REPAY_US[s.SECOND])
     assert part.debt == 0 and part.repaid == part.borrowed
 
 
-def test_a_lender_that_wakes_gets_its_own_at_once_and_the_borrower_falls_back():
+def test_a_returning_lender_gets_its_share_at_once():
     tree, a, b = two()
     flood(tree, a, 0, 5)
     assert passes(tree, b, 5 * S) >= 7
@@ -62,11 +62,11 @@
 def test_what_is_reserved_is_never_lent():
     tree, a, b = two(reserved=10)
     assert flood(tree, a, 0, 5) == pytest.approx(60, abs=1)  # its share and its burst, nothing of b's
-    assert tree.root.splits[0].pool_holds == 0
+    assert tree.root.splits[0].pool_capacity == 0
     assert passes(tree, b, 5 * S) == 10
 
 
-def test_what_is_borrowed_below_does_not_use_up_what_is_reserved_above():
+def test_borrowing_below_does_not_use_up_what_is_reserved_above():
     tree = Tree(by_second(20))
     school = tree.add(tree.root, "school", by_second(10, reserved=4), by_second(10))
     flooding = tree.add(school, "flooding", by_second(2))
@@ -77,24 +77,24 @@
     assert passes(tree, other, 20 * S) == 10
 
 
-def test_a_message_that_one_node_refuses_is_counted_at_none():
+def test_a_message_that_one_node_rejects_is_counted_at_none():
     tree = Tree(by_second(10))
     child = tree.add(tree.root, "child", by_second(5), by_second(3, at=0))
     assert passes(tree, child, 0) == 3  # its own limit
-    assert tree.root.splits[0].pool + child.parts[0].own(0) == 7 * s.UNIT
+    assert tree.root.splits[0].pool + child.parts[0].bucket_level(0) == 7 * s.UNITS_EACH
 
 
-def test_a_message_larger_than_what_may_pass_at_once_is_told_so():
+def test_a_message_larger_than_the_burst_can_never_pass():
     tree = Tree(by_second(10 * 1024, at=1))
-    assert tree.admit(tree.root, 64 * 1024, 0) == Never("all", "bytes a second", 10 * 1024)
+    assert tree.admit(tree.root, 64 * 1024, 0) == NeverFits("all", "bytes a second", 10 * 1024)
     roomy = Tree(by_second(10 * 1024, burst=64 * 1024, at=1))
     assert tree.admit(tree.root, 1024, 0) == Passed()
     assert roomy.admit(roomy.root, 64 * 1024, 0) == Passed()
     refused = roomy.admit(roomy.root, 64 * 1024, 0)
-    assert isinstance(refused, Refused) and refused.after_us == pytest.approx(6.4 * S, abs=2000)
+    assert isinstance(refused, Rejected) and refused.after_us == pytest.approx(6.4 * S, abs=2000)
 
 
-def test_no_hour_sees_more_than_its_limit():
+def test_no_hour_exceeds_its_limit():
     tree = Tree(by_second(100, at=2))
     times = [at for at in range(0, 3 * 3600 * S, S) if isinstance(tree.admit(tree.root, 0, at), Passed)]
     for first in times:
@@ -102,7 +102,7 @@
     assert len(times) == pytest.approx(100 / 4 + 3 * 75, abs=1)
 
 
-def test_time_that_goes_back_gives_nothing():
+def test_a_clock_that_steps_back_refills_nothing():
     tree = Tree(by_second(10))
     assert passes(tree, tree.root, 10 * S) == 10
     assert passes(tree, tree.root, 0) == 0
@@ -110,7 +110,7 @@
     assert passes(tree, tree.root, 11 * S) == 10
 
 
-def test_shares_and_what_is_reserved_have_to_fit():
+def test_shares_and_reserved_parts_have_to_fit():
     tree = Tree(by_second(10))
     school = tree.add(tree.root, "school", by_second(6, reserved=2), by_second(6))
     with pytest.raises(ValueError, match="all/more: messages a second: the shares"):
@@ -125,7 +125,7 @@
         Limit(0)
 
 
-def test_what_has_no_share_takes_from_the_pool_and_owes_nothing():
+def test_a_node_without_a_share_takes_from_the_pool_and_owes_nothing():
     tree = Tree(by_second(10))
     free = tree.add(tree.root, "free")
     tree.add(tree.root, "held", by_second(4))
@@ -133,7 +133,7 @@
     assert [u.owed for u in tree.use(0)] == [0]
 
 
-def test_a_refusal_s_time_is_true_for_a_borrower_too():
+def test_retry_after_is_accurate_for_a_borrower():
     tree, a, _ = two()
     flood(tree, a, 0, 3)
     refused = tree.admit(a, 0, 3 * S)
@@ -148,7 +148,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(EVENTS)
-def test_no_limit_is_passed_and_no_debt_is_made_or_lost(events):
+def test_no_limit_is_exceeded_and_no_debt_is_made_or_lost(events):
     limits = (Limit(20), Limit(400, 800), Limit(300), None)
     tree = Tree(limits)
     school = tree.add(
@@ -163,18 +163,18 @@
         tree.add(school, "a", (Limit(4), Limit(100), Limit(50), None)),
         tree.add(school, "b", (Limit(5, reserved=3), Limit(100, 200, 40), None, None)),
     ]
-    now, done = 0, []
+    now, admitted = 0, []
     for which, wait, size in events:
         now += wait
         if isinstance(tree.admit(nodes[which], size, now), Passed):
-            done.append((now, which, size))
+            admitted.append((now, which, size))
     for inside, (count, weight) in (((0, 1, 2, 3), ((20, 20), (400, 800))), ((2, 3), ((15, 15), (300, 600)))):
-        mine = [(at, size) for at, which, size in done if which in inside]
-        for first in range(len(mine)):
+        inside_rows = [(at, size) for at, which, size in admitted if which in inside]
+        for first in range(len(inside_rows)):
             sent = 0
-            for number, (at, size) in enumerate(mine[first:], 1):
+            for number, (at, size) in enumerate(inside_rows[first:], 1):
                 sent += size
-                past = (at - mine[first][0]) / S
+                past = (at - inside_rows[first][0]) / S
                 assert number <= count[0] * past + count[1] + 1e-6
                 assert sent <= weight[0] * past + weight[1] + 1e-6
     for node in tree.nodes():
@@ -182,19 +182,19 @@
             if part is None:
                 continue
             split = node.parent.splits[at]
-            time_ = split.settle(now)
-            paid = part.debt - part.owes(time_)
-            assert part.borrowed == part.repaid + paid + part.owes(time_)
-            assert 0 <= part.own(time_) <= part.holds and 0 <= split.pool <= split.pool_holds
-            assert part.owes(time_) <= part.most_debt
-            assert split.flowing == sum(p.rate for p in split.parts if p.state != s.FILLING)
-            split.settle(now + s.REPAY_US[split.per])
+            time_ = split.advance(now)
+            paid = part.debt - part.debt_at(time_)
+            assert part.borrowed == part.repaid + paid + part.debt_at(time_)
+            assert 0 <= part.bucket_level(time_) <= part.capacity and 0 <= split.pool <= split.pool_capacity
+            assert part.debt_at(time_) <= part.debt_max
+            assert split.pool_inflow == sum(p.rate for p in split.parts if p.state != s.FILLING)
+            split.advance(now + s.REPAY_US[split.period])
             assert part.debt == 0 and part.repaid == part.borrowed
 
 
 @settings(max_examples=60, deadline=None)
 @given(EVENTS, st.integers(0, 60))
-def test_a_time_to_come_back_is_true(events, size):
+def test_retry_after_is_accurate(events, size):
     tree = Tree((Limit(20), Limit(400, 800), Limit(60), None))
     a = tree.add(tree.root, "a", (Limit(4), Limit(100), Limit(20), None))
     b = tree.add(tree.root, "b", (Limit(8, reserved=4), Limit(200, 300, 100), None, None))
@@ -203,11 +203,11 @@
         now += wait
         tree.admit((tree.root, a, b, a)[which], each, now)
     found = tree.admit(a, size, now)
-    if isinstance(found, Refused):
+    if isinstance(found, Rejected):
         assert isinstance(tree.admit(a, size, now + found.after_us), Passed)
 
 
-def test_with_no_flood_borrowing_changes_nothing():
+def test_nothing_is_borrowed_without_a_flood():
     for share in (10, 5):
         tree, a, b = two(share=share)
         calm = [
--- a/tests/shared/lease_bugs.py
+++ b/tests/shared/lease_bugs.py
@@ -1,4 +1,4 @@
-"""Planted bugs: each takes one of the rules out that keep the sums."""
+"""Seeded faults: each removes one of the rules that keep the sum of all leases under the limit."""
 
 import contextlib
 from unittest import mock
@@ -7,76 +7,81 @@
 from madderbeam.shared.granter import Pot
 from madderbeam.shared.holder import Holder
 from madderbeam.shared.lease_settings import LeaseSettings
-from madderbeam.shared.regime import Regime, Voter
-from madderbeam.shared.site import Seating
+from madderbeam.shared.regime import LeaseTerm, TermVoter
+from madderbeam.shared.site import SiteMembership
 
-_take, _told, _start, _turn = Holder.take, Regime.told, Voter.start, Pot.due
+_accept_grant, _record_vote, _voter_start, _expire = (
+    Holder.take,
+    LeaseTerm.record_vote,
+    TermVoter.start,
+    Pot.expire,
+)
 
 
-def _lease_from_the_grant(self, now_us, granter, grant):
+def _lease_counted_from_grant(self, now_us, grantor, grant):
     key = grant.slot, grant.ask
-    if key in self._sent:
-        self._sent[key] = now_us
-    return _take(self, now_us, granter, grant)
+    if key in self._replied_at_us:
+        self._replied_at_us[key] = now_us
+    return _accept_grant(self, now_us, grantor, grant)
 
 
-def _ready_at_once(self, now_us):
-    _start(self, now_us)
-    self.ready_us = self.answers_us = now_us
+def _votes_at_once(self, now_us):
+    _voter_start(self, now_us)
+    self.votes_from_us = self.replies_from_us = now_us
 
 
-def _told_of_nothing_before(self, now_us, member, ask, earlier_us, sets):
-    return _told(self, now_us, member, ask, 0, sets)
+def _earlier_grants_ignored(self, now_us, member, request, earlier_us, sets):
+    return _record_vote(self, now_us, member, request, 0, sets)
 
 
-def _no_floor_kept(self, now_us, limit, member):
+def _no_floor_reserved(self, now_us, limit, member):
     return 0.0
 
 
-def _last_grant_alone(self, now_us, member):
+def _only_last_grant_charged(self, now_us, member):
     base = self.seating.base(now_us, self.limit, member)
-    return max([base, *(g.amount for g in self.given.get(member, ())[-1:])])
+    return max([base, *(grant.amount for grant in self.outstanding.get(member, ())[-1:])])
 
 
-def _dead_have_nothing(self, now_us):
-    _turn(self, now_us)
+def _dead_members_not_charged(self, now_us):
+    _expire(self, now_us)
     for member, share in self.shares.items():
-        if share.told_us < now_us - self.settings.turn_us * 3 // 2:
-            self.given.pop(member, None)
+        if share.reported_us < now_us - self.settings.renewal_interval_us * 3 // 2:
+            self.outstanding.pop(member, None)
 
 
-def _used_after_its_end(self, resource, now_us):
-    lot = self.lots.get(resource)
-    return max(lot.amount, lot.after) if lot else 0.0
+def _used_after_expiry(self, resource, now_us):
+    lease = self.lots.get(resource)
+    return max(lease.amount, lease.fallback) if lease else 0.0
 
 
-def _this_table_alone(self, now_us, event):
-    self._site = (tuple(sorted(event.members)),)
-    self.first, self.current = event.first, self._site[0]
-    self.settled_us = now_us
-    self.due(now_us)
+def _only_current_table(self, now_us, event):
+    self._in_use = (tuple(sorted(event.members)),)
+    self.is_first_table, self.current = event.first, self._in_use[0]
+    self.floor_reserved_from_us = now_us
+    self.expire(now_us)
 
 
-def _no_drift(patches):
-    for where in (regime, granter, granting, site):
-        for name in ("longer", "shorter"):
-            if hasattr(where, name):
-                patches.enter_context(mock.patch.object(where, name, lambda span_us, drift_ppm: span_us))
-    patches.enter_context(mock.patch.object(LeaseSettings, "over_us", property(lambda s: s.lease_us)))
+def _drift_ignored(patches):
+    for module in (regime, granter, granting, site):
+        for name in ("longest_us", "shortest_us"):
+            if hasattr(module, name):
+                patches.enter_context(mock.patch.object(module, name, lambda span_us, drift_ppm: span_us))
+    patches.enter_context(mock.patch.object(LeaseSettings, "expiry_bound_us", property(lambda s: s.lease_us)))
 
 
 BUGS = {
-    "a lease counted from its grant": (Holder, "take", _lease_from_the_grant),
-    "a restarted member confirms at once": (Voter, "start", _ready_at_once),
-    "silent ones' old grants forgotten": (Regime, "told", _told_of_nothing_before),
-    "no floor kept": (Seating, "base", _no_floor_kept),
-    "drift ignored": _no_drift,
-    "a regime of a minority": (regime, "all_carried", lambda slot, sets, of: len(of) >= 1),
-    "one member confirms two": (Voter, "allows", lambda self, now_us, member, regime: True),
-    "a lower grant counts before it was taken": (Pot, "charge", _last_grant_alone),
-    "the dead have nothing": (Pot, "due", _dead_have_nothing),
-    "a lease used after its end": (Holder, "amount", _used_after_its_end),
-    "older tables forgotten": (Seating, "change", _this_table_alone),
+    "a lease is counted from its grant": (Holder, "take", _lease_counted_from_grant),
+    "a restarted member confirms at once": (TermVoter, "start", _votes_at_once),
+    "earlier grants of unreachable members are ignored": (LeaseTerm, "record_vote", _earlier_grants_ignored),
+    "no floor is reserved": (SiteMembership, "base", _no_floor_reserved),
+    "clock drift is ignored": _drift_ignored,
+    "a term of a minority": (regime, "has_all_majorities", lambda slot, sets, of: len(of) >= 1),
+    "one member confirms two terms": (TermVoter, "may_confirm", lambda self, now_us, member, term: True),
+    "a lower grant counts before it is acknowledged": (Pot, "charge", _only_last_grant_charged),
+    "dead members are not charged": (Pot, "expire", _dead_members_not_charged),
+    "a lease is used after it expired": (Holder, "amount", _used_after_expiry),
+    "earlier tables are ignored": (SiteMembership, "update", _only_current_table),
 }
 
 
--- a/tests/shared/lease_draws.py
+++ b/tests/shared/lease_draws.py
@@ -1,4 +1,4 @@
-"""Drawn runs: faults of all kinds, one after the other and at once, over a few members in a flood."""
+"""Random runs: faults of all kinds, one after the other and at once, for a few members under load."""
 
 import random
 
@@ -23,7 +23,16 @@
         self.net = Net(seed, members, settings=settings, loss=loss, delay=delay)
         self.net.detect_us = self.chance.choice((1, 3, 12)) * LEASE // 2
         self.net.unwritten = self.chance.choice((0.0, 0.2))
-        faults = (self.kill, self.pause, self.cut, self.part, self.drain, self.need, self.lie, self.table)
+        faults = (
+            self.kill,
+            self.pause,
+            self.cut,
+            self.part,
+            self.drain,
+            self.need,
+            self.wrong_views,
+            self.table,
+        )
         self.kinds = self.chance.sample((*faults, self.leave), 4)
         self.served = 0
 
@@ -34,8 +43,8 @@
         some = self.chance.choice((1, LEASE // 40, LEASE // 4, LEASE, 3 * LEASE))
         return some + self.chance.randrange(LEASE // 8)
 
-    def later(self, act, us=None):
-        self.net.at(us or self.span(), "do", act)
+    def later(self, action, us=None):
+        self.net.at(us or self.span(), "do", action)
 
     def kill(self):
         m = self.member()
@@ -76,14 +85,14 @@
         for m in self.net.site:
             self.net.need(m, "rate/1", self.chance.choice((0.0, 10.0, 100.0)))
 
-    def lie(self):
+    def wrong_views(self):
         for m in self.net.site:
             view = self.chance.choice(self.net.site)
             if view != m:
                 self.net.view(m, view, self.chance.choice((State.ALIVE, State.DEAD)))
 
     def table(self):
-        """Some hear of it at once, the others later; then all have it."""
+        """Another table comes into force at some members at once and at the others later."""
         if self.net.earlier:
             return
         old = self.net.site
@@ -92,12 +101,15 @@
             return
         self.net.table(new, [m for m in old if self.chance.random() < 0.5])
         self.net.boot(*(m for m in new if m not in old and self.net.members[m].machine is None))
-        self.later(lambda: self.all_have(old))
+        self.later(lambda: self.put_in_force(old))
 
-    def all_have(self, old):
-        """Those that are cut off or gone hear of it, or the older sets stay in force."""
+    def put_in_force(self, old):
+        """Put the table in force at members that lack it.
+
+        While one of them is cut off or gone, the older sets stay in use.
+        """
         if any(self.net.members[m].machine is None or self.net.members[m].paused for m in old):
-            self.later(lambda: self.all_have(old))
+            self.later(lambda: self.put_in_force(old))
             return
         for m in old:
             self.net.hand_table(m)
@@ -113,5 +125,5 @@
         while self.net.now < end:
             self.chance.choice(self.kinds)()
             self.net.run(self.chance.choice((LEASE // 20, LEASE // 3, LEASE)))
-            self.served += len(self.net.granters()) == 1
+            self.served += len(self.net.grantors()) == 1
         return self
--- a/tests/shared/lease_net.py
+++ b/tests/shared/lease_net.py
@@ -1,4 +1,4 @@
-"""Members' leases on a virtual network: seeded delay, loss, one-way cuts, pauses, kills, drifting clocks."""
+"""Members' leases on a simulated network: seeded delay, loss, one-way cuts, pauses, kills, clock drift."""
 
 import heapq
 import random
@@ -34,7 +34,7 @@
 
 
 class Member:
-    """One courier's leases, with its clock (it starts anywhere, and any two are at most the drift apart)."""
+    """One courier's leases and its clock. Clocks start anywhere; any two differ by at most the drift."""
 
     def __init__(self, net, me):
         self.me, self.net = me, net
@@ -49,7 +49,7 @@
 
 
 class Net:
-    """Real time in microseconds; each step hands one event to one member, then the sums are looked at."""
+    """Real time in microseconds; each step passes one event to one member, then the sum is checked."""
 
     def __init__(
         self, seed, members, total=100.0, resources=("rate/1",), settings=SETTINGS, loss=0.0, delay=20_000
@@ -99,23 +99,23 @@
         view = MemberView(m, Incarnation(it.start, 0), 0, state, ("", 0), 0, draining)
         self.hand(to, MemberChanged(view))
 
-    def pause(self, m, us, told=True):
+    def pause(self, m, us, detected=True):
         it = self.members[m]
         if it.machine is not None and not it.paused:
             it.paused = True
-            self.at(us, "resume", m, it.run, us, told)
+            self.at(us, "resume", m, it.run, us, detected)
 
     def need(self, m, resource, amount):
         self.members[m].demand[resource] = amount
         self.hand(m, Need(resource, amount))
 
-    def table(self, members, told):
-        """`told`: the members that have it in force already."""
+    def table(self, members, in_force_at):
+        """Another table; `in_force_at`: the members that use it already."""
         for m in members:
             self.members.setdefault(m, Member(self, m))
         before = (self.site, *self.earlier)
         self.site, self.earlier, self.first = tuple(members), before, False
-        for m in told:
+        for m in in_force_at:
             self.hand_table(m)
 
     def hand_table(self, m):
@@ -128,7 +128,7 @@
             self.hand(m, event)
 
     def table_known(self):
-        """All have it in force."""
+        """The table is in force at all members."""
         self.earlier = ()
         for m, it in self.members.items():
             if it.machine is not None:
@@ -178,7 +178,7 @@
         getattr(self, f"_{what}")(*args)
         self.steps += 1
         if self.grown:
-            self.look()
+            self.check_sums()
 
     def _message(self, m, source, row):
         if m in self.members:
@@ -197,11 +197,11 @@
         if self.members[m].run == run:
             self.view(to, m, state)
 
-    def _resume(self, m, run, us, told):
+    def _resume(self, m, run, us, detected):
         it = self.members[m]
         if it.run == run and it.paused:
             it.paused, waiting, it.waiting = False, it.waiting, []
-            for event in [PauseDetected(us)] * told + waiting:
+            for event in [PauseDetected(us)] * detected + waiting:
                 self.hand(m, event)
 
     def _do(self, act):
@@ -212,9 +212,9 @@
         while self.queue and self.queue[0][0] <= end:
             self.step()
         self.now = end
-        self.look()
+        self.check_sums()
 
-    # What is looked at
+    # Checks
 
     def amounts(self, resource):
         return {m: it.machine.amount(resource, it.now()) for m, it in self.members.items() if it.machine}
@@ -222,8 +222,8 @@
     def used(self, resource="rate/1"):
         return sum(self.amounts(resource).values())
 
-    def look(self):
-        """Amounts grow by actions alone; in between they only end."""
+    def check_sums(self):
+        """Check the sums. Amounts grow by actions alone; in between they only expire."""
         self.grown = False
         for resource in self.resources:
             used = self.used(resource)
@@ -231,7 +231,7 @@
             where = f"at {self.now / S:.3f} s, step {self.steps}: {self.amounts(resource)}"
             assert used <= self.total * (1 + 1e-9), f"{used:.3f} of {self.total} {where}"
 
-    def granters(self):
+    def grantors(self):
         here = (m for m, it in self.members.items() if it.machine)
         return [m for m in here if any(s["grants"] for s in self.status(m))]
 
--- a/tests/shared/place_net.py
+++ b/tests/shared/place_net.py
@@ -1,5 +1,8 @@
-"""Members that open and close connections within their leases, on the virtual network: `open` has, for each
-life of a member, when each of its calls ends; the sum of all stays under the limit."""
+"""Members that open and close connections within their leases, on the simulated network.
+
+`open` has, for each incarnation of a member, when each of its calls ends; the sum over all stays under the
+limit.
+"""
 
 import random
 
@@ -14,7 +17,7 @@
 
 
 class Places(Net):
-    """Each member wants as many as it needs, opens what its lease allows, and holds each for a drawn time."""
+    """Each member needs some connections, opens what its lease allows, and keeps each for a random time."""
 
     def __init__(self, seed, members, total, **more):
         super().__init__(seed, members, total=float(total), resources=(PLACES,), **more)
@@ -58,7 +61,7 @@
         return sum(end > self.now for end in self.open.get((m, run), ()))
 
     def _open(self, m, run):
-        """Several times a second: what its lease allows now, until it has what it needs."""
+        """Several times a second: open what the lease allows now, up to what is needed."""
         it = self.members[m]
         if it.run != run or it.machine is None:
             return
@@ -70,9 +73,9 @@
         while len(calls) < most:
             calls.append(self.now + self.chance.choice(self.spans))
             self.opened += 1
-        self.look()
+        self.check_sums()
 
-    def look(self):
+    def check_sums(self):
         self.grown = False
         open_ = sum(self.count(m, run) for m, run in self.open)
         self.most = max(self.most, open_)
@@ -82,7 +85,7 @@
 
 
 class PlaceDraw:
-    """One seed's run: kills, pauses shorter than a lease, cuts, drains, needs that move."""
+    """One seed's run: kills, pauses shorter than a lease, cuts, drains, changing needs."""
 
     def __init__(self, seed):
         self.chance = random.Random(f"places {seed}")
--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -1,5 +1,8 @@
-"""A site's couriers on a virtual network: the real decision module, list and shared state of each, over real
-membership machines, against a partner that counts. Calls, connections, journal and clients are not in it."""
+"""A site's couriers on a simulated network, against a partner that counts calls.
+
+Each courier has the real delivery engine, endpoint registry and shared state, over real membership machines.
+Calls, connections, journal and clients are left out.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +47,7 @@
 
 LATENCY_US, REFUSED_US = (5_000, 25_000), (500, 3_000)
 CLASS = MessageClass("safe", latency_objective_us=S, deadline_us=20 * S)
-# As `[defaults]` of an estate has them.
+# The values of `[defaults]` in an estate.
 SETTINGS = Settings(
     (CLASS,),
     max_in_flight=16,
@@ -59,7 +62,7 @@
 
 
 class Caller:
-    """Runs what is due at a time."""
+    """Runs the functions that are due."""
 
     def handle(self, now, event):
         event()
@@ -67,7 +70,7 @@
 
 
 def settled(members, seed=1, settle_s=15):
-    """Membership machines that know each other, as bytes: a scene begins with a copy."""
+    """Membership machines that know each other, pickled: each scene starts with a copy."""
     net = Net(seed, Times(probe_period_us=S, probe_timeout_us=S // 2))
     net.grow(members, sites=1, settle_s=settle_s)
     for node in net.nodes.values():
@@ -76,7 +79,7 @@
 
 
 class Town:
-    """`share`: couriers share what they learn. `rates`: messages a second of each courier."""
+    """`share`: whether couriers share findings. `rates`: messages per second of each courier."""
 
     def __init__(self, base, seed, share, rates, partner, settings=SETTINGS):
         self.net: Net = pickle.loads(base)
@@ -114,7 +117,7 @@
 
 
 class ModelCourier:
-    """What the host is to Shared and to the decision module."""
+    """The host's part, for Shared and the delivery engine."""
 
     def __init__(self, town, node, settings):
         self.town, self.node, self.s = town, node, settings
@@ -128,7 +131,7 @@
         self.last, self.number, self.timers = -S, 0, {}
         self.heeds = []  # (when, news)
         self.shared = None
-        self.config = SimpleNamespace(quota=None)  # no leases on places and quotas here
+        self.config = SimpleNamespace(quota=None)  # without leases on places and quotas
         self.routing = SimpleNamespace(router=None)
         if town.share:
             self.partners = Partners(node.id, Incarnation(1, 1))
@@ -156,7 +159,7 @@
             self.later(self.town.chance.random() / 4, self.shared._look)
             self.list_told(ListUpdateKind.DELTA, entries)
 
-    # The host's
+    # Parts of the host
 
     def later(self, seconds, act):
         self.town.later(seconds * S, act)
@@ -217,7 +220,7 @@
         self.tell(MessageArrived(self.number, 0, 1, self.town.now + CLASS.deadline_us))
         self.feed(rate)
 
-    # The machine of the news
+    # The state machine of the findings
 
     def tell_news(self, event):
         self.queue.append(event)
@@ -251,13 +254,16 @@
 
 
 class ModelPartner:
-    """Answers, is out (resets), hangs, is shut or tells to wait; cold after its return, and falls if it gets
-    more than `fall_multiple` times its capacity of then for `fall_us`."""
+    """Answers, resets connections, hangs or sends Retry-After.
+
+    After its return it is cold, and goes down if it gets more than `overload_multiple` times its capacity of
+    that moment for `overload_window_us`.
+    """
 
     def __init__(self, capacity, settings=SETTINGS):
         self.capacity, self.s = capacity, settings
         self.mode, self.wait_us, self.back_us, self.fell_us = "ok", 0, -1, -1
-        self.calls, self.answers, self.unserved = [], [], 0  # calls: when, by whom; answers: when
+        self.calls, self.answers, self.unserved = [], [], 0  # calls: time and member; answers: time
         self.pushes: deque = deque()
 
     def warmth(self, now):
@@ -271,7 +277,7 @@
         self.pushes.clear()
 
     def call(self, now, chance, member, a):
-        """How it ends, after how long, and the wait that it tells."""
+        """The result of a call, its latency, and its Retry-After."""
         self.calls.append((now, member))
         if self.mode == "out":
             return AttemptResult.RESET, chance.randrange(*REFUSED_US), 0
@@ -295,7 +301,10 @@
         return AttemptResult.OK, chance.randrange(*LATENCY_US), 0
 
     def _push(self, now):
-        """All calls within the last span against what it bears, with a little slack for chance."""
+        """Count the call, and go down under overload.
+
+        That is when the last window's calls exceed what the partner bears, with some slack for chance.
+        """
         self.pushes.append(now)
         while self.pushes[0] <= now - self.s.overload_window_us:
             self.pushes.popleft()
--- a/tests/shared/test_ended_lease.py
+++ b/tests/shared/test_ended_lease.py
@@ -1,11 +1,11 @@
-"""A lease that has ended serves no call that was chosen by it, however many are to be written at once."""
+"""Calls that were chosen under a lease are not written after it expired, however many are waiting."""
 
 from types import SimpleNamespace
 
 from madderbeam.host.federation.shared import Shared
 
 
-def test_all_calls_of_a_turn_go_back_until_the_decision_module_has_heard():
+def test_calls_are_not_written_until_the_engine_knows_that_the_lease_expired():
     later = []
     shared = object.__new__(Shared)
     shared.host = SimpleNamespace(clock=lambda: 1_000, later=lambda seconds, do: later.append(do))
--- a/tests/shared/test_lease_model.py
+++ b/tests/shared/test_lease_model.py
@@ -1,12 +1,12 @@
-"""Every order of a few events keeps the sums, over the real machines; and the check is not blind."""
+"""Every order of a few events keeps the sum under the limit, and the check finds seeded faults."""
 
 import pytest
 from lease_bugs import planted
 from lease_model import SCENES, explore, granted
 
 SEEN = {
-    "silent ones' old grants forgotten": "hand over",
-    "a regime of a minority": "one is cut off",
+    "earlier grants of unreachable members are ignored": "handover",
+    "a term of a minority": "one is cut off",
     "a restarted member confirms at once": "one is cut off",
 }
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("name", SEEN)
-def test_a_planted_bug_is_found(name):
+def test_a_seeded_fault_is_found(name):
     world = granted(SCENES[SEEN[name]])
     with planted(name), pytest.raises(AssertionError, match="begin"):
         explore(world, 2_500)
--- a/tests/shared/test_leases.py
+++ b/tests/shared/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases on limits in the hard cases: the sum stays under the limit, and little of it stays unused."""
+"""Leases on limits under faults: the sum stays under the limit, and little of the limit stays unused."""
 
 import random
 
@@ -12,71 +12,71 @@
 
 
 def settled(seed=1, count=5, **more):
-    """All started at once, a granter is there, and all know of each other that nobody uses fixed parts."""
+    """All members started at once; there is a grantor, and all know that no member uses its fixed share."""
     net = Net(seed, ids(count), **more)
     net.boot()
     net.run(4 * LEASE)
-    assert len(net.granters()) == 1
+    assert len(net.grantors()) == 1
     return net
 
 
 def other(net):
     """A member that does not grant."""
-    return next(m for m in net.site if m not in net.granters())
+    return next(m for m in net.site if m not in net.grantors())
 
 
-def test_a_member_that_was_paused_uses_its_ended_lease_for_not_one_call():
-    for told in (True, False):
+def test_a_paused_member_does_not_use_its_expired_lease():
+    for detected in (True, False):
         net = settled()
         m = other(net)
         assert net.amounts("rate/1")[m] > 0.15 * net.total
-        net.pause(m, 10 * S, told)
+        net.pause(m, 10 * S, detected)
         net.run(10 * S - 1)
-        assert net.used() > 0.9 * net.total  # the others have its part
-        assert net.amounts("rate/1")[m] == pytest.approx(net.total / 5 / 10)  # before it hears a word
+        assert net.used() > 0.9 * net.total  # the others have its amount
+        assert net.amounts("rate/1")[m] == pytest.approx(net.total / 5 / 10)  # before it receives any message
         net.run(2 * LEASE)
         assert net.amounts("rate/1")[m] > 0.15 * net.total
 
 
-def test_a_granter_that_was_paused_grants_nothing_by_a_regime_that_ended():
+def test_a_paused_grantor_grants_nothing_under_an_expired_term():
     net = settled()
-    granter = net.granters()[0]
-    net.pause(granter, 10 * S, told=False)
+    grantor = net.grantors()[0]
+    net.pause(grantor, 10 * S, detected=False)
     net.run(10 * S + 100)
-    assert net.granters() and granter not in net.granters()
+    assert net.grantors() and grantor not in net.grantors()
 
 
-def test_the_granter_dies_and_another_grants():
+def test_another_member_grants_after_the_grantor_died():
     net = settled()
-    granter = net.granters()[0]
-    net.kill(granter)
+    grantor = net.grantors()[0]
+    net.kill(grantor)
     net.run(2 * LEASE)
-    assert len(net.granters()) == 1
+    assert len(net.grantors()) == 1
     assert net.used() >= 0.9 * net.total
-    net.boot(granter)
+    net.boot(grantor)
     net.run(2 * LEASE)
     assert net.used() >= 0.98 * net.total
 
 
-def test_a_granter_that_hears_no_answer_gives_way():
+def test_a_grantor_that_receives_no_replies_is_replaced():
     net = settled()
-    granter = net.granters()[0]
-    net.cuts = {(m, granter) for m in net.site if m != granter}
+    grantor = net.grantors()[0]
+    net.cuts = {(m, grantor) for m in net.site if m != grantor}
     net.run(3 * LEASE)
-    assert net.granters() and net.granters() != [granter]
-    assert net.used() > 0.75 * net.total  # it can take no lease
+    assert net.grantors() and net.grantors() != [grantor]
+    assert net.used() > 0.75 * net.total  # it can accept no lease
 
 
-def test_a_granter_that_nobody_hears_gives_way():
+def test_a_grantor_whose_messages_are_lost_is_replaced():
     net = settled()
-    granter = net.granters()[0]
-    net.cuts = {(granter, m) for m in net.site if m != granter}
+    grantor = net.grantors()[0]
+    net.cuts = {(grantor, m) for m in net.site if m != grantor}
     net.run(3 * LEASE)
-    assert net.granters() and net.granters() != [granter]
+    assert net.grantors() and net.grantors() != [grantor]
     assert net.used() > 0.75 * net.total
 
 
-def test_each_half_of_an_even_cut_has_its_floors_and_one_of_them_the_rest():
+def test_each_half_of_an_even_partition_has_its_floors_and_one_of_them_the_rest():
     net = settled(count=6)
     half = net.site[:3]
     net.cuts = {(a, b) for a in net.site for b in net.site if (a in half) != (b in half)}
@@ -85,7 +85,7 @@
     assert sorted((round(one), round(net.used() - one))) == [5, 95]  # three floors of a sixtieth
     net.cuts = set()
     net.run(4 * LEASE)
-    assert len(net.granters()) == 1 and net.used() > 0.95 * net.total
+    assert len(net.grantors()) == 1 and net.used() > 0.95 * net.total
 
 
 def test_less_than_half_of_50_killed_in_a_flood_leave_under_a_tenth_unused():
@@ -96,8 +96,8 @@
         assert net.used() >= 0.9 * net.total, seed
 
 
-def test_half_of_50_killed_leave_the_rest_or_floors():
-    """Nobody can tell this from an even cut. One of the halves, and never both, goes on."""
+def test_half_of_50_killed_leave_the_rest_or_only_floors():
+    """The survivors cannot tell this from an even partition. Exactly one of the two halves can go on."""
     used = []
     for dead in (ids(50)[:25], ids(50)[25:]):
         net = settled(1, 50)
@@ -120,21 +120,22 @@
     assert max(unused) < 0.1
 
 
-def test_all_start_at_once_and_use_their_fixed_parts_until_then():
+def test_members_that_start_at_once_use_their_fixed_shares_first():
     net = Net(3, ids(50))
     net.boot()
     assert net.used() == pytest.approx(net.total)
     net.run(2 * LEASE)
-    assert len(net.granters()) == 1 and net.used() >= 0.9 * net.total
+    assert len(net.grantors()) == 1 and net.used() >= 0.9 * net.total
     net.run(2 * LEASE)
     net.kill(*net.site)
     net.boot()
-    assert net.used() == pytest.approx(0.1 * net.total)  # what was confirmed before may run still
+    # a term confirmed before the restart may still be valid
+    assert net.used() == pytest.approx(0.1 * net.total)
     net.run(2 * LEASE)
     assert net.used() >= 0.9 * net.total
 
 
-def test_a_cut_during_a_flood_that_heals_in_the_middle():
+def test_a_partition_under_load_that_heals_midway():
     net = settled(count=5)
     for m in net.site:
         net.need(m, "rate/1", 200.0)
@@ -147,7 +148,7 @@
     assert max(net.amounts("rate/1").values()) < 0.3 * net.total
 
 
-def test_need_and_worth_decide_and_what_was_needed_comes_back():
+def test_leases_follow_needs_and_are_redistributed():
     net = settled()
     m = other(net)
     for o in net.site:
@@ -161,7 +162,7 @@
     assert net.used() > 0.95 * net.total
 
 
-def test_one_that_leaves_hands_its_part_back_at_once():
+def test_a_leaving_member_returns_its_lease_at_once():
     net = settled()
     m = other(net)
     net.leave(m)
@@ -170,31 +171,31 @@
     assert net.used() > 0.95 * net.total
 
 
-def test_a_granter_that_drains_hands_over_with_no_gap():
+def test_a_draining_grantor_is_replaced_without_a_gap():
     net = settled()
-    granter = net.granters()[0]
-    net.drain(granter)
+    grantor = net.grantors()[0]
+    net.drain(grantor)
     least = net.total
     for _ in range(20):
         net.run(LEASE // 20)
-        least = min(least, sum(a for m, a in net.amounts("rate/1").items() if m != granter))
-    assert len(net.granters()) == 1 and net.granters() != [granter]
+        least = min(least, sum(a for m, a in net.amounts("rate/1").items() if m != grantor))
+    assert len(net.grantors()) == 1 and net.grantors() != [grantor]
     assert least >= 0.75 * net.total
-    net.run(LEASE)  # what the old one gave is over for certain: the rest is dealt out as well
+    net.run(LEASE)  # the old grants have certainly expired: the rest is granted as well
     assert net.used() > 0.95 * net.total
 
 
-def test_no_grant_of_a_regime_that_is_not_followed_is_taken():
+def test_grants_of_other_terms_are_rejected():
     net = settled()
-    m, granter = other(net), net.granters()[0]
+    m, grantor = other(net), net.grantors()[0]
     before = net.amounts("rate/1")[m]
-    net.hand(m, MessageReceived(granter, Grant(0, 1, 2**40, 2**40, LEASE, (("rate/1", 90.0),))))
-    third = next(o for o in net.site if o not in (m, granter))
+    net.hand(m, MessageReceived(grantor, Grant(0, 1, 2**40, 2**40, LEASE, (("rate/1", 90.0),))))
+    third = next(o for o in net.site if o not in (m, grantor))
     net.hand(m, MessageReceived(third, Grant(0, 2**24 + 1, 2**24 + 1, 2**40, LEASE, (("rate/1", 90.0),))))
     assert net.amounts("rate/1")[m] == before
 
 
-def test_a_member_alone_has_all_of_it():
+def test_a_single_member_has_the_whole_limit():
     net = Net(1, ids(1))
     net.boot()
     net.kill(*net.site)
@@ -203,20 +204,20 @@
     assert net.used() == pytest.approx(net.total)
 
 
-def test_the_table_gains_members_while_some_have_the_old_one():
+def test_the_table_gains_members_while_some_use_the_old_one():
     net = settled(count=2)
-    net.table(ids(6), told=ids(2)[:1])
+    net.table(ids(6), in_force_at=ids(2)[:1])
     net.boot(*ids(6)[2:])
     net.run(LEASE)
     net.hand_table(ids(2)[1])
     net.run(LEASE)
     net.table_known()
     net.run(3 * LEASE)
-    assert len(net.granters()) == 1 and net.used() > 0.95 * net.total
+    assert len(net.grantors()) == 1 and net.used() > 0.95 * net.total
     assert min(net.amounts("rate/1").values()) > 0.1 * net.total
 
 
-def test_an_outage_of_grants_is_told_and_a_limit_that_is_none():
+def test_missing_grants_and_invalid_limits_are_logged():
     settings = LeaseSettings(lease_us=LEASE, slots=1)
     net = Net(1, ids(3), settings=settings)
     net.boot(net.site[0])
@@ -226,31 +227,31 @@
         assert [a.error.code for a in actions if isinstance(a, LogLine)] == ["limit-unfit"]
     assert net.used() == pytest.approx(net.total / 3)
     notes = []
-    machine.out.note = lambda text, error=None: notes.append(error.code)
+    machine.out.log = lambda text, error=None: notes.append(error.code)
     net.run(25 * S)
     assert notes == ["limits-unshared"]
 
 
-def test_settings_that_are_none():
+def test_invalid_settings_are_rejected():
     for name, value in (("lease_us", 5), ("slots", 0), ("floor", 2.0), ("renewals", 1)):
         with pytest.raises(ValueError, match=f"{name} is .*allowed"):
             LeaseSettings(**{name: value})
-    assert SETTINGS.over_us == LEASE + 800
+    assert SETTINGS.expiry_bound_us == LEASE + 800
 
 
-def test_views_that_are_wrong_change_who_asks_only():
+def test_wrong_membership_views_do_no_harm():
     net = settled()
     for m in net.site:
         for o in net.site:
             net.view(m, o, State.DEAD)
     net.run(2 * LEASE)
-    assert len(net.granters()) == 1 and net.used() > 0.95 * net.total
+    assert len(net.grantors()) == 1 and net.used() > 0.95 * net.total
 
 
-def test_a_need_that_moves_is_followed_within_one_renewal():
+def test_a_moved_need_is_followed_within_one_renewal():
     for seed in range(5):
         net = settled(seed=seed)
-        first, second = [m for m in net.site if m not in net.granters()][:2]
+        first, second = [m for m in net.site if m not in net.grantors()][:2]
         for m in net.site:
             net.need(m, "rate/1", 5.0)
         net.need(first, "rate/1", 80.0)
@@ -258,5 +259,5 @@
         assert net.amounts("rate/1")[first] > 75.0
         net.need(first, "rate/1", 5.0)
         net.need(second, "rate/1", 80.0)
-        net.run(SETTINGS.turn_us)
+        net.run(SETTINGS.renewal_interval_us)
         assert net.amounts("rate/1")[second] > 55.0, net.amounts("rate/1")
--- a/tests/shared/test_needs.py
+++ b/tests/shared/test_needs.py
@@ -1,22 +1,22 @@
-"""A need from what comes: a large one follows within a second or two, a small one is not torn by chance."""
+"""The need by arrivals: a large one follows within a second or two, a small one is not shaken by chance."""
 
 import random
 
-from madderbeam.shared.needs import ASKED, Meter
+from madderbeam.shared.needs import NEED_FRACTION, Meter
 
 STEP_S = 0.1
 
 
 def seen(rate, seconds, meter, chance):
-    """The needs told while so many come a second, by chance."""
-    found = []
+    """The needs reported while messages arrive at random at this rate."""
+    needs = []
     for _ in range(round(seconds / STEP_S)):
-        came, left = 0, chance.expovariate(1)
-        while left < rate * STEP_S:
-            came, left = came + 1, left + chance.expovariate(1)
-        meter.came(came, STEP_S)
-        found.append(meter.need())
-    return found
+        arrivals, gap = 0, chance.expovariate(1)
+        while gap < rate * STEP_S:
+            arrivals, gap = arrivals + 1, gap + chance.expovariate(1)
+        meter.came(arrivals, STEP_S)
+        needs.append(meter.need())
+    return needs
 
 
 def test_a_large_need_follows_within_two_seconds():
@@ -32,11 +32,13 @@
     seen(2, 20, meter, chance)
     needs = seen(2, 200, meter, chance)
     mean = sum(needs) / len(needs)
-    apart = (sum((n - mean) ** 2 for n in needs) / len(needs)) ** 0.5
-    assert abs(mean / ASKED - 2) < 0.3 and apart < 0.75  # the counts of single steps are 4.5 apart
+    deviation = (sum((n - mean) ** 2 for n in needs) / len(needs)) ** 0.5
+    assert (
+        abs(mean / NEED_FRACTION - 2) < 0.3 and deviation < 0.75
+    )  # the standard deviation of single steps is 4.5
 
 
-def test_what_waits_is_asked_for_and_nothing_comes_of_nothing():
+def test_the_backlog_counts_and_an_empty_span_changes_nothing():
     meter = Meter()
     assert meter.need() == 0 and meter.need(100) > 0
     meter.came(0, 0.0)
--- a/tests/shared/test_news.py
+++ b/tests/shared/test_news.py
@@ -1,4 +1,4 @@
-"""News among the members of a site: folded by kind, bounded, witnessed; one that tries for all."""
+"""Findings gossiped in a site: merged by kind, bounded, confirmed by two reporters; one member probes."""
 
 import random
 
@@ -16,16 +16,16 @@
     State,
     TimerDue,
 )
-from madderbeam.shared.news import EACH_MOST, FORM, LONGEST_US, NewsBoard
-from madderbeam.shared.returning import MOMENT_US, REST_MOST_US, TURN_US, Partners
+from madderbeam.shared.news import FORM, LONGEST_US, SUBJECTS_PER_MEMBER_MAX, NewsBoard
+from madderbeam.shared.returning import COOL_DOWN_MAX_US, HOLD_OFF_MAX_US, TURN_US, Partners
 from madderbeam.shared.values import Answered, Failed, Heed, Kind, Lapsed, Learnt, News, Site, TryFor
 
 S = 1_000_000
 NAMES = [MemberId("macon", f"m{n}") for n in range(5)]
 
 
-class Town:
-    """Members whose rumours reach each other after a drawn time, or never; at its own pace each."""
+class GossipNetwork:
+    """Members whose gossip entries reach each other after a random time, or never."""
 
     def __init__(self, make, count=3, seed=1, lost=0.0, slow=S // 2):
         self.chance, self.lost, self.now, self.slow = random.Random(seed), lost, 0, slow
@@ -39,19 +39,19 @@
     def tell(self, member, event):
         for action in self.members[member].handle(self.now, event):
             if isinstance(action, Disseminate):
-                rumour = GossipEntry(member, action.key, action.version, action.body, action.keep_us)
-                self.newest[member, action.key] = rumour
+                entry = GossipEntry(member, action.key, action.version, action.body, action.keep_us)
+                self.newest[member, action.key] = entry
                 for other in self.members:
                     if other != member and self.chance.random() >= self.lost:
                         at = self.now + self.chance.randrange(self.slow)
-                        self.under_way.append((at, len(self.under_way), other, rumour))
+                        self.under_way.append((at, len(self.under_way), other, entry))
             elif isinstance(action, SetTimer):
                 self.timers[member, action.token] = action.at_us
             else:
                 self.told[member].append((self.now, action))
 
     def run(self, until):
-        """Rumours arrive in any order; a lower version than the one heard is dropped, as membership does."""
+        """Entries arrive in any order; an older version than the newest is dropped, as in membership."""
         while True:
             due = [(at, n, m, r) for at, n, m, r in self.under_way if at <= until]
             timer = min(((at, m) for m, at in self.timers.items() if at <= until), default=None)
@@ -60,9 +60,9 @@
             if due and (timer is None or min(due)[0] <= timer[0]):
                 one = min(due)
                 self.under_way.remove(one)
-                self.now, (_, _, member, rumour) = max(self.now, one[0]), one
-                if rumour.version >= self.newest[rumour.owner, rumour.key].version or self.lost:
-                    self.tell(member, GossipReceived(rumour))
+                self.now, (_, _, member, entry) = max(self.now, one[0]), one
+                if entry.version >= self.newest[entry.owner, entry.key].version or self.lost:
+                    self.tell(member, GossipReceived(entry))
             else:
                 self.now = max(self.now, timer[0])
                 del self.timers[timer[1]]
@@ -80,85 +80,85 @@
     return Learnt(News(Kind.WAIT, dest, uid, left_us))
 
 
-def test_the_longest_of_two_told_waits_holds_whatever_comes_first():
+def test_the_longest_of_two_waits_wins_in_any_order():
     for seed in range(50):
-        town = Town(NewsBoard, seed=seed)
-        town.tell(NAMES[0], wait(2 * S))
-        town.tell(NAMES[1], wait(3 * S))
-        town.run(4 * S)
-        ends = {at + news.left_us for at, news in town.heeds(NAMES[2], Kind.WAIT)}
+        net = GossipNetwork(NewsBoard, seed=seed)
+        net.tell(NAMES[0], wait(2 * S))
+        net.tell(NAMES[1], wait(3 * S))
+        net.run(4 * S)
+        ends = {at + news.left_us for at, news in net.heeds(NAMES[2], Kind.WAIT)}
         assert max(ends) >= 3 * S
-        assert town.lapses(NAMES[2], Kind.WAIT) and town.lapses(NAMES[2], Kind.WAIT)[-1] >= 3 * S
+        assert net.lapses(NAMES[2], Kind.WAIT) and net.lapses(NAMES[2], Kind.WAIT)[-1] >= 3 * S
 
 
-def test_a_wait_told_again_with_an_earlier_end_changes_nothing():
-    town = Town(NewsBoard)
-    town.tell(NAMES[0], wait(3 * S))
-    town.run(S)
-    before = len(town.told[NAMES[1]])
-    town.tell(NAMES[0], wait(S))
-    town.run(2 * S)
-    assert len(town.told[NAMES[1]]) == before
+def test_a_repeated_wait_with_an_earlier_end_changes_nothing():
+    net = GossipNetwork(NewsBoard)
+    net.tell(NAMES[0], wait(3 * S))
+    net.run(S)
+    before = len(net.told[NAMES[1]])
+    net.tell(NAMES[0], wait(S))
+    net.run(2 * S)
+    assert len(net.told[NAMES[1]]) == before
 
 
-def test_news_that_come_late_hold_back_longer_never_less():
-    town = Town(NewsBoard)
-    town.tell(NAMES[0], wait(S))
-    rumour = town.newest[NAMES[0], "news/wait/7"]
-    town.under_way.clear()
-    town.now = 2 * S  # over by now where it was told
-    town.tell(NAMES[1], GossipReceived(rumour))
-    assert town.heeds(NAMES[1], Kind.WAIT)[0][1].left_us == S
+def test_a_delayed_finding_restricts_for_longer_never_shorter():
+    net = GossipNetwork(NewsBoard)
+    net.tell(NAMES[0], wait(S))
+    entry = net.newest[NAMES[0], "news/wait/7"]
+    net.under_way.clear()
+    net.now = 2 * S  # expired by now at its reporter
+    net.tell(NAMES[1], GossipReceived(entry))
+    assert net.heeds(NAMES[1], Kind.WAIT)[0][1].left_us == S
 
 
-def test_the_earliest_of_two_drains_holds_and_one_heard_again_runs_from_the_first():
-    town = Town(NewsBoard)
+def test_the_earliest_of_two_drains_wins_and_a_repeated_one_keeps_its_start():
+    net = GossipNetwork(NewsBoard)
     drain = Learnt(News(Kind.DRAIN, 7, "p/1", 2 * S))
-    town.tell(NAMES[0], drain)
-    town.run(S)
-    before = town.newest[NAMES[0], next(k for o, k in town.newest if o == NAMES[0])].version
-    town.tell(NAMES[0], drain)
-    assert max(r.version for r in town.newest.values()) == before
-    town.tell(NAMES[1], drain)
-    town.run(2 * S)
-    ends = [at + n.left_us for at, n in town.heeds(NAMES[2], Kind.DRAIN)]
+    net.tell(NAMES[0], drain)
+    net.run(S)
+    before = net.newest[NAMES[0], next(k for o, k in net.newest if o == NAMES[0])].version
+    net.tell(NAMES[0], drain)
+    assert max(r.version for r in net.newest.values()) == before
+    net.tell(NAMES[1], drain)
+    net.run(2 * S)
+    ends = [at + n.left_us for at, n in net.heeds(NAMES[2], Kind.DRAIN)]
     assert min(ends) == ends[-1] <= 2 * S + S // 2
 
 
-def test_the_least_of_the_limits_holds_until_it_ends():
-    town = Town(NewsBoard)
-    town.tell(NAMES[0], Learnt(News(Kind.LIMIT, 7, "", 2 * S, 30.0)))
-    town.tell(NAMES[1], Learnt(News(Kind.LIMIT, 7, "", 5 * S, 50.0)))
-    town.run(6 * S)
-    values = [n.value for _, n in town.heeds(NAMES[2], Kind.LIMIT)]
+def test_the_lowest_rate_limit_wins_until_it_expires():
+    net = GossipNetwork(NewsBoard)
+    net.tell(NAMES[0], Learnt(News(Kind.LIMIT, 7, "", 2 * S, 30.0)))
+    net.tell(NAMES[1], Learnt(News(Kind.LIMIT, 7, "", 5 * S, 50.0)))
+    net.run(6 * S)
+    values = [n.value for _, n in net.heeds(NAMES[2], Kind.LIMIT)]
     assert 30.0 in values and values[-1] == 50.0
 
 
-def test_an_outage_takes_two_witnesses_and_none_that_was_answered_since():
-    town = Town(Partners, count=4)
+def test_an_outage_takes_two_reporters_and_no_answer_since():
+    net = GossipNetwork(Partners, count=4)
     outage = Learnt(News(Kind.OUTAGE, 7, "", 3 * S))
-    town.tell(NAMES[0], outage)
-    town.run(S)
-    assert not town.heeds(NAMES[2], Kind.OUTAGE)  # it refuses one address alone, for all that is known
-    town.now = town.now + 1
-    town.tell(NAMES[1], outage)
-    town.run(2 * S)
-    assert town.heeds(NAMES[2], Kind.OUTAGE) and town.heeds(NAMES[3], Kind.OUTAGE)
-    town.now += 1
-    town.members[NAMES[3]].answered(town.now, 7)
-    town.tell(NAMES[3], Site(tuple(town.members)))
-    assert town.lapses(NAMES[3], Kind.OUTAGE)
-
-
-def test_news_of_a_member_that_died_age_as_if_it_lived():
-    town = Town(NewsBoard)
-    town.tell(NAMES[0], wait(4 * S))
-    town.run(S)
+    net.tell(NAMES[0], outage)
+    net.run(S)
+    assert not net.heeds(NAMES[2], Kind.OUTAGE)  # as far as is known, it refuses one address only
+    net.now = net.now + 1
+    net.tell(NAMES[1], outage)
+    net.run(2 * S)
+    assert net.heeds(NAMES[2], Kind.OUTAGE) and net.heeds(NAMES[3], Kind.OUTAGE)
+    net.now += 1
+    net.members[NAMES[3]].answered(net.now, 7)
+    net.tell(NAMES[3], Site(tuple(net.members)))
+    assert net.lapses(NAMES[3], Kind.OUTAGE)
+
+
+def test_findings_of_a_dead_member_expire_as_usual():
+    net = GossipNetwork(NewsBoard)
+    net.tell(NAMES[0], wait(4 * S))
+    net.run(S)
     view = MemberView(NAMES[0], Incarnation(1, 0), 0, State.DEAD, ("127.0.0.1", 1), S)
-    town.tell(NAMES[1], MemberChanged(view))
-    assert not town.lapses(NAMES[1], Kind.WAIT)
-    town.run(6 * S)
-    assert 4 * S <= town.lapses(NAMES[1], Kind.WAIT)[0] <= 5 * S
+    net.tell(NAMES[1], MemberChanged(view))
+    assert not net.lapses(NAMES[1], Kind.WAIT)
+    net.run(6 * S)
+    assert 4 * S <= net.lapses(NAMES[1], Kind.WAIT)[0] <= 5 * S
 
 
 @pytest.mark.parametrize(
@@ -175,226 +175,229 @@
         ("news/drain/7/a", FORM.pack(2, S, 0.0) + b"\xff\xfe"),
     ],
 )
-def test_nonsense_is_told_and_does_nothing(key, body):
-    town = Town(NewsBoard)
-    town.tell(NAMES[1], GossipReceived(GossipEntry(NAMES[0], key, 1, body)))
-    ((_, note),) = town.told[NAMES[1]]
-    assert note.error.code == "news-refused" and not town.members[NAMES[1]].heeded
+def test_malformed_findings_are_logged_and_have_no_effect(key, body):
+    net = GossipNetwork(NewsBoard)
+    net.tell(NAMES[1], GossipReceived(GossipEntry(NAMES[0], key, 1, body)))
+    ((_, note),) = net.told[NAMES[1]]
+    assert note.error.code == "news-refused" and not net.members[NAMES[1]].applied
 
 
 @pytest.mark.parametrize(
     ("kind", "most_us"),
     [(Kind.WAIT, LONGEST_US), (Kind.FULL, 10 * S), (Kind.LIMIT, 60 * S), (Kind.BACK, 600 * S)],
 )
-def test_a_span_of_a_year_is_cut_to_what_such_news_may_last_and_told(kind, most_us):
-    town = Town(NewsBoard)
-    rumour = GossipEntry(NAMES[0], f"news/{kind.value}/7", 1, FORM.pack(0, 365 * 86_400 * S, 2.0))
-    town.tell(NAMES[1], GossipReceived(rumour))
-    assert town.heeds(NAMES[1], kind)[0][1].left_us == most_us
-    assert any(getattr(a, "error", None) for _, a in town.told[NAMES[1]])
+def test_a_duration_of_a_year_is_cut_and_logged(kind, most_us):
+    net = GossipNetwork(NewsBoard)
+    entry = GossipEntry(NAMES[0], f"news/{kind.value}/7", 1, FORM.pack(0, 365 * 86_400 * S, 2.0))
+    net.tell(NAMES[1], GossipReceived(entry))
+    assert net.heeds(NAMES[1], kind)[0][1].left_us == most_us
+    assert any(getattr(a, "error", None) for _, a in net.told[NAMES[1]])
 
 
-def test_what_is_kept_has_an_end():
+def test_what_is_stored_is_bounded():
     board = NewsBoard(NAMES[0], Incarnation(1, 1))
     board.handle(0, Site(tuple(NAMES)))
-    for n in range(2 * EACH_MOST):
+    for n in range(2 * SUBJECTS_PER_MEMBER_MAX):
         board.handle(n, wait(10 * S, dest=n))
         body = FORM.pack(0, 10 * S, 0.0)
         board.handle(n, GossipReceived(GossipEntry(NAMES[1], f"news/wait/{n}", 1, body)))
         board.handle(n, GossipReceived(GossipEntry(MemberId("savannah", "s1"), f"news/wait/{n}", 1, body)))
-    assert [len(o.told) for o in board.owners.values()] == [EACH_MOST, EACH_MOST] and board.refused
+    assert [len(o.told) for o in board.owners.values()] == [
+        SUBJECTS_PER_MEMBER_MAX,
+        SUBJECTS_PER_MEMBER_MAX,
+    ] and board.refused
     board.handle(60 * S, TimerDue("news"))
-    assert not board.heeded and not any(o.told for o in board.owners.values())
+    assert not board.applied and not any(o.told for o in board.owners.values())
 
 
 # A returning partner
 
 
-def triers(town, dest=7):
-    return [m for m, p in town.members.items() if dest in p.trying]
+def probers(net, dest=7):
+    return [m for m, p in net.members.items() if dest in p.trying]
 
 
-def out(town, names, left_us=3 * S):
+def report_outage(net, names, left_us=3 * S):
     for name in names:
-        town.tell(name, Learnt(News(Kind.OUTAGE, 7, "", left_us)))
+        net.tell(name, Learnt(News(Kind.OUTAGE, 7, "", left_us)))
 
 
-def test_one_member_tries_and_the_others_hold_back():
+def test_one_member_probes_and_the_others_hold_off():
     for seed in range(30):
-        town = Town(Partners, count=5, seed=seed)
-        out(town, NAMES[:3])
-        town.run(S)
-        assert len(triers(town)) == 1 and triers(town)[0] in NAMES[:3]
-        held = [m for m, p in town.members.items() if 7 in p.held]
-        assert sorted(held + triers(town)) == NAMES
+        net = GossipNetwork(Partners, count=5, seed=seed)
+        report_outage(net, NAMES[:3])
+        net.run(S)
+        assert len(probers(net)) == 1 and probers(net)[0] in NAMES[:3]
+        held = [m for m, p in net.members.items() if 7 in p.held]
+        assert sorted(held + probers(net)) == NAMES
 
 
-def test_the_one_that_tries_stays_whoever_finds_it_out_later():
+def test_the_prober_stays_whoever_reports_the_outage_later():
     for seed in range(30):
-        town = Town(Partners, count=5, seed=seed)
+        net = GossipNetwork(Partners, count=5, seed=seed)
         later = NAMES[seed % 5 :] + NAMES[: seed % 5]
-        out(town, later[:2])
+        report_outage(net, later[:2])
         for turn in range(1, 9):
-            town.run(turn * S)
-            out(town, later[: min(5, turn + 2)])  # one more each second
-        (first,) = triers(town)
-        tries = [(at, m, a.on) for m in NAMES for at, a in town.told[m] if isinstance(a, TryFor)]
+            net.run(turn * S)
+            report_outage(net, later[: min(5, turn + 2)])  # one more each second
+        (first,) = probers(net)
+        tries = [(at, m, a.on) for m in NAMES for at, a in net.told[m] if isinstance(a, TryFor)]
         assert first in later[:2] and not [t for t in tries if t[0] >= S], tries
 
 
-def test_where_the_one_that_tries_is_silent_the_next_one_does():
-    town = Town(Partners, count=4)
-    out(town, NAMES[:3])
-    town.run(S)
-    (first,) = triers(town)
+def test_the_next_member_probes_when_the_prober_stops_reporting():
+    net = GossipNetwork(Partners, count=4)
+    report_outage(net, NAMES[:3])
+    net.run(S)
+    (first,) = probers(net)
     rest = [m for m in NAMES[:3] if m != first]
     for turn in range(2, 6):
-        out(town, rest)  # the first says nothing any more
-        town.run(turn * S)
-    assert len(triers(town)) == 1 and triers(town)[0] in rest
+        report_outage(net, rest)  # the first no longer reports the outage
+        net.run(turn * S)
+    assert len(probers(net)) == 1 and probers(net)[0] in rest
 
 
-def test_a_dead_member_tries_for_nobody():
-    town = Town(Partners, count=4)
-    out(town, NAMES[:3], 60 * S)
-    town.run(S)
-    (first,) = triers(town)
-    for m in town.members:
+def test_a_dead_member_is_not_the_prober():
+    net = GossipNetwork(Partners, count=4)
+    report_outage(net, NAMES[:3], 60 * S)
+    net.run(S)
+    (first,) = probers(net)
+    for m in net.members:
         if m != first:
-            town.tell(
+            net.tell(
                 m, MemberChanged(MemberView(first, Incarnation(1, 0), 0, State.DEAD, ("127.0.0.1", 1), S))
             )
-    others = [m for m in triers(town) if m != first]
+    others = [m for m in probers(net) if m != first]
     assert len(others) == 1
 
 
-def test_once_it_answers_all_begin_again():
-    town = Town(Partners, count=4)
-    out(town, NAMES[:3])
-    town.run(S)
-    (first,) = triers(town)
-    town.members[first].answered(town.now, 7)
+def test_all_resume_once_the_partner_answers():
+    net = GossipNetwork(Partners, count=4)
+    report_outage(net, NAMES[:3])
+    net.run(S)
+    (first,) = probers(net)
+    net.members[first].answered(net.now, 7)
     for news in (News(Kind.BACK, 7, "", 12 * S), News(Kind.OUTAGE, 7, "", 0)):
-        town.tell(first, Learnt(news))
+        net.tell(first, Learnt(news))
     for m in NAMES[:3]:
-        town.tell(m, Learnt(News(Kind.OUTAGE, 7, "", 0)))
-    town.run(3 * S)
-    assert not triers(town) and not any(p.held for p in town.members.values())
-    assert all(town.heeds(m, Kind.BACK) for m in NAMES[:4] if m != first)
-    assert all(town.lapses(m, Kind.OUTAGE) for m in NAMES[:4] if m != first)
-    assert any(isinstance(a, TryFor) and not a.on for _, a in town.told[first])
+        net.tell(m, Learnt(News(Kind.OUTAGE, 7, "", 0)))
+    net.run(3 * S)
+    assert not probers(net) and not any(p.held for p in net.members.values())
+    assert all(net.heeds(m, Kind.BACK) for m in NAMES[:4] if m != first)
+    assert all(net.lapses(m, Kind.OUTAGE) for m in NAMES[:4] if m != first)
+    assert any(isinstance(a, TryFor) and not a.on for _, a in net.told[first])
 
 
-# Doubts
+# Suspicions
 
 
-def tells(member, events):
-    """What one member spreads at each of these events, a second apart."""
+def disseminated(member, events):
+    """What one member disseminates at each of these events, a second apart."""
     return [[a for a in member.handle(n * S, e) if isinstance(a, Disseminate)] for n, e in enumerate(events)]
 
 
-def doubt(town, names, dest=7):
+def suspect(net, names, dest=7):
     for name in names:
-        town.tell(name, Failed(dest))
+        net.tell(name, Failed(dest))
 
 
-def held(town, dest=7):
-    return [m for m, p in town.members.items() if dest in p.held]
+def held(net, dest=7):
+    return [m for m, p in net.members.items() if dest in p.held]
 
 
-def test_two_that_doubt_hold_the_others_back_and_go_on_themselves():
+def test_two_suspicions_make_the_others_hold_off():
     for seed in range(30):
-        town = Town(Partners, count=5, seed=seed)
-        doubt(town, NAMES[:1])
-        town.run(S // 4)
-        assert not held(town)  # it may refuse one address alone
-        town = Town(Partners, count=5, seed=seed, slow=S // 20)
-        town.members[NAMES[4]].answered(0, 7)
-        town.now = 1
+        net = GossipNetwork(Partners, count=5, seed=seed)
+        suspect(net, NAMES[:1])
+        net.run(S // 4)
+        assert not held(net)  # it may refuse one address only
+        net = GossipNetwork(Partners, count=5, seed=seed, slow=S // 20)
+        net.members[NAMES[4]].answered(0, 7)
+        net.now = 1
         for step in range(1, 10):
-            doubt(town, [m for m in NAMES[:3] if m not in held(town)])  # whose calls go on to fail
-            town.run(step * S // 20)
-        seen = {m for m in town.members if town.heeds(m, Kind.DOUBT)}
+            suspect(net, [m for m in NAMES[:3] if m not in held(net)])  # whose calls keep failing
+            net.run(step * S // 20)
+        seen = {m for m in net.members if net.heeds(m, Kind.DOUBT)}
         assert len(set(NAMES[:3]) - seen) >= 2 and NAMES[4] in seen
 
 
-def test_doubts_that_come_to_nothing_hold_back_for_a_small_part_of_the_time():
-    town = Town(Partners, count=4)
+def test_unconfirmed_suspicions_hold_off_for_a_small_part_of_the_time():
+    net = GossipNetwork(Partners, count=4)
     spans, since = 0, None
     for step in range(1, 1200):
-        doubt(town, NAMES[:2])
-        town.run(step * S // 10)
-        if (NAMES[3] in held(town)) is (since is None):
-            spans, since = (spans, town.now) if since is None else (spans + town.now - since, None)
-    assert MOMENT_US <= spans <= 0.08 * 120 * S
-    moment = town.members[NAMES[3]].moments[7]
-    assert moment.rest_us <= REST_MOST_US
-    town.run(400 * S)
-    town.tell(NAMES[3], Site(tuple(town.members)))
-    assert not town.members[NAMES[3]].moments
-
-
-def test_an_answer_takes_a_doubt_back():
-    town = Town(Partners, count=4)
-    doubt(town, NAMES[:2])
-    town.run(S // 2 - 1)
-    assert town.heeds(NAMES[3], Kind.DOUBT)
+        suspect(net, NAMES[:2])
+        net.run(step * S // 10)
+        if (NAMES[3] in held(net)) is (since is None):
+            spans, since = (spans, net.now) if since is None else (spans + net.now - since, None)
+    assert HOLD_OFF_MAX_US <= spans <= 0.08 * 120 * S
+    moment = net.members[NAMES[3]].hold_offs[7]
+    assert moment.cool_down_us <= COOL_DOWN_MAX_US
+    net.run(400 * S)
+    net.tell(NAMES[3], Site(tuple(net.members)))
+    assert not net.members[NAMES[3]].hold_offs
+
+
+def test_an_answer_withdraws_a_suspicion():
+    net = GossipNetwork(Partners, count=4)
+    suspect(net, NAMES[:2])
+    net.run(S // 2 - 1)
+    assert net.heeds(NAMES[3], Kind.DOUBT)
     for name in NAMES[:2]:
-        assert town.members[name].answered(town.now, 7)
-        town.tell(name, Answered(7))
-        assert not town.members[name].answered(town.now, 7)
-    town.run(2 * S)
-    assert not held(town) and town.lapses(NAMES[3], Kind.DOUBT)
+        assert net.members[name].answered(net.now, 7)
+        net.tell(name, Answered(7))
+        assert not net.members[name].answered(net.now, 7)
+    net.run(2 * S)
+    assert not held(net) and net.lapses(NAMES[3], Kind.DOUBT)
 
 
-def test_the_first_two_tell_a_doubt_and_an_outage_at_once_and_the_third_with_the_probes():
+def test_two_reporters_disseminate_at_once_and_the_third_with_the_probes():
     me, others = Partners(NAMES[0], Incarnation(1, 0)), NAMES[1:3]
     me.handle(0, Site(tuple(NAMES)))
     outage = Learnt(News(Kind.OUTAGE, 7, "", 3 * S))
-    first, again = tells(me, [outage, Learnt(News(Kind.OUTAGE, 7, "", 5 * S))])
+    first, again = disseminated(me, [outage, Learnt(News(Kind.OUTAGE, 7, "", 5 * S))])
     assert first[0].at_once and again[0].at_once
     for n, other in enumerate(others):
-        rumour = GossipEntry(other, "news/outage/8", 1, FORM.pack(0, 9 * S, 0.0))
-        me.handle(S, GossipReceived(rumour))
-        (told,) = tells(me, [Learnt(News(Kind.OUTAGE, 8, "", 3 * S))])
+        entry = GossipEntry(other, "news/outage/8", 1, FORM.pack(0, 9 * S, 0.0))
+        me.handle(S, GossipReceived(entry))
+        (told,) = disseminated(me, [Learnt(News(Kind.OUTAGE, 8, "", 3 * S))])
         assert told[0].at_once is (n == 0)
         me.handle(S, Learnt(News(Kind.OUTAGE, 8, "", 0)))
 
 
-def test_after_a_turn_without_an_answer_the_next_one_tries():
-    town, had = Town(Partners, count=4), []
+def test_after_a_turn_without_an_answer_the_next_member_probes():
+    net, had = GossipNetwork(Partners, count=4), []
     for step in range(1, 4 * 22):
         for name in NAMES[:2]:
-            town.tell(name, Learnt(News(Kind.OUTAGE, 7, "", 3 * S)))
-        town.run(step * S // 4)
-        had += [m for m in triers(town) if [m] != had[-1:]]
-    assert town.now > 2 * TURN_US and set(had[:2]) == set(NAMES[:2]) and len(had) <= 4
-
-
-def test_a_return_from_what_was_none_here_changes_nothing():
-    town = Town(Partners, count=4)
-    town.now = 60 * S
-    town.members[NAMES[3]].answered(town.now, 7)
-    town.tell(NAMES[0], Learnt(News(Kind.BACK, 7, "", 12 * S)))
-    town.run(60 * S + S // 2)
-    assert not town.heeds(NAMES[3], Kind.BACK) and town.heeds(NAMES[2], Kind.BACK)
-
-
-def test_a_return_voids_what_others_still_say_of_the_outage():
-    town = Town(Partners, count=5)
-    out(town, NAMES[:4], 50 * S)
-    town.run(S)
-    assert held(town)
-    town.tell(triers(town)[0], Learnt(News(Kind.BACK, 7, "", 12 * S)))
-    town.run(2 * S)
-    rest = [m for m in NAMES if town.heeds(m, Kind.BACK)]
-    assert len(rest) == 4 and not set(held(town)) & set(rest)
-
-
-def test_an_outage_that_nobody_else_sees_is_told_once_with_what_to_do():
-    town = Town(Partners, count=3)
+            net.tell(name, Learnt(News(Kind.OUTAGE, 7, "", 3 * S)))
+        net.run(step * S // 4)
+        had += [m for m in probers(net) if [m] != had[-1:]]
+    assert net.now > 2 * TURN_US and set(had[:2]) == set(NAMES[:2]) and len(had) <= 4
+
+
+def test_a_recovery_from_an_outage_unseen_here_changes_nothing():
+    net = GossipNetwork(Partners, count=4)
+    net.now = 60 * S
+    net.members[NAMES[3]].answered(net.now, 7)
+    net.tell(NAMES[0], Learnt(News(Kind.BACK, 7, "", 12 * S)))
+    net.run(60 * S + S // 2)
+    assert not net.heeds(NAMES[3], Kind.BACK) and net.heeds(NAMES[2], Kind.BACK)
+
+
+def test_a_recovery_voids_remaining_outage_reports():
+    net = GossipNetwork(Partners, count=5)
+    report_outage(net, NAMES[:4], 50 * S)
+    net.run(S)
+    assert held(net)
+    net.tell(probers(net)[0], Learnt(News(Kind.BACK, 7, "", 12 * S)))
+    net.run(2 * S)
+    rest = [m for m in NAMES if net.heeds(m, Kind.BACK)]
+    assert len(rest) == 4 and not set(held(net)) & set(rest)
+
+
+def test_an_outage_that_no_other_member_sees_is_logged_once():
+    net = GossipNetwork(Partners, count=3)
     for step in range(40):
-        town.tell(NAMES[0], Learnt(News(Kind.OUTAGE, 7, "", 3 * S)))
-        town.run(step * S)
-    codes = [a.error.code for _, a in town.told[NAMES[0]] if getattr(a, "error", None)]
-    assert codes == ["out-alone"] and not held(town)
+        net.tell(NAMES[0], Learnt(News(Kind.OUTAGE, 7, "", 3 * S)))
+        net.run(step * S)
+    codes = [a.error.code for _, a in net.told[NAMES[0]] if getattr(a, "error", None)]
+    assert codes == ["out-alone"] and not held(net)
--- a/tests/shared/test_site_net.py
+++ b/tests/shared/test_site_net.py
@@ -1,4 +1,4 @@
-"""Twenty couriers of a site and one partner, in virtual time: outage, refusal of one, return, nonsense."""
+"""Twenty couriers of a site and one partner in virtual time: outage, refusal of one courier, nonsense."""
 
 import pytest
 from site_net import ModelPartner, S, Town, settled
@@ -15,34 +15,34 @@
     return settled(MEMBERS)
 
 
-def town(base, seed=1, share=True, capacity=200, calm_s=4):
+def scene(base, seed=1, share=True, capacity=200, calm_s=4):
     made = Town(base, seed, share, [EACH] * MEMBERS, ModelPartner(capacity))
     made.run(calm_s * S)
     return made
 
 
 def while_out(base, seed, share, mode="out"):
-    one = town(base, seed, share)
+    one = scene(base, seed, share)
     one.partner.mode, at = mode, one.now
     one.run(6 * S)
     return [m for t, m in one.partner.calls if t >= at], one
 
 
 @pytest.mark.parametrize("mode", ["out", "hang"])
-def test_a_partner_that_is_out_gets_a_small_part_of_the_calls(base, mode):
+def test_a_partner_that_is_out_gets_few_calls(base, mode):
     calls = [[len(while_out(base, seed, share, mode)[0]) for seed in (1, 2, 3)] for share in (False, True)]
     assert sum(calls[1]) * (6 if mode == "out" else 2) < sum(calls[0]), calls
 
 
-def test_a_wait_told_to_one_binds_the_others_within_a_moment(base):
-    one = town(base)
+def test_a_retry_after_for_one_courier_binds_the_others_soon(base):
+    one = scene(base)
     one.partner.mode, one.partner.wait_us, at = "wait", one.now + 3 * S, one.now
     one.run(3 * S)
     late = [t for t, _ in one.partner.calls if at + S // 5 < t < one.partner.wait_us]
     assert not late
 
 
-def test_the_one_that_tries_changes_after_a_turn(base):
+def test_the_prober_changes_after_a_turn(base):
     calls, one = while_out(base, 4, True)
     at = one.now
     one.run(14 * S)
@@ -50,9 +50,9 @@
     assert len(set(tried)) >= 2 and len(tried) <= 60
 
 
-def test_a_partner_that_refuses_one_alone_is_served_by_all_others_as_before(base):
+def test_a_partner_that_refuses_one_courier_is_served_by_all_others(base):
     def served(refuses):
-        one = town(base, seed=3)
+        one = scene(base, seed=3)
         alone, inner, count = MemberId("s0", "m0"), one.partner.call, {}
 
         def call(now, chance, member, a):
@@ -71,9 +71,9 @@
     assert not any(1 in c.shared.held for c in one.couriers.values())
 
 
-def test_one_that_loses_calls_by_chance_is_held_back_from_for_a_small_part_of_the_time(base):
+def test_random_call_failures_cost_little(base):
     def served(share):
-        one = town(base, seed=5, share=share)
+        one = scene(base, seed=5, share=share)
         inner = one.partner.call
 
         def call(now, chance, member, a):
@@ -87,8 +87,8 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_partner_as_large_as_its_traffic_returns_without_a_fall(base, seed):
-    one = town(base, seed, capacity=MEMBERS * EACH)
+def test_a_partner_sized_for_its_traffic_returns_without_overload(base, seed):
+    one = scene(base, seed, capacity=MEMBERS * EACH)
     one.partner.mode = "out"
     one.run(5 * S)
     one.partner.returns(one.now)
@@ -103,13 +103,13 @@
     ("kind", "value"),
     [("full", 0.0), ("limit", 1e-9), ("limit", 1e11), ("outage", 1e11), ("doubt", 0.5), ("back", 3.0)],
 )
-def test_nonsense_of_one_member_costs_little_and_ends(base, kind, value):
-    def served(told):
-        one = town(base, seed=6)
+def test_nonsense_of_one_member_costs_little_and_expires(base, kind, value):
+    def served(with_nonsense):
+        one = scene(base, seed=6)
         source = MemberId("s0", "m0")
         uid = b"p-1" if kind == "full" else b""
-        for n in range(60 if told else 0):
-            rumour = GossipEntry(
+        for n in range(60 if with_nonsense else 0):
+            entry = GossipEntry(
                 source,
                 f"news/{kind}/1" + ("/x" if uid else ""),
                 n + 1,
@@ -117,9 +117,9 @@
             )
             for member, courier in one.couriers.items():
                 if member != source:
-                    courier.tell_news(GossipReceived(rumour))
+                    courier.tell_news(GossipReceived(entry))
             one.run(S // 2)
-        if not told:
+        if not with_nonsense:
             one.run(30 * S)
         return len(one.partner.answers)
 
