--- a/bench/agreement.py
+++ b/bench/agreement.py
@@ -8,7 +8,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests" / "federation_pure"))
 
-from agreement_net import SECOND, Net, one, table
+from agreement_net import SECOND, Net, member_id, table
 
 from madderbeam.federation.consensus.rounds import AgreementSettings
 
@@ -26,12 +26,12 @@
 
 def cost(sites: int, members: int) -> None:
     net = started(sites, members, WAY_US)
-    begun, frames = net.now, net.frames
-    net.propose(one(0), table(2, sites=sites, members=members, mark=1))
-    net.run(20 * SECOND, lambda: net.up[one(0)].known.written == 2)
-    first = (net.now - begun) / WAY_US
+    begun, frames = net.now_us, net.frames
+    net.propose(member_id(0), table(2, sites=sites, members=members, variant=1))
+    net.run(20 * SECOND, lambda: net.up[member_id(0)].agreed_tables.written_number == 2)
+    first = (net.now_us - begun) / WAY_US
     net.run(20 * SECOND, lambda: net.all_at(2))
-    told = (net.now - begun) / WAY_US
+    told = (net.now_us - begun) / WAY_US
     print(
         f"{sites} sites of {members}, {sites} voters: agreed after {first:.1f} one-way delays, "
         f"known to all after {told:.1f}, {net.frames - frames} frames"
@@ -45,22 +45,22 @@
         net, steps = started(3, 2), [0]
 
         def step(member, action, count=count, steps=steps) -> bool:
-            steps[0] += member == one(0)
-            return member == one(0) and steps[0] == count
+            steps[0] += member == member_id(0)
+            return member == member_id(0) and steps[0] == count
 
-        net.step = step
-        begun = net.now
-        net.propose(one(0), table(2, members=2, mark=1))
+        net.crashes_after = step
+        begun = net.now_us
+        net.propose(member_id(0), table(2, members=2, variant=1))
 
         def ended(net=net) -> bool:
             return (
-                one(0) not in net.up
+                member_id(0) not in net.up
                 and not any(m.pending for m in net.up.values())
-                and (len({m.known.written for m in net.up.values()}) == 1)
+                and (len({m.agreed_tables.written_number for m in net.up.values()}) == 1)
             )
 
         if net.run(120 * SECOND, ended):
-            spans.append((net.now - begun) / SECOND)
+            spans.append((net.now_us - begun) / SECOND)
             agreed += net.agreed.get(2) is not None
     most = quantiles(spans, n=100)[-1]
     print(
--- a/madderbeam/config/federated.py
+++ b/madderbeam/config/federated.py
@@ -261,7 +261,7 @@
 
 
 def _partners(estate: m.Estate, partners: m.Partners, listed: Source, report: Report) -> None:
-    from madderbeam.federation.table import DEST_MOST
+    from madderbeam.federation.table import MAX_DESTINATION_NUMBER
 
     names = [s.name for s in estate.site]
     numbers = listed.numbers(("partner",), len(partners.partner))
@@ -278,12 +278,12 @@
             report.add(
                 listed, (*at, "site"), f"no site {partner.site!r}", some(names), like(partner.site, names)
             )
-        if partner.number > DEST_MOST:
+        if partner.number > MAX_DESTINATION_NUMBER:
             report.add(
                 listed,
                 (*at, "number"),
                 f"{partner.number} is over what a table takes",
-                f"a whole number from 0 to {DEST_MOST}",
+                f"a whole number from 0 to {MAX_DESTINATION_NUMBER}",
             )
         for k, topic in enumerate(partner.topics):
             if topic in partner.topics[:k]:
@@ -308,11 +308,11 @@
 def _table_file(path: Path, source: Source, report: Report) -> None:
     """One that is there already is a table."""
     from madderbeam.federation.errors import TableUnfit
-    from madderbeam.federation.table import TEXT_MOST, parse
+    from madderbeam.federation.table import MAX_TABLE_CHARACTERS, parse_table
 
     try:
         with path.open(encoding="utf-8") as file:
-            parse(file.read(TEXT_MOST + 1))
+            parse_table(file.read(MAX_TABLE_CHARACTERS + 1))
     except FileNotFoundError:
         return  # it may come later
     except (OSError, UnicodeDecodeError) as error:
@@ -326,10 +326,10 @@
 def _first(estate: m.Estate, partners: m.Partners, source: Source, report: Report) -> None:
     """The first table is one that members can read: its bounds are the table's own."""
     from madderbeam.federation.errors import TableUnfit
-    from madderbeam.federation.table import read
+    from madderbeam.federation.table import read_table
 
     try:
-        read(first_table(estate, partners).document())
+        read_table(first_table(estate, partners).document())
     except TableUnfit as error:
         wrong, _, allowed = error.what.rpartition("; allowed: ")
         report.add(source, ("site",), f"the first table: {wrong}", allowed)
--- a/madderbeam/config/federation.py
+++ b/madderbeam/config/federation.py
@@ -120,7 +120,7 @@
 
 def _table(raw: Any, field: str) -> Table:
     try:
-        return tables.read(raw)
+        return tables.read_table(raw)
     except TableUnfit as error:
         raise FederationUnfit(f"{field}: {error.what}") from None
 
@@ -156,7 +156,7 @@
 
 def _member(value: Any, field: str) -> MemberId:
     try:
-        return tables.member(value, field)
+        return tables.parse_member(value, field)
     except TableUnfit as error:
         raise FederationUnfit(error.what) from None
 
--- a/madderbeam/federation/consensus/acceptor.py
+++ b/madderbeam/federation/consensus/acceptor.py
@@ -15,10 +15,10 @@
     BallotRejected,
     Prepare,
     Promise,
-    ballot_of,
     read_accepted_votes,
+    read_ballot,
     read_claim,
-    slot_of,
+    read_slot,
     to_plain,
 )
 from madderbeam.federation.consensus.rounds import Ballot, Claim, Mark, Slot, Vote
@@ -52,10 +52,10 @@
         }
 
     def _restore(self, record: Mapping[str, Any]) -> None:
-        self.slot = slot_of(record["slot"])
-        self.promised = ballot_of(record["promised"]) if record["promised"] else None
+        self.slot = read_slot(record["slot"])
+        self.promised = read_ballot(record["promised"]) if record["promised"] else None
         self.claim = read_claim(record["claim"]) if record["claim"] else None
-        self.claim_ballot = ballot_of(record["claimed"]) if record["claimed"] else None
+        self.claim_ballot = read_ballot(record["claimed"]) if record["claimed"] else None
         self.accepted_votes = {
             vote.site: (ballot, vote) for ballot, vote in read_accepted_votes(record["words"])
         }
--- a/madderbeam/federation/consensus/agreed_tables.py
+++ b/madderbeam/federation/consensus/agreed_tables.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from madderbeam.federation.consensus.outbox import Outbox
-from madderbeam.federation.table import read
+from madderbeam.federation.table import read_table
 from madderbeam.federation.values import Table, TableAgreed
 from madderbeam.membership.values import Disseminate
 
@@ -22,10 +22,10 @@
         self.tables: dict[int, Table] = {first_table.number: first_table}
         for (kind, _), document in records.items():
             if kind == "agreed":
-                table = read(document)
+                table = read_table(document)
                 self.tables[table.number] = table
         self.latest = self.tables[max(self.tables)]
-        self.written = self.latest.number
+        self.written_number = self.latest.number
         self._unwritten: set[int] = set()
 
     def since(self, number: int) -> list[Table]:
@@ -56,16 +56,16 @@
         number = int(token.removeprefix("known/"))
         self._unwritten.discard(number)
         table = self.tables.get(number)
-        if table is None or number <= self.written:
+        if table is None or number <= self.written_number:
             return None
-        self.written = number
+        self.written_number = number
         return table
 
     def rearm(self) -> None:
         """A write failed and later actions were dropped: perhaps the record, perhaps the dissemination."""
         if self._unwritten:
             self.outbox.timer(REWRITE_DELAY_US, "rewrite")
-        self._disseminate(self.tables[self.written])
+        self._disseminate(self.tables[self.written_number])
 
     def rewrite(self) -> None:
         """Write the tables again that are not on disk yet."""
--- a/madderbeam/federation/consensus/agreement.py
+++ b/madderbeam/federation/consensus/agreement.py
@@ -27,7 +27,7 @@
 from madderbeam.federation.consensus.status import describe_silent, status
 from madderbeam.federation.errors import FolderOlder
 from madderbeam.federation.table import all_members
-from madderbeam.federation.values import FolderTrusted, ProposalOutcome, Table, TableChecked, TableProposed
+from madderbeam.federation.values import ProposalOutcome, RollbackAccepted, Table, TableChecked, TableProposed
 from madderbeam.membership.values import (
     GossipReceived,
     Incarnation,
@@ -60,11 +60,11 @@
         records: Mapping[tuple[str, str], Any],
         table: Table,
     ) -> None:
-        self.settings, self.me = settings, me
+        self.settings, self.local_member = settings, me
         self.outbox = Outbox(me)
-        self.known = AgreedTables(self.outbox, records, table)
+        self.agreed_tables = AgreedTables(self.outbox, records, table)
         self.acceptor = Acceptor(incarnation, records.get(("vote", "")))
-        self.folder = RollbackDetector(self.outbox, incarnation, records)
+        self.rollback_detector = RollbackDetector(self.outbox, incarnation, records)
         self.proposals = Proposals(self.outbox, records)
         self.participant = Participant(
             self.outbox, settings.check_timeout_us, 4 * settings.resend_interval_us, records, self.base
@@ -72,7 +72,7 @@
         self.failover = CoordinatorFailover(
             settings, self.outbox, incarnation, rng, self.proposals, self.document
         )
-        self.catch_up = CatchUp(self.outbox, rng, self.known, 4 * settings.resend_interval_us)
+        self.catch_up = CatchUp(self.outbox, rng, self.agreed_tables, 4 * settings.resend_interval_us)
         self.views: dict[MemberId, MemberView] = {}
         self.attempt = 0
         for slot in (self.acceptor.slot, self.participant.slot):
@@ -84,7 +84,7 @@
     @property
     def base(self) -> Table:
         """The latest agreed table: its voters decide on the next."""
-        return self.known.latest
+        return self.agreed_tables.latest
 
     @property
     def slot(self) -> Slot:
@@ -92,13 +92,13 @@
         return Slot(self.base.number + 1, self.attempt)
 
     @property
-    def votes(self) -> bool:
+    def may_vote(self) -> bool:
         """Whether this member votes now: it is a voter, and its state is confirmed to be the latest."""
-        return self.me in self.base.voters and self.folder.may_vote(self.base.voters)
+        return self.local_member in self.base.voters and self.rollback_detector.may_vote(self.base.voters)
 
     def known_since(self, number: int) -> list[Table]:
         """The agreed tables above `number`, of the latest eight, in ascending order; all are on disk."""
-        return self.known.since(number)
+        return self.agreed_tables.since(number)
 
     def status(self, now_us: int) -> dict[str, Any]:
         """The status for GET /federation."""
@@ -109,11 +109,11 @@
     def start(self, now_us: int) -> list[Any]:
         """The actions at the start of the process."""
         self.outbox.now_us = now_us
-        self.proposals.on_agreed(self.base, self.known.get)
-        self.known.announce(self.base)
+        self.proposals.on_agreed(self.base, self.agreed_tables.get)
+        self.agreed_tables.announce(self.base)
         self.proposals.on_slot_opened(self.slot)
-        if self.folder.distrusted is not None:
-            self.folder.distrust(self.folder.distrusted)
+        if self.rollback_detector.distrusted is not None:
+            self.rollback_detector.distrust(self.rollback_detector.distrusted)
         self._announce_mark()
         if self.proposals.newest is not None:
             self.failover.schedule_retry()
@@ -141,14 +141,16 @@
             case LinkUp(member):
                 self.outbox.send(member, self.catch_up.latest_decided())
                 if self._announces_mark and member in self.base.voters:
-                    self.folder.announce_to(member, self.acceptor.mark)
+                    self.rollback_detector.announce_to(member, self.acceptor.mark)
             case RollbackDetected(seen):
-                self.folder.distrust(seen)
+                self.rollback_detector.distrust(seen)
                 self._stop_if_distrusted()
             case IncarnationRaised(incarnation):
-                self.acceptor.incarnation = self.folder.incarnation = self.failover.incarnation = incarnation
-            case FolderTrusted():
-                self.folder.trust()
+                self.acceptor.incarnation = self.rollback_detector.incarnation = self.failover.incarnation = (
+                    incarnation
+                )
+            case RollbackAccepted():
+                self.rollback_detector.trust()
                 self._announce_mark()
         self._finish_coordination()
         return self._finish_event()
@@ -163,12 +165,12 @@
             case "self":
                 message = self.outbox.take_message_to_self(token)
                 if message is not None:
-                    self._on_message(self.me, message)
+                    self._on_message(self.local_member, message)
             case "known":
-                table = self.known.on_written(token)
+                table = self.agreed_tables.on_written(token)
                 if table is not None:
-                    self.proposals.on_agreed(table, self.known.get)
-                    self.known.announce(table)
+                    self.proposals.on_agreed(table, self.agreed_tables.get)
+                    self.agreed_tables.announce(table)
             case "staged":
                 self.participant.on_written(token)
             case "check":
@@ -180,7 +182,7 @@
             case "watch":
                 if self.failover.on_watch_due() and self.pending:
                     self._coordinate()
-            case "greet" if not self.votes:
+            case "greet" if not self.may_vote:
                 self._announce_mark()
             case "want":
                 self.catch_up.on_retry_due()
@@ -189,9 +191,9 @@
             case "sweep":
                 self.proposals.remove_completed(again=True)
             case "rewrite":
-                self.known.rewrite()
-            case "distrust" if self.folder.distrusted is not None:
-                self.folder.distrust(self.folder.distrusted)
+                self.agreed_tables.rewrite()
+            case "distrust" if self.rollback_detector.distrusted is not None:
+                self.rollback_detector.distrust(self.rollback_detector.distrusted)
 
     def _on_write_failed(self, kind: str, key: str) -> None:
         """All later actions were dropped, timers included: set the timers again; they repeat the rest."""
@@ -203,8 +205,8 @@
                 if self.proposals.on_write_failed(key):
                     self.failover.stop()
             case "distrusted" | "trusted":
-                self.folder.on_write_failed(kind)
-        self.known.rearm()
+                self.rollback_detector.on_write_failed(kind)
+        self.agreed_tables.rearm()
         self.proposals.rearm()
         self.participant.rearm()
         self.failover.rearm()
@@ -212,9 +214,9 @@
         self._announce_mark()
 
     def _on_proposed(self, table: Table) -> None:
-        if self.folder.distrusted is not None:
-            error = FolderOlder(f"{self.me} has an older folder: it offers no table {table.number}")
-            self.outbox.add(ProposalOutcome(table.proposal, False, error))
+        if self.rollback_detector.distrusted is not None:
+            error = FolderOlder(f"{self.local_member} has an older folder: it offers no table {table.number}")
+            self.outbox.add(ProposalOutcome(table.proposal_id, False, error))
         elif self.proposals.add(table, self.base):
             self.failover.reset_retries()
             self._coordinate()
@@ -237,22 +239,22 @@
                     coordinator.on_document(message)
             case m.SlotAborted(slot, digest, votes, marks):
                 self._on_slot_aborted(slot, digest, votes)
-                self.folder.learn(marks, self.base.voters)
+                self.rollback_detector.learn(marks, self.base.voters)
             case m.SlotAdvanced(slot):
                 self._open_slot(slot)
             case m.Decided(_, digest, marks):
-                self.folder.learn(marks, self.base.voters)
+                self.rollback_detector.learn(marks, self.base.voters)
                 self._adopt_table(self.catch_up.on_decided(member, message, self.document(digest)))
             case m.CatchUpRequest():
                 self.catch_up.on_catch_up_request(member, message)
             case m.AgreedTable():
                 self._adopt_table(self.catch_up.on_agreed_table(message))
             case m.MarkAnnounced():
-                self.folder.on_mark_announced(member, message, self.base.voters)
+                self.rollback_detector.on_mark_announced(member, message, self.base.voters)
             case m.MarkConfirmed():
-                self.folder.on_mark_confirmed(member, message)
+                self.rollback_detector.on_mark_confirmed(member, message)
             case m.RollbackReported(mark):
-                votes_recorded = self.folder.on_rollback_reported(member, mark, self.acceptor.mark)
+                votes_recorded = self.rollback_detector.on_rollback_reported(member, mark, self.acceptor.mark)
                 self.acceptor.votes_recorded = max(self.acceptor.votes_recorded, votes_recorded)
                 self._stop_if_distrusted()
 
@@ -274,14 +276,14 @@
         return False
 
     def _on_request(self, member: MemberId, message: m.Prepare | m.Accept | m.VoteRequest) -> None:
-        if member != self.me:
+        if member != self.local_member:
             self.failover.on_other_coordinator(member)
         if isinstance(message, m.VoteRequest):
             self.failover.claim_known_since_us(message.slot, message.digest)
             self.participant.on_vote_request(member, message, self.base)
             return
         self.failover.observe_ballot(message.ballot)
-        if not self.votes:
+        if not self.may_vote:
             return
         if isinstance(message, m.Prepare):
             reply: m.Promise | m.Accepted | m.BallotRejected | None = self.acceptor.prepare(message)
@@ -297,7 +299,7 @@
     ) -> None:
         coordinator = self.failover.coordinator_of(message.slot)
         if isinstance(message, m.Promise | m.Accepted) and (
-            member not in self.base.voters or not self.folder.observe(member, message.mark)
+            member not in self.base.voters or not self.rollback_detector.observe(member, message.mark)
         ):
             return
         if coordinator is None:
@@ -324,7 +326,7 @@
         return self._finish_event()
 
     def _coordinate(self) -> None:
-        if self.folder.distrusted is None:
+        if self.rollback_detector.distrusted is None:
             self.failover.begin(self.base, self.slot)
 
     @property
@@ -341,9 +343,11 @@
         self.failover.stop()
         if coordinator.decision is None or coordinator.claim is None:
             return
-        digest, marks = coordinator.claim.digest, self.folder.marks(self.base.voters)
+        digest, marks = coordinator.claim.digest, self.rollback_detector.marks(self.base.voters)
         others = [
-            member for member in all_members(self.base, coordinator.table or self.base) if member != self.me
+            member
+            for member in all_members(self.base, coordinator.table or self.base)
+            if member != self.local_member
         ]
         if isinstance(coordinator.decision, Aborted):
             notification: m.SlotAborted | m.Decided = m.SlotAborted(
@@ -390,13 +394,13 @@
         """The table is agreed. Once it is on disk, switchover and the table's proposer are notified."""
         if table is None or table.number <= self.base.number:
             return
-        self.known.add(table)
+        self.agreed_tables.add(table)
         self.attempt = 0
         self.failover.stop()
         self.participant.clear()
         members = set(all_members(table))
         self.views = {member: view for member, view in self.views.items() if member in members}
-        self.folder.forget(table.voters)
+        self.rollback_detector.forget(table.voters)
         self._announce_mark()
 
     # Rollback detection
@@ -405,14 +409,14 @@
         """Announce this member's mark to the voters until a majority has confirmed that it is the latest."""
         if not self._announces_mark:
             return
-        self.folder.announce(self.acceptor.mark, self.base.voters)
-        if not self.votes:
+        self.rollback_detector.announce(self.acceptor.mark, self.base.voters)
+        if not self.may_vote:
             self.outbox.timer(self.settings.resend_interval_us, "greet")
 
     @property
     def _announces_mark(self) -> bool:
-        return self.me in self.base.voters and self.folder.distrusted is None
+        return self.local_member in self.base.voters and self.rollback_detector.distrusted is None
 
     def _stop_if_distrusted(self) -> None:
-        if self.folder.distrusted is not None:
+        if self.rollback_detector.distrusted is not None:
             self.failover.stop()
--- a/madderbeam/federation/consensus/catch_up.py
+++ b/madderbeam/federation/consensus/catch_up.py
@@ -8,7 +8,7 @@
 from madderbeam.federation.consensus.messages import AgreedTable, CatchUpRequest, Decided, read_digest
 from madderbeam.federation.consensus.outbox import Outbox
 from madderbeam.federation.errors import TablesDiffer, TableUnfit
-from madderbeam.federation.table import MAX_TABLE_NUMBER, all_members, read
+from madderbeam.federation.table import MAX_TABLE_NUMBER, all_members, read_table
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import MemberId
 
@@ -26,7 +26,7 @@
 
     def latest_decided(self) -> Decided:
         """The notification of the latest agreed table that is on disk here."""
-        table = self.agreed_tables.tables[self.agreed_tables.written]
+        table = self.agreed_tables.tables[self.agreed_tables.written_number]
         return Decided(table.number, table.digest, ())
 
     def request(self, member: MemberId, number: int) -> None:
@@ -42,7 +42,7 @@
         self._is_waiting = False
         if self.wanted_number <= self.agreed_tables.latest.number:
             return
-        others = [m for m in all_members(self.agreed_tables.latest) if m != self.outbox.me]
+        others = [m for m in all_members(self.agreed_tables.latest) if m != self.outbox.local_member]
         if others:
             self.request(self.rng.choice(others), self.wanted_number)
 
@@ -69,7 +69,7 @@
         own_table = self.agreed_tables.get(message.number)
         if own_table is not None and own_table.digest != message.digest:
             self.report_difference(member, message.number, message.digest)
-        elif message.number < self.agreed_tables.written:
+        elif message.number < self.agreed_tables.written_number:
             self.outbox.send(member, self.latest_decided())
         return None
 
@@ -78,7 +78,7 @@
         if message.after > self.agreed_tables.latest.number:
             return None
         try:
-            table = read(message.document)
+            table = read_table(message.document)
         except TableUnfit as error:
             self.outbox.log("received an agreed table that is malformed", error)
             return None
@@ -104,6 +104,6 @@
         if member in self._reported or len(self._reported) >= MAX_MEMBERS_REPORTED:
             return
         self._reported.add(member)
-        own_proposal = own_table.proposal if own_table is not None else "another"
-        description = f"{member} has table {number}-{digest}, {self.outbox.me} has {own_proposal}"
+        own_proposal = own_table.proposal_id if own_table is not None else "another"
+        description = f"{member} has table {number}-{digest}, {self.outbox.local_member} has {own_proposal}"
         self.outbox.log(f"no table can be agreed with {member}", TablesDiffer(description))
--- a/madderbeam/federation/consensus/coordinator.py
+++ b/madderbeam/federation/consensus/coordinator.py
@@ -25,7 +25,7 @@
 from madderbeam.federation.consensus.outbox import Outbox
 from madderbeam.federation.consensus.rounds import AgreementSettings, Ballot, Claim, Slot, Vote
 from madderbeam.federation.errors import NotAllStaged, Superseded, TableUnfit
-from madderbeam.federation.table import all_members, instances, participants, read
+from madderbeam.federation.table import all_members, participants, read_table, voting_sites
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import MemberId
 
@@ -115,10 +115,10 @@
 
     def on_vote(self, member: MemberId, message: VoteReply) -> None:
         """A member's vote for its site."""
-        if self.claim is None or message.digest != self.claim.digest or message.word.site != member.site:
+        if self.claim is None or message.digest != self.claim.digest or message.vote.site != member.site:
             return
         if member in all_members(self.base, self.table or self.base):
-            self.member_votes[member] = message.word
+            self.member_votes[member] = message.vote
             self._collect_votes()
 
     def on_document(self, message: Document) -> None:
@@ -126,7 +126,7 @@
         if self.claim is None or self.table is not None or self.decision is not None:
             return
         try:
-            table = read(message.document)
+            table = read_table(message.document)
         except TableUnfit:
             return
         if table.digest == self.claim.digest:
@@ -144,7 +144,7 @@
             self._set_table(self._document(self.claim.digest))
         if self.decision is not None:
             return
-        if self.outbox.now_us - self.since_us >= self.settings.agree_within_us:
+        if self.outbox.now_us - self.since_us >= self.settings.vote_timeout_us:
             self._reject_missing(
                 NotAllStaged.code, lambda site: self._not_staged_reason(site, describe_silent)
             )
@@ -214,7 +214,7 @@
             return
         if claim is None:
             assert self.proposal is not None
-            claim = Claim(self.proposal.digest, instances(self.proposal, self.base))
+            claim = Claim(self.proposal.digest, voting_sites(self.proposal, self.base))
         if self.proposal is not None and self.proposal.digest == claim.digest:
             self.table = self.proposal
             self._on_claim(claim.digest, self.slot)
@@ -243,7 +243,7 @@
     @property
     def proposal_name(self) -> str:
         """The identity of the own proposal; empty without one."""
-        return str(self.proposal.proposal) if self.proposal is not None else ""
+        return str(self.proposal.proposal_id) if self.proposal is not None else ""
 
     def _send_accept(self) -> None:
         assert self.claim is not None
@@ -257,7 +257,7 @@
         """Send new votes to the voters once they may be the last, so that usually all go in one message. The
         others are sent at the next tick.
         """
-        is_last = not self.missing_sites or any(not vote.staged for vote in self.votes)
+        is_last = not self.missing_sites or any(not vote.is_staged for vote in self.votes)
         if is_last and len(self.votes) > self._sent_count:
             self._send_accept()
 
@@ -265,7 +265,7 @@
         assert self.claim is not None
         if not self.missing_sites:
             return
-        off = self.table.off if self.table is not None else frozenset()
+        off = self.table.decommissioned if self.table is not None else frozenset()
         is_repeat = self.outbox.now_us - self._requested_us >= self.settings.failover_timeout_us // 3
         if is_repeat:  # also to members that have voted: it keeps them from taking the slot over
             self._requested_us = self.outbox.now_us
@@ -287,7 +287,7 @@
         for site in self.missing_sites:
             members = self.participants(site)
             received = [self.member_votes[member] for member in members if member in self.member_votes]
-            rejections = [vote for vote in received if not vote.staged]
+            rejections = [vote for vote in received if not vote.is_staged]
             if rejections:
                 self.votes.append(rejections[0])
             elif received and (len(received) == len(members) or not waits_for_all):
@@ -303,8 +303,8 @@
         """Set the decision if there is one; returns whether there is."""
         if self.claim is None or self.decision is not None:
             return self.decision is not None
-        if any(not vote.staged for vote in self.votes[: max(self.decided_count, 0)]):
-            self.decision = Aborted(tuple(vote for vote in self.votes if not vote.staged))
+        if any(not vote.is_staged for vote in self.votes[: max(self.decided_count, 0)]):
+            self.decision = Aborted(tuple(vote for vote in self.votes if not vote.is_staged))
         elif self.decided_count >= len(self.claim.sites) and self.table is not None:
             self.decision = Committed(self.table)
         return self.decision is not None
--- a/madderbeam/federation/consensus/failover.py
+++ b/madderbeam/federation/consensus/failover.py
@@ -45,7 +45,7 @@
         proposal = self.proposals.newest
         if proposal is not None and proposal.number != slot.number:
             proposal = None  # it is agreed and not on disk yet, or its number is taken
-        ballot = Ballot(self.counter, self.outbox.me, self.incarnation)
+        ballot = Ballot(self.counter, self.outbox.local_member, self.incarnation)
         callbacks = self._document, self.proposals.claim, self.claim_known_since_us
         self.coordinator = Coordinator(self.outbox, base, slot, ballot, proposal, *callbacks, self.settings)
         self._no_majority_since_us = self.outbox.now_us
@@ -126,14 +126,14 @@
         self.outbox.timer(self.settings.resend_interval_us, "drive")
         if self.coordinator.decided_count >= 0 and self.coordinator.is_current:
             self._no_majority_since_us = self.outbox.now_us
-        elif self.outbox.now_us - self._no_majority_since_us >= self.settings.agree_within_us:
+        elif self.outbox.now_us - self._no_majority_since_us >= self.settings.vote_timeout_us:
             self._report_no_majority(self.coordinator, describe_silent)
 
     def _report_no_majority(
         self, coordinator: Coordinator, describe_silent: Callable[[tuple[MemberId, ...]], str]
     ) -> None:
         self._no_majority_since_us = self.outbox.now_us
-        voters, within_s = coordinator.base.voters, self.settings.agree_within_us // 1_000_000
+        voters, within_s = coordinator.base.voters, self.settings.vote_timeout_us // 1_000_000
         error = NoMajority(
             f"table {coordinator.slot.number} found no majority of the {len(voters)} voters of table "
             f"{coordinator.base.number} in {within_s} s: {describe_silent(coordinator.silent_voters)}"
--- a/madderbeam/federation/consensus/messages.py
+++ b/madderbeam/federation/consensus/messages.py
@@ -7,7 +7,7 @@
 from typing import Any, get_type_hints
 
 from madderbeam.federation.consensus.rounds import Ballot, Claim, Mark, Slot, Vote
-from madderbeam.federation.table import MAX_TABLE_NUMBER, MEMBERS_MOST, SITES_MOST
+from madderbeam.federation.table import MAX_MEMBERS, MAX_SITES, MAX_TABLE_NUMBER
 from madderbeam.membership.values import NAME_MOST, Incarnation, MemberId, Row
 
 MAX_REASON_CHARACTERS = 400
@@ -104,7 +104,7 @@
 
     slot: Slot
     digest: str
-    word: Vote
+    vote: Vote
 
 
 @dataclass(frozen=True)
@@ -276,7 +276,7 @@
     return _read_text(value, NAME_MOST, 1)
 
 
-def slot_of(value: Any) -> Slot:
+def read_slot(value: Any) -> Slot:
     """The slot of its list [number, attempt]. Raises ValueError."""
     number, attempt = _read_list(value, 2)
     return Slot(_read_count(number, MAX_TABLE_NUMBER, 1), _read_count(attempt))
@@ -294,7 +294,7 @@
     return Incarnation(_read_count(start), _read_count(nonce, 2**64))
 
 
-def ballot_of(value: Any) -> Ballot:
+def read_ballot(value: Any) -> Ballot:
     """The ballot of its list [counter, member, incarnation]. Raises ValueError."""
     counter, member, incarnation = _read_list(value, 3)
     return Ballot(_read_count(counter, minimum=1), read_member(member), read_incarnation(incarnation))
@@ -303,7 +303,7 @@
 def read_claim(value: Any) -> Claim:
     """The claim of its list [digest, sites]. Raises ValueError."""
     digest, sites = _read_list(value, 2)
-    return Claim(read_digest(digest), _read_tuple(sites, 2 * SITES_MOST, _read_name))
+    return Claim(read_digest(digest), _read_tuple(sites, 2 * MAX_SITES, _read_name))
 
 
 def read_vote(value: Any) -> Vote:
@@ -320,12 +320,12 @@
 
 def _read_accepted_vote(value: Any) -> tuple[Ballot, Vote]:
     ballot, vote = _read_list(value, 2)
-    return ballot_of(ballot), read_vote(vote)
+    return read_ballot(ballot), read_vote(vote)
 
 
 def read_accepted_votes(value: Any) -> AcceptedVotes:
     """The votes that a voter has accepted, each with its ballot. Raises ValueError."""
-    return _read_tuple(value, 2 * SITES_MOST, _read_accepted_vote)
+    return _read_tuple(value, 2 * MAX_SITES, _read_accepted_vote)
 
 
 def _read_member_mark(value: Any) -> tuple[MemberId, Mark]:
@@ -335,7 +335,7 @@
 
 def read_marks(value: Any) -> Marks:
     """Members, each with its mark. Raises ValueError."""
-    return _read_tuple(value, MEMBERS_MOST, _read_member_mark)
+    return _read_tuple(value, MAX_MEMBERS, _read_member_mark)
 
 
 def _read_document(value: Any) -> dict[str, Any]:
@@ -349,9 +349,9 @@
 
 
 _READER_BY_TYPE: dict[Any, Callable[[Any], Any]] = {
-    Slot: slot_of,
-    Ballot: ballot_of,
-    Ballot | None: _read_optional(ballot_of),
+    Slot: read_slot,
+    Ballot: read_ballot,
+    Ballot | None: _read_optional(read_ballot),
     Claim: read_claim,
     Claim | None: _read_optional(read_claim),
     Vote: read_vote,
@@ -359,7 +359,7 @@
     Incarnation | None: _read_optional(read_incarnation),
     AcceptedVotes: read_accepted_votes,
     Marks: read_marks,
-    tuple[Vote, ...]: lambda value: _read_tuple(value, 2 * SITES_MOST, read_vote),
+    tuple[Vote, ...]: lambda value: _read_tuple(value, 2 * MAX_SITES, read_vote),
     dict[str, Any]: _read_document,
     dict[str, Any] | None: _read_optional(_read_document),
     str: read_digest,
--- a/madderbeam/federation/consensus/outbox.py
+++ b/madderbeam/federation/consensus/outbox.py
@@ -18,7 +18,7 @@
     """The actions of the current event. `now_us` is the time of the event."""
 
     def __init__(self, me: MemberId) -> None:
-        self.me = me
+        self.local_member = me
         self.now_us = 0
         self.actions: list[Any] = []
         self._messages_to_self: dict[str, Any] = {}
@@ -31,7 +31,7 @@
 
     def send(self, member: MemberId, message: Any) -> None:
         """Send a message to a member, which may be this one."""
-        if member != self.me:
+        if member != self.local_member:
             self.actions.append(SendMessage(member, message))
             return
         while len(self._messages_to_self) >= MAX_OWN_MESSAGES:
--- a/madderbeam/federation/consensus/participant.py
+++ b/madderbeam/federation/consensus/participant.py
@@ -11,13 +11,13 @@
     DocumentRequest,
     VoteReply,
     VoteRequest,
-    slot_of,
+    read_slot,
     to_plain,
 )
 from madderbeam.federation.consensus.outbox import Outbox
 from madderbeam.federation.consensus.rounds import Slot, Vote
 from madderbeam.federation.errors import TableRefused, TableUnfit, WordUnwritten
-from madderbeam.federation.table import check, read
+from madderbeam.federation.table import check_successor, read_table
 from madderbeam.federation.values import CheckTable, Table, TableChecked
 from madderbeam.membership.values import MemberId
 
@@ -48,9 +48,9 @@
         self._requester: MemberId | None = None
         self._is_writing = False
         record = records.get(("staged", ""))
-        if record is not None and slot_of(record["slot"]).number == base.number + 1:
-            self.slot, self.table = slot_of(record["slot"]), read(record["document"])
-            self.digest, self.vote = self.table.digest, Vote(outbox.me.site)
+        if record is not None and read_slot(record["slot"]).number == base.number + 1:
+            self.slot, self.table = read_slot(record["slot"]), read_table(record["document"])
+            self.digest, self.vote = self.table.digest, Vote(outbox.local_member.site)
 
     def staged(self, digest: str) -> Table | None:
         """The table of this digest, if its document is here."""
@@ -90,14 +90,14 @@
         if message.slot != self.slot or self.table is not None or self.vote is not None:
             return
         try:
-            table = read(message.document)
+            table = read_table(message.document)
         except TableUnfit as error:
             self._reject(TableRefused.code, error.what)
             return
         if table.digest != self.digest:
             return
         self.table = table
-        refused = check(table, base)
+        refused = check_successor(table, base)
         if refused is not None:
             self._reject(TableRefused.code, refused.what)
             return
@@ -107,10 +107,10 @@
     def on_checked(self, event: TableChecked) -> None:
         """The host's reply: reject, or stage the table."""
         is_awaited = self.table is not None and self.vote is None and not self._is_writing
-        if not is_awaited or self.table is None or event.proposal != self.table.proposal:
+        if not is_awaited or self.table is None or event.proposal != self.table.proposal_id:
             return
-        if event.why:
-            self._reject(TableRefused.code, event.why)
+        if event.reason:
+            self._reject(TableRefused.code, event.reason)
         else:
             self._stage()
 
@@ -133,7 +133,7 @@
         """The staged table is on disk: the vote may be sent."""
         if token == f"staged/{self.slot}" and self._is_writing:
             self._is_writing = False
-            self._send_vote(Vote(self.outbox.me.site))
+            self._send_vote(Vote(self.outbox.local_member.site))
 
     def on_write_failed(self) -> None:
         """The staged table could not be written: reject."""
@@ -148,7 +148,11 @@
 
     def _reject(self, code: str, reason: str) -> None:
         self._send_vote(
-            Vote(self.outbox.me.site, code, f"{self.outbox.me}: {reason}"[:MAX_REASON_CHARACTERS])
+            Vote(
+                self.outbox.local_member.site,
+                code,
+                f"{self.outbox.local_member}: {reason}"[:MAX_REASON_CHARACTERS],
+            )
         )
 
     def _send_vote(self, vote: Vote) -> None:
--- a/madderbeam/federation/consensus/proposals.py
+++ b/madderbeam/federation/consensus/proposals.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from madderbeam.federation.consensus.messages import slot_of, to_plain
+from madderbeam.federation.consensus.messages import read_slot, to_plain
 from madderbeam.federation.consensus.outbox import Outbox
 from madderbeam.federation.consensus.rounds import Slot, Vote, error_of
 from madderbeam.federation.errors import FederationError, Superseded, TableRefused, WordUnwritten
-from madderbeam.federation.table import check, read
+from madderbeam.federation.table import check_successor, read_table
 from madderbeam.federation.values import ProposalOutcome, Table
 
 MAX_PROPOSALS = 4
@@ -36,9 +36,9 @@
         self._newly_completed: list[str] = []
         rows = [value for (kind, _), value in records.items() if kind == "offer"]
         for row in sorted(rows, key=lambda r: int(r["count"])):
-            table = read(row["document"])
+            table = read_table(row["document"])
             self.pending[table.digest] = PendingProposal(
-                table, slot_of(row["claimed"]) if row["claimed"] else None
+                table, read_slot(row["claimed"]) if row["claimed"] else None
             )
         self._write_count = max((int(row["count"]) for row in rows), default=0)
 
@@ -54,14 +54,14 @@
     def add(self, table: Table, base: Table) -> bool:
         """Whether to pursue the proposal now; if not, it is pending already or its outcome is reported."""
         if table.digest == base.digest:
-            self.outbox.add(ProposalOutcome(table.proposal, True, None))
+            self.outbox.add(ProposalOutcome(table.proposal_id, True, None))
             return False
-        refused = check(table, base)
+        refused = check_successor(table, base)
         is_full = len(self.pending) + len(self._completed) >= MAX_PROPOSALS
         if refused is None and is_full and table.digest not in self.pending:
             refused = TableRefused(f"{MAX_PROPOSALS} tables are pending here", "offer")
         if refused is not None:
-            self.outbox.add(ProposalOutcome(table.proposal, False, refused))
+            self.outbox.add(ProposalOutcome(table.proposal_id, False, refused))
             return False
         if self.newest is not None and self.newest.digest == table.digest:
             return False
@@ -70,7 +70,7 @@
         previous = self.pending.pop(table.digest, PendingProposal(table))
         for digest, proposal in list(self.pending.items()):
             if proposal.claimed_slot is None:
-                description = f"table {proposal.table.proposal} was replaced by {table.proposal}"
+                description = f"table {proposal.table.proposal_id} was replaced by {table.proposal_id}"
                 self._complete(digest, Superseded(description))
         self.pending[table.digest] = previous
         self._persist(table.digest)
@@ -90,7 +90,9 @@
             self.outbox.timer(REWRITE_DELAY_US, "sweep")
             return False
         if proposal.claimed_slot is None or self._first_claimed == digest:
-            description = f"the disk of {self.outbox.me} did not take table {proposal.table.proposal}"
+            description = (
+                f"the disk of {self.outbox.local_member} did not take table {proposal.table.proposal_id}"
+            )
             self._complete(digest, WordUnwritten(description))
         return True
 
@@ -128,7 +130,9 @@
                 and proposal.claimed_slot.number == slot.number
                 and proposal.claimed_slot < slot
             ):
-                description = f"table {proposal.table.proposal} was turned down, or gave way to another offer"
+                description = (
+                    f"table {proposal.table.proposal_id} was turned down, or gave way to another offer"
+                )
                 self._complete(digest, Superseded(description))
 
     def abandon_unclaimed(self, digest: str, error: FederationError) -> None:
@@ -139,23 +143,25 @@
     def on_agreed(self, table: Table, agreed_table: Callable[[int], Table | None]) -> None:
         """Complete the proposals up to the agreed table. `agreed_table`: that of a number, if stored."""
         for digest, proposal in list(self.pending.items()):
-            number, proposal_id = proposal.table.number, proposal.table.proposal
+            number, proposal_id = proposal.table.number, proposal.table.proposal_id
             agreed = agreed_table(number)
             if number > table.number:
                 continue
             if agreed is None:
                 self._complete(
-                    digest, Superseded(f"table {table.proposal} is agreed; {proposal_id} was missed here")
+                    digest, Superseded(f"table {table.proposal_id} is agreed; {proposal_id} was missed here")
                 )
             elif agreed.digest == digest:
                 self._complete(digest, None)
             else:
-                self._complete(digest, Superseded(f"table {agreed.proposal} came before table {proposal_id}"))
+                self._complete(
+                    digest, Superseded(f"table {agreed.proposal_id} came before table {proposal_id}")
+                )
 
     def _complete(self, digest: str, error: FederationError | None) -> None:
         proposal = self.pending.pop(digest)
         self._newly_completed.append(digest)
-        self._completed[digest] = ProposalOutcome(proposal.table.proposal, error is None, error)
+        self._completed[digest] = ProposalOutcome(proposal.table.proposal_id, error is None, error)
 
     def _persist(self, digest: str) -> None:
         proposal, self._write_count = self.pending[digest], self._write_count + 1
--- a/madderbeam/federation/consensus/rollback_detection.py
+++ b/madderbeam/federation/consensus/rollback_detection.py
@@ -65,7 +65,7 @@
 
     def may_vote(self, voters: tuple[MemberId, ...]) -> bool:
         """Whether a majority of the voters, including this member, has confirmed this member's mark."""
-        confirmations = sum(v in self.confirmed_by or v == self.outbox.me for v in voters)
+        confirmations = sum(v in self.confirmed_by or v == self.outbox.local_member for v in voters)
         return self.distrusted is None and confirmations > len(voters) // 2
 
     def announce(self, mark: Mark, voters: tuple[MemberId, ...]) -> None:
@@ -76,7 +76,7 @@
 
     def announce_to(self, voter: MemberId, mark: Mark) -> None:
         """Announce the own mark to one voter."""
-        if voter != self.outbox.me:
+        if voter != self.outbox.local_member:
             self.outbox.send(voter, MarkAnnounced(mark, self.accepted_loss))
 
     def on_mark_announced(
@@ -116,7 +116,11 @@
         """Store marks that another member has seen, and write them to disk."""
         for member, mark in marks:
             seen = self.seen_marks.get(member)
-            if member in voters and member != self.outbox.me and (seen is None or not is_behind(mark, seen)):
+            if (
+                member in voters
+                and member != self.outbox.local_member
+                and (seen is None or not is_behind(mark, seen))
+            ):
                 self.seen_marks[member] = mark
                 self._persist(member)
 
@@ -160,7 +164,9 @@
             self.distrusted = seen
         if is_first:
             observed = observed or f"by others at start {seen.start}"
-            description = f"{self.outbox.me} is at start {self.incarnation.start}, and was seen {observed}"
+            description = (
+                f"{self.outbox.local_member} is at start {self.incarnation.start}, and was seen {observed}"
+            )
             self.outbox.log("rollback detected; this member stops voting", FolderOlder(description))
         self.outbox.persist("distrusted", "", to_plain(self.distrusted))
 
--- a/madderbeam/federation/consensus/rounds.py
+++ b/madderbeam/federation/consensus/rounds.py
@@ -20,7 +20,7 @@
 
     resend_interval_us: int = 500_000  # until an unanswered message is sent again
     failover_timeout_us: int = 3_000_000  # silence about a pending slot before another member takes it over
-    agree_within_us: int = 60_000_000  # from a coordinator's start until it rejects for the missing votes
+    vote_timeout_us: int = 60_000_000  # from a coordinator's start until it rejects for the missing votes
     silent_member_timeout_us: int = 2_000_000  # wait for a site's silent members once another has staged
     check_timeout_us: int = 10_000_000  # for the host's check of a table
 
@@ -66,7 +66,7 @@
     reason: str = ""
 
     @property
-    def staged(self) -> bool:
+    def is_staged(self) -> bool:
         """Whether the site can serve by the table and has it on disk."""
         return not self.code
 
@@ -82,7 +82,7 @@
 def error_of(votes: tuple[Vote, ...]) -> FederationError:
     """The error for a rejected claim, from the first vote that rejected it."""
     rejection = next(
-        (vote for vote in votes if not vote.staged), Vote("", Superseded.code, "it was turned down")
+        (vote for vote in votes if not vote.is_staged), Vote("", Superseded.code, "it was turned down")
     )
     if rejection.code == TableRefused.code:
         return TableRefused(rejection.reason, rejection.site)
--- a/madderbeam/federation/federation.py
+++ b/madderbeam/federation/federation.py
@@ -9,7 +9,7 @@
 from madderbeam.federation.consensus.outbox import PREFIX
 from madderbeam.federation.values import (
     FinishProposal,
-    FolderTrusted,
+    RollbackAccepted,
     TableAgreed,
     TableChecked,
     TableProposed,
@@ -50,7 +50,7 @@
     def handle(self, now_us: int, event: Any) -> list[Any]:
         """The actions that follow from this event."""
         match event:
-            case TableProposed() | TableChecked() | FolderTrusted():
+            case TableProposed() | TableChecked() | RollbackAccepted():
                 return self._pass_agreed_tables(now_us, self.agreement.handle(now_us, event))
             case MessageReceived(_, message):
                 is_for_agreement = type(message) in TAG_BY_CLASS
--- a/madderbeam/federation/leases/lease.py
+++ b/madderbeam/federation/leases/lease.py
@@ -15,14 +15,14 @@
 from madderbeam.federation.switchover.messages import LeaseEndRequest, LeaseReply, LeaseRequest
 from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
 from madderbeam.federation.switchover.settings import SwitchoverSettings
-from madderbeam.federation.table import MEMBERS_MOST
+from madderbeam.federation.table import MAX_MEMBERS
 from madderbeam.membership.values import MemberId
 
 MAX_OPEN_REQUESTS = 4  # the latest requests, whose replies still count
 RENEWALS = 4  # in the span of a lease
 
 
-def majority(voters: tuple[MemberId, ...], members: Iterable[MemberId]) -> bool:
+def is_majority(voters: tuple[MemberId, ...], members: Iterable[MemberId]) -> bool:
     """Whether more than half of the voters are among the members (never without voters)."""
     return sum(v in voters for v in set(members)) > len(voters) // 2
 
@@ -32,32 +32,32 @@
 
     def __init__(self, settings: SwitchoverSettings) -> None:
         self.settings = settings
-        self.until_us = 0
-        self._asks: dict[int, tuple[int, set[MemberId]]] = {}
+        self.valid_until_us = 0
+        self._open_requests: dict[int, tuple[int, set[MemberId]]] = {}
 
-    def runs(self, now_us: int) -> bool:
+    def is_valid(self, now_us: int) -> bool:
         """Whether the lease is valid at this time; always without leases."""
-        return not self.settings.lease_us or now_us < self.until_us
+        return not self.settings.lease_us or now_us < self.valid_until_us
 
-    def asked(self, now_us: int, request_id: int) -> None:
+    def on_request_sent(self, now_us: int, request_id: int) -> None:
         """A request is sent: the lease counts from now, whenever the replies arrive."""
-        self._asks[request_id] = (now_us, set())
-        while len(self._asks) > MAX_OPEN_REQUESTS:
-            del self._asks[next(iter(self._asks))]
+        self._open_requests[request_id] = (now_us, set())
+        while len(self._open_requests) > MAX_OPEN_REQUESTS:
+            del self._open_requests[next(iter(self._open_requests))]
 
-    def answered(self, member: MemberId, message: LeaseReply, voters: tuple[MemberId, ...]) -> None:
+    def on_reply(self, member: MemberId, message: LeaseReply, voters: tuple[MemberId, ...]) -> None:
         """A voter's reply; a majority of grants for one request extends the lease."""
-        if not message.granted or message.ask not in self._asks:
+        if not message.granted or message.ask not in self._open_requests:
             return
-        asked_us, granted_by = self._asks[message.ask]
+        asked_us, granted_by = self._open_requests[message.ask]
         granted_by.add(member)
-        if majority(voters, granted_by):
-            self.until_us = max(self.until_us, asked_us + self.settings.lease_us)
+        if is_majority(voters, granted_by):
+            self.valid_until_us = max(self.valid_until_us, asked_us + self.settings.lease_us)
 
-    def drop(self) -> None:
+    def invalidate(self) -> None:
         """The lease is void: this process was paused, or the voters have changed."""
-        self.until_us = 0
-        self._asks.clear()
+        self.valid_until_us = 0
+        self._open_requests.clear()
 
 
 class LeaseGrantor:
@@ -69,21 +69,21 @@
 
     def __init__(self, settings: SwitchoverSettings, records: Mapping[tuple[str, str], Any]) -> None:
         self.settings = settings
-        self.refused: dict[MemberId, int] = {}
+        self.min_renewal_table: dict[MemberId, int] = {}
         self.lease_spans_us: dict[MemberId, int] = {}
         for (kind, _), value in records.items():
             if kind == "vouch":
                 site, name, number = value
-                self.refused[MemberId(site, name)] = number
+                self.min_renewal_table[MemberId(site, name)] = number
             elif kind == "leased":
                 site, name, lease_us = value
                 self.lease_spans_us[MemberId(site, name)] = lease_us
-        self.renewed: dict[MemberId, int] = {}  # the time of the last renewal
-        self.ready_us = 0
+        self.last_renewed_us: dict[MemberId, int] = {}  # the time of the last renewal
+        self.confirms_from_us = 0
 
     def start(self, now_us: int, previous_span_us: int) -> None:
         """`previous_span_us`: the longest span of a lease by the earlier settings; it may still be valid."""
-        self.ready_us = now_us + max(self.settings.lease_over_us, previous_span_us)
+        self.confirms_from_us = now_us + max(self.settings.lease_over_us, previous_span_us)
 
     def renew(
         self,
@@ -101,27 +101,29 @@
             reason = f"lease_us is {message.lease_us}; allowed: at most {self.settings.lease_us}"
         elif not named(registry.table, member) or registry.words.get(member, 0) >= registry.table.number:
             reason = f"table {registry.table.number} does not name it"
-        elif message.number < self.refused.get(member, 0):
-            reason = f"it was vouched for that its lease by a table below {self.refused[member]} is over"
+        elif message.number < self.min_renewal_table.get(member, 0):
+            reason = (
+                f"it was vouched for that its lease by a table below {self.min_renewal_table[member]} is over"
+            )
         else:
-            self.renewed[member] = now_us
+            self.last_renewed_us[member] = now_us
         return LeaseReply(message.ask, not reason, registry.table.number, reason)
 
-    def vouches(self, now_us: int, member: MemberId, may_vote: bool) -> bool:
+    def can_confirm_end(self, now_us: int, member: MemberId, may_vote: bool) -> bool:
         """Whether the end of a member's lease can be confirmed.
 
         That is so if the member serves by leases and no renewal by this voter can still be valid.
         """
         serves_by_leases = 0 < self.lease_spans_us.get(member, 0) <= self.settings.lease_us
-        last_us = self.renewed.get(member)
+        last_us = self.last_renewed_us.get(member)
         has_expired = last_us is None or now_us >= last_us + self.settings.lease_over_us
-        return may_vote and serves_by_leases and has_expired and now_us >= self.ready_us
+        return may_vote and serves_by_leases and has_expired and now_us >= self.confirms_from_us
 
-    def refuse(self, member: MemberId, number: int) -> bool:
+    def bar_renewal(self, member: MemberId, number: int) -> bool:
         """Renew no lease of the member by a table below `number` any more; False if the limit is reached."""
-        if member not in self.refused and len(self.refused) >= MEMBERS_MOST:
+        if member not in self.min_renewal_table and len(self.min_renewal_table) >= MAX_MEMBERS:
             return False
-        self.refused[member] = max(number, self.refused.get(member, 0))
+        self.min_renewal_table[member] = max(number, self.min_renewal_table.get(member, 0))
         return True
 
     def forget(self, now_us: int, registry: OwnershipRegistry) -> list[tuple[str, MemberId]]:
@@ -134,7 +136,7 @@
         standings = registry.standings
         removed = [
             ("vouch", member)
-            for member, number in self.refused.items()
+            for member, number in self.min_renewal_table.items()
             if member in standings and standings[member].number >= number
         ]
         removed += [
@@ -143,22 +145,22 @@
             if not named(registry.table, member) and member not in owing
         ]
         for kind, member in removed:
-            del (self.refused if kind == "vouch" else self.lease_spans_us)[member]
+            del (self.min_renewal_table if kind == "vouch" else self.lease_spans_us)[member]
         expired_us = now_us - self.settings.lease_over_us
-        self.renewed = {
+        self.last_renewed_us = {
             member: renewed_us
-            for member, renewed_us in self.renewed.items()
+            for member, renewed_us in self.last_renewed_us.items()
             if renewed_us > expired_us or named(registry.table, member)
         }
         return removed
 
 
-class LeaseEnds:
+class LeaseEndTracker:
     """The voters' confirmations that the leases of members have ended whose release this member waits for."""
 
     def __init__(self, settings: SwitchoverSettings) -> None:
         self.settings = settings
-        self.words: dict[MemberId, dict[MemberId, int]] = {}
+        self.confirmations: dict[MemberId, dict[MemberId, int]] = {}
         self.off_since_us: dict[MemberId, int] = {}  # when a voter was found to be declared gone
 
     def requests(self, registry: OwnershipRegistry) -> dict[MemberId, LeaseEndRequest]:
@@ -167,9 +169,9 @@
         for _, member, number in registry.gains_missing():
             outstanding[member] = max(number, outstanding.get(member, 0))
         members_by_voter: dict[MemberId, list[tuple[MemberId, int]]] = {}
-        for member, number in sorted(outstanding.items())[:MEMBERS_MOST]:
+        for member, number in sorted(outstanding.items())[:MAX_MEMBERS]:
             for voter in {voter for voters in self._voter_sets(member, registry) for voter in voters}:
-                if self.words.get(member, {}).get(voter, 0) < number:
+                if self.confirmations.get(member, {}).get(voter, 0) < number:
                     members_by_voter.setdefault(voter, []).append((member, number))
         return {voter: LeaseEndRequest(tuple(members)) for voter, members in sorted(members_by_voter.items())}
 
@@ -178,17 +180,17 @@
     ) -> None:
         """A voter confirms that the member's lease by a table below `number` has ended."""
         if any(member in outstanding for outstanding in registry.ledger.debts.values()):
-            confirmations = self.words.setdefault(member, {})
+            confirmations = self.confirmations.setdefault(member, {})
             confirmations[voter] = max(number, confirmations.get(voter, 0))
 
     def has_ended(self, now_us: int, member: MemberId, number: int, registry: OwnershipRegistry) -> bool:
         """Whether the member can hold no lease by a table below `number`, whichever table it has in force."""
-        confirmations = self.words.get(member, {})
+        confirmations = self.confirmations.get(member, {})
         confirmed_by = {v for v, n in confirmations.items() if n >= number}
         confirmed_by |= {
             v for v, off_us in self.off_since_us.items() if now_us >= off_us + self.settings.lease_over_us
         }
-        return all(majority(voters, confirmed_by) for voters in self._voter_sets(member, registry))
+        return all(is_majority(voters, confirmed_by) for voters in self._voter_sets(member, registry))
 
     def on_member_off(self, now_us: int, member: MemberId) -> None:
         """A member that an operator declared gone for good renews nothing any more."""
@@ -197,7 +199,9 @@
     def forget(self, registry: OwnershipRegistry) -> None:
         """Remove what is stored about members that owe no release and about former voters."""
         owing = {member for outstanding in registry.ledger.debts.values() for member in outstanding}
-        self.words = {m: confirmations for m, confirmations in self.words.items() if m in owing}
+        self.confirmations = {
+            m: confirmations for m, confirmations in self.confirmations.items() if m in owing
+        }
         all_voters = {v for _, voters in registry.ledger.councils for v in voters}
         self.off_since_us = {m: off_us for m, off_us in self.off_since_us.items() if m in all_voters}
 
--- a/madderbeam/federation/switchover/activation.py
+++ b/madderbeam/federation/switchover/activation.py
@@ -79,7 +79,7 @@
         before, (ledger, skipped) = self.book.table, self.candidate
         self.book.ledger, self.candidate, self.fresh = ledger, None, False
         self.agreed = {n: t for n, t in self.agreed.items() if n > ledger.number}
-        if ledger.table.proposal != before.proposal:
+        if ledger.table.proposal_id != before.proposal_id:
             self.book.since_us = self.out.now_us
         return before, skipped
 
--- a/madderbeam/federation/switchover/consensus_view.py
+++ b/madderbeam/federation/switchover/consensus_view.py
@@ -25,9 +25,9 @@
     def may_vote(self) -> bool:
         """One that does not vote may tell what it knows, unless its folder is known to be older."""
         agreement = self.agreement
-        if agreement.me in agreement.base.voters:
-            return agreement.votes
-        return agreement.folder.distrusted is None
+        if agreement.local_member in agreement.base.voters:
+            return agreement.may_vote
+        return agreement.rollback_detector.distrusted is None
 
     def known_since(self, number: int) -> Sequence[Table]:
         return self.agreement.known_since(number)
--- a/madderbeam/federation/switchover/inquiry.py
+++ b/madderbeam/federation/switchover/inquiry.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from madderbeam.federation.leases.lease import majority
+from madderbeam.federation.leases.lease import is_majority
 from madderbeam.federation.switchover.ledger import named
 from madderbeam.federation.switchover.messages import (
     PENDING_MOST,
@@ -20,7 +20,7 @@
 )
 from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
 from madderbeam.federation.switchover.settings import SwitchoverSettings
-from madderbeam.federation.table import MEMBERS_MOST
+from madderbeam.federation.table import MAX_MEMBERS
 from madderbeam.federation.values import ProposalId, Table
 from madderbeam.membership.values import Incarnation, MemberId
 
@@ -103,7 +103,7 @@
     def heard(self, member: MemberId, now_us: int, table: Table) -> None:
         if member in table.voters:
             self.heard_us[member] = now_us
-            self.heard_us = self.heard_us if len(self.heard_us) <= MEMBERS_MOST else {member: now_us}
+            self.heard_us = self.heard_us if len(self.heard_us) <= MAX_MEMBERS else {member: now_us}
 
     def question(self, number: int, fresh: bool) -> InForceQuery:
         return InForceQuery(self.ask, number, fresh)
@@ -124,7 +124,7 @@
 
     def told(self, table: Table) -> bool:
         """A majority has answered, each with no newer table (one of the others may know of one)."""
-        return majority(table.voters, self.answers)
+        return is_majority(table.voters, self.answers)
 
     def differing(self, book: OwnershipRegistry) -> list[MemberId]:
         """Who has another table under the number in force here."""
--- a/madderbeam/federation/switchover/ledger.py
+++ b/madderbeam/federation/switchover/ledger.py
@@ -22,8 +22,8 @@
     number,
     text,
 )
-from madderbeam.federation.table import MEMBERS_MOST
-from madderbeam.federation.table import read as table_of
+from madderbeam.federation.table import MAX_MEMBERS
+from madderbeam.federation.table import read_table as table_of
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import MemberId, Row
 
@@ -61,11 +61,13 @@
 
 def named(table: Table, member: MemberId) -> bool:
     """The member has a part in the table."""
-    return member in table.members(member.site) and member not in table.off
+    return member in table.members(member.site) and member not in table.decommissioned
 
 
 def everyone(table: Table) -> tuple[MemberId, ...]:
-    return tuple(m for site in sorted(table.sites) for m in table.members(site) if m not in table.off)
+    return tuple(
+        m for site in sorted(table.sites) for m in table.members(site) if m not in table.decommissioned
+    )
 
 
 def first(table: Table) -> Ledger:
@@ -86,10 +88,12 @@
     for dest, site in before.owners.items():
         stays = table.owners.get(dest) == site
         for member in before.members(site):
-            if member not in before.off and not (stays and named(table, member)):
+            if member not in before.decommissioned and not (stays and named(table, member)):
                 debts.setdefault(dest, {})[member] = table.number
-    if table.off:
-        debts = {d: {m: n for m, n in owed.items() if m not in table.off} for d, owed in debts.items()}
+    if table.decommissioned:
+        debts = {
+            d: {m: n for m, n in owed.items() if m not in table.decommissioned} for d, owed in debts.items()
+        }
     councils = ledger.councils
     if table.voters != before.voters:
         councils = (*councils, (table.number, table.voters))
@@ -147,6 +151,6 @@
         if not isinstance(row, (list, tuple)) or len(row) != 2:
             raise ValueError("councils: allowed: lists of two")
         start, voters = row
-        members = tuple(member_of(m, "councils") for m in listed(voters, "councils.voters", MEMBERS_MOST))
+        members = tuple(member_of(m, "councils") for m in listed(voters, "councils.voters", MAX_MEMBERS))
         found.append((number(start, "councils.first", NUMBER_MOST), members))
     return tuple(found)
--- a/madderbeam/federation/switchover/messages.py
+++ b/madderbeam/federation/switchover/messages.py
@@ -18,7 +18,7 @@
     release_row,
     text,
 )
-from madderbeam.federation.table import MEMBERS_MOST
+from madderbeam.federation.table import MAX_MEMBERS
 from madderbeam.federation.values import ProposalId, Release, Table
 from madderbeam.membership.values import MemberId, Row
 
@@ -180,7 +180,7 @@
         dests = frozenset(
             number(d, "pending.moves", DEST_MOST) for d in listed(moves, "pending.moves", DEBTS_MOST)
         )
-    gone = frozenset(member_of(m, "pending.off") for m in listed(off, "pending.off", MEMBERS_MOST))
+    gone = frozenset(member_of(m, "pending.off") for m in listed(off, "pending.off", MAX_MEMBERS))
     proposal = ProposalId(number(table, "pending.number", NUMBER_MOST), text(digest, "pending.digest", 16))
     return PendingProposal(proposal, dests, gone)
 
@@ -222,7 +222,7 @@
 
 def _pairs_of(rows: Any, field: str) -> tuple[tuple[MemberId, int], ...]:
     found = []
-    for row in listed(rows, field, MEMBERS_MOST):
+    for row in listed(rows, field, MAX_MEMBERS):
         if not isinstance(row, (list, tuple)) or len(row) != 2:
             raise ValueError(f"{field}: allowed: [[site, name], number]")
         found.append((member_of(row[0], field), number(row[1], f"{field}.number", NUMBER_MOST)))
--- a/madderbeam/federation/switchover/moves.py
+++ b/madderbeam/federation/switchover/moves.py
@@ -60,12 +60,14 @@
         """To all, with what is left of it now."""
         release = self.book.own[dest].left(self.out.now_us)
         self.out.do(
-            Disseminate(f"release/{dest}", version(release.table, self.life, 0), body(release), self.keep_us)
+            Disseminate(
+                f"release/{dest}", version(release.table_number, self.life, 0), body(release), self.keep_us
+            )
         )
 
     def forget(self, dest: int) -> None:
         """Everyone knows the release."""
-        number = self.book.own.pop(dest).release.table
+        number = self.book.own.pop(dest).release.table_number
         self.out.do(Disseminate(f"release/{dest}", version(number, self.life, 1), b""))
         self.out.forget("release", str(dest))
 
--- a/madderbeam/federation/switchover/ownership_registry.py
+++ b/madderbeam/federation/switchover/ownership_registry.py
@@ -52,7 +52,7 @@
     def paid(self, dest: int, member: MemberId, number: int) -> bool:
         """The member is known to have nothing out at the destination by tables before this number."""
         fact = self.own.get(dest) if member == self.me else self.facts.get(dest, {}).get(member)
-        released = fact is not None and fact.release.table >= number
+        released = fact is not None and fact.release.table_number >= number
         return released or self.words.get(member, 0) >= number
 
     def missing(self, dest: int) -> dict[MemberId, int]:
@@ -79,13 +79,13 @@
         whoever is here to ask lets go itself."""
         number = self.ledger.debts.get(dest, {}).get(self.me, 0)
         own = self.own.get(dest)
-        return number if own is None or own.release.table < number else 0
+        return number if own is None or own.release.table_number < number else 0
 
     def wants(self, release: Release) -> bool:
         """A release that is news and is needed, or will be by a table that is not in force here yet."""
-        dest, member, number = release.dest, release.member, release.table
+        dest, member, number = release.dest, release.member, release.table_number
         known = self.facts.get(dest, {}).get(member)
-        if member == self.me or (known is not None and known.release.table >= number):
+        if member == self.me or (known is not None and known.release.table_number >= number):
             return False
         if number > self.ledger.number:
             return self.count < FACTS_MOST
@@ -160,7 +160,7 @@
             for dest, facts in self.facts.items()
             if dest not in self.ledger.debts
             for member, fact in facts.items()
-            if fact.release.table <= self.ledger.number and not fact.binds(now_us)
+            if fact.release.table_number <= self.ledger.number and not fact.binds(now_us)
         ]
 
     def settled(self) -> int:
@@ -176,7 +176,7 @@
         return [
             dest
             for dest, own in self.own.items()
-            if own.release.table <= low
+            if own.release.table_number <= low
             and self.me not in self.ledger.debts.get(dest, {})
             and not own.binds(now_us)
         ]
--- a/madderbeam/federation/switchover/release_learning.py
+++ b/madderbeam/federation/switchover/release_learning.py
@@ -22,7 +22,7 @@
     of_row,
     revived,
 )
-from madderbeam.federation.table import MEMBERS_MOST
+from madderbeam.federation.table import MAX_MEMBERS
 from madderbeam.federation.values import Release
 from madderbeam.membership.values import Disseminate, GossipEntry, Incarnation, LogLine, MemberId
 
@@ -58,7 +58,7 @@
         on_its_way = self.out.writes.value("heard", key)
         if not self.book.wants(release):
             return
-        if on_its_way is not None and of_row(on_its_way).release.table >= release.table:
+        if on_its_way is not None and of_row(on_its_way).release.table_number >= release.table_number:
             return
         now_us = self.out.now_us
         lies = ReleaseRecord(self.book.joined(release, now_us), now_us, self.wall_ms(now_us), how)
@@ -92,7 +92,7 @@
             self.out.do(LogLine(f"{member} is no member that the tables since {self._oldest()} name"))
             return
         news = table > self.book.words.get(member, 0) or (mine and member not in self.said)
-        if news and member in known and on_its_way != value and len(self.book.words) < MEMBERS_MOST:
+        if news and member in known and on_its_way != value and len(self.book.words) < MAX_MEMBERS:
             self.out.write("off", str(member), value)
 
     def off_written(self, value: Any) -> MemberId:
--- a/madderbeam/federation/switchover/release_records.py
+++ b/madderbeam/federation/switchover/release_records.py
@@ -42,7 +42,7 @@
     def binds(self, now_us: int) -> bool:
         """Some wait or drain is not over."""
         left = self.left(now_us)
-        return bool(left.waits or left.draining)
+        return bool(left.retry_waits or left.draining)
 
     def row(self) -> Row:
         """As it is kept on disk."""
@@ -65,7 +65,9 @@
 def shrunk(release: Release, lain_us: int) -> Release:
     """Less the time that it has lain (never grown)."""
     lain_us = max(0, lain_us)
-    return replace(release, waits=_less(release.waits, lain_us), draining=_less(release.draining, lain_us))
+    return replace(
+        release, waits=_less(release.retry_waits, lain_us), draining=_less(release.draining, lain_us)
+    )
 
 
 def merged(release: Release, others: Iterable[Release]) -> Release:
@@ -73,9 +75,9 @@
     others = tuple(others)
     return replace(
         release,
-        waits=_longest(w for r in (release, *others) for w in r.waits),
+        waits=_longest(w for r in (release, *others) for w in r.retry_waits),
         draining=_longest(w for r in (release, *others) for w in r.draining),
-        cold=release.cold or any(r.cold for r in others),
+        cold=release.is_cold or any(r.is_cold for r in others),
     )
 
 
@@ -84,10 +86,10 @@
         release.dest,
         release.member.site,
         release.member.name,
-        release.table,
-        [[w.uid, w.left_us] for w in release.waits],
-        [[w.uid, w.left_us] for w in release.draining],
-        release.cold,
+        release.table_number,
+        [[w.uid, w.remaining_us] for w in release.retry_waits],
+        [[w.uid, w.remaining_us] for w in release.draining],
+        release.is_cold,
     ]
 
 
@@ -170,19 +172,19 @@
 
 
 def _less(spans: tuple[RemainingSpan, ...], lain_us: int) -> tuple[RemainingSpan, ...]:
-    return tuple(RemainingSpan(w.uid, w.left_us - lain_us) for w in spans if w.left_us > lain_us)
+    return tuple(RemainingSpan(w.uid, w.remaining_us - lain_us) for w in spans if w.remaining_us > lain_us)
 
 
 def _longest(spans: Iterable[RemainingSpan]) -> tuple[RemainingSpan, ...]:
     most: dict[str, int] = {}
     for w in spans:
-        most[w.uid] = max(w.left_us, most.get(w.uid, 0))
+        most[w.uid] = max(w.remaining_us, most.get(w.uid, 0))
     kept = sorted(most.items(), key=lambda item: -item[1])
     return tuple(RemainingSpan(uid, left) for uid, left in sorted(kept[:WAITS_MOST]))
 
 
 def _gathered(release: Release, drains: bool) -> Release:
     """One wait for the whole destination in place of those of its endpoints (and of what drains)."""
-    spans = release.waits + (release.draining if drains else ())
-    waits = (RemainingSpan("", max(w.left_us for w in spans)),) if spans else ()
+    spans = release.retry_waits + (release.draining if drains else ())
+    waits = (RemainingSpan("", max(w.remaining_us for w in spans)),) if spans else ()
     return replace(release, waits=waits, draining=() if drains else release.draining)
--- a/madderbeam/federation/switchover/replies.py
+++ b/madderbeam/federation/switchover/replies.py
@@ -27,7 +27,7 @@
     whole = None if fresh or (back and not asked.fresh) else book.open()
     above = ledger.number if whole is not None else asked.number
     owed = list(book.all_missing())
-    binding = [r for r in _releases(now_us, book) if r.waits or r.draining or r.cold]
+    binding = [r for r in _releases(now_us, book) if r.retry_waits or r.draining or r.is_cold]
     return InForceReply(
         asked.ask,
         newest.number,
@@ -54,7 +54,11 @@
         if (dest, member) in owed or member == book.me:
             continue
         release = told.get((dest, member))
-        yield release if release is not None and release.table >= number else Release(dest, member, number)
+        yield (
+            release
+            if release is not None and release.table_number >= number
+            else Release(dest, member, number)
+        )
 
 
 def _following(number: int, agreed: Mapping[int, Table]) -> Iterator[Table]:
--- a/madderbeam/federation/switchover/suspension.py
+++ b/madderbeam/federation/switchover/suspension.py
@@ -34,13 +34,16 @@
     def look(self) -> None:
         """Tell the host where the gate is another one now."""
         gate = self._gate()
-        if (gate.on, gate.dests) != (self.gate.on, self.gate.dests) or gate.why != self.gate.why:
+        if (gate.is_suspended, gate.destinations) != (
+            self.gate.is_suspended,
+            self.gate.destinations,
+        ) or gate.reason != self.gate.reason:
             self.gate = gate
             self.out.do(gate)
 
     def closed(self, dest: int) -> bool:
         gate = self.gate
-        return gate.on and (gate.dests is None or dest in gate.dests)
+        return gate.is_suspended and (gate.destinations is None or dest in gate.destinations)
 
     def report(self) -> None:
         """To the log, every so often: what is missing and what can be done."""
@@ -59,13 +62,13 @@
             found.append(LeftOut(f"table {number} does not name {self.book.me}, or it was called off"))
         if self.inquiry.asking and self._long(self.inquiry.since_us) and self.inquiry.holding:
             found.append(self._no_word())
-        if not self.holder.runs(self.out.now_us) and self.leased_us and self._long(self.leased_us):
+        if not self.holder.is_valid(self.out.now_us) and self.leased_us and self._long(self.leased_us):
             found.append(self._lease_lost())
         return found + self._missing()
 
     def _gate(self) -> SuspendServing:
         now_us, table = self.out.now_us, self.book.table
-        runs = self.holder.runs(now_us)
+        runs = self.holder.is_valid(now_us)
         self.leased_us = 0 if runs else self.leased_us or now_us
         if self.book.left_out:
             return SuspendServing(True, LeftOut(f"table {table.number} does not name {self.book.me}").line())
--- a/madderbeam/federation/switchover/switchover.py
+++ b/madderbeam/federation/switchover/switchover.py
@@ -27,7 +27,7 @@
 from madderbeam.federation.switchover.suspension import ServingSuspension
 from madderbeam.federation.values import (
     DestinationReleased,
-    MemberCalledOff,
+    MemberDecommissioned,
     ServingPaused,
     Table,
     TableAgreed,
@@ -76,7 +76,7 @@
     def may_call(self, now_us: int, dest: int, lasting_us: int = 0) -> bool:
         """Just before a call is written: whether it may be, if it ends within `lasting_us` at the latest."""
         served = dest in self.moves.served and not self.holds.closed(dest)
-        return served and self.holder.runs(now_us + lasting_us)
+        return served and self.holder.is_valid(now_us + lasting_us)
 
     def status(self, now_us: int) -> dict[str, Any]:
         """For GET /federation."""
@@ -129,10 +129,10 @@
                     self._stood(rumour.owner)
             case DestinationReleased(release):
                 self.moves.released(release)
-            case MemberCalledOff(member, number):
+            case MemberDecommissioned(member, number):
                 self.learning.off(member, min(number, self.book.ledger.number), mine=True)
             case ServingPaused() | v.PauseDetected():
-                self.holder.drop()
+                self.holder.invalidate()
                 self.inquiry.begin(now_us, self.asking.shared())
                 self.leasing.renew()
                 self._turn()
@@ -167,7 +167,7 @@
         elif what == "lease":
             self.leasing.renew()
         elif what == "ready":
-            self.leasing.ready()
+            self.leasing.record_span()
 
     def _written(self, record: v.Persist) -> None:
         match record.kind:
@@ -180,10 +180,10 @@
             case "release":
                 self.moves.written(of_row(record.value))
             case "off":
-                self.leasing.called_off(self.learning.off_written(record.value))
+                self.leasing.on_member_decommissioned(self.learning.off_written(record.value))
                 self._settle_all()
             case "vouch":
-                self.leasing.written(record.value)
+                self.leasing.on_confirmation_written(record.value)
                 self._ends()
 
     def _unwritten(self, kind: str) -> None:
@@ -196,7 +196,7 @@
         for member in self.learning.said:
             self.learning.tell_off(member)
         self.out.timer(self.out.now_us + self.settings.turn_us, "turn")
-        self.leasing.again()
+        self.leasing.rearm()
         if kind == "force":
             what = f"the disk did not take the table after {self.book.ledger.number}; it is tried again"
             self.out.do(v.LogLine(what, NotInForce(what)))
@@ -206,22 +206,22 @@
     def _in_force(self) -> None:
         before, skipped = self.adoption.written()
         ledger = self.book.ledger
-        if ledger.table.proposal != before.proposal:
+        if ledger.table.proposal_id != before.proposal_id:
             self.out.do(TableInForce(ledger.table, before))
         if ledger.table.voters != before.voters:
-            self.holder.drop()
+            self.holder.invalidate()
         if skipped:
             self.moves.let_go(self.moves.served)
-        for member in ledger.table.off:
-            self.leasing.called_off(member)
+        for member in ledger.table.decommissioned:
+            self.leasing.on_member_decommissioned(member)
         self.learning.forget()
         self.leasing.forget()
         self._forget_releases()
         self._settle_all(before)
         self.adoption.announce()
-        if self.inquiry.asking and ledger.table.proposal != before.proposal:
+        if self.inquiry.asking and ledger.table.proposal_id != before.proposal_id:
             self.inquiry.round(self.out.now_us)
-        if not self.holder.runs(self.out.now_us):
+        if not self.holder.is_valid(self.out.now_us):
             self.leasing.renew()
         self._turn()
         self.asking.advance()
@@ -238,7 +238,7 @@
     def _stood(self, member: v.MemberId) -> None:
         """A member told what it has in force."""
         number = self.book.standings[member].number
-        self.leasing.serves_by(member, self.book.standings[member].lease_us)
+        self.leasing.on_serving_span(member, self.book.standings[member].lease_us)
         if number > self.book.ledger.number and member in everyone(self.book.table):
             self.inquiry.newest = max(number, self.inquiry.newest)
             self.asking.behind()
@@ -261,15 +261,15 @@
             case q.InForceReply():
                 self.asking.told(member, message)
             case q.LeaseReply(number=number):
-                self.leasing.renewed(member, message)
+                self.leasing.on_renewal_reply(member, message)
                 if number > self.book.ledger.number:
                     self.asking.behind()
             case q.LeaseRequest():
-                self.leasing.asked(member, message)
+                self.leasing.on_renewal_request(member, message)
             case q.LeaseEndRequest():
-                self.leasing.vouch(member, message)
+                self.leasing.on_end_request(member, message)
             case q.LeaseEndConfirmation():
-                self.leasing.vouched(member, message)
+                self.leasing.on_ends_confirmed(member, message)
                 self._ends()
 
     # Time
@@ -282,14 +282,14 @@
             self.asking.ask(self.inquiry.unanswered(self.book.table) + self.book.ahead()[:AHEAD_MOST])
         missing = next(self.book.all_missing(), None) is not None
         if missing:
-            self.leasing.ask_for_ends()
+            self.leasing.request_ends()
             self._ends()
             self.asking.catch_up()
         else:
             self.adoption.tidy()
         self.adoption.announce()
         self.holds.report()
-        if missing or self.inquiry.asking or self.holds.gate.on:
+        if missing or self.inquiry.asking or self.holds.gate.is_suspended:
             self.out.timer(now_us + self.settings.turn_us, "turn")
         elif self.book.own or self.book.facts:
             self.out.timer(now_us + self.settings.catch_up_us, "turn")
@@ -298,7 +298,7 @@
             self._forget_releases()
 
     def _ends(self) -> None:
-        for release in self.leasing.ended():
+        for release in self.leasing.stand_in_releases():
             self.learning.release(release, "lease")
 
     def _done(self) -> list[Any]:
--- a/madderbeam/federation/table.py
+++ b/madderbeam/federation/table.py
@@ -10,12 +10,12 @@
 from madderbeam.federation.values import MemberRow, Table
 from madderbeam.membership.values import NAME_MOST, Address, MemberId
 
-SITES_MOST = 40
-MEMBERS_MOST = 1_000
+MAX_SITES = 40
+MAX_MEMBERS = 1_000
 MAX_DESTINATIONS = 10_000
 MAX_TABLE_NUMBER = 2**31 - 1
-DEST_MOST = 2**31 - 1
-TEXT_MOST = 1_000_000  # characters of a table file
+MAX_DESTINATION_NUMBER = 2**31 - 1
+MAX_TABLE_CHARACTERS = 1_000_000  # characters of a table file
 MAX_HOST_CHARACTERS = 253
 
 _NAME = re.compile(rf"[A-Za-z0-9][A-Za-z0-9._-]{{0,{NAME_MOST - 1}}}")
@@ -23,17 +23,17 @@
 _KNOWN_FIELDS = {"number", "sites", "owners", "off"}
 
 
-def parse(text: str) -> Table:
+def parse_table(text: str) -> Table:
     """The table in a file: JSON without duplicate keys. Raises TableUnfit."""
-    if len(text) > TEXT_MOST:
-        raise TableUnfit(f"the file has {len(text)} characters; allowed: at most {TEXT_MOST}")
+    if len(text) > MAX_TABLE_CHARACTERS:
+        raise TableUnfit(f"the file has {len(text)} characters; allowed: at most {MAX_TABLE_CHARACTERS}")
     try:
-        return read(json.loads(text, object_pairs_hook=_reject_duplicate_keys))
+        return read_table(json.loads(text, object_pairs_hook=_reject_duplicate_keys))
     except (ValueError, RecursionError) as error:
         raise TableUnfit(f"the file is no JSON ({error})") from None
 
 
-def read(document: Any) -> Table:
+def read_table(document: Any) -> Table:
     """The table of a document in the form of Table.document. Raises TableUnfit with the allowed values."""
     if not isinstance(document, dict):
         raise TableUnfit("the document is no mapping; allowed: number, sites, owners, off")
@@ -44,7 +44,7 @@
     return Table(_read_number(document.get("number")), sites, owners, _read_off(document.get("off", [])))
 
 
-def member(text: Any, field: str) -> MemberId:
+def parse_member(text: Any, field: str) -> MemberId:
     """The member that the text SITE/NAME identifies. Raises TableUnfit."""
     parts = text.split("/") if isinstance(text, str) else []
     if len(parts) != 2 or not all(_NAME.fullmatch(p) for p in parts):
@@ -52,7 +52,7 @@
     return MemberId(*parts)
 
 
-def check(table: Table, in_force: Table) -> TableRefused | None:
+def check_successor(table: Table, in_force: Table) -> TableRefused | None:
     """None if `table` may follow `in_force`, else the reason with the field it concerns."""
     return (
         _check_number(table, in_force)
@@ -63,14 +63,14 @@
     )
 
 
-def instances(table: Table, in_force: Table) -> tuple[str, ...]:
+def voting_sites(table: Table, in_force: Table) -> tuple[str, ...]:
     """The sites whose votes a commit needs, one Paxos instance each: all sites that either table lists,
     except those that the new table drops with all their members off.
     """
     removed = {
         site
         for site in in_force.sites
-        if site not in table.sites and set(in_force.members(site)) <= table.off
+        if site not in table.sites and set(in_force.members(site)) <= table.decommissioned
     }
     return tuple(sorted((set(in_force.sites) | set(table.sites)) - removed))
 
@@ -79,7 +79,7 @@
     """The members that may vote for a site: its members by the table in force that are not off, or those of
     the new table if none are left.
     """
-    remaining = tuple(m for m in in_force.members(site) if m not in table.off)
+    remaining = tuple(m for m in in_force.members(site) if m not in table.decommissioned)
     return remaining or table.members(site)
 
 
@@ -98,8 +98,8 @@
 
 
 def _read_sites(document: Any) -> dict[str, tuple[MemberRow, ...]]:
-    if not isinstance(document, dict) or not 1 <= len(document) <= SITES_MOST:
-        raise TableUnfit(f"sites is {_describe(document)}; allowed: a mapping of 1 to {SITES_MOST} sites")
+    if not isinstance(document, dict) or not 1 <= len(document) <= MAX_SITES:
+        raise TableUnfit(f"sites is {_describe(document)}; allowed: a mapping of 1 to {MAX_SITES} sites")
     sites = {}
     for site, rows in document.items():
         _check_name(site, "the name of a site")
@@ -109,8 +109,8 @@
             _read_member_row(f"sites.{site}", name, rows[name]) for name in sorted(rows, key=str)
         )
     count = sum(map(len, sites.values()))
-    if count > MEMBERS_MOST:
-        raise TableUnfit(f"sites has {count} members; allowed: at most {MEMBERS_MOST}")
+    if count > MAX_MEMBERS:
+        raise TableUnfit(f"sites has {count} members; allowed: at most {MAX_MEMBERS}")
     return dict(sorted(sites.items()))
 
 
@@ -139,17 +139,23 @@
         )
     owners = {}
     for dest, site in document.items():
-        if not isinstance(dest, str) or not _NUMBER_TEXT.fullmatch(dest) or int(dest) > DEST_MOST:
-            raise TableUnfit(f"owners has {_describe(dest)}; allowed: numbers as text, 0 to {DEST_MOST}")
+        if (
+            not isinstance(dest, str)
+            or not _NUMBER_TEXT.fullmatch(dest)
+            or int(dest) > MAX_DESTINATION_NUMBER
+        ):
+            raise TableUnfit(
+                f"owners has {_describe(dest)}; allowed: numbers as text, 0 to {MAX_DESTINATION_NUMBER}"
+            )
         _check_name(site, f"owners.{dest}")
         owners[int(dest)] = site
     return dict(sorted(owners.items()))
 
 
 def _read_off(document: Any) -> frozenset[MemberId]:
-    if not isinstance(document, list) or len(document) > MEMBERS_MOST:
-        raise TableUnfit(f"off is {_describe(document)}; allowed: a list of at most {MEMBERS_MOST} members")
-    return frozenset(member(m, "off") for m in document)
+    if not isinstance(document, list) or len(document) > MAX_MEMBERS:
+        raise TableUnfit(f"off is {_describe(document)}; allowed: a list of at most {MAX_MEMBERS} members")
+    return frozenset(parse_member(m, "off") for m in document)
 
 
 def _check_name(name: Any, field: str) -> None:
@@ -201,7 +207,7 @@
         return TableRefused("no member votes: no further table could be agreed", "sites")
     for site, rows in sorted(table.sites.items()):
         previous = in_force.sites.get(site, ())
-        if any(r.votes for r in previous) and not any(r.votes for r in rows):
+        if any(r.is_voter for r in previous) and not any(r.is_voter for r in rows):
             return TableRefused("the site loses its last voter", f"sites.{site}")
     return None
 
@@ -218,7 +224,7 @@
 
 def _check_off(table: Table, in_force: Table) -> TableRefused | None:
     previous, current = set(all_members(in_force)), set(all_members(table))
-    for removed in sorted(table.off):
+    for removed in sorted(table.decommissioned):
         if removed not in previous:
             return TableRefused(f"it is not a member of table {in_force.number}", f"off.{removed}")
         if removed in current:
--- a/madderbeam/federation/values.py
+++ b/madderbeam/federation/values.py
@@ -23,7 +23,7 @@
 
     name: str
     address: Address
-    votes: bool = True
+    is_voter: bool = True
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
     number: int
     sites: dict[str, tuple[MemberRow, ...]]
     owners: dict[int, str]
-    off: frozenset[MemberId] = frozenset()
+    decommissioned: frozenset[MemberId] = frozenset()
 
     def members(self, site: str) -> tuple[MemberId, ...]:
         """The members of a site, in the order of the table; empty for an unknown site."""
@@ -46,13 +46,15 @@
     @cached_property
     def voters(self) -> tuple[MemberId, ...]:
         """All members that vote on the next table, sorted."""
-        return tuple(sorted(MemberId(s, r.name) for s, rows in self.sites.items() for r in rows if r.votes))
+        return tuple(
+            sorted(MemberId(s, r.name) for s, rows in self.sites.items() for r in rows if r.is_voter)
+        )
 
     def document(self) -> dict[str, Any]:
         """The table as it is written to a file; federation.table.read is the inverse."""
         sites = {
             site: {
-                row.name: {"address": f"{row.address[0]}:{row.address[1]}", "votes": row.votes}
+                row.name: {"address": f"{row.address[0]}:{row.address[1]}", "votes": row.is_voter}
                 for row in rows
             }
             for site, rows in sorted(self.sites.items())
@@ -61,7 +63,7 @@
             "number": self.number,
             "sites": sites,
             "owners": {str(dest): self.owners[dest] for dest in sorted(self.owners)},
-            **({"off": sorted(str(member) for member in self.off)} if self.off else {}),
+            **({"off": sorted(str(member) for member in self.decommissioned)} if self.decommissioned else {}),
         }
 
     @cached_property
@@ -71,7 +73,7 @@
         return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
     @property
-    def proposal(self) -> ProposalId:
+    def proposal_id(self) -> ProposalId:
         """The identity under which this table is proposed: its number and its digest."""
         return ProposalId(self.number, self.digest)
 
@@ -92,7 +94,7 @@
     """The rest of a Retry-After wait for a destination (`uid` is "") or for one of its endpoints."""
 
     uid: str
-    left_us: int
+    remaining_us: int
 
 
 @dataclass(frozen=True)
@@ -106,10 +108,10 @@
 
     dest: int
     member: MemberId
-    table: int
-    waits: tuple[RemainingSpan, ...] = ()
+    table_number: int
+    retry_waits: tuple[RemainingSpan, ...] = ()
     draining: tuple[RemainingSpan, ...] = ()  # endpoints that drain, with the rest of their grace period
-    cold: bool = False  # an endpoint of the destination is ejected or in slow start
+    is_cold: bool = False  # an endpoint of the destination is ejected or in slow start
 
 
 # Events
@@ -123,15 +125,15 @@
 
 
 @dataclass(frozen=True)
-class MemberCalledOff:
+class MemberDecommissioned:
     """An operator declares a member gone for good: it counts as having released everything."""
 
     member: MemberId
-    table: int
+    table_number: int
 
 
 @dataclass(frozen=True)
-class FolderTrusted:
+class RollbackAccepted:
     """An operator declares that this member may vote again although its state was restored from a copy."""
 
 
@@ -140,7 +142,7 @@
     """The host's reply to CheckTable. `why` is "" if this site can serve by the table, else the reason."""
 
     proposal: ProposalId
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True)
@@ -172,7 +174,7 @@
     """This table is in force at this member from now on; `before` was until now (None at a start)."""
 
     table: Table
-    before: Table | None
+    previous: Table | None
 
 
 @dataclass(frozen=True)
@@ -182,7 +184,7 @@
     """
 
     dest: int
-    table: int
+    table_number: int
 
 
 @dataclass(frozen=True)
@@ -203,9 +205,9 @@
     `dests`: only these destinations are suspended (None: all). It replaces any earlier suspension.
     """
 
-    on: bool
-    why: str
-    dests: frozenset[int] | None = None
+    is_suspended: bool
+    reason: str
+    destinations: frozenset[int] | None = None
 
 
 @dataclass(frozen=True)
@@ -220,7 +222,7 @@
     """The outcome of a proposal that was made or seen here; `error` is None if it was agreed."""
 
     proposal: ProposalId
-    agreed: bool
+    is_agreed: bool
     error: Exception | None
 
 
--- a/madderbeam/host/federation/calls.py
+++ b/madderbeam/host/federation/calls.py
@@ -14,10 +14,10 @@
 from madderbeam.federation.errors import FederationError
 from madderbeam.federation.switchover.switchover import Switchover
 from madderbeam.federation.values import (
-    FolderTrusted,
-    MemberCalledOff,
+    MemberDecommissioned,
     ProposalId,
     ProposalOutcome,
+    RollbackAccepted,
     Table,
     TableProposed,
 )
@@ -75,7 +75,7 @@
         self.outcomes[outcome.proposal] = outcome
         if len(self.outcomes) > OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
-        if outcome.agreed:
+        if outcome.is_agreed:
             log.info("federation: table %s is agreed", outcome.proposal)
         else:
             log.error("federation: table %s is turned down: %s", outcome.proposal, _line(outcome.error))
@@ -103,7 +103,9 @@
             "table": here.table().document(),
             "agreement": here.agreement.status(now),
             "switch": here.switch.status(now),
-            "offered": {str(p): "agreed" if o.agreed else _line(o.error) for p, o in self.outcomes.items()},
+            "offered": {
+                str(p): "agreed" if o.is_agreed else _line(o.error) for p, o in self.outcomes.items()
+            },
             "streams": _streams(here.streams.figures, now),
             "custody": here.custodian.figures,
             "mesh": here.mesh.figures(),
@@ -112,7 +114,7 @@
 
     def _offer(self, body: bytes) -> Answer:
         try:
-            table = tables.read(json.loads(body))
+            table = tables.read_table(json.loads(body))
         except (ValueError, RecursionError) as error:
             return Answer(400, f"the body must be a table's JSON document: {error}\n")
         except FederationError as error:
@@ -120,15 +122,15 @@
         return self._offered(table)
 
     def _offered(self, table: Table) -> Answer:
-        proposal = table.proposal
-        if table.proposal == self.member.table().proposal:
+        proposal = table.proposal_id
+        if table.proposal_id == self.member.table().proposal_id:
             return Answer(200, f"{proposal} is in force\n")
         self.outcomes.pop(proposal, None)
         self.member.tell(TableProposed(table))
         outcome = self.outcomes.get(proposal)
         if outcome is None:
             return Answer(202, f"{proposal} is offered; GET /federation tells what becomes of it\n")
-        if outcome.agreed:
+        if outcome.is_agreed:
             return Answer(200, f"{proposal} is agreed\n")
         return Answer(409, f"{_line(outcome.error)}\n")
 
@@ -139,12 +141,12 @@
         if member == self.me:
             return Answer(409, f"{member} is this member, and it works\n")
         log.warning("federation: an operator says that %s is off", member)
-        self.member.tell(MemberCalledOff(member, self.member.table().number))
+        self.member.tell(MemberDecommissioned(member, self.member.table().number))
         return Answer(200, f"{member} counts as off by table {self.member.table().number}\n")
 
     def _trust(self, _: bytes) -> Answer:
         log.warning("federation: an operator says that this member's folder may be trusted")
-        self.member.tell(FolderTrusted())
+        self.member.tell(RollbackAccepted())
         return Answer(200, f"{self.me} takes part in votes again\n")
 
     # SIGHUP
@@ -155,7 +157,7 @@
         if not path:
             return
         try:
-            table = tables.read(json.loads(self.member.disk.read(path)))
+            table = tables.read_table(json.loads(self.member.disk.read(path)))
         except (OSError, ValueError, RecursionError) as error:
             log.error("federation: %s: the table stays as it is: %s", path, error)
             return
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -170,7 +170,7 @@
 
     def _table(self) -> None:
         c = self.config
-        agreed = AgreementSettings(agree_within_us=c.agree_within_ms * 1000)
+        agreed = AgreementSettings(vote_timeout_us=c.agree_within_ms * 1000)
         self.agreement = Agreement(agreed, self.me, self.life, self.chance, self.kept.map, self.table)
         switched = SwitchoverSettings(lease_us=(c.lease_ms or 0) * 1000, drift_ppm=c.lease_drift_ppm)
         self.switch = Switchover(
@@ -489,7 +489,7 @@
 
     def _want(self) -> None:
         """Links to all that the table names, and to no others."""
-        named = {m for site in self.table.sites for m in self.table.members(site)} - self.table.off
+        named = {m for site in self.table.sites for m in self.table.members(site)} - self.table.decommissioned
         for member in [m for m in self.mesh.links if m not in named]:
             self.mesh.unwant(member)
         for member in sorted(named):
@@ -505,7 +505,7 @@
             "federation: table %d (%s) is in force here%s",
             action.table.number,
             action.table.digest,
-            f", after {action.before.number}" if action.before else "",
+            f", after {action.previous.number}" if action.previous else "",
         )
         self.host.later(0, self.publications.sweep)
         if self.shared is not None:
@@ -517,11 +517,11 @@
     def _check(self, action: CheckTable) -> None:
         error = self.switch.objection(action.table)
         why = error.line() if error else self.serving.why_not(action.table, self.me.site)
-        self.federation.tell(TableChecked(action.table.proposal, why))
+        self.federation.tell(TableChecked(action.table.proposal_id, why))
 
     def _hold(self, action: SuspendServing) -> None:
         self.serving.keep(action)
-        if not action.on:
+        if not action.is_suspended:
             self.host.later(0, self.publications.sweep)
 
     def _released(self, released: DestinationReleased) -> None:
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -90,14 +90,14 @@
         elif owner is None:
             self.host.figures.ended(ABORTED, m.cls)
             reply.failed(f"dest: no site serves it by table {table.number}")
-        elif self.serving.hold.on and self.serving.hold.dests is None:
+        elif self.serving.hold.is_suspended and self.serving.hold.destinations is None:
             self._busy(m, reply, self._settling_us())
         else:
             self._take(m, self._single(m), (owner,), reply)
         return True
 
     def _topic(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> None:
-        if self.serving.hold.on and self.serving.hold.dests is None:
+        if self.serving.hold.is_suspended and self.serving.hold.destinations is None:
             self._busy(m, reply, self._settling_us())
             return
         table = self.table()
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -64,11 +64,11 @@
 
     def owns(self, dest: int) -> bool:
         """Messages for it are this courier's to deliver."""
-        return dest in self.begun and not (self.hold.on and self.held(dest)) and self.may_call(dest)
+        return dest in self.begun and not (self.hold.is_suspended and self.held(dest)) and self.may_call(dest)
 
     def held(self, dest: int) -> bool:
         """It may be served here, but it is not known yet."""
-        return self.hold.on and (self.hold.dests is None or dest in self.hold.dests)
+        return self.hold.is_suspended and (self.hold.destinations is None or dest in self.hold.destinations)
 
     def why_not(self, table: Table, site: str) -> str:
         """What stands against serving by this table: "" or the first thing, with its place."""
@@ -89,43 +89,43 @@
         now = self.host.clock()
         closed: dict[int, EndpointEntry] = {}
         for release in action.releases:
-            for wait in release.waits:
+            for wait in release.retry_waits:
                 uid = wait.uid if wait.uid in listing.uids else ""
-                for entry in listing.told_again(dest, uid, now + wait.left_us):
+                for entry in listing.told_again(dest, uid, now + wait.remaining_us):
                     before = closed.get(entry.endpoint, entry)
                     until = max(before.retry_after_until_us, entry.retry_after_until_us)
                     closed[entry.endpoint] = replace(entry, retry_after_until_us=until)
             listing.drains_passed_on.update(dict.fromkeys(w.uid for w in release.draining))
-        cold = any(release.cold for release in action.releases)
+        cold = any(release.is_cold for release in action.releases)
         entries = [closed.get(e.endpoint, e) for e in self._entries(dest)]
         self._show([replace(e, recovering=cold or e.recovering) for e in entries])
         if action.releases:
             log.info(
                 "federation: destination %d is served here from now on: %d waits, %s",
                 dest,
-                sum(len(r.waits) for r in action.releases),
+                sum(len(r.retry_waits) for r in action.releases),
                 "cold" if cold else "warm",
             )
 
     def relinquish(self, action: Relinquish) -> None:
         """Begin no call there, and say when none is out."""
         self.begun.discard(action.dest)
-        self.leaving[action.dest] = (action.table, 0)
-        log.info("federation: destination %d is let go of, by table %d", action.dest, action.table)
+        self.leaving[action.dest] = (action.table_number, 0)
+        log.info("federation: destination %d is let go of, by table %d", action.dest, action.table_number)
         self._hide([action.dest])
         self._look_again()
 
     def keep(self, hold: SuspendServing) -> None:
         """Another hold takes the place of the one before."""
         before, self.hold = self.hold, hold
-        if before.on is not hold.on:
+        if before.is_suspended is not hold.is_suspended:
             self.changed_us = self.host.clock()
-        if hold.on and hold.why != before.why:
-            log.warning("federation: held: %s", hold.why)
-        elif before.on and not hold.on:
+        if hold.is_suspended and hold.reason != before.reason:
+            log.warning("federation: held: %s", hold.reason)
+        elif before.is_suspended and not hold.is_suspended:
             log.info("federation: served again")
-        if hold.on:
-            shut = self.begun if hold.dests is None else self.begun & hold.dests
+        if hold.is_suspended:
+            shut = self.begun if hold.destinations is None else self.begun & hold.destinations
             self._hide(sorted(shut))
             for call in [c for c in self.host.calls.out if self.leased and self._dest(c.endpoint) in shut]:
                 call.drop()  # it must not outlast the right to make it
--- a/madderbeam/simulation/federation.py
+++ b/madderbeam/simulation/federation.py
@@ -375,7 +375,7 @@
             s: {m.id.name: {"address": "{}:{}".format(*m.mesh), "votes": m.name in voters} for m in ms}
             for s, ms in self.sites.items()
         }
-        self.table = tables.read(
+        self.table = tables.read_table(
             {
                 "number": 1,
                 "sites": rows,
@@ -508,7 +508,7 @@
     def propose_wrong(self, member: Member, changes: dict[str, Any]) -> None:
         """Nobody may ever have it in force."""
         if document := self.propose(member, 0, **changes):
-            self.judge.never.add(tables.read(document).digest)
+            self.judge.never.add(tables.read_table(document).digest)
 
     def _heal(self) -> None:
         """All faults are over."""
--- a/madderbeam/simulation/fedjudge.py
+++ b/madderbeam/simulation/fedjudge.py
@@ -8,8 +8,8 @@
 
 from madderbeam.federation import table as tables
 from madderbeam.federation.consensus import messages as words
-from madderbeam.federation.consensus.messages import ballot_of, slot_of
-from madderbeam.federation.leases.lease import majority
+from madderbeam.federation.consensus.messages import read_ballot, read_slot
+from madderbeam.federation.leases.lease import is_majority
 from madderbeam.federation.switchover import messages
 from madderbeam.federation.values import Table
 from madderbeam.journal.records import parse
@@ -231,7 +231,7 @@
         if kind == "vote" and value is not None and old is not None and _vote(value) < _vote(old):
             self.broken("F2", f"{member.name} votes by a lower ballot than it promised")
         if kind == "staged" and value is not None:
-            self.staged.add((member.site, tables.read(value["document"]).digest))
+            self.staged.add((member.site, tables.read_table(value["document"]).digest))
         if kind == "release" and value is not None and old != value:
             self.released[member, int(key)] = self.world.now_us
         if value is None:
@@ -285,7 +285,7 @@
                 self.broken("F2", f"{member.name} gives a {type(message).__name__} that it has not written")
         elif (
             isinstance(message, words.VoteReply)
-            and message.word.staged
+            and message.vote.is_staged
             and ((member.site, message.digest) not in self.staged or ("staged", "") not in kept)
         ):
             self.broken("F2", f"{member.name} says that it staged {message.digest}, which it has not written")
@@ -348,7 +348,7 @@
             elif record[0] == "keep":
                 kept[record[1], record[2]] = record[3]
                 if record[1] == "staged":
-                    self.staged.add((member.site, tables.read(record[3]["document"]).digest))
+                    self.staged.add((member.site, tables.read_table(record[3]["document"]).digest))
 
     def started(self, member: Member) -> None:
         self.told[member] = set()
@@ -380,7 +380,7 @@
         elif self.held[member] and member.asked_us >= 0:
             member.asked_us = -1
             heard = self.told[member] | ({member.id} if member.id in room.table.voters else set())
-            if not majority(room.table.voters, heard):
+            if not is_majority(room.table.voters, heard):
                 self.broken("F6", f"{member.name} serves again, told by {sorted(map(str, heard))} alone")
 
     def _in_force(self, member: Member, table: Table) -> None:
@@ -396,7 +396,7 @@
             self.broken("F2", f"{member.name} has table {table.number} in force, which is wrong")
         if table.number > 1 and known is table:
             before = self.tables[table.number - 1]
-            for site in tables.instances(table, before):
+            for site in tables.voting_sites(table, before):
                 if (site, table.digest) not in self.staged:
                     self.broken("F2", f"{member.name} has table {table.number}, never staged by {site}")
 
@@ -488,4 +488,4 @@
 
 
 def _vote(record: Any) -> tuple[Any, Any]:
-    return slot_of(record["slot"]), ballot_of(record["promised"])
+    return read_slot(record["slot"]), read_ballot(record["promised"])
--- a/madderbeam/simulation/sharing.py
+++ b/madderbeam/simulation/sharing.py
@@ -132,7 +132,7 @@
             s: {m.id.name: {"address": "{}:{}".format(*m.mesh), "votes": m.name in voters} for m in ms}
             for s, ms in self.sites.items()
         }
-        self.table = tables.read(
+        self.table = tables.read_table(
             {
                 "number": 1,
                 "sites": rows,
--- a/tests/federation_config/test_page.py
+++ b/tests/federation_config/test_page.py
@@ -123,9 +123,9 @@
 
 
 def test_the_table_on_the_page_may_follow_the_first_one(tmp_path):
-    shown = tables.parse(PAGE.read_text().partition("```json table\n")[2].partition("```")[0])
+    shown = tables.parse_table(PAGE.read_text().partition("```json table\n")[2].partition("```")[0])
     loaded = check(estates(tmp_path)).loaded
-    assert tables.check(shown, first_table(loaded.estate, loaded.partners)) is None
+    assert tables.check_successor(shown, first_table(loaded.estate, loaded.partners)) is None
 
 
 def test_the_tables_of_settings_and_errors_are_those_of_the_code():
--- a/tests/federation_config/test_reading.py
+++ b/tests/federation_config/test_reading.py
@@ -11,7 +11,7 @@
 from madderbeam.config.platform import ConfigError, load_sidecar
 from madderbeam.config.render import render, write
 from madderbeam.config.sites import backlog
-from madderbeam.federation.table import SITES_MOST
+from madderbeam.federation.table import MAX_SITES
 from madderbeam.membership.values import MemberId
 from madderbeam.ports.real import RealDisk
 
@@ -123,7 +123,7 @@
     app = model.Application(name="m1", listen="127.0.0.1:1", state="state", classes=["c"])
     assert (told.backlog_messages, told.backlog_bytes / 1e6) == backlog(modelled, app)
     schema = model.Estate.model_json_schema()
-    assert schema["properties"]["site"]["maxItems"] == SITES_MOST
+    assert schema["properties"]["site"]["maxItems"] == MAX_SITES
 
 
 def test_a_section_alone_names_its_field():
--- a/tests/federation_pure/agreement_model.py
+++ b/tests/federation_pure/agreement_model.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 import msgpack
-from agreement_net import one, table
+from agreement_net import member_id, table
 
 from madderbeam.federation.consensus import messages as m
 from madderbeam.federation.consensus.acceptor import Acceptor
@@ -44,13 +44,13 @@
     TimerDue,
 )
 
-MEMBERS = (one(0), one(1), one(2))
-FIRST, OFFERS = table(1), (table(2, mark=1), table(2, mark=2))
+MEMBERS = (member_id(0), member_id(1), member_id(2))
+FIRST, OFFERS = table(1), (table(2, variant=1), table(2, variant=2))
 TABLES = (FIRST, *OFFERS)
 SETTINGS = AgreementSettings(
     resend_interval_us=8,
     failover_timeout_us=1,
-    agree_within_us=1,
+    vote_timeout_us=1,
     silent_member_timeout_us=0,
     check_timeout_us=1,
 )
@@ -147,7 +147,7 @@
         records,
         FIRST,
     )
-    machine.folder.confirmed_by = set(MEMBERS)
+    machine.rollback_detector.confirmed_by = set(MEMBERS)
     return machine, machine.start(0)
 
 
@@ -167,7 +167,7 @@
         participant._requester, participant._is_writing,
         tuple((d, p.claimed_slot) for d, p in proposals.pending.items()), tuple(proposals._completed),
         coordination,
-        machine.attempt, machine.base.digest, machine.known.written, machine.failover.counter,
+        machine.attempt, machine.base.digest, machine.agreed_tables.written_number, machine.failover.counter,
         machine.failover._retries, acceptor.incarnation,
     )  # fmt: skip
 
@@ -225,7 +225,7 @@
             others = {t for t in self.timers[member_index] if t[0] != action.token}
             self.timers[member_index] = others | {(action.token, action.at_us)}
         elif isinstance(action, CheckTable):
-            self.deliver(member_index, 0, TableChecked(action.table.proposal, ""))
+            self.deliver(member_index, 0, TableChecked(action.table.proposal_id, ""))
         elif isinstance(action, TableAgreed) and action.table.number > 1:
             self._check_agreed(action.table)
         elif isinstance(action, SendMessage):
@@ -254,8 +254,8 @@
             self.history.add(("staged", digest, member_index))
 
     def _count(self, member_index: int, value: Any) -> None:
-        slot, claim = m.slot_of(value["slot"]), m.read_claim(value["claim"])
-        self.history.add((slot, "", "", m.ballot_of(value["claimed"]), claim.digest, member_index))
+        slot, claim = m.read_slot(value["slot"]), m.read_claim(value["claim"])
+        self.history.add((slot, "", "", m.read_ballot(value["claimed"]), claim.digest, member_index))
         for ballot, vote in m.read_accepted_votes(value["words"]):
             self.history.add((slot, claim.digest, vote.site, ballot, vote, member_index))
         acceptances: dict[Any, set[int]] = {}
@@ -281,11 +281,11 @@
         for member_index, member in enumerate(MEMBERS):
             if member.site not in chosen or chosen[member.site].code:
                 raise InvariantViolated(
-                    f"table {agreed.proposal} is told as agreed, {member.site} is not decided"
+                    f"table {agreed.proposal_id} is told as agreed, {member.site} is not decided"
                 )
             if ("staged", agreed.digest, member_index) not in self.history:
                 raise InvariantViolated(
-                    f"table {agreed.proposal} is told as agreed, {member} never staged it"
+                    f"table {agreed.proposal_id} is told as agreed, {member} never staged it"
                 )
         self.history.add(("agreed", agreed.digest, 0))
         if len([row for row in self.history if row[0] == "agreed"]) > 1:
--- a/tests/federation_pure/agreement_net.py
+++ b/tests/federation_pure/agreement_net.py
@@ -19,15 +19,15 @@
 from madderbeam.federation.consensus.messages import (
     Decided,
     SlotAborted,
-    ballot_of,
     from_row,
     read_accepted_votes,
+    read_ballot,
     read_claim,
-    slot_of,
+    read_slot,
     to_row,
 )
 from madderbeam.federation.consensus.rounds import AgreementSettings, Slot
-from madderbeam.federation.table import instances, read
+from madderbeam.federation.table import read_table, voting_sites
 from madderbeam.federation.values import (
     CheckTable,
     ProposalOutcome,
@@ -54,12 +54,12 @@
 
 SECOND = 1_000_000
 QUICK = AgreementSettings(
-    resend_interval_us=200_000, failover_timeout_us=SECOND, agree_within_us=10 * SECOND,
+    resend_interval_us=200_000, failover_timeout_us=SECOND, vote_timeout_us=10 * SECOND,
     silent_member_timeout_us=SECOND // 2, check_timeout_us=2 * SECOND,
 )  # fmt: skip
 
 
-def table(number: int = 1, sites: int = 3, members: int = 1, mark: int = 0, **changed: Any) -> Table:
+def table(number: int = 1, sites: int = 3, members: int = 1, variant: int = 0, **changed: Any) -> Table:
     """A table with sites s00, s01, ... and members m0, m1, ...; the first of each site votes. `mark` makes
     tables differ.
     """
@@ -67,11 +67,11 @@
         f"s{i:02}": {f"m{j}": {"address": f"10.{i}.{j}.1:7000", "votes": j == 0} for j in range(members)}
         for i in range(sites)
     }
-    owners = {str(d): f"s{(d + mark) % sites:02}" for d in range(1, 5)}
-    return read({"number": number, "sites": named, "owners": owners, **changed})
+    owners = {str(d): f"s{(d + variant) % sites:02}" for d in range(1, 5)}
+    return read_table({"number": number, "sites": named, "owners": owners, **changed})
 
 
-def one(site: int, name: int = 0) -> MemberId:
+def member_id(site: int, name: int = 0) -> MemberId:
     return MemberId(f"s{site:02}", f"m{name}")
 
 
@@ -81,7 +81,7 @@
     def __init__(self, first: Table, seed: int = 0, settings: AgreementSettings = QUICK) -> None:
         self.first, self.settings = first, settings
         self.rng = random.Random(seed)
-        self.now = 0
+        self.now_us = 0
         self.loss = self.duplication = 0.0
         self.fastest_us, self.slowest_us = 1_000, 20_000
         self.disks: dict[MemberId, dict[tuple[str, str], Any]] = {}
@@ -90,7 +90,7 @@
         self.is_cut: Callable[[MemberId, MemberId], bool] = lambda a, b: False
         self.check_result: Callable[[MemberId, Table], str | None] = lambda member, t: ""
         self.write_fails: Callable[[MemberId, Persist], bool] = lambda member, record: False
-        self.step: Callable[[MemberId, Any], bool] = lambda member, action: False  # whether to crash
+        self.crashes_after: Callable[[MemberId, Any], bool] = lambda member, action: False  # whether to crash
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
         self.agreed: dict[int, Table] = {first.number: first}
@@ -120,7 +120,7 @@
             )  # fmt: skip
             self.up[member] = machine
             self._timers(machine)
-            self.perform(member, machine.start(self.now))
+            self.perform(member, machine.start(self.now_us))
             for other in list(self.up):
                 if other != member and not self.is_cut(member, other):
                     self.deliver(member, LinkUp(other))
@@ -143,19 +143,19 @@
 
     def run(self, span_us: int, until: Callable[[], bool] = lambda: False) -> bool:
         """Whether `until` became true within the span."""
-        end = self.now + span_us
+        end = self.now_us + span_us
         while self._heap and self._heap[0][0] <= end:
             if until():
                 return True
-            self.now, _, callback = heapq.heappop(self._heap)
+            self.now_us, _, callback = heapq.heappop(self._heap)
             callback()
-        self.now = max(self.now, end) if not until() else self.now
+        self.now_us = max(self.now_us, end) if not until() else self.now_us
         return until()
 
     def deliver(self, member: MemberId, event: Any) -> None:
         machine = self.up.get(member)
         if machine is not None:
-            self.perform(member, machine.handle(self.now, event))
+            self.perform(member, machine.handle(self.now_us, event))
 
     def propose(self, member: MemberId, offered: Table) -> None:
         self.deliver(member, TableProposed(offered))
@@ -167,14 +167,14 @@
         for action in actions:
             if isinstance(action, Persist):
                 if self.write_fails(member, action):
-                    self._later(member, machine, self.now, WriteFailed(action.kind, action.key))
+                    self._later(member, machine, self.now_us, WriteFailed(action.kind, action.key))
                     return
                 self._write(member, action)
             elif isinstance(action, SendMessage):
                 self._send(member, action)
             else:
                 self._perform_one(member, machine, action)
-            if isinstance(action, (Persist, SendMessage)) and self.step(member, action):
+            if isinstance(action, (Persist, SendMessage)) and self.crashes_after(member, action):
                 self.kill(member)
                 return
 
@@ -194,7 +194,7 @@
         if record.kind == "vote":
             self._record_acceptance(member, record.value)
         if record.kind == "staged":
-            self.staged.setdefault(read(record.value["document"]).digest, set()).add(member.site)
+            self.staged.setdefault(read_table(record.value["document"]).digest, set()).add(member.site)
 
     def _send(self, member: MemberId, action: SendMessage) -> None:
         self._check_notification(action.message)
@@ -203,7 +203,7 @@
         for _ in range(1 + (self.rng.random() < self.duplication)):
             if self.rng.random() >= self.loss and not self.is_cut(member, action.member):
                 delay_us = self.rng.randrange(self.fastest_us, self.slowest_us)
-                self.at_time(self.now + delay_us, lambda: self._arrive(member, action.member, row))
+                self.at_time(self.now_us + delay_us, lambda: self._arrive(member, action.member, row))
 
     def _arrive(self, source: MemberId, to: MemberId, row: bytes) -> None:
         if not self.is_cut(source, to):
@@ -212,11 +212,13 @@
     def _perform_one(self, member: MemberId, machine: Agreement, action: Any) -> None:
         if isinstance(action, SetTimer):
             machine.timers[action.token] = action  # type: ignore[attr-defined]
-            self.at_time(max(action.at_us, self.now), lambda: self._fire(member, machine, action))
+            self.at_time(max(action.at_us, self.now_us), lambda: self._fire(member, machine, action))
         elif isinstance(action, CheckTable):
             reason = self.check_result(member, action.table)
             if reason is not None:
-                self._later(member, machine, self.now + 2_000, TableChecked(action.table.proposal, reason))
+                self._later(
+                    member, machine, self.now_us + 2_000, TableChecked(action.table.proposal_id, reason)
+                )
         elif isinstance(action, Disseminate):
             self._gossip_entries[member] = GossipEntry(member, action.key, action.version, action.body)
         elif isinstance(action, TableAgreed) and member not in self.other_first_tables:
@@ -238,7 +240,7 @@
 
     def _gossip(self) -> None:
         """Replaces membership: gossip entries reach all reachable members within a second."""
-        self.at_time(self.now + SECOND, self._gossip)
+        self.at_time(self.now_us + SECOND, self._gossip)
         for owner, entry in list(self._gossip_entries.items()):
             for member, machine in list(self.up.items()):
                 versions_heard = machine.versions_heard  # type: ignore[attr-defined]
@@ -259,26 +261,26 @@
         self.announced_number[member] = announced.number
         previous = self.agreed.get(announced.number - 1)
         if previous is not None:
-            missing = set(instances(announced, previous)) - self.staged.get(announced.digest, set())
+            missing = set(voting_sites(announced, previous)) - self.staged.get(announced.digest, set())
             assert not missing, f"table {announced.number} is agreed, {sorted(missing)} never staged it"
             votes = {
                 k[2]: vote for k, vote in self.chosen.items() if k[1] == announced.digest and vote.staged
             }
-            for site in instances(announced, previous):
+            for site in voting_sites(announced, previous):
                 assert site in votes and votes[site].staged, (
                     f"table {announced.number}: {site} is not decided"
                 )
 
     def _check_agreed_tables(self, machine: Agreement) -> None:
-        for agreed in machine.known.tables.values():
+        for agreed in machine.agreed_tables.tables.values():
             assert self.agreed.setdefault(agreed.number, agreed).digest == agreed.digest, "two tables"
 
     def _record_acceptance(self, member: MemberId, record: Any) -> None:
-        slot, claim = slot_of(record["slot"]), read_claim(record["claim"]) if record["claim"] else None
+        slot, claim = read_slot(record["slot"]), read_claim(record["claim"]) if record["claim"] else None
         if claim is None:
             return
         values: list[tuple[tuple[Slot, str, str], Any, Any]] = [
-            ((slot, "", ""), ballot_of(record["claimed"]), claim.digest)
+            ((slot, "", ""), read_ballot(record["claimed"]), claim.digest)
         ]
         values += [
             ((slot, claim.digest, vote.site), ballot, vote)
@@ -309,17 +311,19 @@
 
     def outcome(self, offered: Table) -> ProposalOutcome | None:
         """The last outcome reported for this table."""
-        reports = [o for _, o in self.outcomes if o.proposal == offered.proposal]
+        reports = [o for _, o in self.outcomes if o.proposal == offered.proposal_id]
         return reports[-1] if reports else None
 
     def all_at(self, number: int) -> bool:
-        return all(m.base.number == number and m.known.written == number for m in self.up.values())
+        return all(
+            m.base.number == number and m.agreed_tables.written_number == number for m in self.up.values()
+        )
 
     def check_outcomes(self) -> None:
         """Tables reported as agreed are agreed, and those reported as rejected are not."""
         for _, outcome in self.outcomes:
             agreed = self.agreed.get(outcome.proposal.number)
-            is_agreed = agreed is not None and agreed.proposal == outcome.proposal
-            assert outcome.agreed == is_agreed, (
+            is_agreed = agreed is not None and agreed.proposal_id == outcome.proposal
+            assert outcome.is_agreed == is_agreed, (
                 f"{outcome} although it is {'' if is_agreed else 'not '}agreed"
             )
--- a/tests/federation_pure/agreement_schedules.py
+++ b/tests/federation_pure/agreement_schedules.py
@@ -12,7 +12,7 @@
 
 from agreement_net import QUICK, SECOND, Net, table
 
-from madderbeam.federation.table import read
+from madderbeam.federation.table import read_table
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import LinkUp, MemberId
 
@@ -61,13 +61,13 @@
         **successor_table.document()["owners"],
         str(100 + count): "s00",
     }
-    return read({**successor_table.document(), "owners": owners})
+    return read_table({**successor_table.document(), "owners": owners})
 
 
 def _inject_faults(net: Net, rng: random.Random) -> None:
     crash_rate, write_failure_rate = rng.choice([0, 0.003, 0.02]), rng.choice([0, 0, 0.01, 0.05])
     rejection_rate = rng.choice([0, 0, 0.1])
-    net.step = lambda member, action: net.rng.random() < crash_rate
+    net.crashes_after = lambda member, action: net.rng.random() < crash_rate
     net.write_fails = lambda member, record: net.rng.random() < write_failure_rate
     net.check_result = lambda member, offered: (
         net.rng.choice(["", None, "no partner 7"]) if (net.rng.random() < rejection_rate) else ""
@@ -83,7 +83,7 @@
 
 def _remove_faults(net: Net, members: list[MemberId]) -> None:
     net.is_cut, net.loss, net.duplication, net.slowest_us = (lambda source, target: False), 0, 0, 20_000
-    net.step, net.write_fails, net.check_result = (
+    net.crashes_after, net.write_fails, net.check_result = (
         (lambda member, action: False),
         (lambda member, record: False),
         (lambda member, offered: ""),
@@ -97,11 +97,11 @@
 
 def _check_end_state(net: Net, members: list[MemberId]) -> None:
     def settled() -> bool:
-        numbers = {(m.base.number, m.known.written) for m in net.up.values()}
+        numbers = {(m.base.number, m.agreed_tables.written_number) for m in net.up.values()}
         return len(numbers) == 1 and not any(m.pending for m in net.up.values())
 
     assert net.run(60 * SECOND, settled), "the agreement did not settle: " + str(
-        [m.status(net.now) for m in net.up.values()]
+        [m.status(net.now_us) for m in net.up.values()]
     )
     last = successor(net, members[0], 0, 1)
     net.propose(members[0], last)
--- a/tests/federation_pure/test_agreement_bugs.py
+++ b/tests/federation_pure/test_agreement_bugs.py
@@ -79,7 +79,7 @@
 
 
 def instance_missing(monkeypatch):
-    instances = coordinator_module.instances
+    instances = coordinator_module.voting_sites
     monkeypatch.setattr(
         coordinator_module,
         "instances",
--- a/tests/federation_pure/test_agreement_messages.py
+++ b/tests/federation_pure/test_agreement_messages.py
@@ -6,13 +6,13 @@
 
 import msgpack
 import pytest
-from agreement_net import one, table
+from agreement_net import member_id, table
 
 from madderbeam.federation.consensus import messages as m
 from madderbeam.federation.consensus.acceptor import Acceptor
 from madderbeam.federation.consensus.rounds import Ballot, Claim, Mark, Slot, Vote
 from madderbeam.federation.federation import Federation
-from madderbeam.federation.table import read
+from madderbeam.federation.table import read_table
 from madderbeam.federation.values import TableAgreed, TableChecked, TableProposed
 from madderbeam.membership.values import (
     Incarnation,
@@ -25,10 +25,10 @@
 )
 
 SLOT, INCARNATION = Slot(3, 1), Incarnation(2, 2**63)
-BALLOT, MARK = Ballot(5, one(1), INCARNATION), Mark(INCARNATION, 7)
+BALLOT, MARK = Ballot(5, member_id(1), INCARNATION), Mark(INCARNATION, 7)
 DIGEST = table().digest
 CLAIM, VOTES = Claim(DIGEST, ("s00", "s01")), (Vote("s00"), Vote("s01", "table-refused", "no partner 7"))
-MARKS = ((one(0), MARK), (one(1), MARK))
+MARKS = ((member_id(0), MARK), (member_id(1), MARK))
 
 MESSAGES = [
     m.Prepare(SLOT, DIGEST, BALLOT),
@@ -100,7 +100,7 @@
     owners = {str(d): "s00" for d in range(10_000)}
     row = msgpack.packb(m.to_row(m.AgreedTable(1, {**table().document(), "owners": owners})))
     assert len(row) < 1_000_000
-    assert len(read(m.from_row(msgpack.unpackb(row)).document).owners) == 10_000
+    assert len(read_table(m.from_row(msgpack.unpackb(row)).document).owners) == 10_000
 
 
 def test_a_voter_at_a_later_slot_votes_on_no_earlier_one():
@@ -133,12 +133,12 @@
     assert federation.start(0) == [LogLine("switched")]
     agreement_events = [
         TableProposed(table()),
-        TableChecked(table().proposal, ""),
-        MessageReceived(one(1), MESSAGES[0]),
+        TableChecked(table().proposal_id, ""),
+        MessageReceived(member_id(1), MESSAGES[0]),
         TimerDue("agree/drive"),
     ]
-    switchover_events = [MessageReceived(one(1), "hello"), TimerDue("lease")]
-    shared_events = [WriteFailed("vote", ""), WriteFailed("release", "4"), LinkDown(one(1))]
+    switchover_events = [MessageReceived(member_id(1), "hello"), TimerDue("lease")]
+    shared_events = [WriteFailed("vote", ""), WriteFailed("release", "4"), LinkDown(member_id(1))]
     for event in agreement_events + switchover_events + shared_events:
         federation.handle(1, event)
     assert agreement.events[1:] == agreement_events + shared_events
--- a/tests/federation_pure/test_table.py
+++ b/tests/federation_pure/test_table.py
@@ -8,7 +8,7 @@
 import pytest
 
 from madderbeam.federation.errors import TableUnfit
-from madderbeam.federation.table import check, instances, parse, participants, read
+from madderbeam.federation.table import check_successor, parse_table, participants, read_table, voting_sites
 from madderbeam.federation.values import MemberRow, Table
 from madderbeam.membership.values import MemberId
 
@@ -25,13 +25,13 @@
 
 
 def second_table(**changed) -> Table:
-    return read({**first_document(), "number": 2, **changed})
+    return read_table({**first_document(), "number": 2, **changed})
 
 
 def test_a_document_is_read_back_as_written():
-    table = read({**first_document(), "off": ["x/y"]})
-    assert read(table.document()) == table
-    assert parse(json.dumps(table.document())) == table
+    table = read_table({**first_document(), "off": ["x/y"]})
+    assert read_table(table.document()) == table
+    assert parse_table(json.dumps(table.document())) == table
     assert table.voters == (MemberId("macon", "m1"), MemberId("macon", "m2"), MemberId("savannah", "m1"))
 
 
@@ -66,16 +66,16 @@
 @pytest.mark.parametrize(("changed", "message"), MALFORMED, ids=[t for _, t in MALFORMED])
 def test_malformed_documents_are_rejected_with_field_and_allowed_values(changed, message):
     with pytest.raises(TableUnfit) as caught:
-        read({**first_document(), **changed})
+        read_table({**first_document(), **changed})
     assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_a_destination_with_two_owners_in_a_file_is_rejected():
     text = json.dumps(first_document()).replace('"2": "savannah"', '"1": "savannah"')
     with pytest.raises(TableUnfit, match="1 stands twice"):
-        parse(text)
+        parse_table(text)
     with pytest.raises(TableUnfit, match="no JSON"):
-        parse("{")
+        parse_table("{")
 
 
 def sites_without(document: dict, site: str) -> dict:
@@ -109,26 +109,26 @@
 
 @pytest.mark.parametrize(("changed", "place", "message"), REJECTED, ids=[p + " " + t for _, p, t in REJECTED])
 def test_a_table_that_may_not_follow_is_rejected_with_the_place(changed, place, message):
-    refused = check(second_table(**changed), read(first_document()))
+    refused = check_successor(second_table(**changed), read_table(first_document()))
     assert refused is not None and refused.place == place and message in str(refused)
 
 
 def test_no_voter_and_a_duplicated_member_are_rejected():
-    previous = read(first_document())
+    previous = read_table(first_document())
     non_voting = {s: tuple(replace(r, votes=False) for r in rows) for s, rows in previous.sites.items()}
-    assert "no member votes" in str(check(replace(previous, number=2, sites=non_voting), previous))
+    assert "no member votes" in str(check_successor(replace(previous, number=2, sites=non_voting), previous))
     duplicated = {**previous.sites, "macon": (*previous.sites["macon"], MemberRow("m1", ("10.0.0.9", 1)))}
-    assert check(replace(previous, number=2, sites=duplicated), previous).place == "sites.macon.m1"
+    assert check_successor(replace(previous, number=2, sites=duplicated), previous).place == "sites.macon.m1"
 
 
 def test_a_site_all_of_whose_members_are_off_has_no_vote():
-    previous = read(first_document())
+    previous = read_table(first_document())
     table = second_table(
         sites=sites_without(first_document(), "savannah"), owners={"1": "macon", "2": "macon"}
     )
-    assert instances(table, previous) == ("macon", "savannah")
+    assert voting_sites(table, previous) == ("macon", "savannah")
     off = replace(table, off=frozenset({MemberId("savannah", "m1")}))
-    assert check(off, previous) is None and instances(off, previous) == ("macon",)
+    assert check_successor(off, previous) is None and voting_sites(off, previous) == ("macon",)
     assert participants(
         replace(second_table(), off=frozenset({MemberId("macon", "m1")})), previous, "macon"
     ) == (MemberId("macon", "m2"),)
--- a/tests/federation_switch/switch_schedules.py
+++ b/tests/federation_switch/switch_schedules.py
@@ -62,8 +62,8 @@
         w.cuts = set()
     elif what == "rumoured" and node.me in w.tables[-1].voters:
         pending = drawn(w, rng)
-        if pending.proposal != w.tables[-1].proposal:
-            node.accepted[pending.proposal] = pending
+        if pending.proposal_id != w.tables[-1].proposal_id:
+            node.accepted[pending.proposal_id] = pending
     elif what == "off" and off_words:
         call_off(w, rng, node)
     elif what == "off" and node.alive:
@@ -81,7 +81,9 @@
     if rng.random() < 0.2:  # a member joins, leaves, or gets or loses its vote
         site = rng.choice(SITES)
         rows = rng.choice(("m1", "m1 m2", "m1 -m2"))
-        sites = {s: " ".join(("" if r.votes else "-") + r.name for r in rs) for s, rs in latest.sites.items()}
+        sites = {
+            s: " ".join(("" if r.is_voter else "-") + r.name for r in rs) for s, rs in latest.sites.items()
+        }
         new = replace(new, sites=table(0, {**sites, site: rows}, {}).sites)
     return new
 
@@ -93,7 +95,7 @@
     if speakers and not out and (not node.alive or node.paused):
         w.called_off.add(node.me)
         speaker = rng.choice(speakers)
-        speaker.give(fv.MemberCalledOff(node.me, speaker.switch.book.ledger.number))
+        speaker.give(fv.MemberDecommissioned(node.me, speaker.switch.book.ledger.number))
 
 
 def heal(w: World) -> None:
--- a/tests/federation_switch/switch_world.py
+++ b/tests/federation_switch/switch_world.py
@@ -196,7 +196,7 @@
         if kind == "release":
             lies = of_row(value)
             if self.told.pop(lies.release.dest, None) is not None:
-                for wait in lies.left(self.now_us()).waits:
+                for wait in lies.left(self.now_us()).retry_waits:
                     self.world.bind(lies.release, wait)
 
     def _timer(self, at_us: int, token: str) -> None:
@@ -220,7 +220,7 @@
         if dest in self.began or dest in self.letting:
             raise Broken(f"{self.me} begins at {dest} twice, or while it lets go")
         self.began[dest] = releases
-        left = max((w.left_us for r in releases for w in r.waits), default=0)
+        left = max((w.remaining_us for r in releases for w in r.retry_waits), default=0)
         until_us = self.world.now_us + left + left // 1_000 + MS
         self.waits[dest] = max(self.waits.get(dest, 0), until_us if left else 0)
 
@@ -235,7 +235,7 @@
         out = any(c.node is self and c.dest == dest and c.end_us > w.now_us for c in w.calls)
         if out or not self.switch.may_call(self.now_us(), dest, CALL_US):
             return
-        if self.gate.on and (self.gate.dests is None or dest in self.gate.dests):
+        if self.gate.is_suspended and (self.gate.destinations is None or dest in self.gate.destinations):
             raise Broken(f"{self.me} may call at {dest} and was told to hold")
         if self.waits.get(dest, 0) > w.now_us:
             return
@@ -257,7 +257,7 @@
             del self.letting[dest]
             left = self.waits.get(dest, 0) - now_us
             waits = (RemainingSpan("", left),) if left > 0 else ()
-            drains = tuple(replace(d, left_us=d.left_us - now_us) for d in self.drains)
+            drains = tuple(replace(d, left_us=d.remaining_us - now_us) for d in self.drains)
             release = self.told[dest] = Release(dest, self.me, number, waits, drains, self.cold)
             self.world.after(MS, self.mine(lambda r=release: self.give(fv.DestinationReleased(r))))
 
@@ -380,7 +380,7 @@
         self.chosen[new.number] = new
         self.tables.append(new)
         for member in voters:
-            self.nodes[member].accepted[new.proposal] = new
+            self.nodes[member].accepted[new.proposal_id] = new
         for site in new.sites:
             for member in new.members(site):
                 if member not in self.nodes:
@@ -391,8 +391,8 @@
 
     def learn(self, node: Node, new: Table) -> None:
         """It reaches those that are there and not cut off from all that know it; others ask later."""
-        sources = [n for n in self.nodes.values() if (n.alive and new.proposal in n.accepted) or n is node]
-        reached = new.proposal in node.accepted
+        sources = [n for n in self.nodes.values() if (n.alive and new.proposal_id in n.accepted) or n is node]
+        reached = new.proposal_id in node.accepted
         reached = reached or any(not self.cut(node, n) for n in sources if n is not node)
         if node.alive and not node.paused and reached and node.me not in self.unaware:
             node.agreed[new.number] = new
@@ -410,7 +410,7 @@
 
     def finish(self, node: Node, proposal: ProposalId) -> None:
         new = self.chosen.get(proposal.number)
-        if new is not None and new.proposal == proposal:
+        if new is not None and new.proposal_id == proposal:
             if node.alive and not node.paused:
                 self.learn(node, new)
             return
@@ -440,7 +440,7 @@
     def bind(self, release: Release, wait: RemainingSpan) -> None:
         """A wait that was written into a release binds every other site."""
         self.bound = [b for b in self.bound if b[2] > self.now_us]
-        self.bound.append((release.dest, release.member.site, self.now_us + wait.left_us))
+        self.bound.append((release.dest, release.member.site, self.now_us + wait.remaining_us))
 
     def served(self) -> bool:
         """All members have the latest table, and serve what it gives them and nothing else."""
@@ -452,7 +452,7 @@
             mine = {d for d, s in latest.owners.items() if s == node.me.site and named}
             if node.switch.book.ledger.number != latest.number or set(node.began) != mine:
                 return False
-            if mine and node.switch.holds.gate.on:
+            if mine and node.switch.holds.gate.is_suspended:
                 return False
         return True
 
--- a/tests/federation_switch/test_handed.py
+++ b/tests/federation_switch/test_handed.py
@@ -41,7 +41,7 @@
     lies = release_records.ReleaseRecord(
         release(RemainingSpan("x", 5 * SECOND), RemainingSpan("y", SECOND)), 100, 0
     )
-    assert lies.left(100 + 2 * SECOND).waits == (RemainingSpan("x", 3 * SECOND),)
+    assert lies.left(100 + 2 * SECOND).retry_waits == (RemainingSpan("x", 3 * SECOND),)
     assert lies.binds(100 + 4 * SECOND) and not lies.binds(100 + 5 * SECOND)
 
 
@@ -53,14 +53,14 @@
 def test_across_a_restart_no_clock_alone_shortens_a_wait(mono_s, wall_s, left_s):
     row = release_records.ReleaseRecord(release(RemainingSpan("", 5 * SECOND)), 100 * SECOND, 7_000).row()
     now = release_records.revived(row, (100 + mono_s) * SECOND, 7_000 + wall_s * 1_000)
-    assert now.release.waits == ((RemainingSpan("", left_s * SECOND),) if left_s else ())
+    assert now.release.retry_waits == ((RemainingSpan("", left_s * SECOND),) if left_s else ())
 
 
 def test_what_does_not_fit_a_rumour_waits_as_a_whole_as_long_as_the_longest():
     waits = tuple(RemainingSpan(f"endpoint-{i}", i * SECOND) for i in range(1, 100))
     packed = release_records.body(release(*waits, drains=(RemainingSpan("z", 300 * SECOND),)))
     assert len(packed) <= RUMOUR_MOST
-    assert release_records.of_body(packed).waits == (RemainingSpan("", 99 * SECOND),)
+    assert release_records.of_body(packed).retry_waits == (RemainingSpan("", 99 * SECOND),)
     assert release_records.of_body(packed).draining == (RemainingSpan("z", 300 * SECOND),)
     few = release(RemainingSpan("x", 5), cold=True)
     assert release_records.of_body(release_records.body(few)) == few
@@ -70,7 +70,7 @@
     both = release_records.merged(
         release(RemainingSpan("x", 5), RemainingSpan("y", 9)), [release(RemainingSpan("x", 7), cold=True)]
     )
-    assert both.waits == (RemainingSpan("x", 7), RemainingSpan("y", 9)) and both.cold
+    assert both.retry_waits == (RemainingSpan("x", 7), RemainingSpan("y", 9)) and both.is_cold
 
 
 def unpaid(dest: int, member: MemberId, number: int) -> bool:
--- a/tests/federation_switch/test_model.py
+++ b/tests/federation_switch/test_model.py
@@ -203,13 +203,13 @@
 
     def check(self) -> None:
         calls = [m for m, s in self.nodes.items() if s.may_call(self.now_us, 7)]
-        calls += [m for m in self.out if self.nodes[m].holder.runs(self.now_us)]
+        calls += [m for m in self.out if self.nodes[m].holder.is_valid(self.now_us)]
         if len({m.site for m in calls}) > 1:
             raise Overlap(f"{', '.join(map(str, calls))} may call at once")
 
     def key(self) -> bytes:
         """Counters apart, which only tell an answer from a late one."""
-        asks = {m: (s.inquiry.ask, s.leasing.ask) for m, s in self.nodes.items()}
+        asks = {m: (s.inquiry.ask, s.leasing.request_id) for m, s in self.nodes.items()}
         flight = []
         for to, event in self.flight:
             message = event.message if isinstance(event, mv.MessageReceived) else None
@@ -238,7 +238,7 @@
 
     def pending(self) -> list[Any]:
         numbers = [n for n in self.model.accepted[self.member] if n > self.model.knows[self.member]]
-        return [(self.model.tables[n - 1].proposal, self.model.tables[n - 1]) for n in numbers]
+        return [(self.model.tables[n - 1].proposal_id, self.model.tables[n - 1]) for n in numbers]
 
     def may_vote(self) -> bool:
         return True
@@ -248,7 +248,7 @@
 
 
 def _shown(s: Switchover) -> Any:
-    holder = [(s.leasing.ask - ask, v) for ask, v in s.holder._asks.items()]
+    holder = [(s.leasing.request_id - ask, v) for ask, v in s.holder._open_requests.items()]
     inquiry = (s.inquiry.asking, s.inquiry.holding, s.inquiry.held, s.inquiry.newest, s.inquiry.next_us)
     answers = sorted((str(m), a.number, a.pending) for m, a in s.inquiry.answers.items())
     ownership_registry = (
@@ -257,10 +257,15 @@
         sorted(s.book.facts.items()),
         s.book.standings,
     )
-    voter = (s.leasing.voter.renewed, s.leasing.voter.refused, s.leasing.voter.ready_us, s.leasing.ends.words)
-    moves = (s.moves.served, s.moves.leaving, s.holds.gate.on, s.holds.gate.dests)
+    voter = (
+        s.leasing.grantor.last_renewed_us,
+        s.leasing.grantor.min_renewal_table,
+        s.leasing.grantor.confirms_from_us,
+        s.leasing.end_tracker.confirmations,
+    )
+    moves = (s.moves.served, s.moves.leaving, s.holds.gate.is_suspended, s.holds.gate.destinations)
     adoption = (sorted(s.adoption.agreed), s.adoption.fresh)
-    return ownership_registry, moves, inquiry, answers, s.holder.until_us, holder, voter, adoption
+    return ownership_registry, moves, inquiry, answers, s.holder.valid_until_us, holder, voter, adoption
 
 
 def at_the_start(model: Model) -> None:
@@ -337,7 +342,7 @@
 
 
 def ready_alone(self: LeaseGrantor, now_us: int, *_: Any) -> bool:
-    return now_us >= self.ready_us
+    return now_us >= self.confirms_from_us
 
 
 def chain_forgotten(kept: Ledger, *rest: Any) -> Ledger:
--- a/tests/federation_switch/test_switch.py
+++ b/tests/federation_switch/test_switch.py
@@ -86,11 +86,11 @@
     told = [e for e in errors(w, "b/m1") if isinstance(e, ReleaseMissing)]
     assert told and "a/m1 has not released 7" in told[0].what and "call it off" in told[0].advice
     assert w["b/m1"].switch.status(w["b/m1"].now_us())["moving"]["7"]["not_released"] == ["a/m1"]
-    w["c/m1"].give(fv.MemberCalledOff(A1, 2))
+    w["c/m1"].give(fv.MemberDecommissioned(A1, 2))
     assert w.run(10 * SECOND, lambda: 7 in w["b/m1"].began)
     w["a/m1"].start()
     w.run(5 * SECOND)
-    assert not w["a/m1"].began and "LeftOut" in w["a/m1"].gate.why
+    assert not w["a/m1"].began and "LeftOut" in w["a/m1"].gate.reason
 
 
 def test_a_word_is_on_disk_where_it_was_said_and_outlasts_a_restart():
@@ -99,14 +99,14 @@
     w.agree(moved(w))
     w.split("c/m1")
     w["c/m1"].give(
-        fv.MemberCalledOff(A1, 1)
+        fv.MemberDecommissioned(A1, 1)
     )  # not yet by the table that moves it: it does not count for that
     w.run(5 * SECOND)
     w.cuts = set()
     w.run(5 * SECOND)
     assert 7 not in w["b/m1"].began
     w.split("c/m1")
-    w["c/m1"].give(fv.MemberCalledOff(A1, 2))
+    w["c/m1"].give(fv.MemberDecommissioned(A1, 2))
     w.run(SECOND)
     w["c/m1"].kill()
     w["c/m1"].start()
@@ -141,9 +141,9 @@
     assert w.run(10 * SECOND, lambda: 7 in w["b/m1"].began)
     at_us = w.now_us
     w["a/m1"].go_on()
-    assert w["a/m1"].gate.on
+    assert w["a/m1"].gate.is_suspended
     w.run(10 * SECOND)
-    assert "a/m1" not in calls(w, at_us) and "LeftOut" in w["a/m1"].gate.why
+    assert "a/m1" not in calls(w, at_us) and "LeftOut" in w["a/m1"].gate.reason
     assert any(isinstance(e, LeftOut) for e in errors(w, "a/m1"))
 
 
@@ -152,7 +152,7 @@
     w["a/m1"].kill()
     w.split("a/m1", "c/m1")
     w.agree(off(w), ids("a/m2", "b/m1") + [A1])
-    del w["a/m1"].accepted[w.tables[-1].proposal]
+    del w["a/m1"].accepted[w.tables[-1].proposal_id]
     assert w.run(10 * SECOND, lambda: 7 in w["b/m1"].began)
     w["a/m1"].start()
     at_us = w.now_us
@@ -161,7 +161,7 @@
     told = [e for e in errors(w, "a/m1") if isinstance(e, NoWord)]
     assert told and "a/m2 (never heard)" in told[0].what and "c/m1" not in told[0].what
     w.cuts = set()
-    assert w.run(10 * SECOND, lambda: "LeftOut" in w["a/m1"].gate.why)
+    assert w.run(10 * SECOND, lambda: "LeftOut" in w["a/m1"].gate.reason)
 
 
 def test_what_is_pending_is_finished_before_it_is_served():
@@ -173,7 +173,7 @@
     w.chosen[2] = new
     w.tables.append(new)
     for name in ("a/m2", "c/m1", "b/m1"):
-        w[name].accepted[new.proposal] = new
+        w[name].accepted[new.proposal_id] = new
     w.learn(w["b/m1"], new)
     w.cuts = {frozenset(ids("a/m1", "b/m1")), frozenset(ids("c/m1", "b/m1"))}
     assert w.run(SECOND, lambda: w["a/m2"].switch.book.ledger.number == 1 and 7 not in w["b/m1"].letting)
@@ -181,7 +181,7 @@
     w["a/m2"].start()
     at_us = w.now_us
     w["a/m1"].start()
-    assert w.run(10 * SECOND, lambda: "LeftOut" in w["a/m1"].gate.why)
+    assert w.run(10 * SECOND, lambda: "LeftOut" in w["a/m1"].gate.reason)
     assert "a/m1" not in calls(w, at_us)
 
 
@@ -189,23 +189,23 @@
     w = world(owners={7: "a", 8: "b", 9: "a"})
     w["a/m1"].kill()
     new = moved(w)
-    w["c/m1"].accepted[new.proposal] = new
-    w["b/m1"].accepted[new.proposal] = new
+    w["c/m1"].accepted[new.proposal_id] = new
+    w["b/m1"].accepted[new.proposal_id] = new
     w.finish = lambda node, proposal: None
     w["a/m1"].start()
     w.run(5 * SECOND)
-    assert w["a/m1"].gate.dests == {7} and calls(w, w.now_us - SECOND, 9) >= {"a/m1"}
+    assert w["a/m1"].gate.destinations == {7} and calls(w, w.now_us - SECOND, 9) >= {"a/m1"}
     del w.finish
-    assert w.run(10 * SECOND, lambda: not w["a/m1"].gate.on)
+    assert w.run(10 * SECOND, lambda: not w["a/m1"].gate.is_suspended)
 
 
 def test_one_site_holds_nothing_and_one_voter_is_its_own_majority():
     alone = World(1, table(1, {"a": "m1 m2 m3"}, {7: "a"}))
     alone["a/m1"].start()
-    assert 7 in alone["a/m1"].began and not alone["a/m1"].gate.on
+    assert 7 in alone["a/m1"].began and not alone["a/m1"].gate.is_suspended
     w = World(1, table(1, {"a": "m1", "b": "-m1"}, {7: "a"}))
     w["a/m1"].start()
-    assert w.run(5 * MS, lambda: 7 in w["a/m1"].began and not w["a/m1"].gate.on)
+    assert w.run(5 * MS, lambda: 7 in w["a/m1"].began and not w["a/m1"].gate.is_suspended)
 
 
 # Leases: case 6
@@ -228,7 +228,7 @@
     w.run(SECOND)
     assert calls(w, w.now_us - SECOND) == {"b/m1"}
     w.run(10 * SECOND)
-    assert "LeaseLost" in w["a/m1"].gate.why and "b/m1" in w["a/m1"].gate.why
+    assert "LeaseLost" in w["a/m1"].gate.reason and "b/m1" in w["a/m1"].gate.reason
 
 
 def test_a_lease_counts_from_before_it_was_asked_for():
@@ -266,7 +266,7 @@
     asked: list[LeaseRequest] = []
     w["a/m1"].switch.inquiry.begin = lambda *a: asked.append(a)  # it learns nothing newer for a while
     w.run(5 * SECOND)
-    assert asked and not w["a/m1"].switch.holder.runs(w["a/m1"].now_us())
+    assert asked and not w["a/m1"].switch.holder.is_valid(w["a/m1"].now_us())
     del w["a/m1"].switch.inquiry.begin
     w.cuts = set()
     assert w.run(20 * SECOND, w.settled)
@@ -280,14 +280,14 @@
         LeaseHolder(settings),
         LeaseGrantor(settings, {("leased", "a/m1"): ["a", "m1", settings.lease_us]}),
     )
-    holder.asked(0, 1)
-    holder.answered(A1, voter.renew(0, A1, LeaseRequest(1, 1, settings.lease_us), book, True), (A1,))
+    holder.on_request_sent(0, 1)
+    holder.on_reply(A1, voter.renew(0, A1, LeaseRequest(1, 1, settings.lease_us), book, True), (A1,))
     over_us = settings.lease_us - 100 * MS
-    while holder.runs(over_us):
+    while holder.is_valid(over_us):
         over_us += 100
         by_voter = over_us + over_us * 200 // 1_000_000
-        assert not (voter.vouches(by_voter, A1, True) and holder.runs(over_us))
-    assert voter.vouches(over_us + 30 * MS, A1, True)
+        assert not (voter.can_confirm_end(by_voter, A1, True) and holder.is_valid(over_us))
+    assert voter.can_confirm_end(over_us + 30 * MS, A1, True)
 
 
 # Waits, drains, cold returns: case 9
@@ -301,7 +301,7 @@
     assert w.run(5 * SECOND, lambda: 7 in w["b/m1"].began)
     by = {r.member: r for r in w["b/m1"].began[7]}
     a2 = by[MemberId("a", "m2")]
-    assert a2.cold and 0 < a2.draining[0].left_us + w.now_us - 60 * SECOND < SECOND
+    assert a2.is_cold and 0 < a2.draining[0].remaining_us + w.now_us - 60 * SECOND < SECOND
     assert w.run(10 * SECOND, lambda: "b/m1" in calls(w, 0))
     assert until_us <= w.now_us < until_us + 500 * MS
 
@@ -334,7 +334,7 @@
         node.rumours = {k: r for k, r in node.rumours.items() if r.owner != A1}
         if node.me != B1:
             node.switch.book.facts.pop(7, None)
-    w["b/m1"].give(fv.MemberCalledOff(A1, 2))
+    w["b/m1"].give(fv.MemberDecommissioned(A1, 2))
     w.agree(moved(w, "c"), ids("a/m2", "b/m1") + [A1], delays=False)
     w.run(SECOND)
     w["b/m1"].kill()
--- a/tests/federation_switch/test_switch_planted.py
+++ b/tests/federation_switch/test_switch_planted.py
@@ -42,7 +42,7 @@
         if message.granted and self.holder.until_us:
             self.holder.until_us = self.out.now_us + self.settings.lease_us
 
-    kept = coordination.LeaseCoordination.renewed
+    kept = coordination.LeaseCoordination.on_renewal_reply
     patch.setattr(coordination.LeaseCoordination, "renewed", renewed)
 
 
@@ -50,7 +50,7 @@
     def vouches(self, now_us, member, votes):
         return kept(self, now_us + scenes.LEASE_US // 2, member, votes)
 
-    kept = lease.LeaseGrantor.vouches
+    kept = lease.LeaseGrantor.can_confirm_end
     patch.setattr(lease.LeaseGrantor, "vouches", vouches)
 
 
