--- a/madderbeam/federation/consensus/status.py
+++ b/madderbeam/federation/consensus/status.py
@@ -37,9 +37,9 @@
     result: dict[str, Any] = {
         "agreed": {"number": base.number, "digest": base.digest},
         "slot": str(agreement.slot),
-        "votes": agreement.votes,
-        "distrusted": agreement.folder.distrusted is not None,
-        "offered": [str(proposal.table.proposal) for proposal in agreement.proposals.pending.values()],
+        "votes": agreement.may_vote,
+        "distrusted": agreement.rollback_detector.distrusted is not None,
+        "offered": [str(proposal.table.proposal_id) for proposal in agreement.proposals.pending.values()],
     }
     if participant.slot is not None:
         state = "pending" if participant.vote is None else _describe_vote(participant.vote)
@@ -62,7 +62,7 @@
 
 
 def _describe_vote(vote: Any) -> str:
-    return "staged" if vote.staged else f"{vote.code}: {vote.reason}"
+    return "staged" if vote.is_staged else f"{vote.code}: {vote.reason}"
 
 
 def _describe_missing(agreement: Any, site: str, now_us: int) -> str:
--- a/madderbeam/federation/switchover/moves.py
+++ b/madderbeam/federation/switchover/moves.py
@@ -46,7 +46,7 @@
         if dest not in self.leaving or self.out.writes.busy("release", str(dest)):
             return
         number = max(self.leaving[dest], self.book.owes(dest))
-        self._write(replace(release, member=self.book.me, table=number))
+        self._write(replace(release, member=self.book.me, table_number=number))
 
     def written(self, handed: ReleaseRecord) -> None:
         """A release of one's own is on disk."""
--- a/madderbeam/federation/switchover/release_records.py
+++ b/madderbeam/federation/switchover/release_records.py
@@ -66,7 +66,7 @@
     """Less the time that it has lain (never grown)."""
     lain_us = max(0, lain_us)
     return replace(
-        release, waits=_less(release.retry_waits, lain_us), draining=_less(release.draining, lain_us)
+        release, retry_waits=_less(release.retry_waits, lain_us), draining=_less(release.draining, lain_us)
     )
 
 
@@ -75,9 +75,9 @@
     others = tuple(others)
     return replace(
         release,
-        waits=_longest(w for r in (release, *others) for w in r.retry_waits),
+        retry_waits=_longest(w for r in (release, *others) for w in r.retry_waits),
         draining=_longest(w for r in (release, *others) for w in r.draining),
-        cold=release.is_cold or any(r.is_cold for r in others),
+        is_cold=release.is_cold or any(r.is_cold for r in others),
     )
 
 
@@ -187,4 +187,4 @@
     """One wait for the whole destination in place of those of its endpoints (and of what drains)."""
     spans = release.retry_waits + (release.draining if drains else ())
     waits = (RemainingSpan("", max(w.remaining_us for w in spans)),) if spans else ()
-    return replace(release, waits=waits, draining=() if drains else release.draining)
+    return replace(release, retry_waits=waits, draining=() if drains else release.draining)
--- a/madderbeam/federation/switchover/status.py
+++ b/madderbeam/federation/switchover/status.py
@@ -10,7 +10,7 @@
 def status(switch: Any) -> dict[str, Any]:
     """Of a Switch, which imports this. Spans in milliseconds, as of the time of the turn."""
     book, now_us, gate = switch.book, switch.out.now_us, switch.holds.gate
-    held = None if gate.dests is None else sorted(gate.dests)
+    held = None if gate.destinations is None else sorted(gate.destinations)
     since_ms = (now_us - book.since_us) // 1_000
     moving: dict[str, Any] = {}
     hidden = 0
@@ -34,7 +34,7 @@
         "served": len(switch.moves.served),
         "letting_go": sorted(switch.moves.leaving),
         "lease": _lease(switch),
-        "hold": {"on": gate.on, "why": gate.why, "destinations": held},
+        "hold": {"on": gate.is_suspended, "why": gate.reason, "destinations": held},
         "others": {
             str(m): {"in_force": s.number, "settled": s.settled} for m, s in sorted(book.standings.items())
         },
@@ -46,5 +46,5 @@
 def _lease(switch: Any) -> dict[str, Any] | None:
     if not switch.settings.lease_us:
         return None
-    left_us = switch.holder.until_us - switch.out.now_us
+    left_us = switch.holder.valid_until_us - switch.out.now_us
     return {"lease_ms": switch.settings.lease_us // 1_000, "left_ms": max(0, left_us // 1_000)}
--- a/madderbeam/simulation/fedjudge.py
+++ b/madderbeam/simulation/fedjudge.py
@@ -375,7 +375,7 @@
         if room.table is not self.seen.get(member):
             self._in_force(member, room.table)
         hold = room.serving.hold
-        if hold.on and hold.dests is None:
+        if hold.is_suspended and hold.destinations is None:
             self.held[member] = True
         elif self.held[member] and member.asked_us >= 0:
             member.asked_us = -1
@@ -447,8 +447,8 @@
                 f"{members[0].room.calls.outcomes}",
             )
         for member in members:
-            if member.room.serving.hold.on:
-                why = member.room.serving.hold.why
+            if member.room.serving.hold.is_suspended:
+                why = member.room.serving.hold.reason
                 self.broken("F6", f"{member.name} is held though all is whole: {why}")
             for other in members:
                 state = self._state(member, other)
--- a/tests/federation_pure/agreement_net.py
+++ b/tests/federation_pure/agreement_net.py
@@ -264,10 +264,10 @@
             missing = set(voting_sites(announced, previous)) - self.staged.get(announced.digest, set())
             assert not missing, f"table {announced.number} is agreed, {sorted(missing)} never staged it"
             votes = {
-                k[2]: vote for k, vote in self.chosen.items() if k[1] == announced.digest and vote.staged
+                k[2]: vote for k, vote in self.chosen.items() if k[1] == announced.digest and vote.is_staged
             }
             for site in voting_sites(announced, previous):
-                assert site in votes and votes[site].staged, (
+                assert site in votes and votes[site].is_staged, (
                     f"table {announced.number}: {site} is not decided"
                 )
 
@@ -302,7 +302,7 @@
             votes = [
                 vote for (s, d, _), vote in self.chosen.items() if (s, d) == (message.slot, message.digest)
             ]
-            assert any(not vote.staged for vote in votes), (
+            assert any(not vote.is_staged for vote in votes), (
                 f"{message.slot} is announced as aborted and is not"
             )
         if isinstance(message, Decided) and message.number > self.first.number:
--- a/tests/federation_pure/test_agreement.py
+++ b/tests/federation_pure/test_agreement.py
@@ -36,7 +36,7 @@
 
 
 def error_at(net: Net, member: MemberId, proposed) -> object:
-    reports = [o for m, o in net.outcomes if m == member and o.proposal == proposed.proposal]
+    reports = [o for m, o in net.outcomes if m == member and o.proposal == proposed.proposal_id]
     assert len(reports) == 1, reports
     return reports[0].error
 
--- a/tests/federation_pure/test_agreement_bugs.py
+++ b/tests/federation_pure/test_agreement_bugs.py
@@ -82,7 +82,7 @@
     instances = coordinator_module.voting_sites
     monkeypatch.setattr(
         coordinator_module,
-        "instances",
+        "voting_sites",
         lambda table, base: instances(table, base)[:-1] or instances(table, base),
     )
 
@@ -108,7 +108,7 @@
 
 def staged_without_record(monkeypatch):
     def patched(self):
-        self._send_vote(Vote(self.outbox.me.site))
+        self._send_vote(Vote(self.outbox.local_member.site))
 
     monkeypatch.setattr(Participant, "_stage", patched)
 
@@ -117,7 +117,7 @@
     check_decided = Coordinator._check_decided
 
     def patched(self):
-        if self.decision is None and any(not vote.staged for vote in self.votes):
+        if self.decision is None and any(not vote.is_staged for vote in self.votes):
             self.decision = Aborted(tuple(self.votes))
         return check_decided(self)
 
@@ -140,7 +140,7 @@
             self.decision is None
             and has_all_votes
             and self.table is not None
-            and all(vote.staged for vote in self.votes)
+            and all(vote.is_staged for vote in self.votes)
         ):
             self.decision = Committed(self.table)
         return check_decided(self)
--- a/tests/federation_pure/test_table.py
+++ b/tests/federation_pure/test_table.py
@@ -115,7 +115,7 @@
 
 def test_no_voter_and_a_duplicated_member_are_rejected():
     previous = read_table(first_document())
-    non_voting = {s: tuple(replace(r, votes=False) for r in rows) for s, rows in previous.sites.items()}
+    non_voting = {s: tuple(replace(r, is_voter=False) for r in rows) for s, rows in previous.sites.items()}
     assert "no member votes" in str(check_successor(replace(previous, number=2, sites=non_voting), previous))
     duplicated = {**previous.sites, "macon": (*previous.sites["macon"], MemberRow("m1", ("10.0.0.9", 1)))}
     assert check_successor(replace(previous, number=2, sites=duplicated), previous).place == "sites.macon.m1"
@@ -127,10 +127,10 @@
         sites=sites_without(first_document(), "savannah"), owners={"1": "macon", "2": "macon"}
     )
     assert voting_sites(table, previous) == ("macon", "savannah")
-    off = replace(table, off=frozenset({MemberId("savannah", "m1")}))
+    off = replace(table, decommissioned=frozenset({MemberId("savannah", "m1")}))
     assert check_successor(off, previous) is None and voting_sites(off, previous) == ("macon",)
     assert participants(
-        replace(second_table(), off=frozenset({MemberId("macon", "m1")})), previous, "macon"
+        replace(second_table(), decommissioned=frozenset({MemberId("macon", "m1")})), previous, "macon"
     ) == (MemberId("macon", "m2"),)
     moved = second_table(sites={"macon": {"m3": {"address": "10.0.0.3:7000"}}}, off=["macon/m1", "macon/m2"])
     assert participants(moved, previous, "macon") == (MemberId("macon", "m3"),)
--- a/tests/federation_switch/switch_world.py
+++ b/tests/federation_switch/switch_world.py
@@ -257,7 +257,7 @@
             del self.letting[dest]
             left = self.waits.get(dest, 0) - now_us
             waits = (RemainingSpan("", left),) if left > 0 else ()
-            drains = tuple(replace(d, left_us=d.remaining_us - now_us) for d in self.drains)
+            drains = tuple(replace(d, remaining_us=d.remaining_us - now_us) for d in self.drains)
             release = self.told[dest] = Release(dest, self.me, number, waits, drains, self.cold)
             self.world.after(MS, self.mine(lambda r=release: self.give(fv.DestinationReleased(r))))
 
@@ -463,4 +463,4 @@
 
     def next_table(self, owners: dict[int, str], **changes: Any) -> Table:
         latest = self.tables[-1]
-        return replace(latest, number=latest.number + 1, owners=owners, off=frozenset(), **changes)
+        return replace(latest, number=latest.number + 1, owners=owners, decommissioned=frozenset(), **changes)
--- a/tests/federation_switch/test_model.py
+++ b/tests/federation_switch/test_model.py
@@ -369,7 +369,12 @@
     "plant, owners, lease_us, prefix",
     [
         (lambda p: p.setattr(OwnershipRegistry, "missing", lambda self, dest: {}), "aba", 0, at_the_start),
-        (lambda p: p.setattr(LeaseGrantor, "vouches", ready_alone), "aba", LEASE_US, lease_nearly_over),
+        (
+            lambda p: p.setattr(LeaseGrantor, "can_confirm_end", ready_alone),
+            "aba",
+            LEASE_US,
+            lease_nearly_over,
+        ),
         (lambda p: p.setattr(ownership_registry, "after", chain_forgotten), "abc", 0, skipped),
     ],
     ids=["a release assumed", "a voter forgets its last word", "the chain forgotten"],
--- a/tests/federation_switch/test_new_voters.py
+++ b/tests/federation_switch/test_new_voters.py
@@ -56,7 +56,9 @@
     assert not passed_to_b(w, {"a": "-m1", "b": "-m1 m2 m3", "c": "-m1 m2"})
     # It does call on: voters that take the missing grant for the end of a lease would let two call.
     monkeypatch.setattr(
-        LeaseGrantor, "vouches", lambda self, now_us, member, votes: member not in self.renewed
+        LeaseGrantor,
+        "can_confirm_end",
+        lambda self, now_us, member, votes: member not in self.last_renewed_us,
     )
     with pytest.raises(AssertionError, match="7"):
         w.run(6 * LEASE_US)
--- a/tests/federation_switch/test_switch.py
+++ b/tests/federation_switch/test_switch.py
@@ -130,7 +130,7 @@
 def off(w: World) -> fv.Table:
     """Table 2 without a/m1, which a person says is off, and 7 at b."""
     sites = {**w.first.sites, "a": tuple(r for r in w.first.sites["a"] if r.name != "m1")}
-    return replace(moved(w, sites=sites), off=frozenset({A1}))
+    return replace(moved(w, sites=sites), decommissioned=frozenset({A1}))
 
 
 def test_a_paused_member_asks_before_it_serves():
--- a/tests/federation_switch/test_switch_planted.py
+++ b/tests/federation_switch/test_switch_planted.py
@@ -39,11 +39,11 @@
 def lease_counted_from_the_answer(patch):
     def renewed(self, member, message):
         kept(self, member, message)
-        if message.granted and self.holder.until_us:
-            self.holder.until_us = self.out.now_us + self.settings.lease_us
+        if message.granted and self.holder.valid_until_us:
+            self.holder.valid_until_us = self.actions.now_us + self.settings.lease_us
 
     kept = coordination.LeaseCoordination.on_renewal_reply
-    patch.setattr(coordination.LeaseCoordination, "renewed", renewed)
+    patch.setattr(coordination.LeaseCoordination, "on_renewal_reply", renewed)
 
 
 def a_voter_vouches_early(patch):
@@ -51,7 +51,7 @@
         return kept(self, now_us + scenes.LEASE_US // 2, member, votes)
 
     kept = lease.LeaseGrantor.can_confirm_end
-    patch.setattr(lease.LeaseGrantor, "vouches", vouches)
+    patch.setattr(lease.LeaseGrantor, "can_confirm_end", vouches)
 
 
 def a_restarted_voter_vouches_at_once(patch):
@@ -60,7 +60,7 @@
 
 def a_vouch_does_not_bind(patch):
     def renew(self, *asked):
-        self.refused.clear()
+        self.min_renewal_table.clear()
         return kept(self, *asked)
 
     kept = lease.LeaseGrantor.renew
@@ -72,7 +72,7 @@
     patch.setattr(
         ownership_registry.OwnershipRegistry,
         "passed_on",
-        lambda self, *a: tuple(replace(r, waits=()) for r in kept(self, *a)),
+        lambda self, *a: tuple(replace(r, retry_waits=()) for r in kept(self, *a)),
     )
 
 
@@ -132,7 +132,7 @@
 def a_wait_forgotten_by_a_restart(patch):
     def revived(row, now_us, wall_ms):
         lies = release_records.of_row(row)
-        return replace(lies, release=replace(lies.release, waits=()))
+        return replace(lies, release=replace(lies.release, retry_waits=()))
 
     patch.setattr(release_learning, "revived", revived)
 
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -93,7 +93,7 @@
     def at_once(self, action):
         self.begun.discard(action.dest)
         self._hide([action.dest])
-        self.told(DestinationReleased(self._release(action.dest, action.table)))
+        self.told(DestinationReleased(self._release(action.dest, action.table_number)))
         self.hand_over(action.dest)
 
     patch.setattr(Serving, "relinquish", at_once)
@@ -102,7 +102,7 @@
 @bug(8, "F1")
 def what_is_let_go_of_is_called_on(patch):
     def deaf(self, action):
-        self.told(DestinationReleased(self._release(action.dest, action.table)))
+        self.told(DestinationReleased(self._release(action.dest, action.table_number)))
 
     patch.setattr(Serving, "relinquish", deaf)
     patch.setattr(Switchover, "may_call", lambda self, now_us, dest, lasting_us=0: True)
@@ -137,7 +137,7 @@
 def a_wait_is_not_passed_on(patch):
     release = Serving._release
     patch.setattr(
-        Serving, "_release", lambda self, dest, table: replace(release(self, dest, table), waits=())
+        Serving, "_release", lambda self, dest, table: replace(release(self, dest, table), retry_waits=())
     )
 
 
