--- a/madderbeam/federation/consensus/agreed_tables.py
+++ b/madderbeam/federation/consensus/agreed_tables.py
@@ -15,7 +15,7 @@
 
 
 class AgreedTables:
-    """`latest` is agreed but may not be on disk here yet; `written` is the highest number that is."""
+    """`latest` is agreed but may not be on disk here yet; `written_number` is the highest that is."""
 
     def __init__(self, outbox: Outbox, records: Mapping[tuple[str, str], Any], first_table: Table) -> None:
         self.outbox = outbox
--- a/madderbeam/federation/consensus/agreement.py
+++ b/madderbeam/federation/consensus/agreement.py
@@ -54,14 +54,14 @@
     def __init__(
         self,
         settings: AgreementSettings,
-        me: MemberId,
+        local_member: MemberId,
         incarnation: Incarnation,
         rng: Random,
         records: Mapping[tuple[str, str], Any],
         table: Table,
     ) -> None:
-        self.settings, self.local_member = settings, me
-        self.outbox = Outbox(me)
+        self.settings, self.local_member = settings, local_member
+        self.outbox = Outbox(local_member)
         self.agreed_tables = AgreedTables(self.outbox, records, table)
         self.acceptor = Acceptor(incarnation, records.get(("vote", "")))
         self.rollback_detector = RollbackDetector(self.outbox, incarnation, records)
@@ -73,7 +73,7 @@
             settings, self.outbox, incarnation, rng, self.proposals, self.document
         )
         self.catch_up = CatchUp(self.outbox, rng, self.agreed_tables, 4 * settings.resend_interval_us)
-        self.views: dict[MemberId, MemberView] = {}
+        self.member_views: dict[MemberId, MemberView] = {}
         self.attempt = 0
         for slot in (self.acceptor.slot, self.participant.slot):
             if slot is not None and slot.number == self.base.number + 1:
@@ -137,7 +137,7 @@
                 self.catch_up.on_gossip(entry.owner, entry.body)
             case MemberChanged(view):
                 if view.id in all_members(self.base):
-                    self.views[view.id] = view
+                    self.member_views[view.id] = view
             case LinkUp(member):
                 self.outbox.send(member, self.catch_up.latest_decided())
                 if self._announces_mark and member in self.base.voters:
@@ -369,7 +369,7 @@
         return self.participant.staged(digest) or self.proposals.table(digest)
 
     def _describe_silent(self, members: tuple[MemberId, ...]) -> str:
-        return describe_silent(members, self.views, self.outbox.now_us)
+        return describe_silent(members, self.member_views, self.outbox.now_us)
 
     # Outcomes
 
@@ -399,7 +399,7 @@
         self.failover.stop()
         self.participant.clear()
         members = set(all_members(table))
-        self.views = {member: view for member, view in self.views.items() if member in members}
+        self.member_views = {member: view for member, view in self.member_views.items() if member in members}
         self.rollback_detector.forget(table.voters)
         self._announce_mark()
 
--- a/madderbeam/federation/consensus/coordinator.py
+++ b/madderbeam/federation/consensus/coordinator.py
@@ -70,7 +70,7 @@
             claim_known_since_us,
             settings,
         )
-        self.since_us = self._claimed_us = self._requested_us = outbox.now_us
+        self.pending_since_us = self._claimed_us = self._requested_us = outbox.now_us
         self.claim: Claim | None = None
         self.table: Table | None = None  # of the claim
         self.votes: list[Vote] = []
@@ -144,7 +144,7 @@
             self._set_table(self._document(self.claim.digest))
         if self.decision is not None:
             return
-        if self.outbox.now_us - self.since_us >= self.settings.vote_timeout_us:
+        if self.outbox.now_us - self.pending_since_us >= self.settings.vote_timeout_us:
             self._reject_missing(
                 NotAllStaged.code, lambda site: self._not_staged_reason(site, describe_silent)
             )
@@ -221,7 +221,7 @@
         else:
             self.table = self._document(claim.digest)
         self.claim, self._claimed_us = claim, self.outbox.now_us
-        self.since_us = self._claim_known_since_us(self.slot, claim.digest)
+        self.pending_since_us = self._claim_known_since_us(self.slot, claim.digest)
         self._adopt_accepted_votes(claim)
         if self.proposal is not None and self.proposal.digest != claim.digest:
             self._reject_missing(
@@ -310,6 +310,6 @@
         return self.decision is not None
 
     def _not_staged_reason(self, site: str, describe_silent: Callable[[tuple[MemberId, ...]], str]) -> str:
-        after_s = (self.outbox.now_us - self.since_us) // 1_000_000
+        after_s = (self.outbox.now_us - self.pending_since_us) // 1_000_000
         silent = tuple(m for m in self.participants(site) if m not in self.member_votes)
         return f"{site} has not staged table {self.slot.number} for {after_s} s: {describe_silent(silent)}"
--- a/madderbeam/federation/consensus/messages.py
+++ b/madderbeam/federation/consensus/messages.py
@@ -150,9 +150,9 @@
 
 @dataclass(frozen=True)
 class MarkAnnounced:
-    """A voter that has started asks the others whether its state on disk is the latest they have seen.
+    """A voter that has started announces its mark, to hear whether others have seen a newer one.
 
-    `accepted_loss`: the incarnation up to which an operator accepted lost state (FolderTrusted).
+    `accepted_loss`: the incarnation up to which an operator accepted lost state (RollbackAccepted).
     """
 
     mark: Mark
@@ -339,7 +339,7 @@
 
 
 def _read_document(value: Any) -> dict[str, Any]:
-    if not isinstance(value, dict) or len(value) > 4:  # its fields are checked by federation.table.read
+    if not isinstance(value, dict) or len(value) > 4:  # its fields are checked by federation.table.read_table
         raise ValueError("is not a table's document")
     return value
 
--- a/madderbeam/federation/consensus/outbox.py
+++ b/madderbeam/federation/consensus/outbox.py
@@ -17,8 +17,8 @@
 class Outbox:
     """The actions of the current event. `now_us` is the time of the event."""
 
-    def __init__(self, me: MemberId) -> None:
-        self.local_member = me
+    def __init__(self, local_member: MemberId) -> None:
+        self.local_member = local_member
         self.now_us = 0
         self.actions: list[Any] = []
         self._messages_to_self: dict[str, Any] = {}
--- a/madderbeam/federation/consensus/participant.py
+++ b/madderbeam/federation/consensus/participant.py
@@ -43,7 +43,7 @@
         self.digest = ""
         self.table: Table | None = None
         self.vote: Vote | None = None  # set once it may be sent: a staged table is on disk by then
-        self.since_us = 0
+        self.pending_since_us = 0
         self._requested_us: int | None = None
         self._requester: MemberId | None = None
         self._is_writing = False
@@ -71,7 +71,7 @@
             if self.slot is not None and slot <= self.slot:
                 return
             self.slot, self.digest, self.table, self.vote = slot, digest, None, None
-            self.since_us, self._requested_us, self._is_writing = self.outbox.now_us, None, False
+            self.pending_since_us, self._requested_us, self._is_writing = self.outbox.now_us, None, False
         self._requester = member
         if self.vote is not None:
             self.outbox.send(member, VoteReply(slot, digest, self.vote))
--- a/madderbeam/federation/consensus/status.py
+++ b/madderbeam/federation/consensus/status.py
@@ -43,12 +43,12 @@
     }
     if participant.slot is not None:
         state = "pending" if participant.vote is None else _describe_vote(participant.vote)
-        since_ms = (now_us - participant.since_us) // 1000
+        since_ms = (now_us - participant.pending_since_us) // 1000
         result["staged"] = {"digest": participant.digest, "word": state, "for_ms": since_ms}
     if coordinator is not None and coordinator.claim is not None:
         result["driven"] = {
             "digest": coordinator.claim.digest,
-            "for_ms": (now_us - coordinator.since_us) // 1000,
+            "for_ms": (now_us - coordinator.pending_since_us) // 1000,
             "words": {vote.site: _describe_vote(vote) for vote in coordinator.votes},
             "not_staged": {
                 site: _describe_missing(agreement, site, now_us) for site in coordinator.missing_sites
@@ -69,4 +69,4 @@
     coordinator = agreement.failover.coordinator
     assert coordinator is not None
     silent = tuple(m for m in coordinator.participants(site) if m not in coordinator.member_votes)
-    return describe_silent(silent, agreement.views, now_us)
+    return describe_silent(silent, agreement.member_views, now_us)
--- a/madderbeam/federation/errors.py
+++ b/madderbeam/federation/errors.py
@@ -218,7 +218,7 @@
 
 
 class LimitsMany(FederationError):
-    """More endpoints or quotas have limits than can be shared: the remaining ones are split evenly."""
+    """More endpoints or quotas are limited than can be shared: couriers get equal parts of the others."""
 
     code = "limits-many"
     advice = "limit fewer endpoints or quotas, or leave it so: each courier has its equal part of the rest"
--- a/madderbeam/federation/leases/lease.py
+++ b/madderbeam/federation/leases/lease.py
@@ -28,7 +28,7 @@
 
 
 class LeaseHolder:
-    """The lease of this member: it is valid until `until_us`."""
+    """The lease of this member: it is valid until `valid_until_us`."""
 
     def __init__(self, settings: SwitchoverSettings) -> None:
         self.settings = settings
@@ -49,10 +49,10 @@
         """A voter's reply; a majority of grants for one request extends the lease."""
         if not message.granted or message.ask not in self._open_requests:
             return
-        asked_us, granted_by = self._open_requests[message.ask]
+        requested_us, granted_by = self._open_requests[message.ask]
         granted_by.add(member)
         if is_majority(voters, granted_by):
-            self.valid_until_us = max(self.valid_until_us, asked_us + self.settings.lease_us)
+            self.valid_until_us = max(self.valid_until_us, requested_us + self.settings.lease_us)
 
     def invalidate(self) -> None:
         """The lease is void: this process was paused, or the voters have changed."""
@@ -63,8 +63,8 @@
 class LeaseGrantor:
     """What this member granted and confirmed as a voter.
 
-    `refused`: the table number below which a member's lease is not renewed, because its end was confirmed.
-    `lease_spans_us`: the span of the leases by which a member serves. Both are on disk.
+    `min_renewal_table`: the table number below which a member's lease is not renewed, because its end was
+    confirmed. `lease_spans_us`: the span of the leases by which a member serves. Both are on disk.
     """
 
     def __init__(self, settings: SwitchoverSettings, records: Mapping[tuple[str, str], Any]) -> None:
--- a/madderbeam/federation/values.py
+++ b/madderbeam/federation/values.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class MemberRow:
-    """A member as the table lists it. `votes`: it is one of the voters that decide on the next table."""
+    """A member as the table lists it. `is_voter`: it is one of those that decide on the next table."""
 
     name: str
     address: Address
@@ -30,8 +30,8 @@
 class Table:
     """Which site serves which destination.
 
-    `off`: members that an operator declared gone for good. The declaration counts as their release of the
-    destinations that they served.
+    `decommissioned`: members that an operator declared gone for good ("off" in the document). The declaration
+    counts as their release of the destinations that they served.
     """
 
     number: int
@@ -51,7 +51,7 @@
         )
 
     def document(self) -> dict[str, Any]:
-        """The table as it is written to a file; federation.table.read is the inverse."""
+        """The table as it is written to a file; federation.table.read_table is the inverse."""
         sites = {
             site: {
                 row.name: {"address": f"{row.address[0]}:{row.address[1]}", "votes": row.is_voter}
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True)
 class TableChecked:
-    """The host's reply to CheckTable. `why` is "" if this site can serve by the table, else the reason."""
+    """The host's reply to CheckTable. `reason` is "" if this site can serve by the table."""
 
     proposal: ProposalId
     reason: str
@@ -171,7 +171,7 @@
 
 @dataclass(frozen=True)
 class TableInForce:
-    """This table is in force at this member from now on; `before` was until now (None at a start)."""
+    """This table is in force at this member from now on; `previous` was until now (None at a start)."""
 
     table: Table
     previous: Table | None
@@ -199,10 +199,10 @@
 
 @dataclass(frozen=True)
 class SuspendServing:
-    """Suspends serving until it is known which table is in force, or resumes it (`on` false). `why` is shown
-    to clients and logged.
+    """Suspends serving until it is known which table is in force, or resumes it. `reason` is shown to clients
+    and logged.
 
-    `dests`: only these destinations are suspended (None: all). It replaces any earlier suspension.
+    `destinations`: only these are suspended (None: all). It replaces any earlier suspension.
     """
 
     is_suspended: bool
--- a/tests/federation_pure/agreement_net.py
+++ b/tests/federation_pure/agreement_net.py
@@ -60,7 +60,7 @@
 
 
 def table(number: int = 1, sites: int = 3, members: int = 1, variant: int = 0, **changed: Any) -> Table:
-    """A table with sites s00, s01, ... and members m0, m1, ...; the first of each site votes. `mark` makes
+    """A table with sites s00, s01, ... and members m0, m1, ...; the first of each site votes. `variant` makes
     tables differ.
     """
     named = {
--- a/tests/federation_pure/test_agreement_crashes.py
+++ b/tests/federation_pure/test_agreement_crashes.py
@@ -157,6 +157,6 @@
             sizes[-1] += [
                 len(machine.rollback_detector.seen_marks),
                 len(machine.agreed_tables.tables),
-                len(machine.views),
+                len(machine.member_views),
             ]
     assert sizes[0] == sizes[1] and max(sizes[1]) <= 16, sizes
