--- a/madderbeam/federation/errors.py
+++ b/madderbeam/federation/errors.py
@@ -97,7 +97,7 @@
 
 
 class MembersFull(FederationError):
-    """There are more members, including those that are gone, than one member stores."""
+    """There are more members, or more that are gone, than one member stores."""
 
     code = "members-full"
     advice = "raise members_most, or look for members that start under ever new names"
--- a/tests/federation_pure/agreement_model.py
+++ b/tests/federation_pure/agreement_model.py
@@ -45,8 +45,8 @@
 )
 
 MEMBERS = (member_id(0), member_id(1), member_id(2))
-FIRST, OFFERS = table(1), (table(2, variant=1), table(2, variant=2))
-TABLES = (FIRST, *OFFERS)
+FIRST, PROPOSED_TABLES = table(1), (table(2, variant=1), table(2, variant=2))
+TABLES = (FIRST, *PROPOSED_TABLES)
 SETTINGS = AgreementSettings(
     resend_interval_us=8,
     failover_timeout_us=1,
@@ -111,7 +111,7 @@
     crashes: int
     duplicates: int
     timer_firings: int
-    offers: tuple[int, ...]  # members that have not proposed their table yet
+    proposers: tuple[int, ...]  # members that have not proposed their table yet
     machines: tuple[Agreement, ...] = field(compare=False)
     step: int = field(default=0, compare=False)  # actions after which its member could have crashed
 
@@ -238,7 +238,7 @@
         if isinstance(message, m.SlotAborted) and not any(
             v is not None and v.code for v in self._chosen(message.slot, message.digest).values()
         ):
-            raise InvariantViolated(f"{message.slot} is told as over and is not")
+            raise InvariantViolated(f"{message.slot} is announced as aborted and is not")
         self.frames.add((member_index, to, _pack(_without_details(message))))
 
     def _write(self, member_index: int, record: Persist) -> None:
@@ -250,7 +250,7 @@
         if record.kind == "vote" and record.value["claim"]:
             self._count(member_index, record.value)
         if record.kind == "staged" and record.value is not None:
-            digest = next(o.digest for o in OFFERS if o.document() == record.value["document"])
+            digest = next(o.digest for o in PROPOSED_TABLES if o.document() == record.value["document"])
             self.history.add(("staged", digest, member_index))
 
     def _count(self, member_index: int, value: Any) -> None:
@@ -281,11 +281,11 @@
         for member_index, member in enumerate(MEMBERS):
             if member.site not in chosen or chosen[member.site].code:
                 raise InvariantViolated(
-                    f"table {agreed.proposal_id} is told as agreed, {member.site} is not decided"
+                    f"table {agreed.proposal_id} is announced as agreed, {member.site} is not decided"
                 )
             if ("staged", agreed.digest, member_index) not in self.history:
                 raise InvariantViolated(
-                    f"table {agreed.proposal_id} is told as agreed, {member} never staged it"
+                    f"table {agreed.proposal_id} is announced as agreed, {member} never staged it"
                 )
         self.history.add(("agreed", agreed.digest, 0))
         if len([row for row in self.history if row[0] == "agreed"]) > 1:
@@ -309,19 +309,21 @@
         )  # fmt: skip
 
 
-def first_state(crashes: int, duplicates: int, timer_firings: int, offers: tuple[int, ...] = (0, 1)) -> State:
+def first_state(
+    crashes: int, duplicates: int, timer_firings: int, proposers: tuple[int, ...] = (0, 1)
+) -> State:
     machines = [_started(member_index, 1, frozenset())[0] for member_index in range(3)]
     return State(
         tuple(map(_key, machines)), (frozenset(),) * 3, frozenset(), (frozenset(),) * 3, frozenset(),
-        crashes, duplicates, timer_firings, offers, tuple(machines),
+        crashes, duplicates, timer_firings, proposers, tuple(machines),
     )  # fmt: skip
 
 
 def events(state: State) -> Iterator[tuple[int, int, Any, dict[str, Any]]]:
     """All events that may come next: member, time, event, and what it changes in the state."""
-    for member_index in state.offers:
-        left = tuple(w for w in state.offers if w != member_index)
-        yield member_index, 0, TableProposed(OFFERS[member_index]), {"offers": left}
+    for member_index in state.proposers:
+        left = tuple(index for index in state.proposers if index != member_index)
+        yield member_index, 0, TableProposed(PROPOSED_TABLES[member_index]), {"proposers": left}
     for frame in state.frames:
         source, to, row = frame
         event = MessageReceived(MEMBERS[source], _unpack(row))
@@ -372,7 +374,9 @@
 
 def undisturbed_run(initial: State) -> list[State]:
     """The states of an agreement on the first proposal without any fault."""
-    states = [after(initial, 0, 0, TableProposed(OFFERS[0]), {"offers": initial.offers[1:]}, None)]
+    states = [
+        after(initial, 0, 0, TableProposed(PROPOSED_TABLES[0]), {"proposers": initial.proposers[1:]}, None)
+    ]
     while states[-1].frames:
         state = states[-1]
         member_index, now_us, event, change = min(
@@ -442,9 +446,9 @@
     bare = {(s.keys, s.disks, s.history): replace(s, frames=frozenset()) for s in steps}
     budget = {"crashes": crashes, "duplicates": duplicates, "timer_firings": timer_firings}
     return {
-        "from nothing": [replace(initial, offers=(0, 1), **budget)],
-        "from each step": [replace(s, offers=(1,), **budget) for s in steps],
-        "from each step, its frames lost": [replace(s, offers=(1,), **budget) for s in bare.values()],
+        "from nothing": [replace(initial, proposers=(0, 1), **budget)],
+        "from each step": [replace(s, proposers=(1,), **budget) for s in steps],
+        "from each step, its frames lost": [replace(s, proposers=(1,), **budget) for s in bare.values()],
     }
 
 
--- a/tests/federation_pure/agreement_net.py
+++ b/tests/federation_pure/agreement_net.py
@@ -157,8 +157,8 @@
         if machine is not None:
             self.perform(member, machine.handle(self.now_us, event))
 
-    def propose(self, member: MemberId, offered: Table) -> None:
-        self.deliver(member, TableProposed(offered))
+    def propose(self, member: MemberId, proposed: Table) -> None:
+        self.deliver(member, TableProposed(proposed))
 
     # Actions
 
@@ -306,12 +306,12 @@
                 f"{message.slot} is announced as aborted and is not"
             )
         if isinstance(message, Decided) and message.number > self.first.number:
-            offered = [d for (s, _, _), d in self.chosen.items() if s.number == message.number]
-            assert message.digest in offered, f"table {message.number} is announced as agreed and is not"
+            proposed = [d for (s, _, _), d in self.chosen.items() if s.number == message.number]
+            assert message.digest in proposed, f"table {message.number} is announced as agreed and is not"
 
-    def outcome(self, offered: Table) -> ProposalOutcome | None:
+    def outcome(self, proposed: Table) -> ProposalOutcome | None:
         """The last outcome reported for this table."""
-        reports = [o for _, o in self.outcomes if o.proposal == offered.proposal_id]
+        reports = [o for _, o in self.outcomes if o.proposal == proposed.proposal_id]
         return reports[-1] if reports else None
 
     def all_at(self, number: int) -> bool:
--- a/tests/federation_pure/agreement_schedules.py
+++ b/tests/federation_pure/agreement_schedules.py
@@ -69,7 +69,7 @@
     rejection_rate = rng.choice([0, 0, 0.1])
     net.crashes_after = lambda member, action: net.rng.random() < crash_rate
     net.write_fails = lambda member, record: net.rng.random() < write_failure_rate
-    net.check_result = lambda member, offered: (
+    net.check_result = lambda member, proposed: (
         net.rng.choice(["", None, "no partner 7"]) if (net.rng.random() < rejection_rate) else ""
     )
 
@@ -86,7 +86,7 @@
     net.crashes_after, net.write_fails, net.check_result = (
         (lambda member, action: False),
         (lambda member, record: False),
-        (lambda member, offered: ""),
+        (lambda member, proposed: ""),
     )
     net.start(*(m for m in members if m not in net.up))
     for member in members:
