--- a/bench/quota.py
+++ b/bench/quota.py
@@ -13,8 +13,8 @@
 import tracemalloc
 from typing import Any
 
-from madderbeam.quota.gate import Gate
-from madderbeam.quota.tree import NONE, Limit, Limits, Node, Passed, Tree
+from madderbeam.quota.gate import QuotaAdmission
+from madderbeam.quota.tree import NONE, Admitted, Limit, Limits, Node, Tree
 
 
 def limits(amount: int, dims: int, reserved: int = 0) -> Limits:
@@ -59,7 +59,9 @@
     return found
 
 
-def gate(nodes: int, depth: int, dims: int, leased: bool, leaf: int = 800) -> tuple[Gate, list[str]]:
+def gate(
+    nodes: int, depth: int, dims: int, leased: bool, leaf: int = 800
+) -> tuple[QuotaAdmission, list[str]]:
     """A gate over such a tree; a tenant at each leaf."""
     fan = max(2, round(nodes ** (1 / (depth - 1))))
     top = written(fan ** (depth - 1) * leaf, dims)
@@ -72,14 +74,14 @@
         for name, parent in made:
             more = {"limit": own} if height else {"tenants": [name]}
             rows.append({"name": name, "parent": parent, "share": own, **more})
-    found = Gate({"form": 1, "couriers": 1, "nodes": rows}, 0, random.Random(1), 10**9, leased)
+    found = QuotaAdmission({"form": 1, "couriers": 1, "nodes": rows}, 0, random.Random(1), 10**9, leased)
     if found.leased is not None:
-        for name in found.leased.lots:
-            found.allot(name, 1.0, 1 << 60, 0.0, 0)
+        for name in found.leased.nodes:
+            found.set_lease(name, 1.0, 1 << 60, 0.0, 0)
     return found, level
 
 
-def cost(made: Gate, asked: list[tuple[str, str, int, int, int]]) -> tuple[float, float]:
+def cost(made: QuotaAdmission, asked: list[tuple[str, str, int, int, int]]) -> tuple[float, float]:
     """Median us a message over tenths of them, and the share that passed."""
     costs, passed = [], 0
     for first in range(0, len(asked), len(asked) // 10):
@@ -131,7 +133,7 @@
         at += chance.expovariate(limit * load)
         one = 0 if chance.random() < uneven else chance.randrange(1, couriers)
         for n, tree in enumerate((whole[0], parts[one])):
-            refused[n] += not isinstance(tree.admit(tree.root, 0, int(at * 1e6)), Passed)
+            refused[n] += not isinstance(tree.admit(tree.root, 0, int(at * 1e6)), Admitted)
         count += 1
     return refused[0] / count, refused[1] / count
 
@@ -154,7 +156,7 @@
         for first in range(0, args.messages, args.messages // 10):
             part = asked[first : first + args.messages // 10]
             began = time.process_time()
-            passed += sum(isinstance(tree.admit(*row), Passed) for row in part)
+            passed += sum(isinstance(tree.admit(*row), Admitted) for row in part)
             costs.append((time.process_time() - began) / len(part) * 1e6)
         print(
             f"{tree.size} nodes, depth {args.depth}, {dims} dimensions: {statistics.median(costs):.1f} us "
--- a/bench/shared.py
+++ b/bench/shared.py
@@ -32,8 +32,8 @@
 from madderbeam.shared.lease_messages import from_row, to_row
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.needs import Meter
-from madderbeam.shared.values import Limit, Need, Site
+from madderbeam.shared.needs import RateMeter
+from madderbeam.shared.values import Limit, Need, SiteMembers
 
 S = 1_000_000
 MEMBERS, RATE = 50, "rate/1"
@@ -54,7 +54,7 @@
         ]
         for n in range(members):
             self.hand(n, Limit(RATE, total, total / members))
-            self.hand(n, Site(self.ids))
+            self.hand(n, SiteMembers(self.ids))
             for m in self.ids:
                 self.hand(n, MemberChanged(MemberView(m, Incarnation(1, 0), 0, State.ALIVE, ("", 0), 0)))
 
@@ -138,7 +138,7 @@
     leases = [Queue(total / MEMBERS) for _ in range(MEMBERS)]
     fixed = [Queue(total / MEMBERS) for _ in range(MEMBERS)]
     central, came, served = Queue(total), 0, [0, 0, 0]
-    meters = [Meter() for _ in range(MEMBERS)]
+    meters = [RateMeter() for _ in range(MEMBERS)]
     for meter in meters:
         meter.rate = LOAD / MEMBERS
     site.run(10 * S)
@@ -155,9 +155,9 @@
             served[1] += fixed[n].take(total / MEMBERS, wanted)
             amount = site.machines[n].amount(RATE, site.now)
             served[0] += leases[n].take(amount, wanted)
-            meters[n].came(wanted, STEP / S)
+            meters[n].record_arrivals(wanted, STEP / S)
             if step % 5 == 0:
-                site.hand(n, Need(RATE, meters[n].need(leases[n].count)))
+                site.hand(n, Need(RATE, meters[n].needed_rate(leases[n].count)))
         served[2] += central.take(total, all_wanted)
     span = minutes * 60
     each = (sum(site.bytes) - sent[0]) / span / MEMBERS
--- a/bench/shared_site.py
+++ b/bench/shared_site.py
@@ -9,15 +9,15 @@
 
 sys.path[:0] = [str(Path(__file__).parents[1] / "tests" / "shared")]
 
-from site_net import SETTINGS, ModelPartner, S, Town, settled  # noqa: E402
+from site_net import SETTINGS, ModelPartner, S, SiteNetwork, settled  # noqa: E402
 
-from madderbeam.shared.values import Kind, Learnt, News  # noqa: E402
+from madderbeam.shared.values import Finding, FindingKind, LocalFinding  # noqa: E402
 
 MEMBERS, EACH = 50, 4.0  # messages a second of each courier
 
 
 def _town(base, seed, share, capacity, each=EACH, calm_s=4):
-    town = Town(base, seed, share, [each] * MEMBERS, ModelPartner(capacity))
+    town = SiteNetwork(base, seed, share, [each] * MEMBERS, ModelPartner(capacity))
     town.run(calm_s * S)
     return town
 
@@ -53,17 +53,17 @@
     """From one courier's word to all others heeding it: told at once, and with the probes alone."""
     town = _town(settled(MEMBERS), 1, True, 1000, each=0.0)
     ids = list(town.couriers)
-    for kind in (Kind.WAIT, Kind.FULL):
+    for kind in (FindingKind.RETRY_AFTER, FindingKind.TABLE_FULL):
         spans = []
         for n in range(times):
             for courier in town.couriers.values():
                 courier.heeds.clear()
             town.run(town.chance.randrange(S))
             at, me = town.now, ids[n % MEMBERS]
-            span = (60 if kind is Kind.WAIT else 10) * S + n  # its own
-            town.couriers[me].tell_news(Learnt(News(kind, 1, "p-1", span)))
-            town.run(30 * S if kind is Kind.FULL else 2 * S)
-            town.couriers[me].tell_news(Learnt(News(kind, 1, "p-1", 0)))
+            span = (60 if kind is FindingKind.RETRY_AFTER else 10) * S + n  # its own
+            town.couriers[me].tell_news(LocalFinding(Finding(kind, 1, "p-1", span)))
+            town.run(30 * S if kind is FindingKind.TABLE_FULL else 2 * S)
+            town.couriers[me].tell_news(LocalFinding(Finding(kind, 1, "p-1", 0)))
             heard = [
                 min((t for t, news in c.heeds if news.kind is kind), default=None)
                 for m, c in town.couriers.items()
@@ -85,7 +85,7 @@
         base, found = settled(members, settle_s=40), []
         for share in (False, True):
             rates = [200 / members] * members
-            town = Town(base, 1, share, rates, ModelPartner(400))
+            town = SiteNetwork(base, 1, share, rates, ModelPartner(400))
             town.run(5 * S)
             town.net.bytes, at = 0, town.now
             for _ in range(3):
--- a/madderbeam/changes/check.py
+++ b/madderbeam/changes/check.py
@@ -163,10 +163,10 @@
     raw = snapshot.get(("whole", "quota"))
     if not raw:
         return
-    from madderbeam.quota.gate import Gate, QuotaError
+    from madderbeam.quota.gate import QuotaAdmission, QuotaError
 
     try:
-        Gate(raw, 0, random.Random(0), 1)
+        QuotaAdmission(raw, 0, random.Random(0), 1)
         nodes = list(raw["nodes"])
     except QuotaError as error:
         yield errors.Broken("quota", str(error).removeprefix("quota: "), "a tree that adds up")
--- a/madderbeam/config/check.py
+++ b/madderbeam/config/check.py
@@ -161,10 +161,10 @@
             owners.setdefault(key, node.name)
     if right and estate.quota:
         from madderbeam.config.quotas import quota
-        from madderbeam.quota.gate import Gate, QuotaError
+        from madderbeam.quota.gate import QuotaAdmission, QuotaError
 
         try:
-            Gate(quota(estate, 1) or {}, 0, random.Random(0), 1)
+            QuotaAdmission(quota(estate, 1) or {}, 0, random.Random(0), 1)
         except QuotaError as error:
             report.add(source, ("quota", 0), str(error).removeprefix("quota: "), "a tree that adds up")
 
--- a/madderbeam/config/platform.py
+++ b/madderbeam/config/platform.py
@@ -188,10 +188,10 @@
         return None
     import random
 
-    from madderbeam.quota.gate import Gate, QuotaError
+    from madderbeam.quota.gate import QuotaAdmission, QuotaError
 
     try:
-        Gate(raw, 0, random.Random(0), 1)
+        QuotaAdmission(raw, 0, random.Random(0), 1)
     except (QuotaError, AttributeError) as error:
         raise ConfigError(f"{shown}: {error}") from None
     return dict(raw)
--- a/madderbeam/host/admission.py
+++ b/madderbeam/host/admission.py
@@ -81,13 +81,13 @@
         weight = 1.0
         for check in self.gates:
             verdict = check.ask(tenant, cls, len(put.body))
-            if verdict.why:
+            if verdict.reason:
                 self.figures.ended(ABORTED, cls)
-                reply.failed(verdict.why)
+                reply.failed(verdict.reason)
                 return
             if not verdict.passed:
                 self.figures.ended(DECLINED, cls)
-                reply.busy(verdict.after_us)
+                reply.busy(verdict.retry_after_us)
                 return
             weight *= verdict.weight
         self.numbers += 1
--- a/madderbeam/host/components.py
+++ b/madderbeam/host/components.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from madderbeam.journal.pending_message import PendingMessage
-    from madderbeam.quota.gate import Verdict
+    from madderbeam.quota.gate import QuotaVerdict
     from madderbeam.transport.clients import Put
     from madderbeam.transport.reply_handle import ReplyHandle
 
@@ -54,7 +54,7 @@
 class AdmissionCheck(Protocol):
     """Checks each message before it is journaled; the engine gets only messages that pass all checks."""
 
-    def ask(self, tenant: int, cls: int, size: int) -> Verdict:
+    def ask(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
         """Whether a message of `size` bytes passes; a message that passes is counted."""
         ...
 
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -77,8 +77,8 @@
 from madderbeam.shared import lease_messages as lent
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.returning import Partners
-from madderbeam.shared.values import Allot, Heed, Lapsed, TryFor
+from madderbeam.shared.returning import PartnerOutages
+from madderbeam.shared.values import ApplyFinding, FindingExpired, SetAllowance, SetProbing
 from madderbeam.transport.mesh import events as heard
 from madderbeam.transport.mesh.events import MeshSettings
 from madderbeam.transport.mesh.mesh import Mesh
@@ -241,7 +241,7 @@
         self.news: Runner | None = None
         if not self.config.share:
             return
-        partners = Partners(self.me, self.life)
+        partners = PartnerOutages(self.me, self.life)
         settings = LeaseSettings(drift_ppm=self.config.lease_drift_ppm)
         leases = Leases(
             settings,
@@ -408,10 +408,10 @@
         if self.shared is None:
             return {}
         return {
-            Heed: self.shared.heed,
-            Lapsed: self.shared.lapsed,
-            TryFor: self.shared.try_for,
-            Allot: self.shared.allot,
+            ApplyFinding: self.shared.heed,
+            FindingExpired: self.shared.lapsed,
+            SetProbing: self.shared.try_for,
+            SetAllowance: self.shared.allot,
         }
 
     def _member_changed(self, action: MemberChanged) -> None:
--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -16,8 +16,8 @@
 from madderbeam.policy.events import ListUpdateKind
 from madderbeam.shared.division import rounded
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.needs import Meter
-from madderbeam.shared.values import Allot, Limit, Need
+from madderbeam.shared.needs import RateMeter
+from madderbeam.shared.values import Limit, Need, SetAllowance
 
 PLACES_MOST = 512  # destinations whose places are shared
 ONE = 1 << 20  # a whole limit, as the tree counts its parts
@@ -46,7 +46,7 @@
             self.gate = next(g.gate for g in host.admission.gates if isinstance(g, QuotaComponent))
             if self.gate.leased.unleased:
                 self._many(f"{self.gate.leased.unleased} quotas have equal parts")
-        self.meters: dict[str, tuple[Meter, Meter]] = {}  # by quota's node: messages, bytes
+        self.meters: dict[str, tuple[RateMeter, RateMeter]] = {}  # by quota's node: messages, bytes
         self.largest: dict[str, tuple[int, float]] = {}  # bytes, and for how many seconds they count still
         host.calls.places = self
 
@@ -136,11 +136,11 @@
 
     # Leases
 
-    def allot(self, action: Allot) -> None:
+    def allot(self, action: SetAllowance) -> None:
         """What this courier may use of a limit."""
         kind, _, name = action.resource.partition("/")
         if kind == "quota" and self.gate is not None:
-            self.gate.allot(name, action.amount, action.until_us, action.after, self.host.clock())
+            self.gate.allot(name, action.amount, action.until_us, action.fallback, self.host.clock())
         elif kind == "places":
             for endpoint in self.places.get(int(name), ()):
                 self.host.calls.trim(endpoint)
@@ -164,15 +164,17 @@
             if name not in asked and name not in self.meters:
                 continue
             messages, size, largest = asked.get(name, (0, 0, 0))
-            counts, sizes = self.meters.setdefault(name, (Meter(), Meter()))
-            sizes.each = max(1.0, size / messages) if messages else sizes.each
-            counts.came(messages, span_s)
-            sizes.came(size, span_s)
+            counts, sizes = self.meters.setdefault(name, (RateMeter(), RateMeter()))
+            sizes.units_per_arrival = max(1.0, size / messages) if messages else sizes.units_per_arrival
+            counts.record_arrivals(messages, span_s)
+            sizes.record_arrivals(size, span_s)
             known, left_s = self.largest.get(name, (0, 0.0))
             if largest >= known or left_s <= 0:
                 known, left_s = largest, LARGEST_S
             self.largest[name] = (known, left_s - span_s)
-            part = self.gate.leased.wanted(lot, counts.need() * SPARE, sizes.need() * SPARE, known)
+            part = self.gate.leased.wanted(
+                lot, counts.needed_rate() * SPARE, sizes.needed_rate() * SPARE, known
+            )
             self.lease(Need(f"quota/{name}", part))
 
     # The second address
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/shared.py
@@ -21,21 +21,21 @@
 from madderbeam.policy.events import AttemptResult, EndpointEntry, EndpointState, ListUpdateKind
 from madderbeam.policy.state import Destination
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.needs import Meter
-from madderbeam.shared.returning import Partners
+from madderbeam.shared.needs import RateMeter
+from madderbeam.shared.returning import PartnerOutages
 from madderbeam.shared.values import (
-    Allot,
-    Answered,
-    Failed,
-    Heed,
-    Kind,
-    Lapsed,
-    Learnt,
+    ApplyFinding,
+    CallAnswered,
+    CallFailed,
+    Finding,
+    FindingExpired,
+    FindingKind,
     Limit,
+    LocalFinding,
     Need,
-    News,
-    Site,
-    TryFor,
+    SetAllowance,
+    SetProbing,
+    SiteMembers,
 )
 from madderbeam.transport.calls import Item, Outcome
 
@@ -66,7 +66,7 @@
         me: MemberId,
         life: Incarnation,
         serving: Serving,
-        partners: Partners,
+        partners: PartnerOutages,
         leases: Leases,
         news: Callable[[Any], None],
         lease: Callable[[Any], None],
@@ -86,7 +86,7 @@
         self.until: dict[int, int] = {}  # how long that holds
         self.stale: set[int] = set()  # whose lease has ended, which the decision module has not heard yet
         self.arrivals: dict[int, int] = {}
-        self.meters: dict[int, Meter] = {}
+        self.meters: dict[int, RateMeter] = {}
         self.limits: dict[str, Limit] = {}
         self.members = 1
         self.more = Limits(host, leases, lease)
@@ -126,7 +126,7 @@
         """Another table is in force."""
         members = table.members(self.me.site)
         self.members = max(1, len(members))
-        site = Site(members, earlier, first=table.number <= 1)
+        site = SiteMembers(members, earlier, is_first_table=table.number <= 1)
         self.news(site)
         self._limits()
         self.more.table(self.members)
@@ -162,7 +162,7 @@
         if (entry := self._entry(endpoint)) is not None:
             apart = self.host.s.kinds[min(entry.kind, len(self.host.s.kinds) - 1)].limits_per_endpoint
             uid = self.host.listing.names[endpoint] if apart else ""
-            self.news(Learnt(News(Kind.WAIT, entry.destination, uid, wait_us)))
+            self.news(LocalFinding(Finding(FindingKind.RETRY_AFTER, entry.destination, uid, wait_us)))
 
     def answered(self, endpoint: int) -> None:
         """It answered: what was out is back, for all."""
@@ -172,13 +172,13 @@
         self.answered_us[dest] = now
         self.failed.discard(dest)
         if self.partners.answered(now, dest):
-            self.news(Answered(dest))
+            self.news(CallAnswered(dest))
         if dest in self.out:
             self.out.discard(dest)
             log.info("federation: destination %d answers again", dest)
-            tried = dest in self.partners.trying
-            self.news(Learnt(News(Kind.BACK, dest, "", self.host.s.warm_up_us)))
-            self.news(Learnt(News(Kind.OUTAGE, dest, "", 0)))
+            tried = dest in self.partners.probing
+            self.news(LocalFinding(Finding(FindingKind.RECOVERY, dest, "", self.host.s.warm_up_us)))
+            self.news(LocalFinding(Finding(FindingKind.OUTAGE, dest, "", 0)))
             if tried:
                 self._show(dest, cold=True)
 
@@ -188,7 +188,7 @@
         if entry is None or self.answered_us.get(entry.destination, -1) >= now - latency_us:
             return
         self.failed.add(entry.destination)
-        self.news(Failed(entry.destination))
+        self.news(CallFailed(entry.destination))
         if not self.looking:
             self.looking = True
             self.host.later(SOON_S, self._look_soon)
@@ -202,7 +202,7 @@
             if e.state is EndpointState.DRAINING
         }
         for uid in now.keys() - self.drains:
-            self.news(Learnt(News(Kind.DRAIN, now[uid], uid, self.host.s.drain_grace_us)))
+            self.news(LocalFinding(Finding(FindingKind.DRAIN, now[uid], uid, self.host.s.drain_grace_us)))
         self.drains = set(now)
         self._limits()
         self.more.listed()
@@ -223,10 +223,10 @@
         known = self.host.clock() - self.back_us.get(number, 0) < LOOK_S * 1e6  # not found since
         if endpoints and trouble and not known and (dest.queue or dest.in_flight):
             self.out.add(number)
-            self.news(Learnt(News(Kind.OUTAGE, number, "", OUT_US)))
+            self.news(LocalFinding(Finding(FindingKind.OUTAGE, number, "", OUT_US)))
         elif number in self.out and not any(ep.circuit.is_open for ep in endpoints):
             self.out.discard(number)
-            self.news(Learnt(News(Kind.OUTAGE, number, "", 0)))
+            self.news(LocalFinding(Finding(FindingKind.OUTAGE, number, "", 0)))
 
     def _find_bounds(self, number: int, dest: Destination) -> None:
         """Connection tables that were full, and the pace that refusals led to, where no rate is listed."""
@@ -240,9 +240,11 @@
                 ):
                     self.full_us[ep.id] = ep.connection_limit_at_us
                     left_us = ep.connection_limit_at_us + FULL_US - self.host.clock()
-                    self.news(Learnt(News(Kind.FULL, number, uid, max(0, left_us))))
+                    self.news(LocalFinding(Finding(FindingKind.TABLE_FULL, number, uid, max(0, left_us))))
             if lane.pace_per_s and not lane.listed_rate_per_s and number in self.refused:
-                self.news(Learnt(News(Kind.LIMIT, number, "", LIMIT_US, lane.pace_per_s)))
+                self.news(
+                    LocalFinding(Finding(FindingKind.RATE_LIMIT, number, "", LIMIT_US, lane.pace_per_s))
+                )
 
     def _look(self) -> None:
         """What the decision module has found since."""
@@ -256,9 +258,9 @@
             if f"rate/{number}" in self.limits:
                 came = dest.arrivals - self.arrivals.get(number, 0)
                 self.arrivals[number] = dest.arrivals
-                meter = self.meters.setdefault(number, Meter())
-                meter.came(came, LOOK_S)
-                self.lease(Need(f"rate/{number}", meter.need(len(dest.queue))))
+                meter = self.meters.setdefault(number, RateMeter())
+                meter.record_arrivals(came, LOOK_S)
+                self.lease(Need(f"rate/{number}", meter.needed_rate(len(dest.queue))))
         self.more.look(LOOK_S)
         self.host.later(LOOK_S, self._look)
 
@@ -275,33 +277,33 @@
 
     # What others tell
 
-    def heed(self, action: Heed) -> None:
+    def heed(self, action: ApplyFinding) -> None:
         """Hold back by it."""
-        news, listing = action.news, self.host.listing
-        if news.kind is Kind.WAIT:
+        news, listing = action.finding, self.host.listing
+        if news.kind is FindingKind.RETRY_AFTER:
             uid = news.uid if news.uid in listing.uids else ""
             entries = listing.told_again(news.dest, uid, self.host.clock() + news.left_us)
             self.host.list_told(ListUpdateKind.DELTA, entries)
-        elif news.kind is Kind.DRAIN and news.uid in listing.uids:
+        elif news.kind is FindingKind.DRAIN and news.uid in listing.uids:
             listing.drains_passed_on[news.uid] = None
             self._show(news.dest)
-        elif news.kind in (Kind.OUTAGE, Kind.DOUBT):
-            if news.kind is Kind.OUTAGE:
+        elif news.kind in (FindingKind.OUTAGE, FindingKind.SUSPICION):
+            if news.kind is FindingKind.OUTAGE:
                 log.info(
                     "federation: destination %d is out, says %s: %s tries for all",
                     news.dest,
                     action.source,
-                    self.partners.trier(self.host.clock(), news.dest),
+                    self.partners.prober(self.host.clock(), news.dest),
                 )
             if news.dest not in self.held:
                 self.held.add(news.dest)
                 self._show(news.dest)
-        elif news.kind is Kind.BACK:
+        elif news.kind is FindingKind.RECOVERY:
             self._is_back(news.dest)
-        elif news.kind is Kind.FULL and news.uid in listing.uids:
+        elif news.kind is FindingKind.TABLE_FULL and news.uid in listing.uids:
             until_us = self.host.clock() + min(news.left_us, FULL_US)
             self._tell(news.dest, lambda e: replace(e, connect_not_before_us=until_us), news.uid)
-        elif news.kind is Kind.LIMIT and not any(e.rate_per_s for e in self._entries(news.dest)):
+        elif news.kind is FindingKind.RATE_LIMIT and not any(e.rate_per_s for e in self._entries(news.dest)):
             self._tell(news.dest, lambda e: replace(e, paced_per_s=news.value))
 
     def _is_back(self, dest: int) -> None:
@@ -310,32 +312,32 @@
         self.back_us[dest] = self.host.clock()
         if dest in self.out:
             self.out.discard(dest)
-            self.news(Learnt(News(Kind.OUTAGE, dest, "", 0)))
+            self.news(LocalFinding(Finding(FindingKind.OUTAGE, dest, "", 0)))
         self._show(dest, cold=True)
 
-    def lapsed(self, action: Lapsed) -> None:
+    def lapsed(self, action: FindingExpired) -> None:
         """It holds no more."""
-        if action.kind in (Kind.OUTAGE, Kind.DOUBT):
+        if action.kind in (FindingKind.OUTAGE, FindingKind.SUSPICION):
             self.held.discard(action.dest)
-            self._show(action.dest, cold=action.kind is Kind.OUTAGE)
+            self._show(action.dest, cold=action.kind is FindingKind.OUTAGE)
 
-    def try_for(self, action: TryFor) -> None:
+    def try_for(self, action: SetProbing) -> None:
         """This courier tries for all, or does no longer."""
         self._show(action.dest)
         log.info(
             "federation: destination %d: this courier %s for all",
             action.dest,
-            "tries" if action.on else "tries no longer",
+            "tries" if action.enabled else "tries no longer",
         )
 
     # Leases
 
-    def allot(self, action: Allot) -> None:
+    def allot(self, action: SetAllowance) -> None:
         """What this courier may use of a limit."""
         kind, _, dest = action.resource.partition("/")
         if kind == "rate" and dest.isdecimal():
             runs = self.host.clock() < action.until_us
-            self._rate(int(dest), action.amount if runs else action.after, action.until_us if runs else 0)
+            self._rate(int(dest), action.amount if runs else action.fallback, action.until_us if runs else 0)
         else:
             self.more.allot(action)
 
@@ -356,14 +358,14 @@
 
     def learnt(self, entry: EndpointEntry) -> EndpointEntry:
         """What the list says of it, by who tries, and whether its rate is this courier's own."""
-        gap_us = TRIAL_GAP_US if entry.destination in self.partners.trying else 0
+        gap_us = TRIAL_GAP_US if entry.destination in self.partners.probing else 0
         return replace(entry, max_probe_interval_us=gap_us, rate_is_leased=entry.destination in self.rates)
 
     def _entries(self, dest: int) -> list[EndpointEntry]:
         return [e for e in self.host.listing.entries.values() if e.destination == dest]
 
     def _show(self, dest: int, cold: bool = False) -> None:
-        part = 1 / max(1, self.partners.board.living) if cold else 1.0
+        part = 1 / max(1, self.partners.board.live_member_count) if cold else 1.0
         self._tell(dest, lambda e: replace(e, recovering=cold or e.recovering, slow_start_share=part))
 
     def _tell(self, dest: int, change: Callable[[EndpointEntry], EndpointEntry], uid: str = "") -> None:
--- a/madderbeam/host/quota.py
+++ b/madderbeam/host/quota.py
@@ -13,7 +13,7 @@
 from madderbeam.host.components import Component
 from madderbeam.host.host import Host
 from madderbeam.ports import Clock, Disk, Ports
-from madderbeam.quota.gate import Gate, Verdict
+from madderbeam.quota.gate import QuotaAdmission, QuotaVerdict
 
 SAVE_INTERVAL_S = 5.0  # while messages pass; sooner if much of a quota was used since
 log = logging.getLogger(__name__)
@@ -28,14 +28,14 @@
         self.config, self.disk, self.clock, self.pending = config, disk, clock, pending
         rng = random.Random(f"quota {config.seed}")
         leased = config.federation is not None and config.federation.share
-        self.gate = Gate(raw, clock.monotonic_us(), rng, config.settings.max_pending, leased)
+        self.gate = QuotaAdmission(raw, clock.monotonic_us(), rng, config.settings.max_pending, leased)
         self.path = quota_path(config.state)
         self.saved_at_us = clock.monotonic_us()
         self.refused = self.borrowed = 0
         self._load()
         self.save()
 
-    def ask(self, tenant: int, cls: int, size: int) -> Verdict:
+    def ask(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
         """Check a message of `size` bytes against the quotas; it is counted if it passes.
 
         The use of an hourly limit is stored before a further part of the limit can be used.
@@ -45,7 +45,7 @@
         verdict = self.gate.admit(name, settings.classes[cls].name, size, self.pending(), now_us)
         self.refused += not verdict.passed
         self.borrowed += verdict.borrowed
-        if verdict.passed and (self.gate.due or now_us - self.saved_at_us > SAVE_INTERVAL_S * 1e6):
+        if verdict.passed and (self.gate.is_save_due or now_us - self.saved_at_us > SAVE_INTERVAL_S * 1e6):
             self.save()
         return verdict
 
--- a/madderbeam/host/standby/primary.py
+++ b/madderbeam/host/standby/primary.py
@@ -17,7 +17,7 @@
 from madderbeam.host.standby.shared import Watched, kept_folder, read_keys, settings, told
 from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
-from madderbeam.quota.gate import Verdict
+from madderbeam.quota.gate import QuotaVerdict
 from madderbeam.replication.owner import Owner
 from madderbeam.replication.values import (
     Appended,
@@ -43,7 +43,7 @@
 
 BACK_US = 500_000  # when a client that is refused since the standby is silent comes again
 LOOK_S = 0.02  # an end that hands over is looked for so often
-PASSED = Verdict(True)
+PASSED = QuotaVerdict(True)
 log = logging.getLogger(__name__)
 
 
@@ -120,9 +120,9 @@
 
     # What the front asks
 
-    def gate(self, tenant: int, cls: int, size: int) -> Verdict:
+    def gate(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
         """A message is not begun where it would wait in vain."""
-        return PASSED if self.machine.open(self.clock()) else Verdict(False, after_us=BACK_US)
+        return PASSED if self.machine.open(self.clock()) else QuotaVerdict(False, retry_after_us=BACK_US)
 
     # What the machine wants done
 
@@ -262,5 +262,5 @@
     def __init__(self, room: PrimaryComponent) -> None:
         self.room = room
 
-    def ask(self, tenant: int, cls: int, size: int) -> Verdict:
+    def ask(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
         return self.room.gate(tenant, cls, size)
--- a/madderbeam/quota/commands.py
+++ b/madderbeam/quota/commands.py
@@ -24,14 +24,14 @@
 def _show(args: argparse.Namespace) -> int:
     from madderbeam.config.rendered import Unfit, read
     from madderbeam.host.quota import quota_path
-    from madderbeam.quota.gate import Gate, QuotaError
+    from madderbeam.quota.gate import QuotaAdmission, QuotaError
 
     try:
         raw = read(args.file)
         if not raw.get("quota"):
             print(f"{args.file}: no quota is configured", file=sys.stderr)
             return 2
-        gate = Gate(raw["quota"], 0, random.Random(0), 1)
+        gate = QuotaAdmission(raw["quota"], 0, random.Random(0), 1)
         path = Path(quota_path(raw["sidecar"]["state"]))
         saved: dict[str, Any] = (
             json.loads(path.read_text()) if path.exists() else {"at": time.time(), "rows": []}
@@ -40,7 +40,7 @@
     except (Unfit, QuotaError, OSError, ValueError, KeyError) as error:
         print(f"madderbeam quota show: {error}", file=sys.stderr)
         return 2
-    rows = [usage for usage in gate.use(0) if "hour" in usage.dimension]
+    rows = [usage for usage in gate.usage(0) if "hour" in usage.dimension]
     if args.json:
         for usage in rows:
             print(
--- a/madderbeam/quota/gate.py
+++ b/madderbeam/quota/gate.py
@@ -17,11 +17,11 @@
 from madderbeam.quota.tree import (
     DIMENSIONS,
     NONE,
+    Admitted,
     Limit,
     Limits,
     NeverFits,
     Node,
-    Passed,
     Rejected,
     Tree,
     UsageRow,
@@ -37,7 +37,7 @@
 BORROWING_RETRY_AFTER_MIN_US = 1_000_000  # least Retry-After of a message that would have borrowed
 LEASED_RETRY_AFTER_MAX_US = 2_000_000  # most Retry-After with leases, since they may have changed by then
 CREDITS_MAX = 100_000  # pairs of tenant and class whose credits are remembered
-SAVED_PART = 64  # the state is saved before more than the bucket of an hourly limit divided by this is used
+SAVE_DIVISOR = 64  # the state is saved before more than the bucket of an hourly limit divided by this is used
 RETRY_AFTER_JITTER = 0.25  # greatest fraction that is added to Retry-After
 FORMAT_VERSION = 1
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class QuotaVerdict:
     """Whether a message passes.
 
     `after_us`: Retry-After of a rejected one; `why`: reason if it can never pass.
@@ -55,8 +55,8 @@
 
     passed: bool
     borrowed: bool = False
-    after_us: int = 0
-    why: str = ""
+    retry_after_us: int = 0
+    reason: str = ""
 
     @property
     def weight(self) -> float:
@@ -64,7 +64,7 @@
         return BORROWED_WEIGHT if self.borrowed else 1.0
 
 
-PASSED = Verdict(True)
+PASSED = QuotaVerdict(True)
 
 
 def limits(raw: Mapping[str, Any], reserved: Mapping[str, Any], parts: int) -> Limits:
@@ -81,7 +81,7 @@
     return (parsed[0], parsed[1], parsed[2], parsed[3])
 
 
-class Gate:
+class QuotaAdmission:
     """Counts the messages that clients send. Times are microseconds of a monotonic clock."""
 
     def __init__(
@@ -110,7 +110,7 @@
         self.credits = Credits(self.tree)
         self.credit_by_sender: dict[tuple[str, str], Credit] = {}
         self.leased = LeasedLimits(self.tree, couriers, now_us) if leased else None
-        self.due = False  # so much of an hourly limit is used that the state must be saved again
+        self.is_save_due = False  # so much of an hourly limit is used that the state must be saved again
 
     def _node(self, row: Mapping[str, Any], nodes: Mapping[str, Node], parts: int, now_us: int) -> Node:
         own = limits(row.get("limit", {}), {}, parts)
@@ -133,7 +133,7 @@
                 return found
         return self.tree.root
 
-    def admit(self, tenant: str, class_name: str, size: int, held: int, now_us: int) -> Verdict:
+    def admit(self, tenant: str, class_name: str, size: int, held: int, now_us: int) -> QuotaVerdict:
         """Decide on a message of `size` bytes; `held`: how many messages are pending.
 
         A message that passes is counted at once, and only once: attempts do not count, and one that is sent
@@ -146,7 +146,7 @@
             credit.messages_left -= 1
             credit.bytes_left -= size
             return PASSED
-        self.due_leases(now_us)
+        self.expire_leases(now_us)
         until_us = NEVER if self.leased is None else self.leased.next_expiry_us
         if self.credits.draw(credit, size, now_us, until_us):
             self._check_saved(credit.node)
@@ -161,15 +161,15 @@
         credit = self.credit_by_sender[tenant, class_name] = Credit(self.node(tenant, class_name))
         return credit
 
-    def _admit_by_tree(self, credit: Credit, size: int, held: int, now_us: int) -> Verdict:
+    def _admit_by_tree(self, credit: Credit, size: int, held: int, now_us: int) -> QuotaVerdict:
         """Decide by the tree, for this message alone. Nothing is rejected before all credits are returned."""
         may_borrow = held <= BORROWING_PENDING_FRACTION_MAX * self.max_pending
         result = self.tree.admit(credit.node, size, now_us, may_borrow)
-        if not isinstance(result, Passed) and self.credits.return_all(now_us):
+        if not isinstance(result, Admitted) and self.credits.return_all(now_us):
             result = self.tree.admit(credit.node, size, now_us, may_borrow)
-        if isinstance(result, Passed):
+        if isinstance(result, Admitted):
             self._check_saved(credit.node)
-            return Verdict(True, result.borrowed)
+            return QuotaVerdict(True, result.borrowed)
         least_after_us = 0 if may_borrow else BORROWING_RETRY_AFTER_MIN_US
         if self.leased is not None:
             credit.largest = max(credit.largest, size)
@@ -181,11 +181,11 @@
             )
             result = never or Rejected("", "", after_us)
         if isinstance(result, NeverFits):
-            return Verdict(
+            return QuotaVerdict(
                 False,
-                why=f"{size} bytes can never pass {result.node}: at most {result.most} {result.dimension}",
+                reason=f"{size} bytes can never pass {result.node}: at most {result.most} {result.dimension}",
             )
-        return Verdict(False, after_us=self._with_jitter(max(result.after_us, least_after_us)))
+        return QuotaVerdict(False, retry_after_us=self._with_jitter(max(result.after_us, least_after_us)))
 
     def _with_jitter(self, after_us: int) -> int:
         """When the message would pass if nothing else came, with jitter to spread the clients of a flood."""
@@ -199,29 +199,30 @@
             for split, part in ways:
                 if split.period != HOUR:
                     continue
-                is_due = split.saved_level - split.pool > split.capacity // SAVED_PART
+                is_due = split.saved_level - split.pool > split.capacity // SAVE_DIVISOR
                 if part is not None:
                     capacity = part.capacity + part.reserved.capacity
                     is_due = (
-                        is_due or part.saved_level - part.level - part.reserved.level > capacity // SAVED_PART
+                        is_due
+                        or part.saved_level - part.level - part.reserved.level > capacity // SAVE_DIVISOR
                     )
-                self.due = self.due or is_due
+                self.is_save_due = self.is_save_due or is_due
 
     # Leases
 
-    def allot(self, name: str, amount: float, until_us: int, fallback: float, now_us: int) -> None:
+    def set_lease(self, name: str, amount: float, until_us: int, fallback: float, now_us: int) -> None:
         """Set this courier's fraction of a node's limits until `until_us`; from then on it is `fallback`."""
         if self.leased is not None:
             self.credits.return_all(now_us)
-            self.leased.allot(name, amount, until_us, fallback, now_us)
+            self.leased.set_lease(name, amount, until_us, fallback, now_us)
 
-    def due_leases(self, now_us: int) -> None:
+    def expire_leases(self, now_us: int) -> None:
         """Drop leases that have expired, and the credits drawn under them."""
         if self.leased is not None and now_us >= self.leased.next_expiry_us:
             self.credits.return_all(now_us)
             self.leased.expire(now_us)
 
-    def asked(self) -> dict[str, tuple[int, int, int]]:
+    def take_demand(self) -> dict[str, tuple[int, int, int]]:
         """The messages sent at each leased node since the last call, rejected or not.
 
         By node: messages, bytes, and the bytes of the largest message that was rejected.
@@ -230,7 +231,7 @@
         for credit in self.credit_by_sender.values():
             node: Node | None = credit.node if credit.demand_messages else None
             while node is not None and self.leased is not None:
-                if node.name in self.leased.lots:
+                if node.name in self.leased.nodes:
                     messages, size, largest = found.get(node.name, (0, 0, 0))
                     found[node.name] = (
                         messages + credit.demand_messages,
@@ -266,7 +267,7 @@
 
     def mark_saved(self) -> None:
         """Remember the current levels as saved."""
-        self.due = False
+        self.is_save_due = False
         for node in self.tree.nodes():
             for split in node.splits:
                 if split is not None and split.period == HOUR:
@@ -295,21 +296,21 @@
             split, part = named.splits[row[1]], named.parts[row[1]]
             if row[2] == "pool" and split is not None:
                 split.advance(now_us)
-                maybe_used = split.capacity // SAVED_PART
+                maybe_used = split.capacity // SAVE_DIVISOR
                 split.pool = max(
                     0, min(split.pool_capacity, int(row[3]) - maybe_used + split.unshared_rate * elapsed_us)
                 )
             elif row[2] == "part" and part is not None and named.parent is not None:
                 above = named.parent.splits[row[1]]
                 assert above is not None
-                debt_max = part.debt_max if self.leased is None else self.leased.most_debt(above, part)
+                debt_max = part.debt_max if self.leased is None else self.leased.debt_max_of(above, part)
                 _restore_part(above, part, row, elapsed_us, now_us, debt_max)
         self.mark_saved()
 
-    def use(self, now_us: int) -> list[UsageRow]:
+    def usage(self, now_us: int) -> list[UsageRow]:
         """Usage by node, with all credits returned."""
         self.credits.return_all(now_us)
-        return list(self.tree.use(now_us))
+        return list(self.tree.usage(now_us))
 
 
 def _set_part(split: Split, part: Part, level: int, debt: int, reserved: int, time_us: int) -> None:
@@ -326,7 +327,7 @@
     split: Split, part: Part, row: Sequence[Any], elapsed_us: int, now_us: int, debt_max: int
 ) -> None:
     time_us = split.advance(now_us)
-    maybe_used = (part.capacity + part.reserved.capacity) // SAVED_PART
+    maybe_used = (part.capacity + part.reserved.capacity) // SAVE_DIVISOR
     earned, saved_debt = part.rate * elapsed_us, int(row[4])
     level = max(0, min(part.capacity, int(row[3]) + max(0, earned - saved_debt) - maybe_used))
     reserved = max(0, min(part.reserved.capacity, int(row[5]) + part.reserved.rate * elapsed_us - maybe_used))
--- a/madderbeam/quota/leased.py
+++ b/madderbeam/quota/leased.py
@@ -92,9 +92,9 @@
 
     node: Node
     bases: list[UnscaledLimit]
-    k: int = 0
+    fraction: int = 0
     until_us: int = NEVER
-    after: int = 0
+    fallback: int = 0
 
 
 class LeasedLimits:
@@ -103,10 +103,10 @@
     def __init__(self, tree: Tree, couriers: int, now_us: int) -> None:
         """`couriers`: how many share the nodes that have no lease."""
         self.tree = tree
-        self.lots: dict[str, LeasedNode] = {}  # by node name
+        self.nodes: dict[str, LeasedNode] = {}  # by node name
         self.bases: dict[Split, UnscaledLimit] = {}
         self.next_expiry_us = NEVER  # when the first lease expires
-        self.unleased = 0  # nodes that are divided equally
+        self.unleased_count = 0  # nodes that are divided equally
         for node in _by_depth(tree.root):
             bases = [
                 UnscaledLimit.of(split, dimension)
@@ -116,43 +116,43 @@
             if not bases:
                 continue
             self.bases.update((base.split, base) for base in bases)
-            is_leased = len(self.lots) < LEASED_NODES_MAX
+            is_leased = len(self.nodes) < LEASED_NODES_MAX
             for base in bases:
                 base.scale(0 if is_leased else WHOLE_LIMIT // couriers, now_us)
             if is_leased:
-                self.lots[node.name] = LeasedNode(node, bases)
+                self.nodes[node.name] = LeasedNode(node, bases)
             else:
-                self.unleased += 1
+                self.unleased_count += 1
 
-    def allot(self, name: str, amount: float, until_us: int, fallback: float, now_us: int) -> None:
+    def set_lease(self, name: str, amount: float, until_us: int, fallback: float, now_us: int) -> None:
         """Set the fraction of a node's limits until `until_us`; from then on it is `fallback`."""
-        lease = self.lots.get(name)
+        lease = self.nodes.get(name)
         if lease is None:
             return
-        lease.until_us, lease.after = until_us, int(fallback * WHOLE_LIMIT)
-        self._set(lease, int(amount * WHOLE_LIMIT) if now_us < until_us else lease.after, now_us)
+        lease.until_us, lease.fallback = until_us, int(fallback * WHOLE_LIMIT)
+        self._set(lease, int(amount * WHOLE_LIMIT) if now_us < until_us else lease.fallback, now_us)
         self._next(now_us)
 
-    def most_debt(self, split: Split, part: Part) -> int:
+    def debt_max_of(self, split: Split, part: Part) -> int:
         """The most that a part may owe with the whole limit."""
         return next(row[5] for row in self.bases[split].parts if row[0] is part)
 
     def expire(self, now_us: int) -> None:
         """Scale the limits whose leases have expired."""
-        for lease in self.lots.values():
+        for lease in self.nodes.values():
             if now_us >= lease.until_us:
-                self._set(lease, lease.after, now_us)
+                self._set(lease, lease.fallback, now_us)
         self._next(now_us)
 
     def _set(self, lease: LeasedNode, fraction: int, now_us: int) -> None:
-        if fraction != lease.k:
-            lease.k = fraction
+        if fraction != lease.fraction:
+            lease.fraction = fraction
             for base in lease.bases:
                 base.scale(fraction, now_us)
 
     def _next(self, now_us: int) -> None:
         self.next_expiry_us = min(
-            (lease.until_us for lease in self.lots.values() if lease.until_us > now_us), default=NEVER
+            (lease.until_us for lease in self.nodes.values() if lease.until_us > now_us), default=NEVER
         )
 
     def never_fits(self, node: Node, size: int) -> NeverFits | None:
@@ -166,7 +166,7 @@
 
     # Needs
 
-    def wanted(self, lease: LeasedNode, messages: float, size: float, largest: int) -> float:
+    def needed_fraction(self, lease: LeasedNode, messages: float, size: float, largest: int) -> float:
         """The fraction of a node's limits that this many messages and bytes per second take.
 
         The largest of all dimensions counts (the dominant resource of Dominant Resource Fairness), and so
--- a/madderbeam/quota/tree.py
+++ b/madderbeam/quota/tree.py
@@ -44,13 +44,13 @@
 
 
 @dataclass(frozen=True)
-class Passed:
+class Admitted:
     """The message was counted at each node of its path."""
 
     borrowed: bool = False  # some units were borrowed
 
 
-_PASSED, _BORROWED = Passed(), Passed(True)
+_PASSED, _BORROWED = Admitted(), Admitted(True)
 
 
 @dataclass(frozen=True)
@@ -178,7 +178,7 @@
 
     # Admission
 
-    def admit(self, node: Node, size: int, now_us: int, lend: bool = True) -> Passed | Rejected | NeverFits:
+    def admit(self, node: Node, size: int, now_us: int, lend: bool = True) -> Admitted | Rejected | NeverFits:
         """Count a message of `size` bytes at each node of its path, or at none if one has no room.
 
         `lend`: whether it may borrow.
@@ -314,7 +314,7 @@
         for child in node.children.values():
             yield from self.nodes(child)
 
-    def use(self, now_us: int) -> Iterator[UsageRow]:
+    def usage(self, now_us: int) -> Iterator[UsageRow]:
         """One line for each share of each node."""
         for node in self.nodes():
             for dimension, part in enumerate(node.parts):
--- a/madderbeam/shared/granter.py
+++ b/madderbeam/shared/granter.py
@@ -49,7 +49,7 @@
     used_until_us: int = 0
 
 
-class Pot:
+class LeasePool:
     """One resource under one lease term.
 
     A grant of a lingering resource stays charged for as long as what was begun under it may be in use, or
@@ -57,7 +57,7 @@
     """
 
     def __init__(self, settings: LeaseSettings, membership: SiteMembership, limit: Limit) -> None:
-        self.settings, self.seating, self.limit = settings, membership, limit
+        self.settings, self.membership, self.limit = settings, membership, limit
         self.shares: dict[MemberId, MemberShare] = {}
         self.outstanding: dict[MemberId, list[OutstandingGrant]] = {}
 
@@ -119,13 +119,13 @@
             self._keep(member, lambda grant: grant.request > request)
         if share := self.shares.get(member):
             share.need = share.weight = 0.0
-            share.target = self.seating.base(now_us, self.limit, member)
+            share.target = self.membership.reserved_amount(now_us, self.limit, member)
 
     def expire(self, now_us: int) -> None:
         """Drop expired grants, and members that no table names."""
         for member in list(self.outstanding):
             self._keep(member, lambda grant: grant.until_us > now_us)
-        named = self.seating.members
+        named = self.membership.members
         self.shares = {m: share for m, share in self.shares.items() if m in named or m in self.outstanding}
 
     def _keep(self, member: MemberId, is_in_use: Callable[[OutstandingGrant], bool]) -> None:
@@ -140,7 +140,11 @@
 
     def charge(self, now_us: int, member: MemberId) -> float:
         """The most that the member may be using."""
-        base = self.seating.base(now_us, self.limit, member) if member in self.seating.members else 0.0
+        base = (
+            self.membership.reserved_amount(now_us, self.limit, member)
+            if member in self.membership.members
+            else 0.0
+        )
         if (share := self.shares.get(member)) is not None and now_us < share.used_until_us:
             base = max(base, share.used)
         return max(
@@ -155,7 +159,7 @@
         """
         if now_us < wait_until_us:
             return sum(share.reported_amount for share in self.shares.values()), set(self.shares)
-        return self.limit.total, {*self.seating.members, *self.outstanding}
+        return self.limit.total, {*self.membership.members, *self.outstanding}
 
     def free(self, now_us: int, wait_until_us: int) -> float:
         """The amount that is charged to no member. Negative where members use different tables."""
@@ -180,7 +184,9 @@
         spare = total - sum(
             self.charge(now_us, member_id) for member_id in members if member_id not in replied
         )
-        bases = {member_id: self.seating.base(now_us, self.limit, member_id) for member_id in replied}
+        bases = {
+            member_id: self.membership.reserved_amount(now_us, self.limit, member_id) for member_id in replied
+        }
         claims = {
             member_id: Claim(bases[member_id], record.need, record.weight)
             for member_id, record in replied.items()
--- a/madderbeam/shared/granting.py
+++ b/madderbeam/shared/granting.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from madderbeam.membership.values import MemberId
-from madderbeam.shared.granter import Pot
+from madderbeam.shared.granter import LeasePool
 from madderbeam.shared.lease_messages import Grant, GrantAck, LeaseReturn, TermEnd, TermReply, TermRequest
 from madderbeam.shared.lease_settings import LeaseSettings, shortest_us
 from madderbeam.shared.outgoing import OutgoingActions
@@ -27,7 +27,7 @@
     ) -> None:
         self.settings, self.membership, self.out, self.group = settings, membership, out, group
         self.term = LeaseTerm(settings, group, first_number)
-        self.pools: dict[str, Pot] = {}
+        self.pools: dict[str, LeasePool] = {}
         self.limits: dict[str, Limit] = {}
         self.seq = first_number  # number of the last grant
         self.requested_us = 0
@@ -35,7 +35,7 @@
         self._changed: set[str] = set()  # resources whose reported need changed since the last division
         self._returned: dict[MemberId, int] = {}  # by member, the last request for which it accepts no grant
 
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Whether this member's lease term is confirmed and has not expired."""
         return self.term.is_running(self.out.now_us)
 
@@ -82,7 +82,7 @@
         now_us, since_us = self.out.now_us, self.term.running_since_us
         for pool in self.pools.values():
             pool.expire(now_us)
-            if since_us is not None and self.runs():
+            if since_us is not None and self.is_running():
                 pool.divide(
                     now_us, self._wait_until_us(pool), now_us < since_us + self.settings.renewal_interval_us
                 )
@@ -93,12 +93,12 @@
         requested_us = term.requested_at_us(message.ask)
         if not term.is_active or message.regime != term.number or requested_us is None:
             return
-        if term.running_since_us is not None and not self.runs():
+        if term.running_since_us is not None and not self.is_running():
             self.end()  # another member may have granted since
             return
         self.membership.merge_joined(now_us, message.joined)
         self.membership.record_joined(now_us, member)
-        was_running = self.runs()
+        was_running = self.is_running()
         for holding in message.holdings:
             pool = self._pool(holding.resource)
             if pool is not None:
@@ -109,12 +109,12 @@
             term.record_vote(now_us, member, message.ask, message.earlier_us, self.membership.member_sets)
         if was_running:
             self.grant(member)
-        elif self.runs():
+        elif self.is_running():
             self._start_granting()
 
-    def _pool(self, resource: str) -> Pot | None:
+    def _pool(self, resource: str) -> LeasePool | None:
         if resource not in self.pools and resource in self.limits:
-            self.pools[resource] = Pot(self.settings, self.membership, self.limits[resource])
+            self.pools[resource] = LeasePool(self.settings, self.membership, self.limits[resource])
         return self.pools.get(resource)
 
     def _start_granting(self) -> None:
@@ -141,7 +141,7 @@
             grant = Grant(self.group, self.term.number, request, self.seq, span_us, tuple(amounts))
             self.out.send(member, grant)
 
-    def _wait_until_us(self, pool: Pot) -> int:
+    def _wait_until_us(self, pool: LeasePool) -> int:
         """Until when earlier grantors' grants of this resource may still be in use.
 
         A lingering resource may be in use even though no earlier term was running when this one began.
@@ -155,7 +155,7 @@
 
         Both take effect with the next `refresh`.
         """
-        if not self.runs() or message.regime != self.term.number:
+        if not self.is_running() or message.regime != self.term.number:
             return
         holdings = {holding.resource: holding for holding in message.holdings}
         for resource, pool in self.pools.items():
@@ -174,7 +174,7 @@
         Divides by the needs reported since, and sends grants to members whose share differs from what they
         have, as far as it is free.
         """
-        if self.runs():
+        if self.is_running():
             now_us = self.out.now_us
             for resource in self._changed & self.pools.keys():
                 self.pools[resource].divide(now_us, self._wait_until_us(self.pools[resource]), False)
--- a/madderbeam/shared/holder.py
+++ b/madderbeam/shared/holder.py
@@ -9,7 +9,7 @@
 from madderbeam.shared.lease_messages import Grant, Holding
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.regime import REQUESTS_MAX
-from madderbeam.shared.values import Allot, Limit
+from madderbeam.shared.values import Limit, SetAllowance
 
 
 @dataclass(slots=True)
@@ -31,13 +31,13 @@
     rejected_request: int = 0  # grants for this request or an earlier one are rejected
 
 
-class Holder:
+class LeaseHolder:
     """The leases of this member."""
 
     def __init__(self, settings: LeaseSettings, usage_of: Callable[[str], float]) -> None:
         self.settings, self.usage_of = settings, usage_of
         self.wants_nothing = False  # reports no need, since the member is draining
-        self.lots: dict[str, LeasedAmount] = {}
+        self.leases: dict[str, LeasedAmount] = {}
         self.limits: dict[str, Limit] = {}
         self.needs: dict[str, tuple[float, float]] = {}
         self.reported_needs: dict[str, float] = {}  # the needs that were last reported to a grantor
@@ -46,7 +46,7 @@
 
     def amount(self, resource: str, now_us: int) -> float:
         """How much may be used of the resource at `now_us`; 0 if it is unknown."""
-        lease = self.lots.get(resource)
+        lease = self.leases.get(resource)
         if lease is None:
             return 0.0
         return lease.amount if now_us < lease.until_us else lease.fallback
@@ -59,7 +59,7 @@
         A valid lease continues, within the limit.
         """
         self.limits[limit.resource] = limit
-        lease = self.lots.setdefault(limit.resource, LeasedAmount(0.0, 0, 0.0))
+        lease = self.leases.setdefault(limit.resource, LeasedAmount(0.0, 0, 0.0))
         lease.amount, lease.fallback = min(lease.amount, limit.total), min(fallback, limit.total)
 
     # Replies and grants
@@ -85,7 +85,7 @@
         return tuple(self._holding(now_us, resource) for resource in resources)
 
     def _holding(self, now_us: int, resource: str) -> Holding:
-        lease = self.lots[resource]
+        lease = self.leases[resource]
         need, worth = (0.0, 0.0) if self.wants_nothing else self.needs.get(resource, (0.0, 1.0))
         self.reported_needs[resource] = need
         used = self.usage_of(resource) if self.limits[resource].lingers_us else 0.0
@@ -109,7 +109,7 @@
         """Reports of those resources whose use may outlast a lowered lease."""
         return self.holdings(now_us, [resource for resource in resources if self.limits[resource].lingers_us])
 
-    def take(self, now_us: int, grantor: MemberId, grant: Grant) -> list[Allot]:
+    def accept_grant(self, now_us: int, grantor: MemberId, grant: Grant) -> list[SetAllowance]:
         """What may be used from now on; empty if the grant is not to be accepted or has expired already."""
         followed, sent_us = self.followed.get(grant.slot), self._replied_at_us.get((grant.slot, grant.ask))
         if followed is None or (followed.grantor, followed.term) != (grantor, grant.regime):
@@ -124,15 +124,15 @@
             allot for resource, amount in grant.parts if (allot := self.set_lease(resource, amount, until_us))
         ]
 
-    def set_lease(self, resource: str, amount: float, until_us: int) -> Allot | None:
+    def set_lease(self, resource: str, amount: float, until_us: int) -> SetAllowance | None:
         """Use this amount, at least the floor, until `until_us`, and the floor afterwards."""
-        lease, limit = self.lots.get(resource), self.limits.get(resource)
+        lease, limit = self.leases.get(resource), self.limits.get(resource)
         if lease is None or limit is None:
             return None
         lease.amount, lease.until_us = min(max(amount, lease.fallback), limit.total), until_us
-        return Allot(resource, lease.amount, until_us, lease.fallback)
+        return SetAllowance(resource, lease.amount, until_us, lease.fallback)
 
-    def return_leases(self, now_us: int, group: int, resources: list[str]) -> tuple[list[Allot], int]:
+    def return_leases(self, now_us: int, group: int, resources: list[str]) -> tuple[list[SetAllowance], int]:
         """Use no more than the floors from now on.
 
         Also returns the last request for which no grant is accepted.
@@ -149,5 +149,5 @@
                     ),
                 ]
             )
-        allots = [self.set_lease(resource, self.lots[resource].fallback, now_us) for resource in resources]
+        allots = [self.set_lease(resource, self.leases[resource].fallback, now_us) for resource in resources]
         return [allot for allot in allots if allot], followed.rejected_request if followed else 0
--- a/madderbeam/shared/leases.py
+++ b/madderbeam/shared/leases.py
@@ -29,13 +29,13 @@
     WriteFailed,
 )
 from madderbeam.shared.candidacy import TICKS_PER_RENEWAL
-from madderbeam.shared.holder import Holder
+from madderbeam.shared.holder import LeaseHolder
 from madderbeam.shared.lease_messages import AMOUNT_MAX, NAME_MAX_CHARACTERS
 from madderbeam.shared.lease_settings import LeaseSettings, longest_us
 from madderbeam.shared.outgoing import OutgoingActions
 from madderbeam.shared.site import SiteMembership
 from madderbeam.shared.slot import LeaseGroup
-from madderbeam.shared.values import Allot, Limit, Need, Site
+from madderbeam.shared.values import Limit, Need, SetAllowance, SiteMembers
 
 VIEWS_MAX = 4_096
 LINGERS_MAX_US = 3_600_000_000
@@ -66,7 +66,7 @@
         """`usage_of` returns how much of a lingering resource is in use now."""
         self.settings, self.own_id, self.rng = settings, own_id, rng
         self.out = OutgoingActions(own_id)
-        self.holder = Holder(settings, usage_of)
+        self.holder = LeaseHolder(settings, usage_of)
         self.membership = SiteMembership(settings, own_id, bool(records.get(("lease", "joined"))))
         self.views: dict[MemberId, MemberView] = {}
         self._is_join_durable = own_id in self.membership.joined
@@ -77,7 +77,7 @@
             None  # since when leases are missing, or when that was last logged
         )
         first_number = incarnation.start << 24
-        self.slots = [
+        self.groups = [
             LeaseGroup(
                 settings,
                 number,
@@ -92,7 +92,7 @@
             for number in range(settings.slots)
         ]
         self._by_event: dict[type, Callable[[Any], None]] = {
-            Site: self._site,
+            SiteMembers: self._site,
             Limit: self._limit,
             Need: self._need,
             MemberChanged: self._changed,
@@ -124,7 +124,7 @@
 
     def group_of(self, resource: str) -> LeaseGroup:
         """The lease group to which the resource is assigned by hash."""
-        return self.slots[zlib.crc32(resource.encode()) % len(self.slots)]
+        return self.groups[zlib.crc32(resource.encode()) % len(self.groups)]
 
     # Limits and needs
 
@@ -147,23 +147,23 @@
         slot = self.group_of(event.resource)
         if not known:
             slot.resources.append(event.resource)
-        slot.granting.limit(event)
-        lease = self.holder.lots[event.resource]
-        self.out.add(Allot(event.resource, lease.amount, lease.until_us, lease.fallback))
+        slot.grantor.limit(event)
+        lease = self.holder.leases[event.resource]
+        self.out.add(SetAllowance(event.resource, lease.amount, lease.until_us, lease.fallback))
 
     def _need(self, event: Need) -> None:
         fits = all(
-            math.isfinite(number) and 0 <= number <= AMOUNT_MAX for number in (event.amount, event.worth)
+            math.isfinite(number) and 0 <= number <= AMOUNT_MAX for number in (event.amount, event.weight)
         )
         if event.resource in self.holder.limits and fits:
-            self.holder.needs[event.resource] = (event.amount, event.worth)
+            self.holder.needs[event.resource] = (event.amount, event.weight)
 
     # Membership
 
-    def _site(self, event: Site) -> None:
+    def _site(self, event: SiteMembers) -> None:
         self.membership.update(self.out.now_us, event)
         self._floors()
-        for slot in self.slots:
+        for slot in self.groups:
             slot.voter.start(self.out.now_us)
         if not self._started:
             self._started = True
@@ -174,12 +174,12 @@
         """Reports the amounts that are used without a lease, where they have changed."""
         for limit in self.holder.limits.values():
             lease, fallback = (
-                self.holder.lots[limit.resource],
+                self.holder.leases[limit.resource],
                 self.membership.unleased_amount(self.out.now_us, limit),
             )
             if lease.fallback != fallback:
                 self.holder.limit(limit, fallback)
-                self.out.add(Allot(limit.resource, lease.amount, lease.until_us, lease.fallback))
+                self.out.add(SetAllowance(limit.resource, lease.amount, lease.until_us, lease.fallback))
 
     def _changed(self, event: MemberChanged) -> None:
         view = event.view
@@ -191,8 +191,8 @@
 
     def _message(self, member: MemberId, message: Any) -> None:
         number = getattr(message, "slot", -1)
-        if self._started and 0 <= number < len(self.slots):
-            self.slots[number].handle(member, message)
+        if self._started and 0 <= number < len(self.groups):
+            self.groups[number].handle(member, message)
 
     # Time
 
@@ -209,13 +209,13 @@
     def _tick(self) -> None:
         self.membership.expire(self.out.now_us)
         self._floors()
-        for slot in self.slots:
+        for slot in self.groups:
             slot.tick(not self._draining)
         self._report()
 
     def _report(self) -> None:
         """Logs, at intervals, that limits have no lease because no member grants any."""
-        now_us, leases = self.out.now_us, self.holder.lots
+        now_us, leases = self.out.now_us, self.holder.leases
         unshared = [resource for resource, lease in leases.items() if now_us >= lease.until_us]
         if not unshared or self._draining or self.own_id not in self.membership.current:
             self._unshared_since_us = now_us
@@ -229,13 +229,13 @@
 
     def _resumed(self, event: PauseDetected) -> None:
         """Drops all leases and terms: others may have been granted the amounts during the pause."""
-        for resource in self.holder.lots:
-            lease = self.holder.lots[resource]
+        for resource in self.holder.leases:
+            lease = self.holder.leases[resource]
             if lease.until_us > self.out.now_us and (
                 allot := self.holder.set_lease(resource, lease.fallback, 0)
             ):
                 self.out.add(allot)
-        for slot in self.slots:
+        for slot in self.groups:
             slot.abandon_term()
         if self._started:
             self.out.timer(self.out.now_us + self._tick_us(), "tick")
@@ -255,7 +255,7 @@
         if self.own_id not in self.membership.joined:
             self.membership.record_joined(now_us, self.own_id)
             for resource, limit in self.holder.limits.items():
-                fixed = self.holder.lots[resource].fallback
+                fixed = self.holder.leases[resource].fallback
                 self.holder.limit(limit, self.membership.unleased_amount(self.out.now_us, limit))
                 if allot := self.holder.set_lease(resource, fixed, now_us + self.settings.lease_us):
                     self.out.add(allot)
@@ -283,10 +283,10 @@
 
     def _return_leases(self) -> None:
         self._draining = self.holder.wants_nothing = True
-        for slot in self.slots:
+        for slot in self.groups:
             slot.return_leases()
-            if slot.granting.term.is_active and slot.can_others_grant():
-                slot.granting.end()
+            if slot.grantor.term.is_active and slot.can_others_grant():
+                slot.grantor.end()
 
     # Status
 
@@ -294,7 +294,7 @@
         """For GET /federation: who grants since when, what it has granted, and what this member holds."""
         self.out.now_us = now_us
         leases = {}
-        for resource, lease in self.holder.lots.items():
+        for resource, lease in self.holder.leases.items():
             limit = self.holder.limits[resource]
             is_valid = now_us < lease.until_us
             leases[resource] = {
@@ -308,7 +308,7 @@
             }
         return {
             "joined": self.own_id in self.membership.joined,
-            "slots": [slot.status() for slot in self.slots],
+            "slots": [slot.status() for slot in self.groups],
             "leases": leases,
             "figures": self.figures,
         }
--- a/madderbeam/shared/needs.py
+++ b/madderbeam/shared/needs.py
@@ -14,25 +14,25 @@
 NEED_FRACTION = 0.9
 
 
-class Meter:
+class RateMeter:
     """Average units per second, of messages, bytes or whatever is counted.
 
     `each`: units per arrival, roughly.
     """
 
-    __slots__ = ("each", "rate")
+    __slots__ = ("units_per_arrival", "rate")
 
     def __init__(self, each: float = 1.0) -> None:
-        self.rate, self.each = 0.0, each
+        self.rate, self.units_per_arrival = 0.0, each
 
-    def came(self, units: float, span_s: float) -> None:
+    def record_arrivals(self, units: float, span_s: float) -> None:
         """Count the units that arrived in the `span_s` since the last call."""
         if span_s <= 0:
             return
-        mean_s = AVERAGED_ARRIVALS * self.each / self.rate if self.rate > 0 else AVERAGING_MIN_S
+        mean_s = AVERAGED_ARRIVALS * self.units_per_arrival / self.rate if self.rate > 0 else AVERAGING_MIN_S
         mean_s = min(AVERAGING_MAX_S, max(AVERAGING_MIN_S, mean_s))
         self.rate += (units / span_s - self.rate) * min(1.0, span_s / mean_s)
 
-    def need(self, waiting: float = 0.0) -> float:
+    def needed_rate(self, waiting: float = 0.0) -> float:
         """The rate that this courier could use now, with `waiting` units in the backlog."""
         return self.rate * NEED_FRACTION + waiting / BACKLOG_S
--- a/madderbeam/shared/news.py
+++ b/madderbeam/shared/news.py
@@ -25,28 +25,37 @@
     State,
     TimerDue,
 )
-from madderbeam.shared.values import Heed, Kind, Lapsed, Learnt, News, Site
+from madderbeam.shared.values import (
+    ApplyFinding,
+    Finding,
+    FindingExpired,
+    FindingKind,
+    LocalFinding,
+    SiteMembers,
+)
 
 TIMER = "news"
 PREFIX = "news/"
-LONGEST_US = 3_600_000_000  # a longer duration is cut to this
+DURATION_MAX_US = 3_600_000_000  # a longer duration is cut to this
 DURATION_MAX_US_BY_KIND = {
-    Kind.DOUBT: 5_000_000,
-    Kind.OUTAGE: 60_000_000,
-    Kind.BACK: 600_000_000,
-    Kind.FULL: 10_000_000,
-    Kind.LIMIT: 60_000_000,
+    FindingKind.SUSPICION: 5_000_000,
+    FindingKind.OUTAGE: 60_000_000,
+    FindingKind.RECOVERY: 600_000_000,
+    FindingKind.TABLE_FULL: 10_000_000,
+    FindingKind.RATE_LIMIT: 60_000_000,
 }  # lower caps for kinds that never last so long
 SUBJECTS_PER_MEMBER_MAX = 512  # subjects per member
 UID_MAX_BYTES = 96  # bytes
-FORM = struct.Struct(">BQd")
+BODY_FORMAT = struct.Struct(">BQd")
 RESEND_DIVISOR = 2  # a finding is sent again once no more than 1/RESEND_DIVISOR of its duration is left
-WITNESSES = 2  # members that have to report an outage before one that saw nothing itself believes it
+REPORTERS_REQUIRED = 2  # members that have to report an outage before one that saw nothing itself believes it
 # disseminated at once, unless enough others have
-URGENT_KINDS = frozenset({Kind.WAIT, Kind.DOUBT, Kind.OUTAGE, Kind.BACK})
-WEIGHED_KINDS = frozenset({Kind.DOUBT, Kind.OUTAGE})  # weighed by the number of reporters
+URGENT_KINDS = frozenset(
+    {FindingKind.RETRY_AFTER, FindingKind.SUSPICION, FindingKind.OUTAGE, FindingKind.RECOVERY}
+)
+WEIGHED_KINDS = frozenset({FindingKind.SUSPICION, FindingKind.OUTAGE})  # weighed by the number of reporters
 
-Subject = tuple[Kind, int, str]
+Subject = tuple[FindingKind, int, str]
 
 
 @dataclass
@@ -62,10 +71,10 @@
 class MemberFindings:
     """The findings of one member."""
 
-    told: dict[Subject, FindingRecord] = field(default_factory=dict)
+    records: dict[Subject, FindingRecord] = field(default_factory=dict)
 
 
-class NewsBoard:
+class FindingsBoard:
     """The findings of all members, and the merged result.
 
     `handle(now_us, event)` takes LocalFinding, SiteMembers, GossipReceived, MemberChanged, IncarnationRaised
@@ -84,8 +93,8 @@
         self.departed: frozenset[MemberId] = frozenset()
         self.cut = self.refused = 0
         self._events: dict[type, Callable[[int, Any], list[Any]]] = {
-            Learnt: self._learnt,
-            Site: self._site,
+            LocalFinding: self._local_finding,
+            SiteMembers: self._site,
             GossipReceived: self._gossip_received,
             MemberChanged: self._member_changed,
             IncarnationRaised: self._incarnation_raised,
@@ -97,24 +106,26 @@
         """The destination answered a call: earlier reports of an outage no longer count for this member."""
         self.answered_us[dest] = now_us
 
-    def valid_reports(self, kind: Kind, dest: int, now_us: int) -> dict[MemberId, FindingRecord]:
+    def valid_reports(self, kind: FindingKind, dest: int, now_us: int) -> dict[MemberId, FindingRecord]:
         """Findings of live members on the destination that began after it last answered this courier."""
         since_us, subject = self.answered_us.get(dest, -1), (kind, dest, "")
         return {
             owner: record
             for owner, findings in self.owners.items()
             if owner not in self.departed
-            and (record := findings.told.get(subject)) is not None
+            and (record := findings.records.get(subject)) is not None
             and record.until_us > now_us
             and record.since_us > since_us
         }
 
-    def reported_destinations(self, kinds: frozenset[Kind]) -> set[int]:
+    def reported_destinations(self, kinds: frozenset[FindingKind]) -> set[int]:
         """Destinations on which any member has a finding of one of these kinds."""
-        return {dest for findings in self.owners.values() for kind, dest, _ in findings.told if kind in kinds}
+        return {
+            dest for findings in self.owners.values() for kind, dest, _ in findings.records if kind in kinds
+        }
 
     @property
-    def living(self) -> int:
+    def live_member_count(self) -> int:
         """Number of members of this site that are not known to be gone, including this one."""
         return len(self.members - self.departed)
 
@@ -131,13 +142,13 @@
                 **({"value": record.value} if record.value else {}),
             }
             for owner, findings in sorted(self.owners.items())
-            for (kind, dest, uid), record in findings.told.items()
+            for (kind, dest, uid), record in findings.records.items()
             if record.until_us > now_us
         ]
 
-    def change_value(self, now_us: int, kind: Kind, dest: int, value: float) -> list[Any]:
+    def change_value(self, now_us: int, kind: FindingKind, dest: int, value: float) -> list[Any]:
         """Change the value of this member's own finding, which keeps its start and end."""
-        record = self.owners[self.own_id].told.get((kind, dest, ""))
+        record = self.owners[self.own_id].records.get((kind, dest, ""))
         if record is None or record.until_us <= now_us or record.value == value:
             return []
         record.value = value
@@ -153,7 +164,7 @@
             return []
         return actions + self._merge(now_us)
 
-    def _site(self, now_us: int, event: Site) -> list[Any]:
+    def _site(self, now_us: int, event: SiteMembers) -> list[Any]:
         self.members = frozenset({*event.members, self.own_id})
         for owner in [member for member in self.owners if member not in self.members]:
             del self.owners[owner]
@@ -174,18 +185,18 @@
         self.departed = self.departed | {event.view.id} if gone else self.departed - {event.view.id}
         return []
 
-    def _learnt(self, now_us: int, event: Learnt) -> list[Any]:
-        finding = event.news
-        subject, records = (finding.kind, finding.dest, finding.uid), self.owners[self.own_id].told
+    def _local_finding(self, now_us: int, event: LocalFinding) -> list[Any]:
+        finding = event.finding
+        subject, records = (finding.kind, finding.dest, finding.uid), self.owners[self.own_id].records
         if len(finding.uid.encode()) > UID_MAX_BYTES:
             return []
         left_us = max(0, min(finding.left_us, _longest(finding.kind)))
         before = records.get(subject)
         until_us = now_us + left_us
         if before is not None and before.until_us > now_us and left_us:
-            if finding.kind is Kind.DRAIN:
+            if finding.kind is FindingKind.DRAIN:
                 return []  # a repeated drain keeps its first start
-            if finding.kind in (Kind.WAIT, Kind.FULL):
+            if finding.kind in (FindingKind.RETRY_AFTER, FindingKind.TABLE_FULL):
                 if until_us <= before.until_us:
                     return []  # the latest end wins
             elif before.until_us - now_us > left_us // RESEND_DIVISOR and before.value == finding.value:
@@ -212,18 +223,18 @@
             owner
             for owner, findings in self.owners.items()
             if owner != self.own_id
-            and (record := findings.told.get(subject)) is not None
+            and (record := findings.records.get(subject)) is not None
             and record.until_us > now_us
             and (record.until_us >= until_us or subject[0] in WEIGHED_KINDS)
             and not (is_repeated and owner > self.own_id)
         ]
-        return len(others) < WITNESSES
+        return len(others) < REPORTERS_REQUIRED
 
     def _disseminate(self, subject: Subject, left_us: int, value: float, at_once: bool) -> Disseminate:
         kind, dest, uid = subject
         self.version += 1
         suffix = f"/{_short(uid)}" if uid else ""
-        body = FORM.pack(len(uid.encode()), max(0, left_us), value) + uid.encode()
+        body = BODY_FORMAT.pack(len(uid.encode()), max(0, left_us), value) + uid.encode()
         return Disseminate(f"{PREFIX}{kind.value}/{dest}{suffix}", self.version, body, left_us, at_once)
 
     def _gossip_received(self, now_us: int, event: GossipReceived) -> list[Any]:
@@ -237,7 +248,7 @@
             return [
                 LogLine(f"a finding of {entry.owner} is malformed", NewsRefused(f"{entry.key[:60]}: {error}"))
             ]
-        records = self.owners.setdefault(entry.owner, MemberFindings()).told
+        records = self.owners.setdefault(entry.owner, MemberFindings()).records
         subject = (kind, dest, uid)
         if subject not in records and len(records) >= SUBJECTS_PER_MEMBER_MAX:
             self.refused += 1
@@ -265,45 +276,45 @@
         """The changes of the merged findings, for the host."""
         merged: dict[Subject, tuple[int, float, MemberId]] = {}
         for owner, findings in self.owners.items():
-            for subject in [key for key, record in findings.told.items() if record.until_us <= now_us]:
-                del findings.told[subject]
+            for subject in [key for key, record in findings.records.items() if record.until_us <= now_us]:
+                del findings.records[subject]
             if owner == self.own_id:
                 continue
-            for subject, finding in findings.told.items():
+            for subject, finding in findings.records.items():
                 if subject[0] not in WEIGHED_KINDS:
                     merged[subject] = _merged(subject[0], merged.get(subject), finding, owner)
         actions: list[Any] = []
         for subject, (until_us, value, owner) in merged.items():
             if self.applied.get(subject) != (until_us, value):
                 self.applied[subject] = (until_us, value)
-                actions.append(Heed(News(*subject, until_us - now_us, value), owner))
+                actions.append(ApplyFinding(Finding(*subject, until_us - now_us, value), owner))
         for subject in [key for key in self.applied if key not in merged]:
             del self.applied[subject]
-            actions.append(Lapsed(*subject))
+            actions.append(FindingExpired(*subject))
         self.answered_us = {
             dest: answered_us
             for dest, answered_us in self.answered_us.items()
-            if now_us - answered_us < LONGEST_US
+            if now_us - answered_us < DURATION_MAX_US
         }
-        ends = [record.until_us for findings in self.owners.values() for record in findings.told.values()]
+        ends = [record.until_us for findings in self.owners.values() for record in findings.records.values()]
         return [*actions, SetTimer(min(ends), TIMER)] if ends else actions
 
 
 def _merged(
-    kind: Kind, before: tuple[int, float, MemberId] | None, record: FindingRecord, owner: MemberId
+    kind: FindingKind, before: tuple[int, float, MemberId] | None, record: FindingRecord, owner: MemberId
 ) -> tuple[int, float, MemberId]:
     candidate = (record.until_us, record.value, owner)
     if before is None:
         return candidate
-    if kind is Kind.DRAIN:
+    if kind is FindingKind.DRAIN:
         return min(before, candidate)
-    if kind is Kind.LIMIT:
+    if kind is FindingKind.RATE_LIMIT:
         return min((before, candidate), key=lambda row: (row[1], row[0], row[2]))
     return max(before, candidate)
 
 
-def _longest(kind: Kind) -> int:
-    return DURATION_MAX_US_BY_KIND.get(kind, LONGEST_US)
+def _longest(kind: FindingKind) -> int:
+    return DURATION_MAX_US_BY_KIND.get(kind, DURATION_MAX_US)
 
 
 def _short(uid: str) -> str:
@@ -311,17 +322,17 @@
     return hashlib.blake2b(uid.encode(), digest_size=8).hexdigest()
 
 
-def _read(key: str, body: bytes) -> tuple[Kind, int, str, int, float]:
+def _read(key: str, body: bytes) -> tuple[FindingKind, int, str, int, float]:
     parts = key.removeprefix(PREFIX).split("/")
-    size, left_us, value = FORM.unpack_from(body)
-    uid = body[FORM.size :].decode()
+    size, left_us, value = BODY_FORMAT.unpack_from(body)
+    uid = body[BODY_FORMAT.size :].decode()
     if not 2 <= len(parts) <= 3 or not parts[1].isdecimal() or len(parts[1]) > 12:
         raise ValueError("key: must be news/KIND/DEST")
-    if len(body) != FORM.size + size or size > UID_MAX_BYTES:
+    if len(body) != BODY_FORMAT.size + size or size > UID_MAX_BYTES:
         raise ValueError(f"uid: must have at most {UID_MAX_BYTES} bytes")
     if not 0 <= value < 1e12:
         raise ValueError("value: must be from 0, under 1e12")
-    kind = Kind(parts[0])
-    if kind is Kind.LIMIT and left_us and not value:
+    kind = FindingKind(parts[0])
+    if kind is FindingKind.RATE_LIMIT and left_us and not value:
         raise ValueError("value: a rate limit must not be 0")
     return kind, int(parts[1]), uid, left_us, value
--- a/madderbeam/shared/returning.py
+++ b/madderbeam/shared/returning.py
@@ -16,8 +16,17 @@
 from madderbeam.federation.errors import OutAlone
 from madderbeam.membership.values import Incarnation, LogLine, MemberId, SetTimer
 from madderbeam.relay.choice import score
-from madderbeam.shared.news import WEIGHED_KINDS, WITNESSES, FindingRecord, NewsBoard
-from madderbeam.shared.values import Answered, Failed, Heed, Kind, Lapsed, Learnt, News, TryFor
+from madderbeam.shared.news import REPORTERS_REQUIRED, WEIGHED_KINDS, FindingRecord, FindingsBoard
+from madderbeam.shared.values import (
+    ApplyFinding,
+    CallAnswered,
+    CallFailed,
+    Finding,
+    FindingExpired,
+    FindingKind,
+    LocalFinding,
+    SetProbing,
+)
 
 TIMER = "returning"
 SUSPICION_US = 1_000_000  # duration of a suspicion, renewed by the next failure
@@ -25,7 +34,7 @@
 # afterwards suspicions are ignored: first, then doubling up to the most
 COOL_DOWN_US, COOL_DOWN_MAX_US = 10_000_000, 60_000_000
 PROBER_FRACTION = 0.5  # fraction in an outage's value: the reporter probes for all
-TURN_US = 10_000_000  # after this long without an answer the next member probes
+PROBING_TURN_US = 10_000_000  # after this long without an answer the next member probes
 RECENT_ANSWER_US = 1_000_000  # a partner that answered this courier within this was not out
 
 
@@ -52,7 +61,7 @@
         self.since_us, self.cool_down_until_us, self.cool_down_us = -1, 0, COOL_DOWN_US
 
 
-class Partners:
+class PartnerOutages:
     """Which partners are out, and which member probes each.
 
     Takes the events of the findings board, and CallFailed and CallAnswered; returns its actions, and
@@ -61,12 +70,12 @@
     """
 
     def __init__(self, own_id: MemberId, life: Incarnation) -> None:
-        self.own_id, self.board = own_id, NewsBoard(own_id, life)
-        self.trying: dict[int, int] = {}  # destinations that this member probes for all: since when
+        self.own_id, self.board = own_id, FindingsBoard(own_id, life)
+        self.probing: dict[int, int] = {}  # destinations that this member probes for all: since when
         self.unanswered_turns: dict[
             int, int
         ] = {}  # by destination: probing turns of this member without an answer
-        self.held: dict[int, Kind] = {}  # destinations that it holds off from, and why
+        self.held_off: dict[int, FindingKind] = {}  # destinations that it holds off from, and why
         self.hold_offs: dict[int, HoldOff] = {}
         self.logged_as_only_reporter: set[int] = (
             set()
@@ -74,8 +83,8 @@
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
         """The actions that the event leads to."""
-        if isinstance(event, Learnt) and event.news.kind is Kind.OUTAGE:
-            event = Learnt(replace(event.news, value=self._value(event.news.dest)))
+        if isinstance(event, LocalFinding) and event.finding.kind is FindingKind.OUTAGE:
+            event = LocalFinding(replace(event.finding, value=self._value(event.finding.dest)))
         actions = self._report_suspicion(now_us, event)
         actions += [
             action
@@ -85,8 +94,8 @@
         reported = self.board.reported_destinations(WEIGHED_KINDS)
         for dest in sorted(
             reported
-            | self.held.keys()
-            | self.trying.keys()
+            | self.held_off.keys()
+            | self.probing.keys()
             | self.hold_offs.keys()
             | self.logged_as_only_reporter
         ):
@@ -102,13 +111,13 @@
         """The destination answered a call; True if CallAnswered is to be handled here."""
         self.board.answered(now_us, dest)
         self.unanswered_turns.pop(dest, None)
-        return any((kind, dest, "") in self.board.owners[self.own_id].told for kind in WEIGHED_KINDS)
+        return any((kind, dest, "") in self.board.owners[self.own_id].records for kind in WEIGHED_KINDS)
 
     def status(self, now_us: int) -> dict[str, Any]:
         """For GET /federation."""
         return {
             "news": self.board.status(now_us),
-            "tries": sorted(self.trying),
+            "tries": sorted(self.probing),
             "doubted": [
                 {
                     "dest": dest,
@@ -119,24 +128,26 @@
             ],
         }
 
-    def trier(self, now_us: int, dest: int) -> MemberId | None:
+    def prober(self, now_us: int, dest: int) -> MemberId | None:
         """The member that probes now; None if no member reports an outage."""
-        reports = self.board.valid_reports(Kind.OUTAGE, dest, now_us)
+        reports = self.board.valid_reports(FindingKind.OUTAGE, dest, now_us)
         return next(iter(_in_probing_order(dest, reports)), None)
 
     def _report_suspicion(self, now_us: int, event: Any) -> list[Any]:
         """What this member's own calls show."""
-        if isinstance(event, Failed):
+        if isinstance(event, CallFailed):
             hold_off = self.hold_offs.get(event.dest)
             if hold_off is None or now_us >= hold_off.cool_down_until_us:
-                return self.board.handle(now_us, Learnt(News(Kind.DOUBT, event.dest, "", SUSPICION_US)))
+                return self.board.handle(
+                    now_us, LocalFinding(Finding(FindingKind.SUSPICION, event.dest, "", SUSPICION_US))
+                )
         elif (
-            isinstance(event, Answered)
-            and (Kind.DOUBT, event.dest, "") in self.board.owners[self.own_id].told
+            isinstance(event, CallAnswered)
+            and (FindingKind.SUSPICION, event.dest, "") in self.board.owners[self.own_id].records
         ):
             # The suspicion was wrong: the next is reported later, also where no other member suspected.
             self.hold_offs.setdefault(event.dest, HoldOff()).cool_down_until_us = now_us + SUSPICION_US
-            return self.board.handle(now_us, Learnt(News(Kind.DOUBT, event.dest, "", 0)))
+            return self.board.handle(now_us, LocalFinding(Finding(FindingKind.SUSPICION, event.dest, "", 0)))
         return []
 
     def _is_void_recovery(self, now_us: int, action: Any) -> bool:
@@ -144,11 +155,11 @@
 
         A recovery that counts voids what was reported of the outage before.
         """
-        if not isinstance(action, Heed) or action.news.kind is not Kind.BACK:
+        if not isinstance(action, ApplyFinding) or action.finding.kind is not FindingKind.RECOVERY:
             return False
-        dest = action.news.dest
+        dest = action.finding.dest
         if (
-            dest not in self.held
+            dest not in self.held_off
             and now_us - self.board.answered_us.get(dest, -RECENT_ANSWER_US) < RECENT_ANSWER_US
         ):
             return True
@@ -157,16 +168,18 @@
 
     def _settle(self, now_us: int, dest: int, is_reported: bool) -> list[Any]:
         """Update probing and the hold-off of one destination by the current reports."""
-        outage_reports = self.board.valid_reports(Kind.OUTAGE, dest, now_us) if is_reported else {}
+        outage_reports = self.board.valid_reports(FindingKind.OUTAGE, dest, now_us) if is_reported else {}
         reports = (
-            {**self.board.valid_reports(Kind.DOUBT, dest, now_us), **outage_reports} if is_reported else {}
+            {**self.board.valid_reports(FindingKind.SUSPICION, dest, now_us), **outage_reports}
+            if is_reported
+            else {}
         )
         is_confirmed, is_suspected = (
-            len(outage_reports) >= WITNESSES,
-            len(outage_reports) < WITNESSES <= len(reports),
+            len(outage_reports) >= REPORTERS_REQUIRED,
+            len(outage_reports) < REPORTERS_REQUIRED <= len(reports),
         )
         order = _in_probing_order(dest, outage_reports if is_confirmed else reports)
-        is_prober = self.own_id in order[: 1 if is_confirmed else WITNESSES]
+        is_prober = self.own_id in order[: 1 if is_confirmed else REPORTERS_REQUIRED]
         actions = self._set_probing(now_us, dest, is_prober and is_confirmed)
         actions += self._log_if_only_reporter(now_us, dest, reports)
         hold_off = self.hold_offs.setdefault(dest, HoldOff()) if is_suspected else self.hold_offs.get(dest)
@@ -176,18 +189,18 @@
         elif hold_off is not None and now_us > hold_off.cool_down_until_us + COOL_DOWN_MAX_US:
             del self.hold_offs[dest]
         reason = (
-            (Kind.OUTAGE if is_confirmed else Kind.DOUBT)
+            (FindingKind.OUTAGE if is_confirmed else FindingKind.SUSPICION)
             if not is_prober and (is_confirmed or holds_for_now)
             else None
         )
-        before = self.held.get(dest)
-        if reason is not None and before is not reason and before is not Kind.OUTAGE:
-            self.held[dest] = reason
+        before = self.held_off.get(dest)
+        if reason is not None and before is not reason and before is not FindingKind.OUTAGE:
+            self.held_off[dest] = reason
             left_us = max(report.until_us for report in reports.values()) - now_us
-            actions.append(Heed(News(reason, dest, "", left_us), order[0]))
+            actions.append(ApplyFinding(Finding(reason, dest, "", left_us), order[0]))
         elif reason is None and before is not None:
-            del self.held[dest]
-            actions.append(Lapsed(before, dest, ""))
+            del self.held_off[dest]
+            actions.append(FindingExpired(before, dest, ""))
         return actions
 
     def _log_if_only_reporter(
@@ -200,34 +213,36 @@
         elif (
             len(reports) == 1
             and dest not in self.logged_as_only_reporter
-            and now_us - own_report.since_us >= TURN_US
+            and now_us - own_report.since_us >= PROBING_TURN_US
         ):
             self.logged_as_only_reporter.add(dest)
-            problem = f"destination {dest} answers no call of {self.own_id}, for {TURN_US // 1_000_000} s"
+            problem = (
+                f"destination {dest} answers no call of {self.own_id}, for {PROBING_TURN_US // 1_000_000} s"
+            )
             return (
                 [LogLine("destination is out for this courier only", OutAlone(problem))]
-                if self.board.living > 1
+                if self.board.live_member_count > 1
                 else []
             )
         return []
 
     def _set_probing(self, now_us: int, dest: int, is_prober: bool) -> list[Any]:
         """Start or stop probing; a turn that is over counts and ends it."""
-        since_us = self.trying.get(dest)
-        if is_prober and since_us is not None and now_us - since_us >= TURN_US:
+        since_us = self.probing.get(dest)
+        if is_prober and since_us is not None and now_us - since_us >= PROBING_TURN_US:
             self.unanswered_turns[dest], is_prober = self.unanswered_turns.get(dest, 0) + 1, False
         if is_prober == (since_us is not None):
             return []
         if is_prober:
-            self.trying[dest] = now_us
+            self.probing[dest] = now_us
         else:
-            del self.trying[dest]
-        updates = self.board.change_value(now_us, Kind.OUTAGE, dest, self._value(dest))
-        return [TryFor(dest, is_prober), *updates]
+            del self.probing[dest]
+        updates = self.board.change_value(now_us, FindingKind.OUTAGE, dest, self._value(dest))
+        return [SetProbing(dest, is_prober), *updates]
 
     def _value(self, dest: int) -> float:
         """The value of this member's outage report: its turns so far, and whether it probes."""
-        return self.unanswered_turns.get(dest, 0) + (PROBER_FRACTION if dest in self.trying else 0.0)
+        return self.unanswered_turns.get(dest, 0) + (PROBER_FRACTION if dest in self.probing else 0.0)
 
 
 def _in_probing_order(dest: int, reports: dict[MemberId, FindingRecord]) -> list[MemberId]:
--- a/madderbeam/shared/site.py
+++ b/madderbeam/shared/site.py
@@ -13,7 +13,7 @@
 from madderbeam.shared.lease_messages import MemberBitmap
 from madderbeam.shared.lease_settings import LeaseSettings, longest_us
 from madderbeam.shared.majority import Members
-from madderbeam.shared.values import Limit, Site
+from madderbeam.shared.values import Limit, SiteMembers
 
 
 class SiteMembership:
@@ -38,13 +38,13 @@
         self._order_checksum = 0
         self.lingers_us = 0  # the longest of all limits, by the slowest clock
 
-    def update(self, now_us: int, site: Site) -> None:
+    def update(self, now_us: int, site: SiteMembers) -> None:
         """Another table is in force, or a replaced one is no longer in use.
 
         A dropped set counts for a lease and a renewal more: terms and grants that its members confirmed or
         gave may still run, and lingering resources be in use.
         """
-        self.is_first_table, self.current = site.first, tuple(sorted(set(site.members)))
+        self.is_first_table, self.current = site.is_first_table, tuple(sorted(set(site.members)))
         if self.floor_reserved_from_us is None:
             self.floor_reserved_from_us = now_us + self.settings.table_settled_us
         sets = tuple(
@@ -102,7 +102,7 @@
         floor = fixed_share * self.settings.floor
         return floor if not limit.in_whole_units else float(max(math.floor(floor), fixed_share >= 1))
 
-    def base(self, now_us: int, limit: Limit, member: MemberId) -> float:
+    def reserved_amount(self, now_us: int, limit: Limit, member: MemberId) -> float:
         """The amount reserved for a member without a lease: the most that it may use by any table."""
         joined = self.has_floor(now_us - longest_us(limit.lingers_us, self.settings.drift_ppm), member)
         most = 0.0
--- a/madderbeam/shared/slot.py
+++ b/madderbeam/shared/slot.py
@@ -9,7 +9,7 @@
 from madderbeam.membership.values import MemberId, MemberView
 from madderbeam.shared.candidacy import Candidacy
 from madderbeam.shared.granting import Grantor
-from madderbeam.shared.holder import Holder
+from madderbeam.shared.holder import LeaseHolder
 from madderbeam.shared.lease_messages import (
     Grant,
     GrantAck,
@@ -39,7 +39,7 @@
         settings: LeaseSettings,
         number: int,
         membership: SiteMembership,
-        holder: Holder,
+        holder: LeaseHolder,
         out: OutgoingActions,
         views: Mapping[MemberId, MemberView],
         first_number: int,
@@ -50,7 +50,7 @@
         self.out, self.views, self.join = out, views, join
         self.resources: list[str] = []  # assigned to this group by hash
         self.voter = TermVoter(settings)
-        self.granting = Grantor(settings, membership, out, number, first_number)
+        self.grantor = Grantor(settings, membership, out, number, first_number)
         self.candidacy = Candidacy(settings, membership, number, rng)
         self.current_grantor: MemberId | None = None  # as far as this member knows
         self.granted_since_us = 0  # since when this grantor has granted to this member
@@ -60,7 +60,7 @@
     def tick(self, may_grant: bool) -> None:
         """Runs several times per renewal interval. `may_grant`: this member is not draining."""
         self._report_changed_needs()
-        now_us, grantor = self.out.now_us, self.granting
+        now_us, grantor = self.out.now_us, self.grantor
         term = grantor.term
         if not term.is_active:
             if self.candidacy.should_request(now_us, self.voter, self.views, may_grant):
@@ -72,7 +72,7 @@
         ):
             grantor.end()
             self.candidacy.failed(now_us)
-        elif term.running_since_us is not None and not grantor.runs():
+        elif term.running_since_us is not None and not grantor.is_running():
             self.out.count("lapsed")
             grantor.end()
             self.candidacy.failed(now_us)
@@ -103,8 +103,8 @@
 
     def abandon_term(self) -> None:
         """End this member's term after a pause, since others may have granted meanwhile."""
-        if self.granting.term.is_active:
-            self.granting.end()
+        if self.grantor.term.is_active:
+            self.grantor.end()
             self.candidacy.failed(self.out.now_us)
 
     # Messages
@@ -114,9 +114,9 @@
         if isinstance(message, TermRequest):
             self._handle_request(member, message)
         elif isinstance(message, TermReply):
-            was_running = self.granting.runs()
-            self.granting.handle_reply(member, message)
-            if self.granting.runs() and not was_running:
+            was_running = self.grantor.is_running()
+            self.grantor.handle_reply(member, message)
+            if self.grantor.is_running() and not was_running:
                 self.out.count("began")
                 self.candidacy.succeeded()
         elif isinstance(message, TermRejected):
@@ -124,9 +124,9 @@
         elif isinstance(message, Grant):
             self._handle_grant(member, message)
         elif isinstance(message, GrantAck):
-            self.granting.handle_ack(member, message)
+            self.grantor.handle_ack(member, message)
         elif isinstance(message, LeaseReturn):
-            self.granting.handle_return(member, message)
+            self.grantor.handle_return(member, message)
         elif isinstance(message, TermEnd):
             self._handle_term_end(member, message)
 
@@ -159,7 +159,7 @@
         self.out.send(member, reply)
 
     def _handle_rejection(self, message: TermRejected) -> None:
-        term = self.granting.term
+        term = self.grantor.term
         if term.is_active and message.regime == term.number and term.running_since_us is None:
             self.candidacy.not_before_us = max(
                 self.candidacy.not_before_us,
@@ -171,7 +171,7 @@
             return  # its leases expire by themselves
         now_us = self.out.now_us
         amounts_before = {resource: self.holder.amount(resource, now_us) for resource, _ in message.parts}
-        allots = self.holder.take(now_us, member, message)
+        allots = self.holder.accept_grant(now_us, member, message)
         for allot in allots:
             self.out.add(allot)
         if any(allot.amount < amounts_before[allot.resource] for allot in allots):
@@ -197,12 +197,12 @@
 
     def status(self) -> dict[str, Any]:
         """For GET /federation."""
-        now_us, term = self.out.now_us, self.granting.term
+        now_us, term = self.out.now_us, self.grantor.term
         granted = {
             resource: {str(member): amount for member, amount in pool.granted_amounts(now_us).items()}
-            for resource, pool in self.granting.pools.items()
+            for resource, pool in self.grantor.pools.items()
         }
-        is_running = self.granting.runs()
+        is_running = self.grantor.is_running()
         return {
             "slot": self.number,
             "granter": None if self.current_grantor is None else str(self.current_grantor),
--- a/madderbeam/shared/values.py
+++ b/madderbeam/shared/values.py
@@ -13,33 +13,33 @@
 from madderbeam.membership.values import MemberId
 
 
-class Kind(Enum):
+class FindingKind(Enum):
     """What a finding is about.
 
     The value is part of the gossip key. The findings of several members on one subject are merged by a
     commutative rule of the kind.
     """
 
-    WAIT = "wait"  # Retry-After from the partner: the latest end wins
+    RETRY_AFTER = "wait"  # Retry-After from the partner: the latest end wins
     DRAIN = "drain"  # read from the endpoint list: the earliest end wins
-    DOUBT = "doubt"  # a call failed and none succeeded since: a suspicion, not yet an outage
+    SUSPICION = "doubt"  # a call failed and none succeeded since: a suspicion, not yet an outage
     # no call succeeds; value: probing turns that the reporter has had, plus a half while it probes
     OUTAGE = "outage"
-    BACK = "back"  # it answers again and has to be ramped up as cold
-    FULL = "full"  # its connection table is full
+    RECOVERY = "back"  # it answers again and has to be ramped up as cold
+    TABLE_FULL = "full"  # its connection table is full
     # it rejected calls for overload; value: messages per second that one courier sends since; the lowest wins
-    LIMIT = "limit"
+    RATE_LIMIT = "limit"
 
 
 @dataclass(frozen=True)
-class News:
+class Finding:
     """One finding of a member about a partner.
 
     `uid` is the endpoint's id, or "" for the whole destination. `left_us` is how long the finding stays
     valid, at most an hour; `value` has the meaning that its kind gives it.
     """
 
-    kind: Kind
+    kind: FindingKind
     dest: int
     uid: str
     left_us: int
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class SiteMembers:
     """The members that the ownership table in force gives to this site, including this one.
 
     `earlier` holds the members by each earlier table that some member of the site may still use; an earlier
@@ -60,25 +60,25 @@
 
     members: tuple[MemberId, ...]
     earlier: tuple[tuple[MemberId, ...], ...] = ()
-    first: bool = True
+    is_first_table: bool = True
 
 
 @dataclass(frozen=True)
-class Learnt:
+class LocalFinding:
     """This courier found it out itself, from a reply or from its endpoint list."""
 
-    news: News
+    finding: Finding
 
 
 @dataclass(frozen=True)
-class Failed:
+class CallFailed:
     """A call of this courier to the destination failed in a way that an outage would show."""
 
     dest: int
 
 
 @dataclass(frozen=True)
-class Answered:
+class CallAnswered:
     """A call to the destination was answered while this member reported a suspicion or an outage of it."""
 
     dest: int
@@ -109,42 +109,42 @@
 
     resource: str
     amount: float
-    worth: float = 1.0
+    weight: float = 1.0
 
 
 # Actions
 
 
 @dataclass(frozen=True)
-class Heed:
+class ApplyFinding:
     """Restrict calls by another member's finding for its `left_us`.
 
     It never loosens a restriction that this courier set itself.
     """
 
-    news: News
+    finding: Finding
     source: MemberId
 
 
 @dataclass(frozen=True)
-class Lapsed:
+class FindingExpired:
     """The finding of this kind no longer applies."""
 
-    kind: Kind
+    kind: FindingKind
     dest: int
     uid: str
 
 
 @dataclass(frozen=True)
-class TryFor:
+class SetProbing:
     """This member starts (`enabled`) or stops probing the destination on behalf of the whole site."""
 
     dest: int
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True)
-class Allot:
+class SetAllowance:
     """How much this courier may use of a resource until `until_us` by its own clock.
 
     After that it may use `fallback` (its floor), unless another such action came first.
@@ -153,4 +153,4 @@
     resource: str
     amount: float
     until_us: int
-    after: float
+    fallback: float
--- a/madderbeam/simulation/sharefaults.py
+++ b/madderbeam/simulation/sharefaults.py
@@ -7,7 +7,7 @@
 from typing import Any, TypeAlias
 
 from madderbeam.membership.values import Disseminate
-from madderbeam.shared.news import FORM
+from madderbeam.shared.news import BODY_FORMAT
 from madderbeam.simulation import fedfaults
 from madderbeam.simulation.fedfaults import Faults
 
@@ -146,18 +146,18 @@
         return
     uid = f.chance.choice((b"", b"p9a"))
     told = [
-        (f"news/wait/{odd}", FORM.pack(len(uid), YEAR_US, 0.0) + uid),
-        (f"news/outage/{odd}", FORM.pack(0, YEAR_US, 0.0)),
-        (f"news/limit/{odd}", FORM.pack(0, S, 0.0)),
-        (f"news/drain/{odd}", FORM.pack(3, YEAR_US, 0.0) + b"p9b"),
-        (f"news/back/{odd}", FORM.pack(0, YEAR_US, 0.0)),
-        (f"news/wait/{odd}/x", FORM.pack(200, S, 0.0)),
-        (f"news/wait/{10**14}", FORM.pack(0, S, 0.0)),
-        ("news/what/1", FORM.pack(0, S, 0.0)),
+        (f"news/wait/{odd}", BODY_FORMAT.pack(len(uid), YEAR_US, 0.0) + uid),
+        (f"news/outage/{odd}", BODY_FORMAT.pack(0, YEAR_US, 0.0)),
+        (f"news/limit/{odd}", BODY_FORMAT.pack(0, S, 0.0)),
+        (f"news/drain/{odd}", BODY_FORMAT.pack(3, YEAR_US, 0.0) + b"p9b"),
+        (f"news/back/{odd}", BODY_FORMAT.pack(0, YEAR_US, 0.0)),
+        (f"news/wait/{odd}/x", BODY_FORMAT.pack(200, S, 0.0)),
+        (f"news/wait/{10**14}", BODY_FORMAT.pack(0, S, 0.0)),
+        ("news/what/1", BODY_FORMAT.pack(0, S, 0.0)),
         ("news/wait", b""),
         (f"news/full/{odd}", b"\xff" * 17),
-        (f"news/limit/{odd}", FORM.pack(0, S, float("nan"))),
-        (f"news/wait/{odd}/y", FORM.pack(1, S, 0.0) + b"\xff"),
+        (f"news/limit/{odd}", BODY_FORMAT.pack(0, S, float("nan"))),
+        (f"news/wait/{odd}/y", BODY_FORMAT.pack(1, S, 0.0) + b"\xff"),
     ]
     f.world.note(member.name, "tells nonsense")
     for n, (key, body) in enumerate(told):
--- a/madderbeam/simulation/sharejudge.py
+++ b/madderbeam/simulation/sharejudge.py
@@ -5,8 +5,8 @@
 from collections import defaultdict, deque
 from typing import Any, TypeAlias
 
-from madderbeam.shared.news import LONGEST_US
-from madderbeam.shared.values import Kind
+from madderbeam.shared.news import DURATION_MAX_US
+from madderbeam.shared.values import FindingKind
 from madderbeam.simulation.fedjudge import Call, Judge
 
 Sharing: TypeAlias = Any  # of sharing.py, which stands above
@@ -232,7 +232,7 @@
             for member in self.world.sites["macon"] if partner.out_us >= 0 else ():
                 if member.works and member.ready_us >= 0:
                     board, now = member.room.shared.partners.board, member.clock.monotonic_us()
-                    told = board.owners[member.id].told.get((Kind.OUTAGE, partner.number, ""))
+                    told = board.owners[member.id].told.get((FindingKind.OUTAGE, partner.number, ""))
                     said += told is not None and told.until_us > now
             if said < 2:
                 partner.told_us = -1
@@ -251,7 +251,7 @@
                     continue
                 answered = now - self.served.get((member, partner.number), -S) < S
                 held = member.room.shared.partners.held.get(partner.number)  # doubts hold for a moment
-                if held is Kind.OUTAGE and (back or (answered and now - partner.back_us > 5 * S)):
+                if held is FindingKind.OUTAGE and (back or (answered and now - partner.back_us > 5 * S)):
                     self.broken(
                         "S4",
                         f"{member.name} holds back from {partner.number}, which would answer "
@@ -331,12 +331,12 @@
         for what, found in left.items():
             if found:
                 self.broken("S6", f"{member.name} keeps {what} after all is over: {found}")
-        shut = [row for row in board.status(now) if row["left_ms"] > LONGEST_US // 1000]
+        shut = [row for row in board.status(now) if row["left_ms"] > DURATION_MAX_US // 1000]
         lane_shut = [
             scope.retry_after_until_us
             for d in member.host.courier.state.destinations.values()
             for scope in d.scopes
-            if scope.retry_after_until_us > now + LONGEST_US
+            if scope.retry_after_until_us > now + DURATION_MAX_US
         ]
         if shut or lane_shut:
             self.broken("S6", f"{member.name} keeps what lasts over an hour: {shut}, {lane_shut}")
--- a/tests/quota/test_credits.py
+++ b/tests/quota/test_credits.py
@@ -6,7 +6,7 @@
 import pytest
 
 from madderbeam.quota.credits import Credits
-from madderbeam.quota.gate import Gate
+from madderbeam.quota.gate import QuotaAdmission
 from madderbeam.quota.leased import LEASED_NODES_MAX, UnscaledLimit
 from madderbeam.quota.split import Split
 from madderbeam.quota.tree import CREDIT_SPARE_FACTOR, Tree
@@ -36,7 +36,7 @@
 
 def gate(leased=False, now=0, couriers=1, nodes=None):
     raw = {"form": 1, "couriers": couriers, "nodes": nodes or rows()}
-    return Gate(raw, now, random.Random(1), 1000, leased)
+    return QuotaAdmission(raw, now, random.Random(1), 1000, leased)
 
 
 class Bucket:
@@ -69,7 +69,7 @@
         parts = [w / sum(weights) for w in weights]
         order = sorted(range(len(parts)), key=lambda n: parts[n] - self.parts[n])
         for n in order:
-            self.gates[n].allot("school", parts[n], self.now + 4 * S, 0.0, self.now)
+            self.gates[n].set_lease("school", parts[n], self.now + 4 * S, 0.0, self.now)
         self.parts = parts
 
     def play(self, seconds=20):
@@ -188,7 +188,7 @@
     while made.admit("choir", "notice", 0, 0, 0).passed:
         for credit in made.credits.outstanding:
             assert credit.size * (CREDIT_SPARE_FACTOR + 1) <= BURST // 2
-    assert made.use(0)[0].owed > 0  # the rest was borrowed, a message at a time
+    assert made.usage(0)[0].owed > 0  # the rest was borrowed, a message at a time
 
 
 def test_what_a_credit_has_left_is_returned_within_a_second():
@@ -212,43 +212,43 @@
 def test_nothing_passes_before_the_first_lease_nor_under_an_expired_one():
     made = gate(leased=True, couriers=4)
     found = made.admit("choir", "notice", 10, 0, 0)
-    assert not found.passed and not found.why and 0 < found.after_us < 3 * S
-    made.allot("school", 1.0, 4 * S, 0.0, 0)
+    assert not found.passed and not found.reason and 0 < found.retry_after_us < 3 * S
+    made.set_lease("school", 1.0, 4 * S, 0.0, 0)
     while made.admit("choir", "notice", 10, 0, 4 * S - 1).passed and not made.credits.outstanding:
         pass
     assert made.credits.outstanding  # a credit is outstanding whose second is not over
     assert not made.admit("choir", "notice", 10, 0, 4 * S).passed
-    assert made.leased.lots["school"].k == 0
+    assert made.leased.nodes["school"].fraction == 0
 
 
 def test_a_message_gets_retry_after_if_the_whole_limit_could_pass_it():
     made = gate(leased=True)
-    made.allot("school", 0.01, 4 * S, 0.0, 0)
-    assert made.admit("choir", "notice", 60_000, 0, 0).after_us > 0
-    assert "can never pass" in made.admit("choir", "notice", 2 * SIZES, 0, 0).why
-    lot = made.leased.lots["school"]
-    ((_, _, largest),) = made.asked().values()
-    assert made.leased.wanted(lot, 0.0, 0.0, largest) >= 0.6
+    made.set_lease("school", 0.01, 4 * S, 0.0, 0)
+    assert made.admit("choir", "notice", 60_000, 0, 0).retry_after_us > 0
+    assert "can never pass" in made.admit("choir", "notice", 2 * SIZES, 0, 0).reason
+    lot = made.leased.nodes["school"]
+    ((_, _, largest),) = made.take_demand().values()
+    assert made.leased.needed_fraction(lot, 0.0, 0.0, largest) >= 0.6
 
 
 def test_the_need_is_that_of_the_dominant_dimension():
     made = gate(leased=True)
-    lot = made.leased.lots["school"]
-    assert made.leased.wanted(lot, RATE / 4, SIZES / 2, 0) == pytest.approx(0.5)
-    assert made.leased.wanted(lot, RATE / 4, SIZES / 8, 0) == pytest.approx(0.25)
-    assert made.leased.wanted(lot, 9 * RATE, 0.0, 0) == 1.0
+    lot = made.leased.nodes["school"]
+    assert made.leased.needed_fraction(lot, RATE / 4, SIZES / 2, 0) == pytest.approx(0.5)
+    assert made.leased.needed_fraction(lot, RATE / 4, SIZES / 8, 0) == pytest.approx(0.25)
+    assert made.leased.needed_fraction(lot, 9 * RATE, 0.0, 0) == 1.0
 
 
 def test_debts_stay_as_a_fraction_falls_and_are_paid_by_its_earnings():
     made = gate(leased=True)
-    made.allot("school", 1.0, 4 * S, 0.0, 0)
+    made.set_lease("school", 1.0, 4 * S, 0.0, 0)
     now = 3 * S
     while made.admit("choir", "notice", 0, 0, now).passed:
         pass
-    owed = made.use(now)[0].owed
-    made.allot("school", 0.5, 100 * S, 0.0, now)
-    assert made.use(now)[0].owed == owed > 0
-    half = next(n for n in range(1, 2_000) if not made.use(now + n * S // 100)[0].owed)
+    owed = made.usage(now)[0].owed
+    made.set_lease("school", 0.5, 100 * S, 0.0, now)
+    assert made.usage(now)[0].owed == owed > 0
+    half = next(n for n in range(1, 2_000) if not made.usage(now + n * S // 100)[0].owed)
     assert half == pytest.approx(owed / (RATE / 2 - RATE / 8) * 2 * 100, abs=3)
     kept = made.dump(now)
     assert not kept  # these limits are per second
@@ -260,13 +260,13 @@
         *(node(n, "school", [n], share={"messages_per_h": 2_000}) for n in ("choir", "band")),
     ]
     made = gate(leased=True, nodes=hourly)
-    made.allot("school", 1.0, 4_000 * S, 0.0, 0)
+    made.set_lease("school", 1.0, 4_000 * S, 0.0, 0)
     while made.admit("choir", "notice", 0, 0, 3_600 * S).passed:
         pass
-    owed = made.use(3_600 * S)[0].owed
+    owed = made.usage(3_600 * S)[0].owed
     again = gate(leased=True, nodes=hourly)
     again.restore(made.dump(3_600 * S), 0, 0)
-    assert again.use(0)[0].owed == owed > 0
+    assert again.usage(0)[0].owed == owed > 0
     assert not again.admit("choir", "notice", 0, 0, 0).passed
 
 
@@ -275,7 +275,7 @@
         node(f"n{n}", tenants=[f"t{n}"], limit={"messages_per_s": 40}) for n in range(LEASED_NODES_MAX + 1)
     ]
     made = gate(leased=True, couriers=4, nodes=many)
-    assert made.leased.unleased == 1
+    assert made.leased.unleased_count == 1
     last = f"t{LEASED_NODES_MAX}"
     assert sum(made.admit(last, "notice", 0, 0, 0).passed for _ in range(30)) == 10
     assert not made.admit("t0", "notice", 0, 0, 0).passed
--- a/tests/quota/test_gate.py
+++ b/tests/quota/test_gate.py
@@ -15,7 +15,7 @@
 
 from madderbeam.cli import main
 from madderbeam.config.check import check
-from madderbeam.quota.gate import BORROWED_WEIGHT, Gate, QuotaError
+from madderbeam.quota.gate import BORROWED_WEIGHT, QuotaAdmission, QuotaError
 from madderbeam.quota.split import HOUR_US
 
 S = 1_000_000
@@ -27,7 +27,9 @@
 
 
 def gate(*nodes, couriers=1, now=0, places=100):
-    return Gate({"form": 1, "couriers": couriers, "nodes": list(nodes)}, now, random.Random(1), places)
+    return QuotaAdmission(
+        {"form": 1, "couriers": couriers, "nodes": list(nodes)}, now, random.Random(1), places
+    )
 
 
 def school(reserved=5, hour=None):
@@ -88,15 +90,15 @@
     assert own and lent and {v.weight for v in own} == {1.0} and {v.weight for v in lent} == {BORROWED_WEIGHT}
     g = gate(*school())
     found = [g.admit("choir", "notice", 0, 60, 0) for _ in range(12)]
-    assert [v.passed for v in found].count(True) == len(own) and found[-1].after_us > 0
-    assert not any(u.owed for u in g.use(0))  # rejected messages borrow nothing
+    assert [v.passed for v in found].count(True) == len(own) and found[-1].retry_after_us > 0
+    assert not any(u.owed for u in g.usage(0))  # rejected messages borrow nothing
     assert g.admit("band", "notice", 0, 99, 0).passed  # within its own share only the engine decides
 
 
 def test_retry_after_is_accurate_and_jittered():
     g = gate(*school())
     passes(g, "choir", 0)
-    told = [g.admit("choir", "notice", 0, 0, 0).after_us for _ in range(50)]
+    told = [g.admit("choir", "notice", 0, 0, 0).retry_after_us for _ in range(50)]
     assert min(told) > 0 and len(set(told)) > 20
     assert g.admit("choir", "notice", 0, 0, min(told)).passed
 
@@ -104,17 +106,22 @@
 def test_64_kib_against_10_kib_a_second_can_never_pass():
     g = gate(node("choir", tenants=["choir"], limit={"bytes_per_s": 10_240}))
     found = g.admit("choir", "notice", 65_536, 0, 0)
-    assert not found.passed and "can never pass" in found.why and "10240" in found.why and not found.after_us
+    assert (
+        not found.passed
+        and "can never pass" in found.reason
+        and "10240" in found.reason
+        and not found.retry_after_us
+    )
     assert g.admit("choir", "notice", 10_240, 0, 0).passed
 
 
 def test_an_idle_borrower_repays_and_a_returning_lender_has_its_reserved_part():
     g = gate(*school(reserved=5))
     passes(g, "choir", 0)
-    owed = {u.node: u.owed for u in g.use(1)}
+    owed = {u.node: u.owed for u in g.usage(1)}
     assert owed["all/school/choir"] > 0
     assert passes(g, "band", 2) >= 5
-    assert not {u.owed for u in g.use(11 * S)} - {0}  # repaid within ten seconds while idle
+    assert not {u.owed for u in g.usage(11 * S)} - {0}  # repaid within ten seconds while idle
 
 
 def restarted(g, nodes, kept, after_us, now=50 * S):
@@ -129,9 +136,9 @@
     for n in range(600):
         g.admit("choir", "notice", 0, 0, n * 100_000)
     now = 60 * S
-    before = {(u.node, u.dimension): u for u in g.use(now)}
+    before = {(u.node, u.dimension): u for u in g.usage(now)}
     again = restarted(g, nodes, g.dump(now), 0)
-    after = {(u.node, u.dimension): u for u in again.use(50 * S)}
+    after = {(u.node, u.dimension): u for u in again.usage(50 * S)}
     for key in (("all/school/choir", "messages a hour"), ("all/school/band", "messages a hour")):
         assert after[key].owed == before[key].owed
         assert before[key].room * 0.9 <= after[key].room <= before[key].room
@@ -143,9 +150,9 @@
     g = gate(*nodes)
     for n in range(600):
         g.admit("choir", "notice", 0, 0, n * 100_000)
-    owed = next(u.owed for u in g.use(60 * S) if u.node == "all/school/choir" and "hour" in u.dimension)
+    owed = next(u.owed for u in g.usage(60 * S) if u.node == "all/school/choir" and "hour" in u.dimension)
     smaller = restarted(g, school(hour=400), g.dump(60 * S), 0)
-    use = {(u.node, u.dimension): u for u in smaller.use(50 * S)}
+    use = {(u.node, u.dimension): u for u in smaller.usage(50 * S)}
     assert use["all/school/choir", "messages a hour"].owed <= owed
     assert all(u.room >= 0 for u in use.values())
 
@@ -175,7 +182,7 @@
             if not verdict.passed:
                 break
             took.append(now)
-            if g.due:
+            if g.is_save_due:
                 kept, saved = g.dump(now), now
     for end in took:
         assert sum(end - HOUR_US < at <= end for at in took) <= limit
@@ -188,7 +195,7 @@
     for hour in range(3):
         for n in range(1000):
             assert g.admit(f"t{n}", "notice", 100, 0, hour * HOUR_US + n).passed
-    g.use(5 * HOUR_US)
+    g.usage(5 * HOUR_US)
     assert all(
         not split.checks for top in g.tree.nodes() for split in top.splits if split
     )  # nothing is scheduled for them
--- a/tests/quota/test_tree.py
+++ b/tests/quota/test_tree.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from madderbeam.quota import split as s
-from madderbeam.quota.tree import DIMENSIONS, Limit, NeverFits, Passed, Rejected, Tree
+from madderbeam.quota.tree import DIMENSIONS, Admitted, Limit, NeverFits, Rejected, Tree
 
 S = 1_000_000
 
@@ -28,14 +28,16 @@
 def passes(tree, node, now, most=1000, size=0):
     """How many messages pass at one instant."""
     for count in range(most):
-        if not isinstance(tree.admit(node, size, now), Passed):
+        if not isinstance(tree.admit(node, size, now), Admitted):
             return count
     return most
 
 
 def flood(tree, node, begin, seconds, every=1000):
     """How many pass while one asks every millisecond."""
-    return sum(isinstance(tree.admit(node, 0, at), Passed) for at in range(begin, begin + seconds * S, every))
+    return sum(
+        isinstance(tree.admit(node, 0, at), Admitted) for at in range(begin, begin + seconds * S, every)
+    )
 
 
 def test_a_node_borrows_what_its_sibling_leaves_and_repays_while_idle():
@@ -53,7 +55,7 @@
     flood(tree, a, 0, 5)
     assert passes(tree, b, 5 * S) >= 7
     both = [
-        isinstance(tree.admit(node, 0, at), Passed) for at in range(5 * S, 10 * S, 1000) for node in (a, b)
+        isinstance(tree.admit(node, 0, at), Admitted) for at in range(5 * S, 10 * S, 1000) for node in (a, b)
     ]
     assert sum(both[1::2]) >= 49  # b has its whole share
     assert sum(both) <= 5 * 20 + 20
@@ -88,15 +90,15 @@
     tree = Tree(by_second(10 * 1024, at=1))
     assert tree.admit(tree.root, 64 * 1024, 0) == NeverFits("all", "bytes a second", 10 * 1024)
     roomy = Tree(by_second(10 * 1024, burst=64 * 1024, at=1))
-    assert tree.admit(tree.root, 1024, 0) == Passed()
-    assert roomy.admit(roomy.root, 64 * 1024, 0) == Passed()
+    assert tree.admit(tree.root, 1024, 0) == Admitted()
+    assert roomy.admit(roomy.root, 64 * 1024, 0) == Admitted()
     refused = roomy.admit(roomy.root, 64 * 1024, 0)
     assert isinstance(refused, Rejected) and refused.after_us == pytest.approx(6.4 * S, abs=2000)
 
 
 def test_no_hour_exceeds_its_limit():
     tree = Tree(by_second(100, at=2))
-    times = [at for at in range(0, 3 * 3600 * S, S) if isinstance(tree.admit(tree.root, 0, at), Passed)]
+    times = [at for at in range(0, 3 * 3600 * S, S) if isinstance(tree.admit(tree.root, 0, at), Admitted)]
     for first in times:
         assert sum(first <= at < first + 3600 * S for at in times) <= 100
     assert len(times) == pytest.approx(100 / 4 + 3 * 75, abs=1)
@@ -130,17 +132,17 @@
     free = tree.add(tree.root, "free")
     tree.add(tree.root, "held", by_second(4))
     assert passes(tree, free, 0) == 7  # of ten, three are in the bucket of the one with a share
-    assert [u.owed for u in tree.use(0)] == [0]
+    assert [u.owed for u in tree.usage(0)] == [0]
 
 
 def test_retry_after_is_accurate_for_a_borrower():
     tree, a, _ = two()
     flood(tree, a, 0, 3)
     refused = tree.admit(a, 0, 3 * S)
-    while isinstance(refused, Passed):
+    while isinstance(refused, Admitted):
         refused = tree.admit(a, 0, 3 * S)
     assert refused.after_us > 0
-    assert isinstance(tree.admit(a, 0, 3 * S + refused.after_us), Passed)
+    assert isinstance(tree.admit(a, 0, 3 * S + refused.after_us), Admitted)
 
 
 EVENTS = st.lists(st.tuples(st.integers(0, 3), st.integers(0, 400_000), st.integers(0, 60)), max_size=120)
@@ -166,7 +168,7 @@
     now, admitted = 0, []
     for which, wait, size in events:
         now += wait
-        if isinstance(tree.admit(nodes[which], size, now), Passed):
+        if isinstance(tree.admit(nodes[which], size, now), Admitted):
             admitted.append((now, which, size))
     for inside, (count, weight) in (((0, 1, 2, 3), ((20, 20), (400, 800))), ((2, 3), ((15, 15), (300, 600)))):
         inside_rows = [(at, size) for at, which, size in admitted if which in inside]
@@ -204,14 +206,16 @@
         tree.admit((tree.root, a, b, a)[which], each, now)
     found = tree.admit(a, size, now)
     if isinstance(found, Rejected):
-        assert isinstance(tree.admit(a, size, now + found.after_us), Passed)
+        assert isinstance(tree.admit(a, size, now + found.after_us), Admitted)
 
 
 def test_nothing_is_borrowed_without_a_flood():
     for share in (10, 5):
         tree, a, b = two(share=share)
         calm = [
-            isinstance(tree.admit(node, 0, at), Passed) for at in range(0, 10 * S, 200_000) for node in (a, b)
+            isinstance(tree.admit(node, 0, at), Admitted)
+            for at in range(0, 10 * S, 200_000)
+            for node in (a, b)
         ]
         assert all(calm) and a.parts[0].borrowed == b.parts[0].borrowed == 0
 
--- a/tests/shared/lease_bugs.py
+++ b/tests/shared/lease_bugs.py
@@ -4,17 +4,17 @@
 from unittest import mock
 
 from madderbeam.shared import granter, granting, regime, site
-from madderbeam.shared.granter import Pot
-from madderbeam.shared.holder import Holder
+from madderbeam.shared.granter import LeasePool
+from madderbeam.shared.holder import LeaseHolder
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.regime import LeaseTerm, TermVoter
 from madderbeam.shared.site import SiteMembership
 
 _accept_grant, _record_vote, _voter_start, _expire = (
-    Holder.take,
+    LeaseHolder.accept_grant,
     LeaseTerm.record_vote,
     TermVoter.start,
-    Pot.expire,
+    LeasePool.expire,
 )
 
 
@@ -71,16 +71,16 @@
 
 
 BUGS = {
-    "a lease is counted from its grant": (Holder, "take", _lease_counted_from_grant),
+    "a lease is counted from its grant": (LeaseHolder, "take", _lease_counted_from_grant),
     "a restarted member confirms at once": (TermVoter, "start", _votes_at_once),
     "earlier grants of unreachable members are ignored": (LeaseTerm, "record_vote", _earlier_grants_ignored),
     "no floor is reserved": (SiteMembership, "base", _no_floor_reserved),
     "clock drift is ignored": _drift_ignored,
     "a term of a minority": (regime, "has_all_majorities", lambda slot, sets, of: len(of) >= 1),
     "one member confirms two terms": (TermVoter, "may_confirm", lambda self, now_us, member, term: True),
-    "a lower grant counts before it is acknowledged": (Pot, "charge", _only_last_grant_charged),
-    "dead members are not charged": (Pot, "expire", _dead_members_not_charged),
-    "a lease is used after it expired": (Holder, "amount", _used_after_expiry),
+    "a lower grant counts before it is acknowledged": (LeasePool, "charge", _only_last_grant_charged),
+    "dead members are not charged": (LeasePool, "expire", _dead_members_not_charged),
+    "a lease is used after it expired": (LeaseHolder, "amount", _used_after_expiry),
     "earlier tables are ignored": (SiteMembership, "update", _only_current_table),
 }
 
--- a/tests/shared/lease_model.py
+++ b/tests/shared/lease_model.py
@@ -14,7 +14,7 @@
 from madderbeam.shared.lease_messages import TermRejected
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.values import Limit, Need, Site
+from madderbeam.shared.values import Limit, Need, SiteMembers
 
 LEASE, TOTAL, RATE = 400_000, 90.0, "rate/1"
 SETTINGS = LeaseSettings(lease_us=LEASE, drift_ppm=0, slots=1, renewals=4)
@@ -49,7 +49,7 @@
     def start(self, n, records):
         self.starts[n] += 1
         self.machines[n] = Leases(SETTINGS, MEMBERS[n], Incarnation(self.starts[n], 0), ZeroRandom(), records)
-        self.hand(n, Site(MEMBERS))
+        self.hand(n, SiteMembers(MEMBERS))
         self.hand(n, Limit(RATE, TOTAL, TOTAL / 3))
         self.hand(n, Need(RATE, (90.0, 10.0, 90.0)[n]))
 
--- a/tests/shared/lease_net.py
+++ b/tests/shared/lease_net.py
@@ -22,7 +22,7 @@
 from madderbeam.shared.lease_messages import from_row, to_row
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.values import Allot, Limit, Need, Site
+from madderbeam.shared.values import Limit, Need, SetAllowance, SiteMembers
 
 S = 1_000_000
 LEASE = 4 * S
@@ -76,7 +76,7 @@
             for r in self.resources:
                 self.hand(m, Limit(r, self.total, self.total / len(self.site)))
                 self.hand(m, Need(r, it.demand.get(r, self.total / len(self.site))))
-            self.hand(m, Site(self.site, self.earlier, self.first))
+            self.hand(m, SiteMembers(self.site, self.earlier, self.first))
             for other in self.members.values():
                 if other.machine is not None:
                     self.view(m, other.me, State.ALIVE)
@@ -123,7 +123,7 @@
         limits = [Limit(r, self.total, self.total / len(new)) for r in self.resources]
         if m not in old:
             return
-        change = Site(new, self.earlier, False)
+        change = SiteMembers(new, self.earlier, False)
         for event in [change, *limits] if len(new) <= len(old) else [*limits, change]:
             self.hand(m, event)
 
@@ -132,7 +132,7 @@
         self.earlier = ()
         for m, it in self.members.items():
             if it.machine is not None:
-                self.hand(m, Site(self.site, (), self.first))
+                self.hand(m, SiteMembers(self.site, (), self.first))
 
     # The run
 
@@ -150,7 +150,7 @@
         for action in it.machine.handle(it.now(), event):
             if isinstance(action, SendMessage):
                 self.send(m, action)
-            elif isinstance(action, Allot):
+            elif isinstance(action, SetAllowance):
                 self.grown = True
             elif isinstance(action, SetTimer):
                 it.timers[action.token] = self.order + 1
--- a/tests/shared/place_net.py
+++ b/tests/shared/place_net.py
@@ -11,7 +11,7 @@
 from madderbeam.membership.values import Incarnation, State
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.values import Limit, Need, Site
+from madderbeam.shared.values import Limit, Need, SiteMembers
 
 PLACES, LINGERS = "places/1/a", 3 * S
 
@@ -44,7 +44,7 @@
             self._start(m)
 
     def _start(self, m):
-        self.hand(m, Site(self.site, self.earlier, self.first))
+        self.hand(m, SiteMembers(self.site, self.earlier, self.first))
         for other in self.members.values():
             if other.machine is not None:
                 self.view(m, other.me, State.ALIVE)
--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -41,8 +41,8 @@
 )
 from madderbeam.policy.events import TimerDue as EngineTimerDue
 from madderbeam.policy.settings import MessageClass, Settings
-from madderbeam.shared.returning import Partners
-from madderbeam.shared.values import Heed, Lapsed, Site, TryFor
+from madderbeam.shared.returning import PartnerOutages
+from madderbeam.shared.values import ApplyFinding, FindingExpired, SetProbing, SiteMembers
 from madderbeam.transport.calls import Item, Outcome
 
 LATENCY_US, REFUSED_US = (5_000, 25_000), (500, 3_000)
@@ -78,7 +78,7 @@
     return pickle.dumps(net)
 
 
-class Town:
+class SiteNetwork:
     """`share`: whether couriers share findings. `rates`: messages per second of each courier."""
 
     def __init__(self, base, seed, share, rates, partner, settings=SETTINGS):
@@ -134,7 +134,7 @@
         self.config = SimpleNamespace(quota=None)  # without leases on places and quotas
         self.routing = SimpleNamespace(router=None)
         if town.share:
-            self.partners = Partners(node.id, Incarnation(1, 1))
+            self.partners = PartnerOutages(node.id, Incarnation(1, 1))
             serving = SimpleNamespace(before_call=None, refresh=lambda: None)
             leases = SimpleNamespace(status=lambda now: {}, amount=lambda name, now: 0.0)
             self.shared = Shared(
@@ -154,7 +154,7 @@
         entries = [e for e, _ in self.listing.read({"targets": [target]})]
         self.list_told(ListUpdateKind.CACHED, entries)
         if self.shared is not None:
-            self.tell_news(Site(members))
+            self.tell_news(SiteMembers(members))
             self.shared.warm()
             self.later(self.town.chance.random() / 4, self.shared._look)
             self.list_told(ListUpdateKind.DELTA, entries)
@@ -238,12 +238,12 @@
         elif isinstance(action, SetTimer):
             self.timers[action.token] = action.at_us
             self.town.later(action.at_us - self.town.now, lambda: self._timer(action))
-        elif isinstance(action, Heed):
-            self.heeds.append((self.town.now, action.news))
+        elif isinstance(action, ApplyFinding):
+            self.heeds.append((self.town.now, action.finding))
             self.shared.heed(action)
-        elif isinstance(action, Lapsed):
+        elif isinstance(action, FindingExpired):
             self.shared.lapsed(action)
-        elif isinstance(action, TryFor):
+        elif isinstance(action, SetProbing):
             self.shared.try_for(action)
         else:
             assert isinstance(action, LogLine), action
--- a/tests/shared/test_needs.py
+++ b/tests/shared/test_needs.py
@@ -2,7 +2,7 @@
 
 import random
 
-from madderbeam.shared.needs import NEED_FRACTION, Meter
+from madderbeam.shared.needs import NEED_FRACTION, RateMeter
 
 STEP_S = 0.1
 
@@ -21,14 +21,14 @@
 
 def test_a_large_need_follows_within_two_seconds():
     for seed in range(20):
-        chance, meter = random.Random(seed), Meter()
+        chance, meter = random.Random(seed), RateMeter()
         seen(20, 20, meter, chance)
         assert seen(200, 2, meter, chance)[-1] > 100
         assert seen(5, 4, meter, chance)[-1] < 30
 
 
 def test_a_small_need_is_smoothed():
-    chance, meter = random.Random(1), Meter()
+    chance, meter = random.Random(1), RateMeter()
     seen(2, 20, meter, chance)
     needs = seen(2, 200, meter, chance)
     mean = sum(needs) / len(needs)
@@ -39,7 +39,7 @@
 
 
 def test_the_backlog_counts_and_an_empty_span_changes_nothing():
-    meter = Meter()
-    assert meter.need() == 0 and meter.need(100) > 0
-    meter.came(0, 0.0)
+    meter = RateMeter()
+    assert meter.needed_rate() == 0 and meter.needed_rate(100) > 0
+    meter.record_arrivals(0, 0.0)
     assert meter.rate == 0
--- a/tests/shared/test_places.py
+++ b/tests/shared/test_places.py
@@ -11,7 +11,7 @@
 
 from madderbeam.shared import granter
 from madderbeam.shared.division import rounded
-from madderbeam.shared.granter import Pot
+from madderbeam.shared.granter import LeasePool
 from madderbeam.shared.granting import Grantor
 from madderbeam.shared.site import SiteMembership
 
@@ -126,8 +126,12 @@
 
 
 BUGS = {
-    "a call that outlasts its lease is not counted": (granter.Pot, "lingers_us", property(lambda self: 0)),
-    "use is not charged": (Pot, "record_use", _use_not_charged),
+    "a call that outlasts its lease is not counted": (
+        granter.LeasePool,
+        "lingers_us",
+        property(lambda self: 0),
+    ),
+    "use is not charged": (LeasePool, "record_use", _use_not_charged),
     "a floor of two": (SiteMembership, "_floor", lambda self, limit, part: 2.0),
 }
 
--- a/tests/shared/test_site_net.py
+++ b/tests/shared/test_site_net.py
@@ -1,11 +1,11 @@
 """Twenty couriers of a site and one partner in virtual time: outage, refusal of one courier, nonsense."""
 
 import pytest
-from site_net import ModelPartner, S, Town, settled
+from site_net import ModelPartner, S, SiteNetwork, settled
 
 from madderbeam.membership.values import GossipEntry, GossipReceived, MemberId
 from madderbeam.policy.events import AttemptResult
-from madderbeam.shared.news import FORM
+from madderbeam.shared.news import BODY_FORMAT
 
 MEMBERS, EACH = 20, 5.0  # messages a second
 
@@ -16,7 +16,7 @@
 
 
 def scene(base, seed=1, share=True, capacity=200, calm_s=4):
-    made = Town(base, seed, share, [EACH] * MEMBERS, ModelPartner(capacity))
+    made = SiteNetwork(base, seed, share, [EACH] * MEMBERS, ModelPartner(capacity))
     made.run(calm_s * S)
     return made
 
@@ -113,7 +113,7 @@
                 source,
                 f"news/{kind}/1" + ("/x" if uid else ""),
                 n + 1,
-                FORM.pack(len(uid), 365 * 86_400 * S, value) + uid,
+                BODY_FORMAT.pack(len(uid), 365 * 86_400 * S, value) + uid,
             )
             for member, courier in one.couriers.items():
                 if member != source:
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -825,7 +825,7 @@
 
     def lax(self, tenant, cls, size):
         ask(self, tenant, cls, size)
-        return gate.Verdict(True)
+        return gate.QuotaVerdict(True)
 
     patch.setattr(quota.QuotaComponent, "ask", lax)
 
@@ -834,4 +834,4 @@
 def counts_an_hour_from_its_last_saved_state_as_if_nothing_had_gone_since(patch):
     patch.setattr(gate, "SAVED_PART", 1)  # saved far too seldom
     patch.setattr(quota, "EVERY_S", 1e9)
-    patch.setattr(gate.Gate, "restore", lambda self, rows, elapsed, now: None)
+    patch.setattr(gate.QuotaAdmission, "restore", lambda self, rows, elapsed, now: None)
--- a/tests/simulation/planted_sharing.py
+++ b/tests/simulation/planted_sharing.py
@@ -6,10 +6,10 @@
 
 from madderbeam.host.federation.shared import Shared
 from madderbeam.shared import news, returning
-from madderbeam.shared.granter import Pot
-from madderbeam.shared.holder import Holder
-from madderbeam.shared.news import NewsBoard
-from madderbeam.shared.values import Kind
+from madderbeam.shared.granter import LeasePool
+from madderbeam.shared.holder import LeaseHolder
+from madderbeam.shared.news import FindingsBoard
+from madderbeam.shared.values import FindingKind
 
 BUGS = {}
 
@@ -42,12 +42,17 @@
 
 @bug(192, "S3")
 def a_wait_counts_from_its_telling_by_wall_clocks(patch):
-    heed(patch, lambda told: replace(told, left_us=told.left_us // 2) if told.kind is Kind.WAIT else told)
+    heed(
+        patch,
+        lambda told: (
+            replace(told, left_us=told.left_us // 2) if told.kind is FindingKind.RETRY_AFTER else told
+        ),
+    )
 
 
 @bug(176, "S3")
 def a_drain_is_not_heeded(patch):
-    heed(patch, lambda told: None if told.kind is Kind.DRAIN else told)
+    heed(patch, lambda told: None if told.kind is FindingKind.DRAIN else told)
 
 
 @bug(296, "S6")
@@ -58,7 +63,9 @@
 @bug(99, "F5", "S4", "S6")
 def an_outage_is_never_lifted(patch):
     lapsed = Shared.lapsed
-    patch.setattr(Shared, "lapsed", lambda self, action: action.kind is Kind.OUTAGE or lapsed(self, action))
+    patch.setattr(
+        Shared, "lapsed", lambda self, action: action.kind is FindingKind.OUTAGE or lapsed(self, action)
+    )
 
 
 @bug(340, "S4")
@@ -68,7 +75,7 @@
 
 @bug(230, "S4")
 def all_try(patch):
-    heed(patch, lambda told: None if told.kind in (Kind.OUTAGE, Kind.DOUBT) else told)
+    heed(patch, lambda told: None if told.kind in (FindingKind.OUTAGE, FindingKind.SUSPICION) else told)
 
 
 @bug(7, "S4", kind="returns_not_to_all")
@@ -78,7 +85,7 @@
 
 @bug(0, "S5", kind="outage")
 def a_return_is_not_told_as_cold(patch):
-    heed(patch, lambda told: None if told.kind is Kind.BACK else told)
+    heed(patch, lambda told: None if told.kind is FindingKind.RECOVERY else told)
     patch.setattr(
         Shared, "lapsed", lambda self, action: self.held.discard(action.dest) or self._show(action.dest)
     )
@@ -113,24 +120,26 @@
 
 @bug(348, "S1")
 def a_granter_forgets_what_it_gave(patch):
-    patch.setattr(Pot, "charge", lambda self, now_us, member: self.seating.base(now_us, self.limit, member))
+    patch.setattr(
+        LeasePool, "charge", lambda self, now_us, member: self.seating.base(now_us, self.limit, member)
+    )
 
 
 @bug(193, "S2", "S6")
 def no_grant_is_taken(patch):
-    patch.setattr(Holder, "take", lambda self, now_us, granter, grant: [])
+    patch.setattr(LeaseHolder, "take", lambda self, now_us, granter, grant: [])
 
 
 @bug(99, "S6")
 def an_outage_is_told_for_ever(patch):
-    learnt = NewsBoard._learnt
+    learnt = FindingsBoard._local_finding
 
     def longer(self, now_us, event):
         told = event.news
-        if told.kind is Kind.OUTAGE and told.left_us:
+        if told.kind is FindingKind.OUTAGE and told.left_us:
             event = replace(event, news=replace(told, left_us=60_000_000))
-        elif told.kind is Kind.OUTAGE:
+        elif told.kind is FindingKind.OUTAGE:
             return []
         return learnt(self, now_us, event)
 
-    patch.setattr(NewsBoard, "_learnt", longer)
+    patch.setattr(FindingsBoard, "_learnt", longer)
