--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -44,8 +44,8 @@
             from madderbeam.host.quota import QuotaComponent  # loaded already where there are quotas
 
             self.gate = next(g.gate for g in host.admission.gates if isinstance(g, QuotaComponent))
-            if self.gate.leased.unleased:
-                self._many(f"{self.gate.leased.unleased} quotas have equal parts")
+            if self.gate.leased.unleased_count:
+                self._many(f"{self.gate.leased.unleased_count} quotas have equal parts")
         self.meters: dict[str, tuple[RateMeter, RateMeter]] = {}  # by quota's node: messages, bytes
         self.largest: dict[str, tuple[int, float]] = {}  # bytes, and for how many seconds they count still
         host.calls.places = self
@@ -63,7 +63,7 @@
         self.listed()
         if self.gate is not None:
             couriers = max(members, int((self.host.config.quota or {}).get("couriers", 1)))
-            for name in self.gate.leased.lots:
+            for name in self.gate.leased.nodes:
                 self._limit(Limit(f"quota/{name}", members / couriers, 1 / couriers))
 
     def listed(self) -> None:
@@ -140,7 +140,7 @@
         """What this courier may use of a limit."""
         kind, _, name = action.resource.partition("/")
         if kind == "quota" and self.gate is not None:
-            self.gate.allot(name, action.amount, action.until_us, action.fallback, self.host.clock())
+            self.gate.set_lease(name, action.amount, action.until_us, action.fallback, self.host.clock())
         elif kind == "places":
             for endpoint in self.places.get(int(name), ()):
                 self.host.calls.trim(endpoint)
@@ -158,9 +158,9 @@
             self._quotas(span_s)
 
     def _quotas(self, span_s: float) -> None:
-        self.gate.due_leases(self.host.clock())
-        asked = self.gate.asked()
-        for name, lot in self.gate.leased.lots.items():
+        self.gate.expire_leases(self.host.clock())
+        asked = self.gate.take_demand()
+        for name, lot in self.gate.leased.nodes.items():
             if name not in asked and name not in self.meters:
                 continue
             messages, size, largest = asked.get(name, (0, 0, 0))
@@ -172,7 +172,7 @@
             if largest >= known or left_s <= 0:
                 known, left_s = largest, LARGEST_S
             self.largest[name] = (known, left_s - span_s)
-            part = self.gate.leased.wanted(
+            part = self.gate.leased.needed_fraction(
                 lot, counts.needed_rate() * SPARE, sizes.needed_rate() * SPARE, known
             )
             self.lease(Need(f"quota/{name}", part))
@@ -190,6 +190,6 @@
                 for dest, limited in self.places.items()
             }
         if self.gate is not None:
-            lots = self.gate.leased.lots.items()
-            found["quota"] = {name: round(lot.k / ONE, 6) for name, lot in lots}
+            lots = self.gate.leased.nodes.items()
+            found["quota"] = {name: round(lot.fraction / ONE, 6) for name, lot in lots}
         return found
--- a/madderbeam/simulation/sharefaults.py
+++ b/madderbeam/simulation/sharefaults.py
@@ -192,7 +192,9 @@
     return [
         m
         for m in f.site()
-        if m.works and m.ready_us >= 0 and any(slot.granting.runs() for slot in m.room.shared.leases.slots)
+        if m.works
+        and m.ready_us >= 0
+        and any(group.grantor.is_running() for group in m.room.shared.leases.groups)
     ]
 
 
--- a/madderbeam/simulation/sharejudge.py
+++ b/madderbeam/simulation/sharejudge.py
@@ -79,7 +79,7 @@
             self.lives[member], self.used[member] = member.life, {}
         holder, now = member.room.shared.leases.holder, member.clock.monotonic_us()
         used = self.used[member]
-        for resource in holder.lots:
+        for resource in holder.leases:
             amount = holder.amount(resource, now)
             before = used.get(resource, 0.0)
             if amount != before:
@@ -102,7 +102,7 @@
         member, resource = call.member, f"rate/{call.dest}"
         now = member.clock.monotonic_us()
         shared, dest = member.room.shared, member.host.courier.state.destinations[call.dest]
-        if resource not in shared.leases.holder.lots:
+        if resource not in shared.leases.holder.leases:
             return
         amount = shared.leases.amount(resource, now)
         self.step(member)  # a lease may have ended by time alone
@@ -232,7 +232,7 @@
             for member in self.world.sites["macon"] if partner.out_us >= 0 else ():
                 if member.works and member.ready_us >= 0:
                     board, now = member.room.shared.partners.board, member.clock.monotonic_us()
-                    told = board.owners[member.id].told.get((FindingKind.OUTAGE, partner.number, ""))
+                    told = board.owners[member.id].records.get((FindingKind.OUTAGE, partner.number, ""))
                     said += told is not None and told.until_us > now
             if said < 2:
                 partner.told_us = -1
@@ -250,7 +250,7 @@
                 if member in partner.refuses or not self.steady(member, bound):
                     continue
                 answered = now - self.served.get((member, partner.number), -S) < S
-                held = member.room.shared.partners.held.get(partner.number)  # doubts hold for a moment
+                held = member.room.shared.partners.held_off.get(partner.number)  # doubts hold for a moment
                 if held is FindingKind.OUTAGE and (back or (answered and now - partner.back_us > 5 * S)):
                     self.broken(
                         "S4",
@@ -319,14 +319,14 @@
         kept = [
             subject
             for owner in board.owners.values()
-            for subject, told in owner.told.items()
+            for subject, told in owner.records.items()
             if subject[1] != odd and told.until_us < now - 2 * S
         ]
         left = {
             "news": news,
             "news that are over": kept,
             "held": shared.held - {odd},
-            "tries": shared.partners.trying.keys() - {odd},
+            "tries": shared.partners.probing.keys() - {odd},
         }
         for what, found in left.items():
             if found:
--- a/tests/shared/lease_bugs.py
+++ b/tests/shared/lease_bugs.py
@@ -39,7 +39,7 @@
 
 
 def _only_last_grant_charged(self, now_us, member):
-    base = self.seating.base(now_us, self.limit, member)
+    base = self.membership.reserved_amount(now_us, self.limit, member)
     return max([base, *(grant.amount for grant in self.outstanding.get(member, ())[-1:])])
 
 
@@ -51,13 +51,13 @@
 
 
 def _used_after_expiry(self, resource, now_us):
-    lease = self.lots.get(resource)
+    lease = self.leases.get(resource)
     return max(lease.amount, lease.fallback) if lease else 0.0
 
 
 def _only_current_table(self, now_us, event):
     self._in_use = (tuple(sorted(event.members)),)
-    self.is_first_table, self.current = event.first, self._in_use[0]
+    self.is_first_table, self.current = event.is_first_table, self._in_use[0]
     self.floor_reserved_from_us = now_us
     self.expire(now_us)
 
@@ -71,10 +71,10 @@
 
 
 BUGS = {
-    "a lease is counted from its grant": (LeaseHolder, "take", _lease_counted_from_grant),
+    "a lease is counted from its grant": (LeaseHolder, "accept_grant", _lease_counted_from_grant),
     "a restarted member confirms at once": (TermVoter, "start", _votes_at_once),
     "earlier grants of unreachable members are ignored": (LeaseTerm, "record_vote", _earlier_grants_ignored),
-    "no floor is reserved": (SiteMembership, "base", _no_floor_reserved),
+    "no floor is reserved": (SiteMembership, "reserved_amount", _no_floor_reserved),
     "clock drift is ignored": _drift_ignored,
     "a term of a minority": (regime, "has_all_majorities", lambda slot, sets, of: len(of) >= 1),
     "one member confirms two terms": (TermVoter, "may_confirm", lambda self, now_us, member, term: True),
--- a/tests/shared/lease_model.py
+++ b/tests/shared/lease_model.py
@@ -69,7 +69,7 @@
     def group(self, n):
         machine = self.machines[n]
         machine.out.now_us = self.now
-        return machine.slots[0]
+        return machine.groups[0]
 
     def flush(self, n):
         """Deliver what a call into a group returned, including the messages of the member to itself."""
@@ -87,7 +87,7 @@
     def may(self, move, n):
         if move not in ("begin", "renew", "end"):
             return True
-        return self.machines[n].slots[0].granting.term.is_active is (move != "begin")
+        return self.machines[n].groups[0].grantor.term.is_active is (move != "begin")
 
     def play(self, *move):
         if move in self.left:
@@ -100,17 +100,17 @@
         self.hand(link[1], MessageReceived(MEMBERS[link[0]], message))
 
     def _begin(self, n):
-        self.group(n).granting.begin()
+        self.group(n).grantor.begin()
         self.flush(n)
 
     def _renew(self, n):
-        granting = self.group(n).granting
-        granting.divide_all()
-        granting.request()
+        grantor = self.group(n).grantor
+        grantor.divide_all()
+        grantor.request()
         self.flush(n)
 
     def _end(self, n):
-        self.group(n).granting.end()
+        self.group(n).grantor.end()
         self.flush(n)
 
     def _back(self, n):
@@ -140,8 +140,8 @@
         )
 
     def _member(self, machine):
-        group, holder = machine.slots[0], machine.holder
-        term, pools = group.granting.term, group.granting.pools
+        group, holder = machine.groups[0], machine.holder
+        term, pools = group.grantor.term, group.grantor.pools
         shares = [sorted((str(m), repr(s)) for m, s in p.shares.items()) for p in pools.values()]
         outstanding = [sorted((str(m), repr(g)) for m, g in p.outstanding.items()) for p in pools.values()]
         voter = group.voter
@@ -162,8 +162,8 @@
                 shares,
                 outstanding,
             ),
-            *(sorted(map(repr, term._requests.items())), sorted(group.granting._replied.items())),
-            *(holder.lots[RATE], holder.followed, sorted(holder._replied_at_us.items())),
+            *(sorted(map(repr, term._requests.items())), sorted(group.grantor._replied.items())),
+            *(holder.leases[RATE], holder.followed, sorted(holder._replied_at_us.items())),
             *(sorted(machine.membership.joined.items()), machine._is_join_durable),
         )
 
@@ -178,7 +178,7 @@
         world.now += LEASE // 8
         world._renew(0)
     deliver_all(world)
-    assert world.group(0).granting.runs() and max(world.amounts()) > TOTAL * 0.4
+    assert world.group(0).grantor.is_running() and max(world.amounts()) > TOTAL * 0.4
     # the third receives nothing more: its lease and its vote have expired
     if scene is SCENES["one is cut off"]:
         world.now += LEASE // 2
--- a/tests/shared/test_needs.py
+++ b/tests/shared/test_needs.py
@@ -14,8 +14,8 @@
         arrivals, gap = 0, chance.expovariate(1)
         while gap < rate * STEP_S:
             arrivals, gap = arrivals + 1, gap + chance.expovariate(1)
-        meter.came(arrivals, STEP_S)
-        needs.append(meter.need())
+        meter.record_arrivals(arrivals, STEP_S)
+        needs.append(meter.needed_rate())
     return needs
 
 
--- a/tests/shared/test_news.py
+++ b/tests/shared/test_news.py
@@ -236,7 +236,7 @@
 
 
 def probers(net, dest=7):
-    return [m for m, p in net.members.items() if dest in p.trying]
+    return [m for m, p in net.members.items() if dest in p.probing]
 
 
 def report_outage(net, names, left_us=3 * S):
@@ -250,7 +250,7 @@
         report_outage(net, NAMES[:3])
         net.run(S)
         assert len(probers(net)) == 1 and probers(net)[0] in NAMES[:3]
-        held = [m for m, p in net.members.items() if 7 in p.held]
+        held = [m for m, p in net.members.items() if 7 in p.held_off]
         assert sorted(held + probers(net)) == NAMES
 
 
@@ -304,7 +304,7 @@
     for m in NAMES[:3]:
         net.tell(m, LocalFinding(Finding(FindingKind.OUTAGE, 7, "", 0)))
     net.run(3 * S)
-    assert not probers(net) and not any(p.held for p in net.members.values())
+    assert not probers(net) and not any(p.held_off for p in net.members.values())
     assert all(net.heeds(m, FindingKind.RECOVERY) for m in NAMES[:4] if m != first)
     assert all(net.lapses(m, FindingKind.OUTAGE) for m in NAMES[:4] if m != first)
     assert any(isinstance(a, SetProbing) and not a.enabled for _, a in net.told[first])
@@ -324,7 +324,7 @@
 
 
 def held(net, dest=7):
-    return [m for m, p in net.members.items() if dest in p.held]
+    return [m for m, p in net.members.items() if dest in p.held_off]
 
 
 def test_two_suspicions_make_the_others_hold_off():
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -832,6 +832,6 @@
 
 @bug(14, "quota")
 def counts_an_hour_from_its_last_saved_state_as_if_nothing_had_gone_since(patch):
-    patch.setattr(gate, "SAVED_PART", 1)  # saved far too seldom
+    patch.setattr(gate, "SAVE_DIVISOR", 1)  # saved far too seldom
     patch.setattr(quota, "EVERY_S", 1e9)
     patch.setattr(gate.QuotaAdmission, "restore", lambda self, rows, elapsed, now: None)
--- a/tests/simulation/planted_sharing.py
+++ b/tests/simulation/planted_sharing.py
@@ -29,8 +29,8 @@
     inner = Shared.heed
 
     def changed(self, action):
-        if (told := change(action.news)) is not None:
-            inner(self, replace(action, news=told))
+        if (told := change(action.finding)) is not None:
+            inner(self, replace(action, finding=told))
 
     patch.setattr(Shared, "heed", changed)
 
@@ -57,7 +57,7 @@
 
 @bug(296, "S6")
 def nonsense_is_not_bounded(patch):
-    patch.setattr(news, "LONGEST_US", 400 * 86_400_000_000)
+    patch.setattr(news, "DURATION_MAX_US", 400 * 86_400_000_000)
 
 
 @bug(99, "F5", "S4", "S6")
@@ -70,7 +70,7 @@
 
 @bug(340, "S4")
 def one_witness_is_enough(patch):
-    patch.setattr(returning, "WITNESSES", 1)
+    patch.setattr(returning, "REPORTERS_REQUIRED", 1)
 
 
 @bug(230, "S4")
@@ -80,7 +80,7 @@
 
 @bug(7, "S4", kind="returns_not_to_all")
 def who_tries_is_never_relieved(patch):
-    patch.setattr(returning, "TURN_US", 1 << 60)
+    patch.setattr(returning, "PROBING_TURN_US", 1 << 60)
 
 
 @bug(0, "S5", kind="outage")
@@ -121,13 +121,15 @@
 @bug(348, "S1")
 def a_granter_forgets_what_it_gave(patch):
     patch.setattr(
-        LeasePool, "charge", lambda self, now_us, member: self.seating.base(now_us, self.limit, member)
+        LeasePool,
+        "charge",
+        lambda self, now_us, member: self.membership.reserved_amount(now_us, self.limit, member),
     )
 
 
 @bug(193, "S2", "S6")
 def no_grant_is_taken(patch):
-    patch.setattr(LeaseHolder, "take", lambda self, now_us, granter, grant: [])
+    patch.setattr(LeaseHolder, "accept_grant", lambda self, now_us, granter, grant: [])
 
 
 @bug(99, "S6")
@@ -135,11 +137,11 @@
     learnt = FindingsBoard._local_finding
 
     def longer(self, now_us, event):
-        told = event.news
+        told = event.finding
         if told.kind is FindingKind.OUTAGE and told.left_us:
-            event = replace(event, news=replace(told, left_us=60_000_000))
+            event = replace(event, finding=replace(told, left_us=60_000_000))
         elif told.kind is FindingKind.OUTAGE:
             return []
         return learnt(self, now_us, event)
 
-    patch.setattr(FindingsBoard, "_learnt", longer)
+    patch.setattr(FindingsBoard, "_local_finding", longer)
