--- a/bench/quota.py
+++ b/bench/quota.py
@@ -13,7 +13,7 @@
 import tracemalloc
 from typing import Any
 
-from madderbeam.quota.gate import QuotaAdmission
+from madderbeam.quota.admission import QuotaAdmission
 from madderbeam.quota.tree import NONE, Admitted, Limit, Limits, Node, Tree
 
 
--- a/bench/shared.py
+++ b/bench/shared.py
@@ -32,7 +32,7 @@
 from madderbeam.shared.lease_messages import from_row, to_row
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.needs import RateMeter
+from madderbeam.shared.rate_meter import RateMeter
 from madderbeam.shared.values import Limit, Need, SiteMembers
 
 S = 1_000_000
--- a/madderbeam/changes/check.py
+++ b/madderbeam/changes/check.py
@@ -163,7 +163,7 @@
     raw = snapshot.get(("whole", "quota"))
     if not raw:
         return
-    from madderbeam.quota.gate import QuotaAdmission, QuotaError
+    from madderbeam.quota.admission import QuotaAdmission, QuotaError
 
     try:
         QuotaAdmission(raw, 0, random.Random(0), 1)
--- a/madderbeam/config/check.py
+++ b/madderbeam/config/check.py
@@ -161,7 +161,7 @@
             owners.setdefault(key, node.name)
     if right and estate.quota:
         from madderbeam.config.quotas import quota
-        from madderbeam.quota.gate import QuotaAdmission, QuotaError
+        from madderbeam.quota.admission import QuotaAdmission, QuotaError
 
         try:
             QuotaAdmission(quota(estate, 1) or {}, 0, random.Random(0), 1)
--- a/madderbeam/config/platform.py
+++ b/madderbeam/config/platform.py
@@ -188,7 +188,7 @@
         return None
     import random
 
-    from madderbeam.quota.gate import QuotaAdmission, QuotaError
+    from madderbeam.quota.admission import QuotaAdmission, QuotaError
 
     try:
         QuotaAdmission(raw, 0, random.Random(0), 1)
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -77,7 +77,7 @@
 from madderbeam.shared import lease_messages as lent
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.returning import PartnerOutages
+from madderbeam.shared.partner_outages import PartnerOutages
 from madderbeam.shared.values import ApplyFinding, FindingExpired, SetAllowance, SetProbing
 from madderbeam.transport.mesh import events as heard
 from madderbeam.transport.mesh.events import MeshSettings
--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -16,7 +16,7 @@
 from madderbeam.policy.events import ListUpdateKind
 from madderbeam.shared.division import rounded
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.needs import RateMeter
+from madderbeam.shared.rate_meter import RateMeter
 from madderbeam.shared.values import Limit, Need, SetAllowance
 
 PLACES_MOST = 512  # destinations whose places are shared
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/shared.py
@@ -21,8 +21,8 @@
 from madderbeam.policy.events import AttemptResult, EndpointEntry, EndpointState, ListUpdateKind
 from madderbeam.policy.state import Destination
 from madderbeam.shared.leases import Leases
-from madderbeam.shared.needs import RateMeter
-from madderbeam.shared.returning import PartnerOutages
+from madderbeam.shared.partner_outages import PartnerOutages
+from madderbeam.shared.rate_meter import RateMeter
 from madderbeam.shared.values import (
     ApplyFinding,
     CallAnswered,
--- a/madderbeam/host/quota.py
+++ b/madderbeam/host/quota.py
@@ -13,7 +13,7 @@
 from madderbeam.host.components import Component
 from madderbeam.host.host import Host
 from madderbeam.ports import Clock, Disk, Ports
-from madderbeam.quota.gate import QuotaAdmission, QuotaVerdict
+from madderbeam.quota.admission import QuotaAdmission, QuotaVerdict
 
 SAVE_INTERVAL_S = 5.0  # while messages pass; sooner if much of a quota was used since
 log = logging.getLogger(__name__)
--- a/madderbeam/host/standby/primary.py
+++ b/madderbeam/host/standby/primary.py
@@ -17,7 +17,7 @@
 from madderbeam.host.standby.shared import Watched, kept_folder, read_keys, settings, told
 from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
-from madderbeam.quota.gate import QuotaVerdict
+from madderbeam.quota.admission import QuotaVerdict
 from madderbeam.replication.owner import Owner
 from madderbeam.replication.values import (
     Appended,
--- a/madderbeam/quota/gate.py
+++ b/madderbeam/quota/admission.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from madderbeam.quota.credits import Credit, Credits
-from madderbeam.quota.leased import LeasedLimits
+from madderbeam.quota.leased_limits import LeasedLimits
 from madderbeam.quota.split import FILLING, HOUR, NEVER, Part, Split
 from madderbeam.quota.tree import (
     DIMENSIONS,
--- a/madderbeam/quota/commands.py
+++ b/madderbeam/quota/commands.py
@@ -24,7 +24,7 @@
 def _show(args: argparse.Namespace) -> int:
     from madderbeam.config.rendered import Unfit, read
     from madderbeam.host.quota import quota_path
-    from madderbeam.quota.gate import QuotaAdmission, QuotaError
+    from madderbeam.quota.admission import QuotaAdmission, QuotaError
 
     try:
         raw = read(args.file)
--- a/madderbeam/shared/candidacy.py
+++ b/madderbeam/shared/candidacy.py
@@ -12,9 +12,9 @@
 from madderbeam.membership.values import MemberId, MemberView
 from madderbeam.relay.choice import lives
 from madderbeam.shared.lease_settings import LeaseSettings
+from madderbeam.shared.lease_term import TermVoter
 from madderbeam.shared.majority import by_rendezvous_score
-from madderbeam.shared.regime import TermVoter
-from madderbeam.shared.site import SiteMembership
+from madderbeam.shared.site_membership import SiteMembership
 
 BACKOFF_DOUBLINGS_MAX = 5  # doublings of the backoff between two attempts
 TICKS_PER_RENEWAL = 4  # per renewal interval
--- a/madderbeam/shared/granting.py
+++ b/madderbeam/shared/grantor.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from madderbeam.membership.values import MemberId
-from madderbeam.shared.granter import LeasePool
 from madderbeam.shared.lease_messages import Grant, GrantAck, LeaseReturn, TermEnd, TermReply, TermRequest
+from madderbeam.shared.lease_pool import LeasePool
 from madderbeam.shared.lease_settings import LeaseSettings, shortest_us
+from madderbeam.shared.lease_term import LeaseTerm
 from madderbeam.shared.outgoing import OutgoingActions
-from madderbeam.shared.regime import LeaseTerm
-from madderbeam.shared.site import SiteMembership
+from madderbeam.shared.site_membership import SiteMembership
 from madderbeam.shared.values import Limit
 
 
--- a/madderbeam/shared/slot.py
+++ b/madderbeam/shared/lease_group.py
@@ -8,8 +8,8 @@
 
 from madderbeam.membership.values import MemberId, MemberView
 from madderbeam.shared.candidacy import Candidacy
-from madderbeam.shared.granting import Grantor
-from madderbeam.shared.holder import LeaseHolder
+from madderbeam.shared.grantor import Grantor
+from madderbeam.shared.lease_holder import LeaseHolder
 from madderbeam.shared.lease_messages import (
     Grant,
     GrantAck,
@@ -20,9 +20,9 @@
     TermRequest,
 )
 from madderbeam.shared.lease_settings import LeaseSettings
+from madderbeam.shared.lease_term import TermVoter
 from madderbeam.shared.outgoing import OutgoingActions
-from madderbeam.shared.regime import TermVoter
-from madderbeam.shared.site import SiteMembership
+from madderbeam.shared.site_membership import SiteMembership
 
 REPORTED_SPAN_MAX_US = 2 * 3_600 * 1_000_000
 
--- a/madderbeam/shared/holder.py
+++ b/madderbeam/shared/lease_holder.py
@@ -8,7 +8,7 @@
 from madderbeam.membership.values import MemberId
 from madderbeam.shared.lease_messages import Grant, Holding
 from madderbeam.shared.lease_settings import LeaseSettings
-from madderbeam.shared.regime import REQUESTS_MAX
+from madderbeam.shared.lease_term import REQUESTS_MAX
 from madderbeam.shared.values import Limit, SetAllowance
 
 
--- a/madderbeam/shared/granter.py
+++ b/madderbeam/shared/lease_pool.py
@@ -15,7 +15,7 @@
 from madderbeam.shared.division import ROUNDING_ERROR, Claim, damped, divide, rounded
 from madderbeam.shared.lease_messages import Holding
 from madderbeam.shared.lease_settings import LeaseSettings, longest_us, shortest_us
-from madderbeam.shared.site import SiteMembership
+from madderbeam.shared.site_membership import SiteMembership
 from madderbeam.shared.values import Limit
 
 REGRANT_FRACTION = 0.05  # fraction of a share: a greater difference is granted between two renewals
--- a/madderbeam/shared/leases.py
+++ b/madderbeam/shared/leases.py
@@ -29,12 +29,12 @@
     WriteFailed,
 )
 from madderbeam.shared.candidacy import TICKS_PER_RENEWAL
-from madderbeam.shared.holder import LeaseHolder
+from madderbeam.shared.lease_group import LeaseGroup
+from madderbeam.shared.lease_holder import LeaseHolder
 from madderbeam.shared.lease_messages import AMOUNT_MAX, NAME_MAX_CHARACTERS
 from madderbeam.shared.lease_settings import LeaseSettings, longest_us
 from madderbeam.shared.outgoing import OutgoingActions
-from madderbeam.shared.site import SiteMembership
-from madderbeam.shared.slot import LeaseGroup
+from madderbeam.shared.site_membership import SiteMembership
 from madderbeam.shared.values import Limit, Need, SetAllowance, SiteMembers
 
 VIEWS_MAX = 4_096
--- a/madderbeam/shared/returning.py
+++ b/madderbeam/shared/partner_outages.py
@@ -16,7 +16,7 @@
 from madderbeam.federation.errors import OutAlone
 from madderbeam.membership.values import Incarnation, LogLine, MemberId, SetTimer
 from madderbeam.relay.choice import score
-from madderbeam.shared.news import REPORTERS_REQUIRED, WEIGHED_KINDS, FindingRecord, FindingsBoard
+from madderbeam.shared.findings import REPORTERS_REQUIRED, WEIGHED_KINDS, FindingRecord, FindingsBoard
 from madderbeam.shared.values import (
     ApplyFinding,
     CallAnswered,
--- a/madderbeam/shared/needs.py
+++ b/madderbeam/shared/rate_meter.py
@@ -20,7 +20,7 @@
     `each`: units per arrival, roughly.
     """
 
-    __slots__ = ("units_per_arrival", "rate")
+    __slots__ = ("rate", "units_per_arrival")
 
     def __init__(self, each: float = 1.0) -> None:
         self.rate, self.units_per_arrival = 0.0, each
--- a/madderbeam/simulation/sharefaults.py
+++ b/madderbeam/simulation/sharefaults.py
@@ -7,7 +7,7 @@
 from typing import Any, TypeAlias
 
 from madderbeam.membership.values import Disseminate
-from madderbeam.shared.news import BODY_FORMAT
+from madderbeam.shared.findings import BODY_FORMAT
 from madderbeam.simulation import fedfaults
 from madderbeam.simulation.fedfaults import Faults
 
--- a/madderbeam/simulation/sharejudge.py
+++ b/madderbeam/simulation/sharejudge.py
@@ -5,7 +5,7 @@
 from collections import defaultdict, deque
 from typing import Any, TypeAlias
 
-from madderbeam.shared.news import DURATION_MAX_US
+from madderbeam.shared.findings import DURATION_MAX_US
 from madderbeam.shared.values import FindingKind
 from madderbeam.simulation.fedjudge import Call, Judge
 
--- a/tests/quota/test_credits.py
+++ b/tests/quota/test_credits.py
@@ -5,9 +5,9 @@
 
 import pytest
 
+from madderbeam.quota.admission import QuotaAdmission
 from madderbeam.quota.credits import Credits
-from madderbeam.quota.gate import QuotaAdmission
-from madderbeam.quota.leased import LEASED_NODES_MAX, UnscaledLimit
+from madderbeam.quota.leased_limits import LEASED_NODES_MAX, UnscaledLimit
 from madderbeam.quota.split import Split
 from madderbeam.quota.tree import CREDIT_SPARE_FACTOR, Tree
 
--- a/tests/quota/test_gate.py
+++ b/tests/quota/test_gate.py
@@ -15,7 +15,7 @@
 
 from madderbeam.cli import main
 from madderbeam.config.check import check
-from madderbeam.quota.gate import BORROWED_WEIGHT, QuotaAdmission, QuotaError
+from madderbeam.quota.admission import BORROWED_WEIGHT, QuotaAdmission, QuotaError
 from madderbeam.quota.split import HOUR_US
 
 S = 1_000_000
--- a/tests/shared/lease_bugs.py
+++ b/tests/shared/lease_bugs.py
@@ -3,12 +3,12 @@
 import contextlib
 from unittest import mock
 
-from madderbeam.shared import granter, granting, regime, site
-from madderbeam.shared.granter import LeasePool
-from madderbeam.shared.holder import LeaseHolder
+from madderbeam.shared import grantor, lease_pool, lease_term, site_membership
+from madderbeam.shared.lease_holder import LeaseHolder
+from madderbeam.shared.lease_pool import LeasePool
 from madderbeam.shared.lease_settings import LeaseSettings
-from madderbeam.shared.regime import LeaseTerm, TermVoter
-from madderbeam.shared.site import SiteMembership
+from madderbeam.shared.lease_term import LeaseTerm, TermVoter
+from madderbeam.shared.site_membership import SiteMembership
 
 _accept_grant, _record_vote, _voter_start, _expire = (
     LeaseHolder.accept_grant,
@@ -63,7 +63,7 @@
 
 
 def _drift_ignored(patches):
-    for module in (regime, granter, granting, site):
+    for module in (lease_term, lease_pool, grantor, site_membership):
         for name in ("longest_us", "shortest_us"):
             if hasattr(module, name):
                 patches.enter_context(mock.patch.object(module, name, lambda span_us, drift_ppm: span_us))
@@ -76,7 +76,7 @@
     "earlier grants of unreachable members are ignored": (LeaseTerm, "record_vote", _earlier_grants_ignored),
     "no floor is reserved": (SiteMembership, "reserved_amount", _no_floor_reserved),
     "clock drift is ignored": _drift_ignored,
-    "a term of a minority": (regime, "has_all_majorities", lambda slot, sets, of: len(of) >= 1),
+    "a term of a minority": (lease_term, "has_all_majorities", lambda slot, sets, of: len(of) >= 1),
     "one member confirms two terms": (TermVoter, "may_confirm", lambda self, now_us, member, term: True),
     "a lower grant counts before it is acknowledged": (LeasePool, "charge", _only_last_grant_charged),
     "dead members are not charged": (LeasePool, "expire", _dead_members_not_charged),
--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -41,7 +41,7 @@
 )
 from madderbeam.policy.events import TimerDue as EngineTimerDue
 from madderbeam.policy.settings import MessageClass, Settings
-from madderbeam.shared.returning import PartnerOutages
+from madderbeam.shared.partner_outages import PartnerOutages
 from madderbeam.shared.values import ApplyFinding, FindingExpired, SetProbing, SiteMembers
 from madderbeam.transport.calls import Item, Outcome
 
--- a/tests/shared/test_needs.py
+++ b/tests/shared/test_needs.py
@@ -2,7 +2,7 @@
 
 import random
 
-from madderbeam.shared.needs import NEED_FRACTION, RateMeter
+from madderbeam.shared.rate_meter import NEED_FRACTION, RateMeter
 
 STEP_S = 0.1
 
--- a/tests/shared/test_news.py
+++ b/tests/shared/test_news.py
@@ -16,8 +16,13 @@
     State,
     TimerDue,
 )
-from madderbeam.shared.news import BODY_FORMAT, DURATION_MAX_US, SUBJECTS_PER_MEMBER_MAX, FindingsBoard
-from madderbeam.shared.returning import COOL_DOWN_MAX_US, HOLD_OFF_MAX_US, PROBING_TURN_US, PartnerOutages
+from madderbeam.shared.findings import BODY_FORMAT, DURATION_MAX_US, SUBJECTS_PER_MEMBER_MAX, FindingsBoard
+from madderbeam.shared.partner_outages import (
+    COOL_DOWN_MAX_US,
+    HOLD_OFF_MAX_US,
+    PROBING_TURN_US,
+    PartnerOutages,
+)
 from madderbeam.shared.values import (
     ApplyFinding,
     CallAnswered,
--- a/tests/shared/test_places.py
+++ b/tests/shared/test_places.py
@@ -9,11 +9,11 @@
 from lease_net import LEASE, S, ids
 from place_net import LINGERS, PLACES, PlaceDraw, Places
 
-from madderbeam.shared import granter
+from madderbeam.shared import lease_pool
 from madderbeam.shared.division import rounded
-from madderbeam.shared.granter import LeasePool
-from madderbeam.shared.granting import Grantor
-from madderbeam.shared.site import SiteMembership
+from madderbeam.shared.grantor import Grantor
+from madderbeam.shared.lease_pool import LeasePool
+from madderbeam.shared.site_membership import SiteMembership
 
 
 def settled(count=5, each=4, seed=1):
@@ -127,7 +127,7 @@
 
 BUGS = {
     "a call that outlasts its lease is not counted": (
-        granter.LeasePool,
+        lease_pool.LeasePool,
         "lingers_us",
         property(lambda self: 0),
     ),
--- a/tests/shared/test_site_net.py
+++ b/tests/shared/test_site_net.py
@@ -5,7 +5,7 @@
 
 from madderbeam.membership.values import GossipEntry, GossipReceived, MemberId
 from madderbeam.policy.events import AttemptResult
-from madderbeam.shared.news import BODY_FORMAT
+from madderbeam.shared.findings import BODY_FORMAT
 
 MEMBERS, EACH = 20, 5.0  # messages a second
 
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -18,7 +18,7 @@
 from madderbeam.policy import completion, engine, engine_state, outlier_detection, selection, slow_start
 from madderbeam.policy.actions import Reject
 from madderbeam.policy.events import AttemptResult, EndpointState
-from madderbeam.quota import gate
+from madderbeam.quota import admission
 from madderbeam.routing import marks, pool
 from madderbeam.transport import calls, clients, control, discovery, local
 from madderbeam.transport.kafka import front, outcomes, partner
@@ -825,13 +825,13 @@
 
     def lax(self, tenant, cls, size):
         ask(self, tenant, cls, size)
-        return gate.QuotaVerdict(True)
+        return admission.QuotaVerdict(True)
 
     patch.setattr(quota.QuotaComponent, "ask", lax)
 
 
 @bug(14, "quota")
 def counts_an_hour_from_its_last_saved_state_as_if_nothing_had_gone_since(patch):
-    patch.setattr(gate, "SAVE_DIVISOR", 1)  # saved far too seldom
+    patch.setattr(admission, "SAVE_DIVISOR", 1)  # saved far too seldom
     patch.setattr(quota, "EVERY_S", 1e9)
-    patch.setattr(gate.QuotaAdmission, "restore", lambda self, rows, elapsed, now: None)
+    patch.setattr(admission.QuotaAdmission, "restore", lambda self, rows, elapsed, now: None)
--- a/tests/simulation/planted_sharing.py
+++ b/tests/simulation/planted_sharing.py
@@ -5,10 +5,10 @@
 from planted import Bug
 
 from madderbeam.host.federation.shared import Shared
-from madderbeam.shared import news, returning
-from madderbeam.shared.granter import LeasePool
-from madderbeam.shared.holder import LeaseHolder
-from madderbeam.shared.news import FindingsBoard
+from madderbeam.shared import findings, partner_outages
+from madderbeam.shared.findings import FindingsBoard
+from madderbeam.shared.lease_holder import LeaseHolder
+from madderbeam.shared.lease_pool import LeasePool
 from madderbeam.shared.values import FindingKind
 
 BUGS = {}
@@ -57,7 +57,7 @@
 
 @bug(296, "S6")
 def nonsense_is_not_bounded(patch):
-    patch.setattr(news, "DURATION_MAX_US", 400 * 86_400_000_000)
+    patch.setattr(findings, "DURATION_MAX_US", 400 * 86_400_000_000)
 
 
 @bug(99, "F5", "S4", "S6")
@@ -70,7 +70,7 @@
 
 @bug(340, "S4")
 def one_witness_is_enough(patch):
-    patch.setattr(returning, "REPORTERS_REQUIRED", 1)
+    patch.setattr(partner_outages, "REPORTERS_REQUIRED", 1)
 
 
 @bug(230, "S4")
@@ -80,7 +80,7 @@
 
 @bug(7, "S4", kind="returns_not_to_all")
 def who_tries_is_never_relieved(patch):
-    patch.setattr(returning, "PROBING_TURN_US", 1 << 60)
+    patch.setattr(partner_outages, "PROBING_TURN_US", 1 << 60)
 
 
 @bug(0, "S5", kind="outage")
