--- a/bench/changes.py
+++ b/bench/changes.py
@@ -212,7 +212,7 @@
                 host.turn()
 
             took[name].append(spent(many) / 40 * 1e3)
-            for m in list(host.journal.held.values()):
+            for m in list(host.journal.pending.values()):
                 host.ends.done(m)
             host.courier.state.messages.clear()
             for dest in host.courier.state.destinations.values():
--- a/bench/changes_load.py
+++ b/bench/changes_load.py
@@ -129,7 +129,7 @@
                 statuses[f"{'wrong' if bad else 'right'} {status}"] += 1
             await asyncio.sleep(EVERY_S)
         loading.cancel()
-        await courier.until(lambda: not courier.host.journal.held, 60)
+        await courier.until(lambda: not courier.host.journal.pending, 60)
         took = time.monotonic() - began
     for partner in partners:
         await partner.stop()
--- a/bench/journal_damage.py
+++ b/bench/journal_damage.py
@@ -24,9 +24,9 @@
 def play(part: int, step: int) -> tuple[Counter[str], int]:
     logging.disable()
     files = damages.recorded()
-    before = damages.read(damages.disk_of(files), damages.FOLDER)
+    before = damages.read_folder(damages.disk_of(files), damages.FOLDER)
     rows: Counter[str] = Counter()
-    cases = chain(damages.flips(files, step), damages.cuts(files, step), damages.wholes(files))
+    cases = chain(damages.flips(files, step), damages.cuts(files, step), damages.whole_file_damages(files))
     for title, spoilt in islice(cases, part, None, PARTS):
         found = damages.check(before, title, spoilt)
         kinds = sorted({f.kind.text for f in found.findings}) or ["nothing to tell"]
--- a/bench/standby.py
+++ b/bench/standby.py
@@ -119,7 +119,7 @@
             until = journal.wall() + 19 * 9.9
             journal.begin()
             for n in range(1, held + 1):
-                journal.take(PendingMessage(n, f"h{n:07}", n % 2 * 2, 0, 7, "", until, False, b"x" * 200))
+                journal.accept(PendingMessage(n, f"h{n:07}", n % 2 * 2, 0, 7, "", until, False, b"x" * 200))
                 if not n % 500:
                     journal.commit()
                     journal.begin()
--- a/madderbeam/host/admission.py
+++ b/madderbeam/host/admission.py
@@ -54,7 +54,7 @@
         self.taken_up: list[
             Callable[[PendingMessage], None]
         ] = []  # called with each message once it has its number
-        self.numbers = journal.last
+        self.numbers = journal.last_number
         self.classes = {cls.name: number for number, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
         # Messages by number, with the requests that wait for a reply.
@@ -70,11 +70,11 @@
         if put.id in self.arriving:
             self.arrived[self.arriving[put.id]][1].append(reply)
             return
-        if put.id in self.journal.ids or put.id in self.journal.over:
+        if put.id in self.journal.numbers_by_id or put.id in self.journal.completed_ids:
             # Submitted again over a new connection: the message is accepted, or was.
-            self.journal.known(put.id, reply.taken, reply.failed)
+            self.journal.call_when_written(put.id, reply.taken, reply.failed)
             return
-        if self.journal.open + len(self.arrived) >= self.s.max_pending:
+        if self.journal.open_count + len(self.arrived) >= self.s.max_pending:
             self.figures.ended(DECLINED, cls)
             reply.busy(self.retry_after_us())
             return
@@ -103,8 +103,8 @@
             put.resubmitted,
             put.body,
             put.order,
-            ran_at=self.journal.key_ran_at(put.key),
-            relayed=put.relayed,
+            prior_execution_at=self.journal.key_possibly_executed_at(put.key),
+            is_relayed=put.relayed,
         )
         self._withdraw_same_key(message)
         for notify in self.taken_up:
@@ -142,21 +142,21 @@
 
         `weight` comes from quotas; `restored` if the message was accepted by an earlier process.
         """
-        executed_at_s = message.may_have_run_at
-        to_monotonic_us = self.journal.wall.monotonic
+        executed_at_s = message.possibly_executed_at
+        to_monotonic_us = self.journal.wall.monotonic_us_at
         # After a reboot an attempt may lie before the monotonic clock's zero. A negative time would mean that
         # no attempt was executed, and a non-idempotent message, such as a deposit, would be sent again.
         executed_at_us = max(0, to_monotonic_us(executed_at_s)) if executed_at_s else -1
         return MessageArrived(
             message.number,
-            message.cls,
+            message.class_index,
             message.dest,
-            to_monotonic_us(message.until),
+            to_monotonic_us(message.deadline_s),
             message.tenant,
-            message.order,
+            message.order_key,
             message.resubmitted,
             restored,
-            message.tries,
+            message.attempts,
             executed_at_us,
             weight,
             self.routing.affinity(message),
@@ -172,13 +172,13 @@
             older, replies = self.arrived.pop(arrived)
             del self.arriving[older.id]
             self.tell(MessageWithdrawn(arrived))
-            self.figures.ended(DECLINED, older.cls)
+            self.figures.ended(DECLINED, older.class_index)
             for reply in replies:
                 reply.busy(0)
-        pending = self.journal.held.get(self.journal.open_keys.get(message.key, 0))
+        pending = self.journal.pending.get(self.journal.open_keys.get(message.key, 0))
         if pending is None:
             return
-        message.ran_at = message.ran_at or pending.may_have_run_at
+        message.prior_execution_at = message.prior_execution_at or pending.possibly_executed_at
         self.tell(MessageWithdrawn(pending.number))
         newest_attempt = self.attempts.newest(pending.number)
         self.ends.end(pending, "deferred", 0)
@@ -200,7 +200,7 @@
         for action in actions:
             if isinstance(action, (Reject, Fail)) and action.message in arrived:
                 message, replies = arrived.pop(action.message)
-                self.figures.ended(DECLINED if isinstance(action, Reject) else ABORTED, message.cls)
+                self.figures.ended(DECLINED if isinstance(action, Reject) else ABORTED, message.class_index)
                 for reply in replies:
                     if isinstance(action, Reject):
                         reply.busy(action.retry_after_us)
@@ -234,11 +234,11 @@
                 for reply in replies:
                     reply.failed(str(error))
                 return
-            self.figures.ended(DECLINED, message.cls)
+            self.figures.ended(DECLINED, message.class_index)
             for reply in replies:
                 reply.busy(self.retry_after_us())
 
         try:
-            self.journal.take(message, accepted, rejected)
+            self.journal.accept(message, accepted, rejected)
         except OSError as error:
             rejected(error)
--- a/madderbeam/host/attempts.py
+++ b/madderbeam/host/attempts.py
@@ -58,8 +58,8 @@
 
     def send(self, action: Send, bundles: dict[int, list[Item]]) -> None:
         """Send an attempt at once, or add it to `bundles` if the endpoint takes several messages a call."""
-        message = self.journal.held.get(action.message)
-        attempt = self.numbers.get(action.message, message.tries if message else 0)
+        message = self.journal.pending.get(action.message)
+        attempt = self.numbers.get(action.message, message.attempts if message else 0)
         if message is not None and not message.status:  # a completed message gets no further attempt numbers
             self.numbers[action.message] = attempt + 1
         if message is None or message.status or self.ends.blocked(message):
@@ -85,23 +85,23 @@
             self._call(action.endpoint, [item])
 
     def _call(self, endpoint: int, items: list[Item]) -> None:
-        wall, pending = self.journal.wall, self.journal.held
+        wall, pending = self.journal.wall, self.journal.pending
 
         def time_left_us(item: Item) -> int:
-            until = pending[item.number].until
-            return wall.monotonic(until) - wall.monotonic_us() - 2 * self.s.tick_us
+            until = pending[item.number].deadline_s
+            return wall.monotonic_us_at(until) - wall.monotonic_us() - 2 * self.s.tick_us
 
         # No call outlasts an ordered message: else its attempt would still be in flight when the next one is
         # sent.
         max_timeout_us = min(
-            (time_left_us(item) for item in items if pending[item.number].order), default=sys.maxsize
+            (time_left_us(item) for item in items if pending[item.number].order_key), default=sys.maxsize
         )
         longest_us = max(item.timeout_us for item in items)
         longest_fresh_us = max(item.fresh_timeout_us for item in items)
         # An endpoint may apply the deadline of the first message to the whole bundle: once it has passed, the
         # response counts for none of the others. So the message with the most time goes first, and the call
         # does not outlast it.
-        items.sort(key=lambda item: pending[item.number].until, reverse=True)
+        items.sort(key=lambda item: pending[item.number].deadline_s, reverse=True)
         for item in items:
             left_us = time_left_us(item)
             item.timeout_us = max(1, min(max_timeout_us, max(item.timeout_us, min(longest_us, left_us))))
@@ -128,11 +128,11 @@
         # A message may have been completed while its call waited for a connection: it must not be sent after
         # its notice. Nor may one of an order whose earlier message's outcome the disk has not recorded
         # meanwhile.
-        messages = [self.journal.held.get(item.number) for item in items]
+        messages = [self.journal.pending.get(item.number) for item in items]
         if any(
             message is None
             or message.status
-            or self._key_s(message, message.may_have_run_at) <= 0
+            or self._key_s(message, message.possibly_executed_at) <= 0
             or self.ends.blocked(message)
             for message in messages
         ):
@@ -143,7 +143,7 @@
             decide(True)
             for item in items:  # not written after all; a newer attempt's record must not be withdrawn
                 if not item.begun and self.newest(item.number) == item.attempt:
-                    self.journal.missed(item.number)
+                    self.journal.attempt_not_executed(item.number)
 
         def failed(error: OSError) -> None:
             log.error("journal write failed; attempt not sent: %s", error)
@@ -156,7 +156,7 @@
 
         The window starts at `ran_at`, the time of the attempt that was possibly executed.
         """
-        cls = self.s.classes[m.cls]
+        cls = self.s.classes[m.class_index]
         if cls.idempotency is not Idempotency.WITH_KEY or not ran_at:
             return math.inf
         return ran_at + (cls.key_window_us - self.s.tick_us) / 1e6 - self.journal.wall()
@@ -167,19 +167,20 @@
         An attempt that reaches the endpoint after the key window has a second effect, however early its write
         began. Zero for a message that has been completed meanwhile.
         """
-        messages = [self.journal.held.get(item.number) for item in items]
+        messages = [self.journal.pending.get(item.number) for item in items]
         return min(
-            (self._key_s(m, m.ran_at) if m and not m.status else 0.0 for m in messages), default=math.inf
+            (self._key_s(m, m.prior_execution_at) if m and not m.status else 0.0 for m in messages),
+            default=math.inf,
         )
 
     def ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
         """Complete the message of an attempt or report its result to the engine; latency in microseconds."""
-        message = self.journal.held.get(item.number)
+        message = self.journal.pending.get(item.number)
         is_completed = outcome.over or message is None
         if outcome.over and message:
             self._complete(message, outcome)
         elif message and item.begun and outcome.result in NEVER_EXECUTED:
-            self.journal.missed(message.number)
+            self.journal.attempt_not_executed(message.number)
         if is_completed:
             self.forget(item.number)
         self.tell(
@@ -199,7 +200,7 @@
 
     def _complete(self, m: PendingMessage, outcome: Outcome) -> None:
         if outcome.result is AttemptResult.OK and not m.status:
-            self.figures.ended(SUCCEEDED, m.cls)
+            self.figures.ended(SUCCEEDED, m.class_index)
         self.ends.done(m, outcome.result is AttemptResult.OK)
 
     def late(self, item: Item, outcome: Outcome) -> None:
@@ -207,7 +208,7 @@
 
         It counts if the message is not completed yet.
         """
-        message = self.journal.held.get(item.number)
+        message = self.journal.pending.get(item.number)
         if message and not message.status:
             self._complete(message, outcome)
             self.forget(message.number)
--- a/madderbeam/host/changes/applying.py
+++ b/madderbeam/host/changes/applying.py
@@ -16,7 +16,7 @@
 from madderbeam.host.composition import remembered_s
 from madderbeam.host.host import Host
 from madderbeam.host.metrics import Metrics
-from madderbeam.journal.journal import KEYS_S
+from madderbeam.journal.journal import KEY_RETENTION_MARGIN_S
 from madderbeam.policy.events import EndpointEntry, EndpointState, ListUpdateKind
 from madderbeam.policy.settings import Settings
 from madderbeam.ports import Ports
@@ -150,7 +150,9 @@
         host.listing.kinds = {k.name: n for n, k in enumerate(s.kinds)}
         self._decisions(s)
         _figures(host.figures, s)
-        host.journal.key_s = max(host.journal.key_s, remembered_s(s) + KEYS_S)
+        host.journal.key_retention_s = max(
+            host.journal.key_retention_s, remembered_s(s) + KEY_RETENTION_MARGIN_S
+        )
         if (quota := self._quota_room()) is not None:
             quota.config = host.config
         self._names(snapshot)
--- a/madderbeam/host/changes/component.py
+++ b/madderbeam/host/changes/component.py
@@ -70,7 +70,7 @@
     def open(self) -> None:
         """The journal is restored: go on from the last kept version, or with the trial."""
         self.started = True
-        for m in self.host.journal.held.values():
+        for m in self.host.journal.pending.values():
             self.versions[m.number] = self.machine.current.version
         self.runner.run(self.machine.start(self.host.clock()))
         if self.left:
@@ -114,13 +114,13 @@
     def admitted(self, m: PendingMessage) -> None:
         """A message is taken up under what is in force now."""
         self.versions[m.number] = self.machine.current.version
-        held = self.host.journal.held
+        held = self.host.journal.pending
         if len(self.versions) > 2 * len(held) + SWEEP:
             newest = m.number
             self.versions = {n: v for n, v in self.versions.items() if n in held or n == newest}
 
     def _open_by_version(self) -> dict[int, int]:
-        held = self.host.journal.held
+        held = self.host.journal.pending
         return dict(Counter(v for n, v in self.versions.items() if n in held))
 
     # What the machine has done
--- a/madderbeam/host/completions.py
+++ b/madderbeam/host/completions.py
@@ -53,7 +53,7 @@
 
     def guard(self, m: PendingMessage) -> None:
         """Complete the message as undeliverable if it has no outcome shortly after its deadline."""
-        delay = max(0.0, m.until + OVERDUE_S - self.journal.wall())
+        delay = max(0.0, m.deadline_s + OVERDUE_S - self.journal.wall())
         self.guards[m.number] = self.loop.call_later(delay, self._overdue, m.number)
 
     def close(self) -> None:
@@ -68,7 +68,7 @@
             guard.cancel()
 
     def _overdue(self, number: int) -> None:
-        message = self.journal.held.get(number)
+        message = self.journal.pending.get(number)
         if message and not message.status:
             log.error("message %s has no outcome, completing it as undeliverable", message.id)
             self.tell(MessageWithdrawn(number))
@@ -78,7 +78,7 @@
 
     def final(self, action: Reject | Fail) -> None:
         """Complete a message that the engine rejects or fails."""
-        message = self.journal.held.get(action.message)
+        message = self.journal.pending.get(action.message)
         if message is None or message.status:
             return
         if isinstance(action, Reject):
@@ -88,10 +88,10 @@
 
     def end(self, m: PendingMessage, status: str, again_ms: int) -> None:
         """Complete a message with a notice of this status; `again_ms` is its Retry-After."""
-        self.figures.ended(DECLINED if status == "deferred" else ABORTED, m.cls)
+        self.figures.ended(DECLINED if status == "deferred" else ABORTED, m.class_index)
         self.unguard(m.number)
         self.ended(m.number)
-        self.journal.end(m, status, again_ms)
+        self.journal.set_outcome(m, status, again_ms)
         self._settle(m, status, again_ms)
 
     def _settle(self, message: PendingMessage, status: str, again_ms: int) -> None:
@@ -103,7 +103,7 @@
         """
         if self.closed:
             return
-        self.journal.final(
+        self.journal.record_outcome(
             message.number,
             status,
             again_ms,
@@ -113,12 +113,12 @@
 
     def _unsettled(self, m: PendingMessage, status: str, again_ms: int, error: OSError) -> None:
         log.error("journal write failed; outcome not recorded: %s", error)
-        if self.journal.wall() < m.until:
+        if self.journal.wall() < m.deadline_s:
             self.unsettled[m.number] = m
             self.loop.call_later(SETTLE_S, self._settle, m, status, again_ms)
         else:  # no record holds the outcome until the notice is accepted: the next message of an order waits
             self.unsettled[m.number] = m
-            m.status, m.again_ms = "undeliverable", 0
+            m.status, m.retry_after_ms = "undeliverable", 0
             self.notify(m)
 
     def accepted(self, numbers: list[int]) -> None:
@@ -133,16 +133,16 @@
     def notify(self, m: PendingMessage) -> None:
         """Report the recorded outcome: to a completion listener, else by a notice."""
         if not any(handles(m, m.status) for handles in self.tellers):
-            self.notices.add(m.number, m.id, m.status, m.again_ms)
+            self.notices.add(m.number, m.id, m.status, m.retry_after_ms)
 
     def over(self, numbers: list[int]) -> None:
         """Remove messages whose outcomes the completion listeners have stored."""
         self.accepted(numbers)
-        self.journal.told(numbers)
+        self.journal.complete_all(numbers)
 
     def blocked(self, m: PendingMessage) -> bool:
         """Whether the message must wait until the outcome of an earlier message of its order is recorded."""
-        return bool(m.order) and any(x.order == m.order for x in self.unsettled.values())
+        return bool(m.order_key) and any(x.order_key == m.order_key for x in self.unsettled.values())
 
     # Completion without a notice
 
@@ -150,4 +150,4 @@
         """Complete a message that was delivered or withdrawn; its client gets no notice."""
         self.unguard(m.number)
         if not any(handles(m, "" if delivered else "undeliverable") for handles in self.tellers):
-            self.journal.done(m.number)
+            self.journal.complete(m.number)
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -117,7 +117,7 @@
         """The journal is restored: say what it still holds of what was in custody."""
         self.tell(LinkUp(self.me))
         for name, dests, single in self.custodian.open_records:
-            held = [d for d in dests if held_id(name, d, single) in self.host.journal.ids]
+            held = [d for d in dests if held_id(name, d, single) in self.host.journal.numbers_by_id]
             for dest in set(dests) - set(held):
                 self._not_owed(held_id(name, dest, single), name, dest)
             self.tell(Resting(name, tuple(held)))
@@ -159,8 +159,8 @@
     def _look_at_room(self) -> None:
         """How much more can be taken on."""
         host, journal = self.host, self.host.journal
-        room = max(0, host.s.max_pending - journal.open - len(host.admission.arrived) - SPARE)
-        left = max(0, (journal.limit - journal.files.used - journal.needed) // 2)
+        room = max(0, host.s.max_pending - journal.open_count - len(host.admission.arrived) - SPARE)
+        left = max(0, (journal.limit_bytes - journal.files.used_bytes - journal.needed_bytes) // 2)
         now = Credit(room, left)
         self.same = self.same + 1 if now == self.told and room > SPARE and left > BODY_MOST else 0
         if now != self.told:
@@ -181,10 +181,12 @@
     def _hand_in(self, work: Expansion, dest: int) -> None:
         p, journal = work.publication, self.host.journal
         ident = delivery_id(p, dest)
-        if ident in journal.over and ident not in journal.ids:  # it has ended, and that was told
+        if (
+            ident in journal.completed_ids and ident not in journal.numbers_by_id
+        ):  # it has ended, and that was told
             work.open.discard(dest)
             return
-        held = journal.held.get(journal.ids.get(ident, 0))
+        held = journal.pending.get(journal.numbers_by_id.get(ident, 0))
         if held is not None and ident not in self.deliveries:
             self._held_already(work, dest, held)
             return
@@ -213,7 +215,7 @@
         A second message would wait for the first, and that for the second."""
         if m.status:
             work.open.discard(dest)
-            ran = Result.FAILED if m.may_have_run_at else Result.REFUSED
+            ran = Result.FAILED if m.possibly_executed_at else Result.REFUSED
             self.tell(Ended(work.publication.name, dest, ran))
             return
         if not self._mark(m.id) or not self.come_home(m):
@@ -221,7 +223,7 @@
             work.open.discard(dest)
             work.busy[dest] = HOME_US
             return
-        if not m.relayed:  # else it is a delivery whose record the disk did not take before a restart
+        if not m.is_relayed:  # else it is a delivery whose record the disk did not take before a restart
             self.clients.add(m.id)
         self._owed(m.id, work.publication.name, dest)
         work.open.discard(dest)
@@ -268,13 +270,13 @@
         """Teller of ends: whether it is a delivery in custody here."""
         found = self.deliveries.get(m.id)
         if found is None:
-            if m.relayed:  # its record is gone, or was never written: nobody can be told
+            if m.is_relayed:  # its record is gone, or was never written: nobody can be told
                 self.host.ends.over([m.number])
-            return m.relayed
+            return m.is_relayed
         if not status:
             result = Result.DELIVERED
         else:
-            result = Result.REFUSED if status == "deferred" or not m.may_have_run_at else Result.FAILED
+            result = Result.REFUSED if status == "deferred" or not m.possibly_executed_at else Result.FAILED
         told_here = m.id in self.clients
         self.settling.add(m.number)
         for name, dest in sorted(found):
--- a/madderbeam/host/federation/kept.py
+++ b/madderbeam/host/federation/kept.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from madderbeam.host import atomic_file
-from madderbeam.journal.records import FRAME, MOST, frame, parse
+from madderbeam.journal.records import FRAME, MAX_RECORD_BYTES, frame, parse
 from madderbeam.ports import Disk, File
 
 LEAST = 1 << 16  # bytes under which the file is not written anew
@@ -122,4 +122,4 @@
     if len(rest) < FRAME.size:
         return True
     size, _ = FRAME.unpack_from(rest)
-    return 0 < size <= MOST and len(rest) < FRAME.size + size
+    return 0 < size <= MAX_RECORD_BYTES and len(rest) < FRAME.size + size
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -88,7 +88,7 @@
                 return False
             self._busy(m, reply, self._settling_us())
         elif owner is None:
-            self.host.figures.ended(ABORTED, m.cls)
+            self.host.figures.ended(ABORTED, m.class_index)
             reply.failed(f"dest: no site serves it by table {table.number}")
         elif self.serving.hold.is_suspended and self.serving.hold.destinations is None:
             self._busy(m, reply, self._settling_us())
@@ -108,7 +108,7 @@
         if own:
             sites = (self.me.site, *sites)
         if not sites:
-            self.host.figures.ended(ABORTED, m.cls)
+            self.host.figures.ended(ABORTED, m.class_index)
             reply.failed("topic: nobody has subscribed to it")
             return
         envelope = msgpack.packb([put.topic, table.number, list(sites), m.body])
@@ -120,7 +120,7 @@
         try:
             after = self.streams.refusal(sites, len(publication.body))
         except FederationError as error:
-            self.host.figures.ended(ABORTED, m.cls)
+            self.host.figures.ended(ABORTED, m.class_index)
             reply.failed(error.line())
             return
         if after is not None:
@@ -136,7 +136,7 @@
 
     def _busy(self, m: PendingMessage, reply: ReplyHandle, after_us: int) -> None:
         self.refused += 1
-        self.host.figures.ended(DECLINED, m.cls)
+        self.host.figures.ended(DECLINED, m.class_index)
         reply.busy(after_us)
 
     # On its way
@@ -145,10 +145,10 @@
         """The message as an entry of one. What is in custody here has an id of its own on its further way: it
         may go back to where it came from, which knows its id as that of its own message."""
         s = self.host.s
-        cls = s.classes[m.cls]
+        cls = s.classes[m.class_index]
         tenant = s.tenants[m.tenant].name if m.tenant < len(s.tenants) else ""
-        until_us = self.host.journal.wall.monotonic(m.until)
-        ident = derived_id(f"{self.me}:{m.id}", m.dest) if m.relayed or self.in_custody(m.id) else m.id
+        until_us = self.host.journal.wall.monotonic_us_at(m.deadline_s)
+        ident = derived_id(f"{self.me}:{m.id}", m.dest) if m.is_relayed or self.in_custody(m.id) else m.id
         return Publication(
             ident,
             self.me,
@@ -158,7 +158,7 @@
             Effect(cls.idempotency.value),
             tenant,
             m.key,
-            str(m.order) if m.order else "",
+            str(m.order_key) if m.order_key else "",
             m.body,
             until_us,
             self.table().number,
@@ -178,17 +178,17 @@
         owner = self.table().owners.get(m.dest)
         self.host.tell(MessageWithdrawn(m.number))
         if owner is None or not self._may_go(m):
-            self.host.ends.end(m, "undeliverable" if m.may_have_run_at else "deferred", 0)
+            self.host.ends.end(m, "undeliverable" if m.possibly_executed_at else "deferred", 0)
         elif owner != self.me.site:
             self._publish(m, self._single(m), (owner,))
 
     def _may_go(self, m: PendingMessage) -> bool:
         """Another site may make attempts of it: it never ran, or does no harm twice."""
-        cls, ran = self.host.s.classes[m.cls], m.may_have_run_at
+        cls, ran = self.host.s.classes[m.class_index], m.possibly_executed_at
         if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
         # The other site does not know when the first attempt was: the window has to outlast the message.
-        return cls.idempotency is Idempotency.WITH_KEY and ran + cls.key_window_us / 1e6 >= m.until
+        return cls.idempotency is Idempotency.WITH_KEY and ran + cls.key_window_us / 1e6 >= m.deadline_s
 
     def come_home(self, m: PendingMessage) -> bool:
         """A message of this courier's own is to be served by this site: it goes to the decision module if it
@@ -207,9 +207,9 @@
 
     def claims(self, m: PendingMessage) -> bool:
         """Whether a message that is restored is a publication, or may be at another site already."""
-        home = self.in_custody(m.id) and not m.relayed  # it has come back since
+        home = self.in_custody(m.id) and not m.is_relayed  # it has come back since
         claimed = m.dest == TOPIC or (
-            not m.may_have_run_at and not home and self._single(m).name in self.sent
+            not m.possibly_executed_at and not home and self._single(m).name in self.sent
         )
         if claimed:
             self.restored.append(m)
@@ -236,7 +236,7 @@
     def sweep(self) -> None:
         """What was restored for destinations of other sites goes there."""
         owners, mine = self.table().owners, self.me.site
-        held = self.host.journal.held.values()
+        held = self.host.journal.pending.values()
         elsewhere = {m.dest for m in held if not m.status and m.dest >= 0 and owners.get(m.dest) != mine}
         for dest in elsewhere - self.serving.leaving.keys():
             self.serving.hand_over(dest)
@@ -256,7 +256,7 @@
         if m is None or m.status:
             return
         if action.delivered:
-            self.host.figures.ended(SUCCEEDED, m.cls)
+            self.host.figures.ended(SUCCEEDED, m.class_index)
             self.host.ends.done(m, delivered=True)
             return
         log.warning("federation: %s was not delivered to all: %s", action.name, action.what)
@@ -273,4 +273,4 @@
         self.never_ran.discard(name)
         number = self.numbers.pop(name, 0)
         self.names.pop(number, None)
-        return self.host.journal.held.get(number)
+        return self.host.journal.pending.get(number)
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -155,7 +155,7 @@
             m.dest
             for c in self.host.calls.out
             for item in c.items
-            if (m := self.host.journal.held.get(item.number))
+            if (m := self.host.journal.pending.get(item.number))
         }
         for dest, (table, quiet) in list(self.leaving.items()):
             if dest in out:
@@ -189,7 +189,7 @@
 
     def hand_over(self, dest: int) -> None:
         """All messages for a destination that another site serves go there."""
-        for m in [m for m in self.host.journal.held.values() if m.dest == dest and not m.status]:
+        for m in [m for m in self.host.journal.pending.values() if m.dest == dest and not m.status]:
             self.passed_on(m)
 
     # The list
--- a/madderbeam/host/host.py
+++ b/madderbeam/host/host.py
@@ -157,7 +157,7 @@
         for dest, uid in waits:
             entries = self.listing.told_again(dest, uid, waits[dest, uid])
             self.list_told(ListUpdateKind.DELTA, entries)
-        for message in list(self.journal.held.values()):
+        for message in list(self.journal.pending.values()):
             self.restore(message)
 
     def restore(self, message: PendingMessage) -> None:
@@ -165,8 +165,12 @@
         if message.status:
             self.ends.notify(message)
             return
-        if message.cls >= len(self.s.classes):  # the settings no longer have its class
-            log.error("message %s: unknown class %d, completing it as undeliverable", message.id, message.cls)
+        if message.class_index >= len(self.s.classes):  # the settings no longer have its class
+            log.error(
+                "message %s: unknown class %d, completing it as undeliverable",
+                message.id,
+                message.class_index,
+            )
             self.ends.end(message, "undeliverable", 0)
             return
         if not any(claims(message) for claims in self.claims):
@@ -261,7 +265,7 @@
             more |= component.figures()
         ejected = sum(number in self.listing.entries for number in avoided)
         return self.figures.lines(
-            self.journal.open, len(self.listing.entries), ejected, self.journal.damage, more
+            self.journal.open_count, len(self.listing.entries), ejected, self.journal.damage_count, more
         )
 
     # The endpoint list
@@ -388,7 +392,7 @@
             if not has_input:
                 break
         for item in self.calls.give_up_unsent():
-            self.journal.missed(item.number)
+            self.journal.attempt_not_executed(item.number)
         self.journal.commit()
         for listener in self.fronts:
             listener.end()
@@ -415,14 +419,14 @@
     def accepted(self, numbers: list[int]) -> None:
         """Record that the notices of these messages were accepted."""
         self.ends.accepted(numbers)
-        self.journal.told(numbers)
+        self.journal.complete_all(numbers)
         self.maybe_exit()
 
     def maybe_exit(self) -> None:
         """Exit before the shutdown deadline if no message, call or client is left."""
         # A message that still waits may be sent until the time at which the last call must have started.
         is_idle = (
-            not self.calls.out and not self.journal.held and not self.events and not self.admission.arrived
+            not self.calls.out and not self.journal.pending and not self.events and not self.admission.arrived
         )
         if self.closing_at and is_idle and all(listener.over for listener in self.fronts):
             self._exit()
--- a/madderbeam/host/process.py
+++ b/madderbeam/host/process.py
@@ -85,7 +85,7 @@
     loop.add_signal_handler(signal.SIGINT, host.terminate)
     host.closed.add_done_callback(lambda _: reloader.stop())
     port = adopt(host, transferred) if transferred else host.start()
-    log.info("%s is ready on port %d with %d messages restored", config.name, port, len(host.journal.held))
+    log.info("%s is ready on port %d with %d messages restored", config.name, port, len(host.journal.pending))
 
 
 @contextlib.contextmanager
--- a/madderbeam/host/quota.py
+++ b/madderbeam/host/quota.py
@@ -89,6 +89,8 @@
 def join(host: Host, ports: Ports) -> None:
     """Add the quota component to a host, as a check of its admission."""
     assert host.config.quota is not None
-    quota = QuotaComponent(host.config, host.config.quota, ports.disk, ports.clock, lambda: host.journal.open)
+    quota = QuotaComponent(
+        host.config, host.config.quota, ports.disk, ports.clock, lambda: host.journal.open_count
+    )
     host.admission.gates.append(quota)
     host.rooms.append(quota)
--- a/madderbeam/host/routing.py
+++ b/madderbeam/host/routing.py
@@ -81,7 +81,7 @@
             return ""
         tenants = self.config.settings.tenants
         tenant = tenants[m.tenant].name if m.tenant < len(tenants) else ""
-        return self.router.affinity(m.dest, tenant, m.key, m.order, m.id)
+        return self.router.affinity(m.dest, tenant, m.key, m.order_key, m.id)
 
     def figures(self) -> dict[str, int]:
         """Return the routing metrics by name."""
--- a/madderbeam/host/standby/copy.py
+++ b/madderbeam/host/standby/copy.py
@@ -10,8 +10,8 @@
 from madderbeam.journal.damage import SuspectMessages
 from madderbeam.journal.journal import Journal
 from madderbeam.journal.records import frame
-from madderbeam.journal.recovery import read
-from madderbeam.journal.segments import name, number
+from madderbeam.journal.recovery import read_folder
+from madderbeam.journal.segments import segment_name, segment_number
 from madderbeam.ports import Clock, Disk, File
 
 
@@ -24,7 +24,7 @@
         self.sizes: dict[int, int] = {}
         self.digests: dict[int, int] = {}
         for file in disk.names(folder):
-            if n := number(file):
+            if n := segment_number(file):
                 data = disk.read(f"{folder}/{file}")
                 self.sizes[n], self.digests[n] = len(data), zlib.crc32(data)
         self.active = 0
@@ -38,7 +38,7 @@
             )
         if self.file is None or self.active != segment:
             self.close()
-            self.active, self.file = segment, self.disk.open(f"{self.folder}/{name(segment)}")
+            self.active, self.file = segment, self.disk.open(f"{self.folder}/{segment_name(segment)}")
             self.file.truncate(at)  # whatever a failed write has left there
         try:
             if self.file.append(data) != len(data):
@@ -55,7 +55,7 @@
     def remove(self, segment: int) -> None:
         if segment == self.active:
             self.close()
-        self.disk.unlink(f"{self.folder}/{name(segment)}")
+        self.disk.unlink(f"{self.folder}/{segment_name(segment)}")
         self.sizes.pop(segment, None)
 
     def close(self) -> None:
@@ -70,16 +70,18 @@
     An `exact` copy lacks only what was written after its newest time: what may have run did so from then on.
     Otherwise from the oldest time that it tells.
     """
-    times = [t for part in read(disk, folder).parts for _, record in part.records if (t := _time(record))]
+    times = [
+        t for part in read_folder(disk, folder).segments for _, record in part.records if (t := _time(record))
+    ]
     journal = Journal(disk, clock, folder, limit)
     since = (max(times) if exact else min(times)) if times else journal.wall()
-    journal.doubt = SuspectMessages(journal.last, since, {})
-    journal.files.fresh()
-    journal.files.append(frame(["known", journal.last, {}, {}]))
+    journal.suspects = SuspectMessages(journal.last_number, since, {})
+    journal.files.start_new_segment()
+    journal.files.append(frame(["known", journal.last_number, {}, {}]))
     if journal.sync:
         journal.files.sync()
     journal.close()
-    return journal.open
+    return journal.open_count
 
 
 def _time(record: list[object]) -> float:
--- a/madderbeam/host/standby/journal.py
+++ b/madderbeam/host/standby/journal.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from madderbeam.journal.journal import Journal, _nothing, _raise
+from madderbeam.journal.journal import Journal, _do_nothing, _raise
 from madderbeam.journal.pending_message import PendingMessage
-from madderbeam.journal.segments import UnconfirmedError, number
+from madderbeam.journal.segments import UnconfirmedError, segment_number
 from madderbeam.ports import Clock, Disk, File, Lock
 from madderbeam.replication.values import Sort
 
@@ -76,7 +76,7 @@
         self.is_folder, self.make_folder = disk.is_folder, disk.make_folder
 
     def _segment(self, path: str) -> int:
-        return number(path.removeprefix(self.prefix)) if path.startswith(self.prefix) else 0
+        return segment_number(path.removeprefix(self.prefix)) if path.startswith(self.prefix) else 0
 
     def open(self, path: str, *, empty: bool = False) -> File:
         file, segment = self.disk.open(path, empty=empty), self._segment(path)
@@ -129,15 +129,15 @@
     def step(self) -> bool:
         return not self.fenced and super().step()
 
-    def take(
+    def accept(
         self,
         m: PendingMessage,
-        done: Callable[[], None] = _nothing,
+        done: Callable[[], None] = _do_nothing,
         failed: Callable[[OSError], None] | None = None,
     ) -> None:
         room = self.room
         if room is None:
-            super().take(m, done, failed)
+            super().accept(m, done, failed)
             return
 
         def sure() -> None:
@@ -160,13 +160,13 @@
 
         self.taking.add(m.number)
         try:
-            super().take(m, lambda: room.ask(Sort.TAKE, sure, unsure, m.until), refused)
+            super().accept(m, lambda: room.ask(Sort.TAKE, sure, unsure, m.deadline_s), refused)
         except OSError:
             self.taking.discard(m.number)
             raise
 
-    def known(self, ident: str, told: Callable[[], None], lost: Callable[[], None]) -> None:
-        if self.ids.get(ident) in self.taking:
+    def call_when_written(self, ident: str, told: Callable[[], None], lost: Callable[[], None]) -> None:
+        if self.numbers_by_id.get(ident) in self.taking:
             self.told_later.setdefault(ident, []).append((told, lost))
         else:
             told()
@@ -175,7 +175,7 @@
         self,
         numbers: list[int],
         at: float,
-        done: Callable[[], None] = _nothing,
+        done: Callable[[], None] = _do_nothing,
         failed: Callable[[OSError], None] | None = None,
     ) -> None:
         room = self.room
@@ -185,21 +185,21 @@
         if not room.may_attempt():
             (failed or _raise)(UnconfirmedError("the standby is silent"))
             return
-        held = [self.held.get(n) for n in numbers]
-        light = all(m is None or (m.cls in self.safe and m.number not in self.taking) for m in held)
+        held = [self.pending.get(n) for n in numbers]
+        light = all(m is None or (m.class_index in self.safe and m.number not in self.taking) for m in held)
 
         closes = min(
             (
-                m.may_have_run_at + self.windows[m.cls]
+                m.possibly_executed_at + self.windows[m.class_index]
                 for m in held
-                if m is not None and m.cls in self.windows and m.may_have_run_at
+                if m is not None and m.class_index in self.windows and m.possibly_executed_at
             ),
             default=0.0,
         )
 
         def deny(why: str = "the standby does not confirm it") -> None:
             for n in numbers:
-                self.missed(n)
+                self.attempt_not_executed(n)
             (failed or _raise)(UnconfirmedError(why))
 
         def go() -> None:
@@ -211,21 +211,23 @@
         sort = Sort.LIGHT if light else Sort.ATTEMPT
         super().attempt(numbers, at, lambda: room.ask(sort, go, deny, 0.0), failed)
 
-    def final(
+    def record_outcome(
         self,
         number: int,
         status: str,
         again_ms: int,
-        done: Callable[[], None] = _nothing,
+        done: Callable[[], None] = _do_nothing,
         failed: Callable[[OSError], None] | None = None,
     ) -> None:
-        room, m = self.room, self.held.get(number)
+        room, m = self.room, self.pending.get(number)
         if room is None or m is None:
-            super().final(number, status, again_ms, done, failed)
+            super().record_outcome(number, status, again_ms, done, failed)
             return
-        until = m.until + FINAL_S
+        until = m.deadline_s + FINAL_S
 
         def deny() -> None:
             (failed or _raise)(UnconfirmedError("the standby does not confirm an end"))
 
-        super().final(number, status, again_ms, lambda: room.ask(Sort.FINAL, done, deny, until), failed)
+        super().record_outcome(
+            number, status, again_ms, lambda: room.ask(Sort.FINAL, done, deny, until), failed
+        )
--- a/madderbeam/host/standby/primary.py
+++ b/madderbeam/host/standby/primary.py
@@ -56,7 +56,7 @@
         self.host, self.ports, self.journal = host, ports, host.journal
         mine, self.loop, self.clock = told(host.config), host.loop, ports.clock.monotonic_us
         self.kept = Kept(ports.disk, kept_folder(host.config), host.journal.sync)
-        sizes = {n: s.size for n, s in host.journal.files.all.items()}
+        sizes = {n: s.size for n, s in host.journal.files.segments.items()}
         self.machine = Owner(settings(host.config), host.config.name, sizes, self.kept.map)
         self.runner = Watched(self.loop, self.clock, self.machine, self.kept, self._act, "standby")
         assert mine.to is not None
@@ -115,7 +115,7 @@
             return
         token = next(self.tokens)
         self.waiting[token] = go, deny
-        end = self.host.journal.wall.monotonic(until) if until else 0
+        end = self.host.journal.wall.monotonic_us_at(until) if until else 0
         self.tell(Wait(token, sort, max(0, end)))
 
     # What the front asks
--- a/madderbeam/host/state_transfer.py
+++ b/madderbeam/host/state_transfer.py
@@ -205,7 +205,7 @@
         for sock, call in zip(transferred.calls, message["calls"], strict=True):
             host.calls.adopt(sock, call)
         host.attempts.numbers = state["numbers"]
-    host.admission.numbers = max(host.journal.last, message["numbers"])
+    host.admission.numbers = max(host.journal.last_number, message["numbers"])
     if message["drained"]:
         host.drain.begin()
     host.rest()
@@ -245,9 +245,9 @@
     courier: DeliveryEngine = state["courier"]
     host.courier, host.admission.retry_after_us = courier, courier.admission.retry_after_us
     courier.state.endpoint_preference = host.routing.router
-    for number in [number for number in courier.state.messages if number not in host.journal.held]:
+    for number in [number for number in courier.state.messages if number not in host.journal.pending]:
         host.events.append(MessageWithdrawn(number))
-    for message in host.journal.held.values():
+    for message in host.journal.pending.values():
         if message.status or message.number not in courier.state.messages:
             host.restore(message)
         else:
--- a/madderbeam/journal/damage.py
+++ b/madderbeam/journal/damage.py
@@ -124,7 +124,7 @@
         return self.header[2] if self.header else self.file_number
 
     @property
-    def fixed(self) -> int:
+    def overhead_bytes(self) -> int:
         """Bytes of its header and its "end" record, which a rewritten segment has as well."""
         offsets = [offset for offset, _ in self.records] + [self.end]
         return sum(
--- a/madderbeam/journal/expiring_set.py
+++ b/madderbeam/journal/expiring_set.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-MEMO = 12  # bytes that a remembered id or key takes in a record, besides its own characters
+ENTRY_OVERHEAD_BYTES = 12  # bytes that a remembered id or key takes in a record, besides its own characters
 
 # Of one string: its time, when it expires, and the segment that a restart would read it from. A plain tuple
 # of numbers, because the garbage collector does not traverse hundreds of thousands of those.
@@ -20,36 +20,36 @@
     """
 
     def __init__(self, on_moved: Callable[[str, int, int], None] = lambda text, old, new: None) -> None:
-        self.known: dict[str, Entry] = {}
+        self.entries: dict[str, Entry] = {}
         self.buckets: dict[int, list[str]] = {}
         self.due: list[str] = []  # of buckets that have passed; each is still to be checked
-        self.bytes = 0
+        self.size_bytes = 0
         self.on_moved = on_moved
 
     def __contains__(self, text: str) -> bool:
-        return text in self.known
+        return text in self.entries
 
     def __len__(self) -> int:
-        return len(self.known)
+        return len(self.entries)
 
     def time_of(self, text: str) -> float:
         """The string's time, 0 if it is not known."""
-        return self.known[text][0] if text in self.known else 0.0
+        return self.entries[text][0] if text in self.entries else 0.0
 
     def expires_at(self, text: str) -> float:
         """When a known string expires; KeyError if it is not known."""
-        return self.known[text][1]
+        return self.entries[text][1]
 
     def segment_of(self, text: str) -> int:
         """The segment that records the string, 0 if none does."""
-        return self.known[text][2] if text in self.known else 0
+        return self.entries[text][2] if text in self.entries else 0
 
     def add(self, text: str, time: float, expires_at: float, segment: int = 0) -> None:
         """Remember the string, or replace its time, expiry and segment."""
-        old = self.known.get(text)
-        self.known[text] = (time, expires_at, segment)
+        old = self.entries.get(text)
+        self.entries[text] = (time, expires_at, segment)
         if old is None:
-            self.bytes += len(text) + MEMO
+            self.size_bytes += len(text) + ENTRY_OVERHEAD_BYTES
         if old is None or old[1] != expires_at:
             self.buckets.setdefault(int(expires_at) + 1, []).append(text)
         old_segment = old[2] if old else 0
@@ -58,14 +58,14 @@
 
     def move(self, text: str, segment: int) -> None:
         """Note that another segment records the string from now on, if it is known."""
-        if (old := self.known.get(text)) and old[2] != segment:
-            self.known[text] = (old[0], old[1], segment)
+        if (old := self.entries.get(text)) and old[2] != segment:
+            self.entries[text] = (old[0], old[1], segment)
             self.on_moved(text, old[2], segment)
 
     def drop(self, text: str) -> None:
         """Forget the string, if it is known."""
-        if old := self.known.pop(text, None):
-            self.bytes -= len(text) + MEMO
+        if old := self.entries.pop(text, None):
+            self.size_bytes -= len(text) + ENTRY_OVERHEAD_BYTES
             if old[2]:
                 self.on_moved(text, old[2], 0)
 
@@ -79,5 +79,5 @@
         self.collect_due(now)
         for _ in range(min(limit, len(self.due))):
             text = self.due.pop()
-            if text in self.known and self.known[text][1] <= now:
+            if text in self.entries and self.entries[text][1] <= now:
                 self.drop(text)
--- a/madderbeam/journal/inspect.py
+++ b/madderbeam/journal/inspect.py
@@ -11,8 +11,8 @@
 
 from madderbeam.journal.damage import Finding
 from madderbeam.journal.journal import Journal
-from madderbeam.journal.records import blocks
-from madderbeam.journal.recovery import FolderContents, read
+from madderbeam.journal.records import rounded_to_blocks
+from madderbeam.journal.recovery import FolderContents, read_folder
 from madderbeam.ports import Clock, Disk
 
 READ_TRIES = 5  # of a folder that changes while it is read
@@ -40,10 +40,10 @@
         super().__init__(ReadOnlyDisk(disk), clock, folder, 1 << 62)
 
     def _restore(self, contents: FolderContents) -> None:
-        if self.contents.has_format_1 and not self.contents.parts:
+        if self.contents.has_format_1 and not self.contents.segments:
             for record in self.contents.format_1_records:
                 if record[0] != "clock":
-                    self._effect(record, 0)
+                    self._apply(record, 0)
             return
         self.contents.has_format_1 = False
         super()._restore(self.contents)
@@ -53,7 +53,7 @@
     """The folder's contents, read again while files vanish; OSError if it can't be read."""
     for tries_left in reversed(range(READ_TRIES)):
         try:
-            return read(disk, folder)
+            return read_folder(disk, folder)
         except FileNotFoundError:
             if not tries_left:
                 raise
@@ -99,35 +99,40 @@
     journal = InspectedJournal(disk, clock, folder, contents)
     segments = tuple(
         SegmentSummary(
-            part.name, part.size, len(part.records), segment.live, len(segment.messages), part.size - part.end
+            part.name,
+            part.size,
+            len(part.records),
+            segment.live_bytes,
+            len(segment.messages),
+            part.size - part.end,
         )
-        for part in contents.parts
-        if (segment := journal.files.all.get(part.number)) is not None
+        for part in contents.segments
+        if (segment := journal.files.segments.get(part.number)) is not None
     )
     messages = tuple(
         {
             "number": message.number,
             "id": message.id,
             "state": message.state,
-            "class": message.cls,
+            "class": message.class_index,
             "tenant": message.tenant,
             "dest": message.dest,
             "key": message.key,
-            "tries": message.tries,
-            "until": message.until,
+            "tries": message.attempts,
+            "until": message.deadline_s,
             "bytes": len(message.body),
             "status": message.status,
         }
-        for message in journal.held.values()
+        for message in journal.pending.values()
     )
-    possibly_executed = sum(message.state == "trying" for message in journal.held.values())
-    size = sum(blocks(part.size) for part in contents.parts)
+    possibly_executed = sum(message.state == "trying" for message in journal.pending.values())
+    size = sum(rounded_to_blocks(part.size) for part in contents.segments)
     return Summary(
-        2 if contents.parts else 1,
-        journal.open,
+        2 if contents.segments else 1,
+        journal.open_count,
         possibly_executed,
-        len(journal.held) - journal.open,
-        len(journal.over),
+        len(journal.pending) - journal.open_count,
+        len(journal.completed_ids),
         len(journal.keys),
         size,
         sum(segment.live for segment in segments),
@@ -145,9 +150,9 @@
 def dump(disk: Disk, folder: str) -> Iterator[dict[str, Any]]:
     """Each record with its segment and offset; a body is replaced by its size."""
     contents = read_consistently(disk, folder)
-    for record in contents.format_1_records if not contents.parts else ():
+    for record in contents.format_1_records if not contents.segments else ():
         yield {"segment": 0, "offset": 0, "record": _printable(record)}
-    for part in contents.parts:
+    for part in contents.segments:
         for offset, record in part.records:
             yield {"segment": part.number, "offset": offset, "record": _printable(record)}
 
--- a/madderbeam/journal/pending_message.py
+++ b/madderbeam/journal/pending_message.py
@@ -29,34 +29,36 @@
 
     number: int
     id: str
-    cls: int
+    class_index: int
     tenant: int
     dest: int
     key: str
-    until: float
+    deadline_s: float
     resubmitted: bool
     body: bytes
-    order: int = 0
-    tries: int = 0
-    trying_at: float = 0.0  # start of the newest attempt, 0 once it is known that it was never executed
-    ran_at: float = 0.0  # start of the first attempt that was possibly executed
+    order_key: int = 0
+    attempts: int = 0
+    latest_attempt_at: float = (
+        0.0  # start of the newest attempt, 0 once it is known that it was never executed
+    )
+    prior_execution_at: float = 0.0  # start of the first attempt that was possibly executed
     status: str = ""  # of its final notice, if that is outstanding
-    again_ms: int = 0
-    relayed: bool = False  # accepted from another courier: no client of this one waits for its outcome
+    retry_after_ms: int = 0
+    is_relayed: bool = False  # accepted from another courier: no client of this one waits for its outcome
     size: int = field(init=False, compare=False, repr=False)  # upper bound in bytes of its whole record
 
     def __post_init__(self) -> None:
         self.size = len(self.body) + len(self.id) + len(self.key) + MAX_OVERHEAD_BYTES
 
     @property
-    def may_have_run_at(self) -> float:
+    def possibly_executed_at(self) -> float:
         """Start of the first attempt that was possibly executed, including the newest; 0 if there is none."""
-        return self.ran_at or self.trying_at
+        return self.prior_execution_at or self.latest_attempt_at
 
     @property
     def state(self) -> str:
         """The state: taken, trying or ended. A completed message is no longer pending."""
-        return "ended" if self.status else "trying" if self.may_have_run_at else "taken"
+        return "ended" if self.status else "trying" if self.possibly_executed_at else "taken"
 
     def record(self) -> list[Any]:
         """Its "take" record. The fields are written out: a generic lookup is a third of the record's cost."""
@@ -64,20 +66,20 @@
             "take",
             self.number,
             self.id,
-            self.cls,
+            self.class_index,
             self.tenant,
             self.dest,
             self.key,
-            self.until,
+            self.deadline_s,
             self.resubmitted,
             self.body,
-            self.order,
-            self.tries,
-            self.trying_at,
-            self.ran_at,
+            self.order_key,
+            self.attempts,
+            self.latest_attempt_at,
+            self.prior_execution_at,
             self.status,
-            self.again_ms,
+            self.retry_after_ms,
         ]
-        if self.relayed:
+        if self.is_relayed:
             fields.append(True)
         return fields
--- a/madderbeam/journal/records.py
+++ b/madderbeam/journal/records.py
@@ -16,7 +16,7 @@
 
 FRAME = struct.Struct(">II")  # length, checksum
 FORMAT = 2  # of segments; format 1 was a single file without a header
-MOST = 1 << 24  # bytes of one record: a larger length is invalid
+MAX_RECORD_BYTES = 1 << 24  # bytes of one record: a larger length is invalid
 PACK = msgpack.Packer().pack  # shared: a new packer for each record costs as much as packing it
 BLOCK_BYTES = 512  # files count against the limit in whole blocks
 
@@ -27,18 +27,18 @@
     return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def blocks(size: int) -> int:
+def rounded_to_blocks(size: int) -> int:
     """The bytes that a file of this size takes of the limit: rounded up to whole blocks."""
     return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
 
-def _at(data: bytes, offset: int) -> tuple[list[Any], int] | None:
+def _record_at(data: bytes, offset: int) -> tuple[list[Any], int] | None:
     """The record at this offset and where it ends; None if there is no valid one."""
     if offset + FRAME.size > len(data):
         return None
     size, checksum = FRAME.unpack_from(data, offset)
     end = offset + FRAME.size + size
-    if not 0 < size <= MOST or end > len(data):
+    if not 0 < size <= MAX_RECORD_BYTES or end > len(data):
         return None
     payload = data[offset + FRAME.size : end]
     if zlib.crc32(payload) != checksum:
@@ -53,7 +53,7 @@
 def parse(data: bytes) -> tuple[list[list[Any]], int]:
     """The valid records at the start of the data, and where they end."""
     records, offset = [], 0
-    while (found := _at(data, offset)) is not None:
+    while (found := _record_at(data, offset)) is not None:
         records.append(found[0])
         offset = found[1]
     return records, offset
@@ -101,7 +101,7 @@
         return True
     length = FRAME.unpack_from(prefix)[0]
     payload = prefix[FRAME.size :]
-    if not 0 < length <= MOST or size >= FRAME.size + length:
+    if not 0 < length <= MAX_RECORD_BYTES or size >= FRAME.size + length:
         return False
     if len(payload) < MAX_RECORD_START_BYTES:  # its kind may be incomplete
         return payload[:1] in (b"", b"\xdc") or 0x91 <= payload[0] <= 0x9F
@@ -119,7 +119,7 @@
     invalid: list[InvalidRange] = []
     offset = end = 0
     while offset < len(data):
-        found = _at(data, offset)
+        found = _record_at(data, offset)
         if found is None:
             offset = _next_record(data, end + 1)
             if offset < 0:
@@ -135,7 +135,7 @@
 def _next_record(data: bytes, start: int) -> int:
     """The offset of the first valid record at or after `start`, -1 if there is none."""
     for match in RECORD_START.finditer(data, start + FRAME.size):
-        if _at(data, match.start() - FRAME.size) is not None:
+        if _record_at(data, match.start() - FRAME.size) is not None:
             return match.start() - FRAME.size
     return -1
 
--- a/madderbeam/journal/recovery.py
+++ b/madderbeam/journal/recovery.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from madderbeam.journal.damage import Finding, Kind, SegmentFile, examine
-from madderbeam.journal.records import FORMAT, blocks, invalid_range, is_torn, scan
-from madderbeam.journal.segments import PREFIX, name, number
+from madderbeam.journal.records import FORMAT, invalid_range, is_torn, rounded_to_blocks, scan
+from madderbeam.journal.segments import PREFIX, segment_name, segment_number
 from madderbeam.ports import Disk
 
-OLD, OLD_TEMPORARY = "messages.journal", "messages.journal.new"  # of format 1
+FORMAT_1_FILE, OLD_TEMPORARY = "messages.journal", "messages.journal.new"  # of format 1
 READ_TRIES = 3  # of a file with a read error: accepted messages depend on it
 MIGRATED_SEGMENT = "first.new"  # the first segment, while a folder of format 1 is migrated
 
@@ -25,7 +25,7 @@
 class FolderContents:
     """The contents of a journal's folder."""
 
-    parts: list[SegmentFile] = field(default_factory=list)  # the segments to restore from, in order
+    segments: list[SegmentFile] = field(default_factory=list)  # the segments to restore from, in order
     findings: list[Finding] = field(default_factory=list)
     checksums: dict[int, int] = field(default_factory=dict)  # of damaged files, by the number in the name
     ignored_bytes: int = 0  # in whole blocks, of files with a segment's prefix that are not restored from
@@ -39,7 +39,7 @@
         return [finding for finding in self.findings if finding.is_damage]
 
 
-def read(disk: Disk, folder: str) -> FolderContents:
+def read_folder(disk: Disk, folder: str) -> FolderContents:
     """Read the whole folder; nothing is changed.
 
     NewerFormatError if a newer version wrote it. OSError if the folder itself can't be read; a file that
@@ -49,7 +49,7 @@
     names = disk.names(folder)
     files, foreign = [], []
     for file in sorted(file for file in names if file.startswith(PREFIX)):
-        if number(file) and file == name(number(file)):
+        if segment_number(file) and file == segment_name(segment_number(file)):
             files.append(_read_segment(disk, folder, file))
         else:
             foreign.append(Finding(Kind.FOREIGN, file))
@@ -58,19 +58,19 @@
             raise NewerFormatError(
                 f"{folder}: was written in format {part.header[1]}; this version reads up to {FORMAT}"
             )
-    contents.parts, contents.findings = examine(files)
+    contents.segments, contents.findings = examine(files)
     contents.findings += foreign
     contents.highest_number = max((max(part.file_number, part.number) for part in files), default=0)
-    used = {part.name for part in contents.parts}
+    used = {part.name for part in contents.segments}
     ignored = [part.name for part in files if part.name not in used] + [finding.file for finding in foreign]
-    contents.ignored_bytes = sum(blocks(_file_size(disk, f"{folder}/{file}")) for file in ignored)
+    contents.ignored_bytes = sum(rounded_to_blocks(_file_size(disk, f"{folder}/{file}")) for file in ignored)
     damaged = {finding.file for finding in contents.damage}
     contents.checksums = {
         part.file_number: _file_checksum(disk, f"{folder}/{part.name}")
         for part in files
         if part.name in damaged
     }
-    if OLD in names:
+    if FORMAT_1_FILE in names:
         contents.has_format_1 = True
         _read_format_1(disk, folder, contents)
     return contents
@@ -85,10 +85,10 @@
             raise  # it was listed a moment ago: a running courier has removed it
         except OSError as error:
             if not tries_left:
-                return SegmentFile(number(file), file, 0, error=error.strerror or str(error))
+                return SegmentFile(segment_number(file), file, 0, error=error.strerror or str(error))
     records, invalid, end = scan(data)
     return SegmentFile(
-        number(file), file, len(data), records, invalid, end, invalid_range(data, end, len(data))
+        segment_number(file), file, len(data), records, invalid, end, invalid_range(data, end, len(data))
     )
 
 
@@ -109,21 +109,21 @@
 
 def _read_format_1(disk: Disk, folder: str, contents: FolderContents) -> None:
     """Read the single file of format 1, which has no header."""
-    data = disk.read(f"{folder}/{OLD}")
+    data = disk.read(f"{folder}/{FORMAT_1_FILE}")
     records, invalid, end = scan(data)
     contents.format_1_records = [record for _, record in records]
-    if contents.parts:
+    if contents.segments:
         return  # it was migrated; only its removal is missing
     tail = invalid_range(data, end, len(data))
     if end < len(data) and not is_torn(tail):
         invalid.append(tail)
     elif end < len(data):
-        contents.findings.append(Finding(Kind.TORN, OLD, end, len(data)))
-    contents.findings += [Finding(Kind.NOT_A_RECORD, OLD, gap.offset, gap.end) for gap in invalid]
+        contents.findings.append(Finding(Kind.TORN, FORMAT_1_FILE, end, len(data)))
+    contents.findings += [Finding(Kind.NOT_A_RECORD, FORMAT_1_FILE, gap.offset, gap.end) for gap in invalid]
 
 
 def remove_format_1(disk: Disk, folder: str) -> None:
     """Remove the files of format 1 after their content was migrated to segments; errors are ignored."""
-    for file in (OLD_TEMPORARY, MIGRATED_SEGMENT, OLD):
+    for file in (OLD_TEMPORARY, MIGRATED_SEGMENT, FORMAT_1_FILE):
         with contextlib.suppress(OSError):
             disk.unlink(f"{folder}/{file}")
--- a/madderbeam/journal/space_budget.py
+++ b/madderbeam/journal/space_budget.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from madderbeam.journal.records import BLOCK_BYTES, blocks
+from madderbeam.journal.records import BLOCK_BYTES, rounded_to_blocks
 
 MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES, SEGMENTS_PER_LIMIT = 4096, 8 << 20, 32
 # The largest live share of a segment that is rewritten: while half of the limit is free, while less is free,
@@ -60,7 +60,7 @@
 
 def new_segment_bytes(header_bytes: int, size: int) -> int:
     """The most bytes that a record of this size takes where it starts a segment."""
-    return blocks(END_BYTES) + blocks(header_bytes + size)
+    return rounded_to_blocks(END_BYTES) + rounded_to_blocks(header_bytes + size)
 
 
 def max_copyable_bytes(limit: int, used: int, header_bytes: int) -> int:
@@ -93,7 +93,7 @@
 
 def admits(limit: int, used: int, needed: int, more: int) -> bool:
     """Whether, after `more` bytes, every accepted message can still be completed within the limit."""
-    return used + blocks(more) + needed + headroom(limit) <= limit
+    return used + rounded_to_blocks(more) + needed + headroom(limit) <= limit
 
 
 def is_space_short(limit: int, used: int, needed: int) -> bool:
--- a/madderbeam/journal/steady_clock.py
+++ b/madderbeam/journal/steady_clock.py
@@ -5,7 +5,7 @@
 from madderbeam.ports import Clock, Disk
 
 # While this file's content is the same, the monotonic clock continues across processes.
-BOOT = "/proc/sys/kernel/random/boot_id"
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
 class SteadyClock:
@@ -25,7 +25,7 @@
         """Unix time in seconds."""
         return self.offset_s + self.monotonic_us() / 1e6
 
-    def monotonic(self, at: float) -> int:
+    def monotonic_us_at(self, at: float) -> int:
         """The monotonic clock's microseconds at this Unix time; negative before its zero."""
         return int((at - self.offset_s) * 1e6)
 
@@ -38,6 +38,6 @@
 def boot_id(disk: Disk) -> str:
     """The id of the machine's current boot, '' where the system has none."""
     try:
-        return disk.read(BOOT).decode("ascii", "replace").strip()
+        return disk.read(BOOT_ID_PATH).decode("ascii", "replace").strip()
     except OSError:
         return ""
--- a/madderbeam/simulation/books.py
+++ b/madderbeam/simulation/books.py
@@ -13,9 +13,9 @@
 
 from madderbeam.host.endpoint_registry import STATES
 from madderbeam.host.host import Host
-from madderbeam.journal.expiring_set import MEMO
+from madderbeam.journal.expiring_set import ENTRY_OVERHEAD_BYTES
 from madderbeam.journal.journal import Journal
-from madderbeam.journal.records import blocks
+from madderbeam.journal.records import rounded_to_blocks
 from madderbeam.policy.engine import DeliveryEngine
 from madderbeam.policy.engine_state import EngineState
 from madderbeam.policy.events import EndpointState
@@ -48,7 +48,7 @@
     """What is left of messages though the times of all are up and nothing goes on."""
     state, j = host.courier.state, host.journal
     if any(m.deadline_us > state.now_us - REST_US for m in state.messages.values()) or any(
-        m.until > j.wall() - REST_US / 1e6 for m, _ in host.admission.arrived.values()
+        m.deadline_s > j.wall() - REST_US / 1e6 for m, _ in host.admission.arrived.values()
     ):
         return ""  # one was handed in again late, perhaps so late that its turn is still to come
     kept: dict[str, Any] = {
@@ -57,7 +57,7 @@
         "orders": state.order_queues,
         "slots": state.calls_in_flight,
         "queues": [d.number for d in state.destinations.values() if d.queue],
-        "open in the journal": j.open,
+        "open in the journal": j.open_count,
         "numbers of attempts": host.attempts.numbers,
         "guards": host.ends.guards,
         "calls out": host.calls.out,
@@ -69,7 +69,7 @@
     for name, value in kept.items():
         if value:
             return f"{name} are left at the end: {str(value)[:80]}"
-    if names := sorted(set(j.places) - set(j.held) - set(j.ending)):
+    if names := sorted(set(j.segments_by_message) - set(j.pending) - set(j.unwritten_completions)):
         return f"places of messages that are over are left at the end: {names[:5]}"
     return ""
 
@@ -225,37 +225,41 @@
 
 def journal(j: Journal) -> Wrong:
     """Messages, memories, segments and room."""
-    open_ = [m for m in j.held.values() if not m.status]
-    yield from _same("open messages", j.open, len(open_))
-    yield from _same("messages untried", j.untried, sum(not m.tries for m in open_))
-    yield from _same("bytes of messages", j.open_bytes, sum(m.size for m in j.held.values()))
-    yield from _same("bytes of names", j.names, sum(j._name_bytes(m) for m in j.held.values()))
-    yield from _same("ids", j.ids, {m.id: n for n, m in j.held.items()})
+    open_ = [m for m in j.pending.values() if not m.status]
+    yield from _same("open messages", j.open_count, len(open_))
+    yield from _same("messages untried", j.unattempted_count, sum(not m.attempts for m in open_))
+    yield from _same("bytes of messages", j.pending_bytes, sum(m.size for m in j.pending.values()))
+    yield from _same(
+        "bytes of names", j.id_and_key_bytes, sum(j._id_and_key_bytes_of(m) for m in j.pending.values())
+    )
+    yield from _same("ids", j.numbers_by_id, {m.id: n for n, m in j.pending.items()})
     keyed = {m.key: m.number for m in open_ if m.key}
     if set(j.open_keys) != set(keyed):
         yield f"open keys: {sorted(set(j.open_keys) ^ set(keyed))[:3]}"
-    for memory in (j.over, j.keys):
-        size = sum(len(text) + MEMO for text in memory.known)
-        yield from _same("bytes remembered", memory.bytes, size)
+    for memory in (j.completed_ids, j.keys):
+        size = sum(len(text) + ENTRY_OVERHEAD_BYTES for text in memory.entries)
+        yield from _same("bytes remembered", memory.size_bytes, size)
     yield from _segments(j)
 
 
 def _segments(j: Journal) -> Wrong:
     files = j.files
-    yield from _same("bytes used", files.used, sum(blocks(s.size) for s in files.all.values()))
-    if files.used > files.limit:
-        yield f"{files.used} bytes are used of {files.limit}"
-    for number, segment in files.all.items():
-        if not 0 <= segment.fixed <= segment.size:
-            yield f"segment {number} of {segment.size} bytes has {segment.fixed} that any one has"
-        messages = {n: size for n, (home, size) in j.homes.items() if home == number}
+    yield from _same(
+        "bytes used", files.used_bytes, sum(rounded_to_blocks(s.size) for s in files.segments.values())
+    )
+    if files.used_bytes > files.limit_bytes:
+        yield f"{files.used_bytes} bytes are used of {files.limit_bytes}"
+    for number, segment in files.segments.items():
+        if not 0 <= segment.overhead_bytes <= segment.size:
+            yield f"segment {number} of {segment.size} bytes has {segment.overhead_bytes} that any one has"
+        messages = {n: size for n, (home, size) in j.whole_records.items() if home == number}
         yield from _same(f"messages in segment {number}", segment.messages, set(messages))
-        ids = {text for text, entry in j.over.known.items() if entry[2] == number}
+        ids = {text for text, entry in j.completed_ids.entries.items() if entry[2] == number}
         yield from _same(f"ids in segment {number}", segment.ids, ids)
-        keys = {text for text, entry in j.keys.known.items() if entry[2] == number}
+        keys = {text for text, entry in j.keys.entries.items() if entry[2] == number}
         yield from _same(f"keys in segment {number}", segment.keys, keys)
-        live = sum(messages.values()) + sum(len(text) + MEMO for text in (*ids, *keys))
-        yield from _same(f"bytes that live in segment {number}", segment.live, live)
+        live = sum(messages.values()) + sum(len(text) + ENTRY_OVERHEAD_BYTES for text in (*ids, *keys))
+        yield from _same(f"bytes that live in segment {number}", segment.live_bytes, live)
 
 
 # The host
@@ -270,14 +274,14 @@
 
 def _rooms(host: Host) -> Wrong:
     state, j = host.courier.state, host.journal
-    open_ = {n for n, m in j.held.items() if not m.status}
+    open_ = {n for n, m in j.pending.items() if not m.status}
     known = {n for n, m in state.messages.items() if not m.is_completed}
     if not host.events and not host.admission.arrived:
         yield from _same("messages of the decision module", known, open_)
     if guarded := open_ ^ set(host.ends.guards):
         yield f"guards and open messages differ by {sorted(guarded)[:5]}"
     out = {item.number for call in host.calls.out for item in call.items}
-    if lost := set(host.attempts.numbers) - set(j.held) - set(state.messages) - out:
+    if lost := set(host.attempts.numbers) - set(j.pending) - set(state.messages) - out:
         yield f"numbers of attempts are kept of messages that are over: {sorted(lost)[:5]}"
     if host.admission.arriving.keys() - {m.id for m, _ in host.admission.arrived.values()}:
         yield "ids arrive of messages that are answered"
@@ -318,7 +322,7 @@
     notices = host.notices
     telling = {*notices.waiting, *(notices.begun if isinstance(notices, Feed) else ()), *host.ends.unsettled}
     staged = {row.record[1] for row in host.journal.staged if row.record[0] == "final"}
-    owed = {n for n, m in host.journal.held.items() if m.status}
+    owed = {n for n, m in host.journal.pending.items() if m.status}
     if lost := owed - telling - staged:
         yield f"notices are owed that nobody tells: {sorted(lost)[:5]}"
 
@@ -342,15 +346,15 @@
     """What a process would find that started now, against what this one knows. Not while records wait to be
     written, nor for ends that the disk did not take yet."""
     live = host.journal
-    if live.damage or read.damage:  # SIGKILL at any byte of normal work is none
-        yield f"the journal is damaged in {live.damage or read.damage} places"
-    if live.staged or live.unwritten or live.ending:
+    if live.damage_count or read.damage_count:  # SIGKILL at any byte of normal work is none
+        yield f"the journal is damaged in {live.damage_count or read.damage_count} places"
+    if live.staged or live.unwritten or live.unwritten_completions:
         return
 
     def rows(j: Journal) -> dict[str, Any]:
         return {
-            m.id: (n, m.status, m.tries, m.may_have_run_at, m.until, m.key, len(m.body))
-            for n, m in j.held.items()
+            m.id: (n, m.status, m.attempts, m.possibly_executed_at, m.deadline_s, m.key, len(m.body))
+            for n, m in j.pending.items()
             if n not in host.ends.unsettled
         }
 
@@ -359,9 +363,9 @@
     if differ:
         yield f"{differ[0]} is {known.get(differ[0])}, after a restart {found.get(differ[0])}"
     now = live.wall()
-    for name, mine, its in (("ids", live.over, read.over), ("keys", live.keys, read.keys)):
-        due = {text for text, entry in mine.known.items() if entry[1] > now + 1 and entry[2]}
-        if lost := due - set(its.known):
+    for name, mine, its in (("ids", live.completed_ids, read.completed_ids), ("keys", live.keys, read.keys)):
+        due = {text for text, entry in mine.entries.items() if entry[1] > now + 1 and entry[2]}
+        if lost := due - set(its.entries):
             yield f"{name} that a restart forgets: {sorted(lost)[:3]}"
 
 
--- a/madderbeam/simulation/couriers.py
+++ b/madderbeam/simulation/couriers.py
@@ -18,9 +18,9 @@
 from madderbeam.host.host import Host
 from madderbeam.host.process_upgrade import SETTLE_S
 from madderbeam.host.standalone import ResourceHeldError, guard
-from madderbeam.journal.journal import KEYS_S, Journal
+from madderbeam.journal.journal import KEY_RETENTION_MARGIN_S, Journal
 from madderbeam.journal.records import parse
-from madderbeam.journal.steady_clock import BOOT
+from madderbeam.journal.steady_clock import BOOT_ID_PATH
 from madderbeam.ports import Address, Ports
 from madderbeam.simulation import local
 from madderbeam.simulation.agent import Agent
@@ -79,7 +79,7 @@
         else:
             self.agent = Agent(kernel, self.name, (f"10.2.0.{index + 1}", 8500))
             kernel.services[self.agent.address] = self.agent.service()
-        self.disk.files[BOOT] = bytearray(b"one boot\n")
+        self.disk.files[BOOT_ID_PATH] = bytearray(b"one boot\n")
         self.moves = 0
         self.operations = 0  # of disk and sockets since the process began
         self.kill_at = 0  # the process dies at this operation, 0: at none
@@ -267,7 +267,9 @@
         live = self.host.journal
         disk = SimDisk(random.Random(0), lambda name: False)
         disk.files = {path: bytearray(data) for path, data in self.disk.files.items()}
-        return Journal(disk, self.clock, live.folder, live.limit, live.key_s - KEYS_S)
+        return Journal(
+            disk, self.clock, live.folder, live.limit_bytes, live.key_retention_s - KEY_RETENTION_MARGIN_S
+        )
 
     @property
     def works(self) -> bool:
--- a/madderbeam/simulation/federation.py
+++ b/madderbeam/simulation/federation.py
@@ -18,7 +18,7 @@
 from madderbeam.host.federation.component import FederationComponent
 from madderbeam.host.host import Host
 from madderbeam.host.standalone import guard
-from madderbeam.journal.steady_clock import BOOT
+from madderbeam.journal.steady_clock import BOOT_ID_PATH
 from madderbeam.membership.values import MemberId
 from madderbeam.ports import Address, Ports
 from madderbeam.simulation.clients import command
@@ -78,7 +78,7 @@
 
     def _disk(self) -> SimDisk:
         disk = SimDisk(self.chance, self._operation)
-        disk.files[BOOT] = bytearray(b"one boot\n")
+        disk.files[BOOT_ID_PATH] = bytearray(b"one boot\n")
         disk.spared |= {CONFIG, LIST, FEED}
         disk.wrote = self._wrote
         return disk
--- a/scripts/rename_symbols.py
+++ b/scripts/rename_symbols.py
@@ -178,7 +178,7 @@
     found: dict[Path, set[Edit]] = {}
     opened: set[str] = set()
     try:
-        # The server answers its first request before it has read the whole workspace, so that one is repeated.
+        # The server answers its first request before the workspace is read: that one is repeated.
         for path, symbol, name in [rows[0], *rows]:
             file = ROOT / path
             text = file.read_text()
--- a/tests/changes/test_changes_hard_cases.py
+++ b/tests/changes/test_changes_hard_cases.py
@@ -292,14 +292,16 @@
                 if how == "removed"
                 else "-ERR d: must be at most 20, by the deadline of the class"
             )
-            assert courier.host.journal.held and courier.room.calls.state()["messages_by_version"] == {"1": 1}
+            assert courier.host.journal.pending and courier.room.calls.state()["messages_by_version"] == {
+                "1": 1
+            }
         a.release.set()
         async with Courier(made) as courier:
             assert courier.machine.trials[0].id == "less"
             if how == "removed":
                 assert courier.host.admission.classes == {"unsafe": 1, "other": 2}
                 assert courier.host.s.classes[0].name == "safe"
-            await courier.until(lambda: not courier.host.journal.held)  # delivered under its own terms
+            await courier.until(lambda: not courier.host.journal.pending)  # delivered under its own terms
             feed = made.folder / "finals.jsonl"
             assert not feed.exists() or not feed.read_text()
         await a.stop()
--- a/tests/journal/damages.py
+++ b/tests/journal/damages.py
@@ -12,8 +12,8 @@
 from madderbeam.journal.damage import Kind, Meaning
 from madderbeam.journal.journal import Journal
 from madderbeam.journal.pending_message import PendingMessage
-from madderbeam.journal.recovery import read
-from madderbeam.journal.segments import name
+from madderbeam.journal.recovery import read_folder
+from madderbeam.journal.segments import segment_name
 from madderbeam.simulation.couriers import SimClock
 from madderbeam.simulation.disk import SimDisk
 from madderbeam.simulation.loop import Scheduler
@@ -41,18 +41,20 @@
     for n in range(1, messages + 1):
         body = b"x" * rng.choice((10, 100, 700))
         key = f"key{n}" if n % 3 == 0 else ""
-        journal.take(PendingMessage(n, f"m{n:04}", n % 3, 0, 7, key, journal.wall() + 600, False, body))
+        journal.accept(PendingMessage(n, f"m{n:04}", n % 3, 0, 7, key, journal.wall() + 600, False, body))
         if n % 2:
             journal.attempt([n], journal.wall())
         if n % 5 == 0:
-            journal.missed(n)
+            journal.attempt_not_executed(n)
         if n % 4 and n > 3:
-            journal.done(n - 3) if n - 3 in journal.held else None
+            journal.complete(n - 3) if n - 3 in journal.pending else None
         while journal.step():
             pass
     journal.close()
     files = {path.removeprefix(f"{FOLDER}/"): bytes(data) for path, data in disk.files.items()}
-    assert len(files) >= 4 and any(r[0] == "gone" for p in read(disk, FOLDER).parts for _, r in p.records)
+    assert len(files) >= 4 and any(
+        r[0] == "gone" for p in read_folder(disk, FOLDER).segments for _, r in p.records
+    )
     return files
 
 
@@ -72,15 +74,15 @@
             yield f"{what} {file} at {at}", files | {file: data[:at]}
 
 
-def wholes(files) -> Iterator[tuple[str, dict[str, bytes]]]:
+def whole_file_damages(files) -> Iterator[tuple[str, dict[str, bytes]]]:
     """Each file removed, duplicated, renamed, swapped with another, extended, replaced by noise or zeros."""
     rng, last = random.Random(3), max(files)
     order = sorted(files)
     for n, file in enumerate(order):
         data, rest = files[file], {f: d for f, d in files.items() if f != file}
         yield f"{file} removed", rest
-        yield f"{file} duplicated", files | {name(90_000_000): data}
-        yield f"{file} renamed", rest | {name(90_000_000): data}
+        yield f"{file} duplicated", files | {segment_name(90_000_000): data}
+        yield f"{file} renamed", rest | {segment_name(90_000_000): data}
         yield f"{file} renamed to no segment", rest | {"segment-x.journal": data}
         yield f"{file} noise", files | {file: rng.randbytes(len(data))}
         yield f"{file} zeros", files | {file: bytes(len(data))}
@@ -100,7 +102,7 @@
 def check(before, title, files):
     """Check what is read from damaged files; returns it. `before`: the contents before the damage."""
     disk = disk_of(files)
-    found = read(disk, FOLDER)
+    found = read_folder(disk, FOLDER)
     records_before, records_after = record_counts(before), record_counts(found)
     lost, new = records_before - records_after, records_after - records_before
     for finding in found.findings:
@@ -118,16 +120,17 @@
     """A start succeeds: open messages count as possibly executed, at the next start as well. A message
     accepted after the damage is not suspect, although the damaged file is still there."""
     journal = Journal(disk, clock(), FOLDER, LIMIT, 15.0)
-    assert journal.damage == len(found.damage), title
+    assert journal.damage_count == len(found.damage), title
     if found.damage:
-        assert all(m.may_have_run_at for m in journal.held.values() if not m.status), title
-    first = set(journal.held)
-    n = journal.last + 1
-    journal.take(PendingMessage(n, "fresh", 0, 0, 7, "", journal.wall() + 60, False, b"fresh"))
+        assert all(m.possibly_executed_at for m in journal.pending.values() if not m.status), title
+    first = set(journal.pending)
+    n = journal.last_number + 1
+    journal.accept(PendingMessage(n, "fresh", 0, 0, 7, "", journal.wall() + 60, False, b"fresh"))
     restarted_journal = Journal(disk, clock(), FOLDER, LIMIT, 15.0)
-    assert set(restarted_journal.held) == first | {n}, title
+    assert set(restarted_journal.pending) == first | {n}, title
     if found.damage:
-        suspects = [m for k, m in restarted_journal.held.items() if k in first and not m.status]
-        assert all(m.may_have_run_at for m in suspects) and not restarted_journal.held[n].may_have_run_at, (
-            title
-        )
+        suspects = [m for k, m in restarted_journal.pending.items() if k in first and not m.status]
+        assert (
+            all(m.possibly_executed_at for m in suspects)
+            and not restarted_journal.pending[n].possibly_executed_at
+        ), title
--- a/tests/journal/test_damage.py
+++ b/tests/journal/test_damage.py
@@ -10,15 +10,15 @@
 
 from madderbeam.journal import damage, inspect, records
 from madderbeam.journal.damage import Kind
-from madderbeam.journal.recovery import read
+from madderbeam.journal.recovery import read_folder
 
 FILES = damages.recorded()
-BEFORE = read(disk_of(FILES), FOLDER)
+BEFORE = read_folder(disk_of(FILES), FOLDER)
 NEWEST = max(FILES)
 
 
 def test_the_recorded_folder_is_intact():
-    assert not BEFORE.findings and len(BEFORE.parts) == len(FILES)
+    assert not BEFORE.findings and len(BEFORE.segments) == len(FILES)
 
 
 @pytest.mark.parametrize("part", range(4))
@@ -34,7 +34,7 @@
         assert bool(found.damage) != title.startswith(damages.CUT_NEWEST), title
 
 
-FILE_DAMAGES = dict(damages.wholes(FILES))
+FILE_DAMAGES = dict(damages.whole_file_damages(FILES))
 
 
 @pytest.mark.parametrize("title", FILE_DAMAGES)
@@ -86,8 +86,8 @@
         return whole(path)
 
     disk.read = fails
-    found = read(disk, FOLDER)
-    assert [f.kind for f in found.damage] == [Kind.UNREADABLE] and len(found.parts) == len(FILES) - 1
+    found = read_folder(disk, FOLDER)
+    assert [f.kind for f in found.damage] == [Kind.UNREADABLE] and len(found.segments) == len(FILES) - 1
 
 
 def stops_silently(data):
@@ -130,7 +130,7 @@
     machine = Machine()
     journal = machine.start()
     files = journal.files
-    journal.take(pending_message(1, machine), lambda: None, lambda error: None)
+    journal.accept(pending_message(1, machine), lambda: None, lambda error: None)
     journal.commit()
 
     def fails(size):
@@ -139,8 +139,8 @@
     whole = files.file.append
     files.file.append, files.file.truncate = lambda data: whole(data[:7]), fails
     files._roll()
-    journal.take(pending_message(2, machine), lambda: None, lambda error: None)
+    journal.accept(pending_message(2, machine), lambda: None, lambda error: None)
     journal.commit()
-    assert not read(machine.disk, "/state").damage
+    assert not read_folder(machine.disk, "/state").damage
     again = machine.start()
-    assert not again.damage and sorted(again.held) == [1, 2]
+    assert not again.damage_count and sorted(again.pending) == [1, 2]
--- a/tests/journal/test_keys.py
+++ b/tests/journal/test_keys.py
@@ -5,7 +5,7 @@
 import pytest
 from test_store import KEY_S, Machine, pending_message
 
-from madderbeam.journal.segments import name
+from madderbeam.journal.segments import segment_name
 
 KEY = "the-key"
 
@@ -15,7 +15,7 @@
     journal = machine.journal
     m = pending_message(number, machine, KEY, ran_at=journal.key_ran_at(KEY))
     if old := journal.held.get(journal.open_keys.get(KEY, 0)):
-        m.ran_at = m.ran_at or old.may_have_run_at
+        m.prior_execution_at = m.prior_execution_at or old.may_have_run_at
         journal.end(old, "deferred", 0)
         journal.final(old.number, "deferred", 0)
     journal.take(m)
@@ -72,13 +72,13 @@
     accept(machine, 2)
     ran = attempt(machine, 2)
     if over:
-        machine.journal.done(2)
+        machine.journal.complete(2)
     if copied:
         compact_all(machine)
-    machine.journal.missed(1)
+    machine.journal.attempt_not_executed(1)
     machine.journal.commit()
     check_first_attempt(machine, ran)
-    assert name(1) not in machine.segments()
+    assert segment_name(1) not in machine.segments()
 
 
 def test_a_miss_in_the_batch_of_the_newer_ones_attempt():
@@ -88,7 +88,7 @@
     accept(machine, 2)
     machine.journal.begin()
     ran = attempt(machine, 2)
-    machine.journal.missed(1)
+    machine.journal.attempt_not_executed(1)
     machine.journal.commit()
     check_first_attempt(machine, ran)
 
@@ -100,14 +100,14 @@
     first = attempt(machine, 1)
     accept(machine, 2)
     attempt(machine, 2)
-    machine.journal.missed(order[0])
+    machine.journal.attempt_not_executed(order[0])
     machine.journal.commit()
-    assert machine.journal.key_ran_at(KEY) >= first
-    machine.journal.missed(order[1])
+    assert machine.journal.key_possibly_executed_at(KEY) >= first
+    machine.journal.attempt_not_executed(order[1])
     machine.journal.commit()
-    assert not machine.journal.held[2].may_have_run_at
+    assert not machine.journal.pending[2].possibly_executed_at
     check_first_attempt(machine, 0)
-    assert not machine.journal.held[2].may_have_run_at
+    assert not machine.journal.pending[2].possibly_executed_at
 
 
 def test_a_later_message_without_an_attempt_does_not_count_either():
@@ -115,11 +115,11 @@
     accept(machine, 1)
     attempt(machine, 1)
     accept(machine, 2)
-    machine.journal.missed(1)
+    machine.journal.attempt_not_executed(1)
     machine.journal.commit()
-    assert not machine.journal.held[2].may_have_run_at
+    assert not machine.journal.pending[2].possibly_executed_at
     check_first_attempt(machine, 0)
-    assert not machine.journal.held[2].may_have_run_at
+    assert not machine.journal.pending[2].possibly_executed_at
     ran = attempt(machine, 2)
     machine.journal.commit()
     check_first_attempt(machine, ran)
@@ -131,10 +131,10 @@
     ran = attempt(machine, 1)
     accept(machine, 2)
     attempt(machine, 2)
-    machine.journal.missed(2)
+    machine.journal.attempt_not_executed(2)
     machine.journal.commit()
     check_first_attempt(machine, ran)
-    assert machine.journal.held[2].may_have_run_at == ran
+    assert machine.journal.pending[2].possibly_executed_at == ran
 
 
 def test_a_second_attempt_that_was_never_executed_leaves_the_first():
@@ -142,7 +142,7 @@
     accept(machine, 1)
     ran = attempt(machine, 1)
     attempt(machine, 1)
-    machine.journal.missed(1)
+    machine.journal.attempt_not_executed(1)
     machine.journal.commit()
     check_first_attempt(machine, ran)
 
@@ -155,22 +155,22 @@
     for _ in range(60):
         journal = machine.journal
         machine.after(0.01)
-        pending = [n for n, m in journal.held.items() if m.key]
+        pending = [n for n, m in journal.pending.items() if m.key]
         open_ = journal.open_keys.get(KEY)
         action = rng.choice(("come", "try", "try", "miss", "miss", "over", "copy", "start"))
         if action == "come":
-            accept(machine, journal.last + 1)
+            accept(machine, journal.last_number + 1)
         elif action == "try" and open_:
             at = journal.wall()
             journal.attempt([open_], at)
             possibly_executed.setdefault(open_, []).append(at)
             unresolved[open_] = at
-        elif action == "miss" and (n := rng.choice([n for n in unresolved if n in journal.held] or [0])):
-            journal.missed(n)
+        elif action == "miss" and (n := rng.choice([n for n in unresolved if n in journal.pending] or [0])):
+            journal.attempt_not_executed(n)
             possibly_executed[n].remove(unresolved.pop(n))
         elif action == "over" and pending:
             n = rng.choice(pending)
-            journal.done(n)
+            journal.complete(n)
             unresolved.pop(n, None)
         elif action == "copy":
             journal.commit()
@@ -179,9 +179,9 @@
         journal.commit()
         first = min((at for times in possibly_executed.values() for at in times), default=0)
         assert journal.wall() - first < KEY_S or not first, "the sequence is longer than the window"
-        assert journal.key_ran_at(KEY) == first
+        assert journal.key_possibly_executed_at(KEY) == first
         machine.start(call_later=lambda seconds, action: None)
-        found = machine.journal.key_ran_at(KEY)
+        found = machine.journal.key_possibly_executed_at(KEY)
         assert found == first or (found > 0 and (not first or found < first))
         if action == "start":
             unresolved.clear()
--- a/tests/journal/test_store.py
+++ b/tests/journal/test_store.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from madderbeam.journal import space_budget
-from madderbeam.journal.expiring_set import MEMO
+from madderbeam.journal.expiring_set import ENTRY_OVERHEAD_BYTES
 from madderbeam.journal.journal import Journal
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.journal.records import frame, parse, scan
-from madderbeam.journal.recovery import OLD, NewerFormatError, read
-from madderbeam.journal.segments import JournalFullError, name
-from madderbeam.journal.steady_clock import BOOT
+from madderbeam.journal.recovery import FORMAT_1_FILE, NewerFormatError, read_folder
+from madderbeam.journal.segments import JournalFullError, segment_name
+from madderbeam.journal.steady_clock import BOOT_ID_PATH
 from madderbeam.simulation.couriers import SimClock
 from madderbeam.simulation.disk import SimDisk
 from madderbeam.simulation.loop import Killed, Scheduler
@@ -32,7 +32,7 @@
         self.scheduler, self.limit, self.operations, self.kill_at = Scheduler(seed), limit, 0, 0
         self.clock = SimClock(self.scheduler)
         self.disk = SimDisk(random.Random(seed), self._operation)
-        self.disk.files[BOOT] = bytearray(b"one")
+        self.disk.files[BOOT_ID_PATH] = bytearray(b"one")
         self.journal = None
         self.may_be_damaged = False  # set by a test that damages files
 
@@ -42,7 +42,9 @@
 
     def start(self, **more):
         self.journal = Journal(self.disk, self.clock, "/state", self.limit, KEY_S, **more)
-        assert not self.journal.damage or self.may_be_damaged, "a kill or normal operation counts as damage"
+        assert not self.journal.damage_count or self.may_be_damaged, (
+            "a kill or normal operation counts as damage"
+        )
         return self.journal
 
     def after(self, seconds):
@@ -147,8 +149,10 @@
             journal = machine.start()
             model.agrees(journal)
             model.uncertain.clear()
-            model.open = {n: int(bool(m.may_have_run_at)) for n, m in journal.held.items() if not m.status}
-            model.owed = {n: m.status for n, m in journal.held.items() if m.status}
+            model.open = {
+                n: int(bool(m.possibly_executed_at)) for n, m in journal.pending.items() if not m.status
+            }
+            model.owed = {n: m.status for n, m in journal.pending.items() if m.status}
             machine.kill_at = machine.operations + rng.randrange(20, 400)
             with pytest.raises(Killed):
                 drive(machine, model, rng, 10_000)
@@ -163,12 +167,12 @@
     machine = Machine(seed)
     journal = machine.start(call_later=lambda seconds, action: None)  # only explicit steps
     for n in range(1, 40):
-        journal.take(pending_message(n, machine, f"k{n}", 100))
+        journal.accept(pending_message(n, machine, f"k{n}", 100))
         journal.attempt([n], journal.wall())
-    journal.end(journal.held[1], "undeliverable", 0)
-    journal.final(1, "undeliverable", 0)
+    journal.set_outcome(journal.pending[1], "undeliverable", 0)
+    journal.record_outcome(1, "undeliverable", 0)
     for n in range(3, 40):
-        journal.done(n)
+        journal.complete(n)
     journal.commit()
     return machine, journal
 
@@ -186,7 +190,7 @@
     before = machine.operations
     while journal.step():
         pass
-    assert name(1) not in " ".join(machine.segments()), "nothing was compacted"
+    assert segment_name(1) not in " ".join(machine.segments()), "nothing was compacted"
     check_filled(journal)
     total = machine.operations - before
     assert total > 3
@@ -249,28 +253,32 @@
     accepted = 0
     with pytest.raises(JournalFullError):
         while True:
-            journal.take(pending_message(accepted + 1, machine, f"key-{accepted}", size))
+            journal.accept(pending_message(accepted + 1, machine, f"key-{accepted}", size))
             accepted += 1
-    share = (machine.disk.used() + journal.needed) / limit  # messages, and the reserve for their completion
+    share = (
+        machine.disk.used() + journal.needed_bytes
+    ) / limit  # messages, and the reserve for their completion
     tried = []
     for n in range(1, accepted + 1):  # the first always has room; none was executed
         journal.attempt([n], journal.wall(), lambda: tried.append(1))
-        journal.missed(n)
+        journal.attempt_not_executed(n)
     assert len(tried) == accepted
     for _ in range(12):
         for n in range(1, accepted + 1):
-            journal.attempt([n], journal.wall(), lambda n=n: journal.missed(n), lambda error: None)
+            journal.attempt(
+                [n], journal.wall(), lambda n=n: journal.attempt_not_executed(n), lambda error: None
+            )
     for n in range(1, accepted + 1):  # outcomes first, then accepted notices
-        journal.end(journal.held[n], "deferred", 100)
-        journal.final(n, "deferred", 100)
+        journal.set_outcome(journal.pending[n], "deferred", 100)
+        journal.record_outcome(n, "deferred", 100)
         assert machine.disk.used() <= limit
     assert not journal.unwritten
     for n in range(1, accepted + 1):
-        journal.told([n])
-    assert not journal.held and not journal.unwritten
+        journal.complete_all([n])
+    assert not journal.pending and not journal.unwritten
     assert machine.disk.used() <= limit and accepted > 3 and share > (0.85 if limit > 100_000 else 0.7)
     machine.after(30)  # ids and keys have expired: messages are accepted again
-    journal.take(pending_message(accepted + 1, machine, "", size))
+    journal.accept(pending_message(accepted + 1, machine, "", size))
 
 
 def crowd(machine, rng, sizes, max_arrivals, turns):
@@ -344,10 +352,10 @@
     journal = machine.start()
     with pytest.raises(JournalFullError):
         while True:
-            n = journal.last + 1
-            journal.take(pending_message(n, machine, f"{n:016x}" if n % 5 == 0 else "", 300))
+            n = journal.last_number + 1
+            journal.accept(pending_message(n, machine, f"{n:016x}" if n % 5 == 0 else "", 300))
     assert machine.disk.used() > 0.6 * 3_000_000
-    assert machine.disk.used() + journal.needed > 0.9 * 3_000_000
+    assert machine.disk.used() + journal.needed_bytes > 0.9 * 3_000_000
 
 
 LARGE = st.integers(0, (1 << 63) - 1)
@@ -359,50 +367,66 @@
 @given(st.integers(1, 1 << 40), TEXT, st.just("") | TEXT, TIME, LARGE, st.binary(max_size=300))
 def test_no_record_is_larger_than_the_room_reserved_for_it(number, ident, key, time, order, body):
     m = PendingMessage(
-        number, ident, 255, 65_535, 1 << 20, key, time, True, body, order, 12, time, time, relayed=True
+        number, ident, 255, 65_535, 1 << 20, key, time, True, body, order, 12, time, time, is_relayed=True
     )
     assert len(frame(m.record())) <= m.size
     assert len(frame(["try", [number], time])) <= space_budget.TRY_BYTES
-    assert not key or len(frame(["try", [number], time, [key]])) <= space_budget.TRY_BYTES + len(key) + MEMO
+    assert (
+        not key
+        or len(frame(["try", [number], time, [key]]))
+        <= space_budget.TRY_BYTES + len(key) + ENTRY_OVERHEAD_BYTES
+    )
     assert len(frame(["miss", number])) <= space_budget.MISS_BYTES
-    assert not key or len(frame(["miss", number, key, time])) <= space_budget.MISS_BYTES + len(key) + MEMO
+    assert (
+        not key
+        or len(frame(["miss", number, key, time]))
+        <= space_budget.MISS_BYTES + len(key) + ENTRY_OVERHEAD_BYTES
+    )
     assert len(frame(["final", number, "undeliverable", 1 << 31])) <= space_budget.FINAL_BYTES
-    name_bytes = Journal._name_bytes(m)
-    assert len(frame(["over", [number], time, {ident: time}])) <= space_budget.OVER_BYTES + len(ident) + MEMO
-    assert len(ident) + MEMO <= name_bytes and (not key or name_bytes >= len(ident) + len(key) + 2 * MEMO)
+    name_bytes = Journal._id_and_key_bytes_of(m)
+    assert (
+        len(frame(["over", [number], time, {ident: time}]))
+        <= space_budget.OVER_BYTES + len(ident) + ENTRY_OVERHEAD_BYTES
+    )
+    assert len(ident) + ENTRY_OVERHEAD_BYTES <= name_bytes and (
+        not key or name_bytes >= len(ident) + len(key) + 2 * ENTRY_OVERHEAD_BYTES
+    )
     many = {f"{n:04x}{ident}"[:256]: time for n in range(128)}  # as many as one step of compaction copies
     known = frame(["known", number, many, {}])
-    assert len(known) - len(frame(["known", number, {}, {}])) <= sum(len(t) + MEMO for t in many) + 4
+    assert (
+        len(known) - len(frame(["known", number, {}, {}]))
+        <= sum(len(t) + ENTRY_OVERHEAD_BYTES for t in many) + 4
+    )
 
 
 def test_a_disk_that_others_fill_rejects_messages_until_it_has_room():
     machine = Machine()
     journal = machine.start()
-    journal.take(pending_message(1, machine))
+    journal.accept(pending_message(1, machine))
     machine.disk.faults.full = True
     rejected = []
-    journal.take(
+    journal.accept(
         pending_message(2, machine),
         lambda: rejected.append("accepted"),
         lambda error: rejected.append(error.errno),
     )
-    assert rejected == [errno.ENOSPC] and sorted(journal.held) == [1] and journal.open == 1
+    assert rejected == [errno.ENOSPC] and sorted(journal.pending) == [1] and journal.open_count == 1
     machine.disk.faults.full = False
-    journal.take(pending_message(3, machine))
-    assert sorted(machine.start().held) == [1, 3]
+    journal.accept(pending_message(3, machine))
+    assert sorted(machine.start().pending) == [1, 3]
 
 
 def test_a_record_larger_than_a_segment_and_a_burst_larger_than_the_limit():
     machine = Machine(limit=300_000)
     journal = machine.start()
     full = journal.files.segment_bytes
-    journal.take(pending_message(1, machine, size=5 * full))
-    journal.take(pending_message(2, machine))
+    journal.accept(pending_message(1, machine, size=5 * full))
+    journal.accept(pending_message(2, machine))
     rejected = []
     journal.begin()
     for n in range(3, 200):
         try:
-            journal.take(
+            journal.accept(
                 pending_message(n, machine, size=4000), lambda: None, lambda error: rejected.append(1)
             )
         except JournalFullError:
@@ -410,20 +434,20 @@
     journal.commit()
     assert 100 < len(rejected) < 197 and machine.disk.used() <= 300_000
     again = machine.start()
-    assert len(again.held[1].body) == 5 * full and len(again.held) == 199 - len(rejected)
+    assert len(again.pending[1].body) == 5 * full and len(again.pending) == 199 - len(rejected)
 
 
 def test_the_records_of_one_batch_are_one_write_and_callbacks_follow_it():
     machine, order = Machine(), []
     journal = machine.start(call_later=lambda seconds, action: None)
     machine.disk.wrote = lambda path, data: order.append([r[0] for r in parse(data)[0]])
-    journal.take(pending_message(1, machine))
+    journal.accept(pending_message(1, machine))
     order.clear()
     journal.begin()
-    journal.take(pending_message(2, machine), lambda: order.append("+OK"))
+    journal.accept(pending_message(2, machine), lambda: order.append("+OK"))
     journal.attempt([2], journal.wall(), lambda: order.append("call"))
-    journal.done(1)
-    journal.final(2, "deferred", 0, lambda: order.append("notice"))
+    journal.complete(1)
+    journal.record_outcome(2, "deferred", 0, lambda: order.append("notice"))
     assert order == []
     journal.commit()
     assert order == [["take", "try", "over", "final"], "+OK", "call", "notice"]
@@ -432,7 +456,7 @@
 def test_a_batch_that_does_not_fit_is_split_and_rejected_messages_are_not_sent():
     machine, events = Machine(), []
     journal = machine.start()
-    journal.take(pending_message(1, machine))
+    journal.accept(pending_message(1, machine))
     append, journal.files.append = journal.files.append, None
 
     def small(data, spare=0):
@@ -442,7 +466,7 @@
 
     journal.files.append = small
     journal.begin()
-    journal.take(
+    journal.accept(
         pending_message(2, machine, size=1000),
         lambda: events.append("ok 2"),
         lambda error: events.append("busy 2"),
@@ -450,7 +474,7 @@
     journal.attempt(
         [2], journal.wall(), lambda: events.append("call 2"), lambda error: events.append("no call 2")
     )
-    journal.take(
+    journal.accept(
         pending_message(3, machine, size=10),
         lambda: events.append("ok 3"),
         lambda error: events.append("busy 3"),
@@ -460,7 +484,7 @@
     )
     journal.commit()
     assert events == ["busy 2", "no call 2", "ok 3", "call 3"]
-    assert sorted(machine.start().held) == [1, 3]
+    assert sorted(machine.start().pending) == [1, 3]
 
 
 def test_of_a_batch_in_several_writes_no_rejected_message_is_sent(monkeypatch):
@@ -476,7 +500,7 @@
     monkeypatch.setattr(journal.files, "append", once)
     journal.begin()
     # The first message fills a segment: the rest of the batch is another write.
-    journal.take(
+    journal.accept(
         pending_message(1, machine, size=journal.files.segment_bytes),
         lambda: events.append("accepted 1"),
         lambda error: events.append("not 1"),
@@ -484,7 +508,7 @@
     journal.attempt(
         [1], journal.wall(), lambda: events.append("sent 1"), lambda error: events.append("unsent 1")
     )
-    journal.take(
+    journal.accept(
         pending_message(2, machine), lambda: events.append("accepted 2"), lambda error: events.append("not 2")
     )
     journal.commit()
@@ -492,7 +516,7 @@
     broken.extend([errno.EIO] * 2)  # the write fails, and its first record alone as well
     events.clear()
     journal.begin()
-    journal.take(
+    journal.accept(
         pending_message(3, machine, size=journal.files.segment_bytes),
         lambda: events.append("accepted 3"),
         lambda error: events.append("not 3"),
@@ -500,18 +524,18 @@
     journal.attempt(
         [3], journal.wall(), lambda: events.append("sent 3"), lambda error: events.append("unsent 3")
     )
-    journal.take(
+    journal.accept(
         pending_message(4, machine), lambda: events.append("accepted 4"), lambda error: events.append("not 4")
     )
     journal.commit()
-    assert events == ["not 3", "unsent 3", "accepted 4"] and 3 not in journal.held
+    assert events == ["not 3", "unsent 3", "accepted 4"] and 3 not in journal.pending
 
 
 def test_no_attempt_is_recorded_before_a_failed_miss_of_its_batch(monkeypatch):
     # The miss is written later: after the new attempt's record it would void this attempt.
     machine, events = Machine(), []
     journal = machine.start()
-    journal.take(pending_message(1, machine))
+    journal.accept(pending_message(1, machine))
     journal.attempt([1], journal.wall(), lambda: events.append("first"))
     append, broken = journal.files.append, [errno.EIO] * 2
 
@@ -522,13 +546,13 @@
 
     monkeypatch.setattr(journal.files, "append", twice)
     journal.begin()
-    journal.missed(1)
+    journal.attempt_not_executed(1)
     journal.attempt(
         [1], journal.wall(), lambda: events.append("second"), lambda error: events.append("not sent")
     )
     journal.commit()
-    journal.take(pending_message(2, machine))  # together with the miss, whose write had failed
-    ran = machine.start().held[1].may_have_run_at > 0
+    journal.accept(pending_message(2, machine))  # together with the miss, whose write had failed
+    ran = machine.start().pending[1].possibly_executed_at > 0
     assert (events, ran) == (["first", "not sent"], False)
 
 
@@ -537,7 +561,7 @@
     journal = machine.start(sync=True)
     count = []
     machine.disk.operation = lambda what: count.append(what) or False
-    journal.take(pending_message(1, machine))
+    journal.accept(pending_message(1, machine))
     assert count.count("sync") == 1
 
 
@@ -547,7 +571,7 @@
 def test_a_folder_of_format_1_is_migrated_with_a_kill_at_each_operation():
     def folder():
         machine = Machine()
-        machine.disk.files[f"/state/{OLD}"] = bytearray(FORMAT1)
+        machine.disk.files[f"/state/{FORMAT_1_FILE}"] = bytearray(FORMAT1)
         return machine
 
     def check_migrated(journal):
@@ -570,7 +594,10 @@
     machine = folder()
     check_migrated(machine.start())
     total = machine.operations
-    assert machine.segments() == [f"/state/{name(1)}"] and f"/state/{OLD}" not in machine.disk.files
+    assert (
+        machine.segments() == [f"/state/{segment_name(1)}"]
+        and f"/state/{FORMAT_1_FILE}" not in machine.disk.files
+    )
     check_migrated(machine.start())
     for at in range(1, total + 1):
         machine = folder()
@@ -583,7 +610,7 @@
 
 def test_a_failed_migration_leaves_the_old_folder_for_the_next_start():
     machine = Machine()
-    machine.disk.files[f"/state/{OLD}"] = bytearray(FORMAT1)
+    machine.disk.files[f"/state/{FORMAT_1_FILE}"] = bytearray(FORMAT1)
     operation = machine.disk.operation
     for fails in ("append", "rename", "unlink"):
 
@@ -594,20 +621,23 @@
 
         machine.disk.operation = eio
         if fails == "unlink":  # the segment exists already: the old file is harmless
-            assert sorted(machine.start().held) == [1, 2, 3, 4, 7, 8]
+            assert sorted(machine.start().pending) == [1, 2, 3, 4, 7, 8]
         else:
             with pytest.raises(OSError, match="no"):
                 machine.start()
-            assert machine.disk.files[f"/state/{OLD}"] == FORMAT1 and not machine.segments()
+            assert machine.disk.files[f"/state/{FORMAT_1_FILE}"] == FORMAT1 and not machine.segments()
     machine.disk.operation = operation
-    assert sorted(machine.start().held) == [1, 2, 3, 4, 7, 8] and f"/state/{OLD}" not in machine.disk.files
+    assert (
+        sorted(machine.start().pending) == [1, 2, 3, 4, 7, 8]
+        and f"/state/{FORMAT_1_FILE}" not in machine.disk.files
+    )
 
 
 def test_a_folder_of_a_newer_format_is_refused_and_left_as_it_is():
     machine = Machine()
-    machine.start().take(pending_message(1, machine))
+    machine.start().accept(pending_message(1, machine))
     newer = frame(["segment", 3, 2, 9, 0.0, "", 0.0]) + b"something new"
-    machine.disk.files[f"/state/{name(2)}"] = bytearray(newer)
+    machine.disk.files[f"/state/{segment_name(2)}"] = bytearray(newer)
     before = {p: bytes(d) for p, d in machine.disk.files.items()}
     with pytest.raises(NewerFormatError, match="format 3; this version reads up to 2"):
         machine.start()
@@ -617,31 +647,33 @@
 def test_a_torn_tail_is_cut_off_and_is_no_damage(caplog):
     machine = Machine()
     journal = machine.start()
-    journal.take(pending_message(1, machine))
-    journal.take(pending_message(2, machine))
+    journal.accept(pending_message(1, machine))
+    journal.accept(pending_message(2, machine))
     machine.disk.files[machine.segments()[0]] += frame(["over", [1], 1.0, {}])[:-3]
     again = machine.start()
-    assert sorted(again.held) == [1, 2] and not again.held[1].may_have_run_at
+    assert sorted(again.pending) == [1, 2] and not again.pending[1].possibly_executed_at
     assert "torn tail" in caplog.text and "corrupt" not in caplog.text
-    again.take(pending_message(3, machine))
-    assert sorted(machine.start().held) == [1, 2, 3]
+    again.accept(pending_message(3, machine))
+    assert sorted(machine.start().pending) == [1, 2, 3]
 
 
 def test_an_invalid_record_in_the_middle_makes_messages_suspect(caplog):
     machine = Machine()
     journal = machine.start()
     for n in (1, 2, 3):
-        journal.take(pending_message(n, machine))
+        journal.accept(pending_message(n, machine))
     journal.attempt([2], journal.wall())  # this record is damaged below
-    journal.take(pending_message(4, machine))
+    journal.accept(pending_message(4, machine))
     path = machine.segments()[0]
     data = machine.disk.files[path]
     at = next(offset for offset, r in scan(bytes(data))[0] if r[0] == "try")
     data[at + 9] ^= 0xFF
     machine.may_be_damaged = True
     again = machine.start()
-    assert sorted(again.held) == [1, 2, 3, 4] and all(m.may_have_run_at for m in again.held.values())
-    assert f"{name(1)}: holds a record whose checksum is wrong from byte {at} to " in caplog.text
+    assert sorted(again.pending) == [1, 2, 3, 4] and all(
+        m.possibly_executed_at for m in again.pending.values()
+    )
+    assert f"{segment_name(1)}: holds a record whose checksum is wrong from byte {at} to " in caplog.text
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -666,14 +698,14 @@
 def test_a_clock_set_back_between_two_boots_reopens_no_window(back_s):
     machine = Machine()
     journal = machine.start()
-    journal.take(pending_message(1, machine, "key"))
+    journal.accept(pending_message(1, machine, "key"))
     machine.after(5)
     ran = journal.wall()
     journal.attempt([1], ran)
-    machine.disk.files[BOOT] = bytearray(b"two")
+    machine.disk.files[BOOT_ID_PATH] = bytearray(b"two")
     machine.clock.step_us = -back_s * 1_000_000
     again = machine.start()
-    assert again.wall() >= ran and again.key_ran_at("key") == ran
+    assert again.wall() >= ran and again.key_possibly_executed_at("key") == ran
     machine.after(KEY_S)
     assert again.wall() - ran >= KEY_S - 0.01  # nor is it open for longer
 
@@ -683,33 +715,37 @@
     # recorded only there and was lost: when the message came again, it was sent after the window.
     machine = Machine()
     journal = machine.start(call_later=lambda seconds, action: None)
-    journal.take(pending_message(1, machine, "the-key"))
+    journal.accept(pending_message(1, machine, "the-key"))
     while journal.files.newest == 1:
-        n = journal.last + 1
-        journal.take(pending_message(n, machine, size=300))
-        journal.done(n)
+        n = journal.last_number + 1
+        journal.accept(pending_message(n, machine, size=300))
+        journal.complete(n)
         journal.commit()
     journal.attempt([1], ran := journal.wall())
-    journal.done(1)
+    journal.complete(1)
     journal.commit()
     while journal.step():
         pass
-    assert f"/state/{name(1)}" not in machine.segments()
-    assert journal.key_ran_at("the-key") == machine.start().key_ran_at("the-key") == ran
+    assert f"/state/{segment_name(1)}" not in machine.segments()
+    assert (
+        journal.key_possibly_executed_at("the-key")
+        == machine.start().key_possibly_executed_at("the-key")
+        == ran
+    )
 
 
 def test_the_order_of_acceptance_outlasts_copies():
     machine, journal = filled()
     while journal.step():
         pass
-    journal.take(pending_message(40, machine))
-    assert list(machine.start().held) == [1, 2, 40]
+    journal.accept(pending_message(40, machine))
+    assert list(machine.start().pending) == [1, 2, 40]
 
 
 def test_reading_changes_nothing():
     machine, _ = filled()
     before = {p: bytes(d) for p, d in machine.disk.files.items()}
-    read(machine.disk, "/state")
+    read_folder(machine.disk, "/state")
     assert before == {p: bytes(d) for p, d in machine.disk.files.items()}
 
 
@@ -718,18 +754,23 @@
     journal = machine.start()
     for n in range(1, 6001):  # 300 a second for 20 s
         machine.after(1 / 300)
-        journal.take(pending_message(n, machine, f"{n:016x}", 200, 5.0))
+        journal.accept(pending_message(n, machine, f"{n:016x}", 200, 5.0))
         journal.attempt([n], journal.wall())
-        journal.done(n)
+        journal.complete(n)
         assert machine.disk.used() <= 1_000_000
-    assert 6.5 * 300 <= len(journal.over) <= 8.5 * 300 and 16 * 300 <= len(journal.keys) <= 19 * 300
+    assert 6.5 * 300 <= len(journal.completed_ids) <= 8.5 * 300 and 16 * 300 <= len(journal.keys) <= 19 * 300
     machine.after(40)
     for n in range(6001, 7200):
         machine.after(0.02)
-        journal.take(pending_message(n, machine, "", 200, 5.0))
-        journal.done(n)
+        journal.accept(pending_message(n, machine, "", 200, 5.0))
+        journal.complete(n)
     assert len(journal.keys) == 0 and machine.disk.used() < 500_000
-    assert len(journal.places) == len(journal.homes) == len(journal.ending) == 0
+    assert (
+        len(journal.segments_by_message)
+        == len(journal.whole_records)
+        == len(journal.unwritten_completions)
+        == 0
+    )
 
 
 def completed_during_compaction(segment):
@@ -738,19 +779,19 @@
     machine = Machine()
     waiting = []
     journal = machine.start(call_later=lambda delay, action: waiting.append(action))
-    journal.take(pending_message(1, machine, size=20))
+    journal.accept(pending_message(1, machine, size=20))
     journal.attempt([1], journal.wall())
     for n in range(2, 30):
-        journal.take(pending_message(n, machine, size=500))
-    journal.end(journal.held[1], "undeliverable", 0)
-    journal.final(1, "undeliverable", 0)
+        journal.accept(pending_message(n, machine, size=500))
+    journal.set_outcome(journal.pending[1], "undeliverable", 0)
+    journal.record_outcome(1, "undeliverable", 0)
     for n in range(2, 30):
-        journal.done(n)
+        journal.complete(n)
     journal.commit()
-    assert journal.homes[1][0] == segment and journal.files.newest > segment
-    journal.done(1)
+    assert journal.whole_records[1][0] == segment and journal.files.newest > segment
+    journal.complete(1)
     assert [row.record[0] for row in journal.staged] == ["over"]
-    while segment in journal.files.all:
+    while segment in journal.files.segments:
         assert journal.step()
     return machine, journal
 
@@ -759,22 +800,26 @@
     # Otherwise a restart would not know the id: the message would be accepted and sent again.
     machine, _ = completed_during_compaction(1)
     journal = machine.start()
-    assert 1 not in journal.held and "m000001" in journal.over
+    assert 1 not in journal.pending and "m000001" in journal.completed_ids
 
 
 def test_a_restart_tracks_no_segments_of_a_message_with_an_unwritten_over_record():
     # Simulation seed 207581: its later records are in segments that outlast the one with its "take" record.
     machine, _ = completed_during_compaction(1)
     journal = machine.start()
-    assert set(journal.places) == set(journal.held)
+    assert set(journal.segments_by_message) == set(journal.pending)
 
 
 def test_an_over_record_written_after_its_segment_was_removed_has_the_same_effect():
     machine, journal = completed_during_compaction(1)
     journal.commit()
-    assert not journal.ending and not journal.places and "m000001" in journal.over
+    assert (
+        not journal.unwritten_completions
+        and not journal.segments_by_message
+        and "m000001" in journal.completed_ids
+    )
     journal = machine.start()
-    assert not journal.held and not journal.places and "m000001" in journal.over
+    assert not journal.pending and not journal.segments_by_message and "m000001" in journal.completed_ids
 
 
 # The choice of the victim
--- a/tests/journal/test_tools.py
+++ b/tests/journal/test_tools.py
@@ -12,18 +12,18 @@
 from madderbeam.journal.journal import Journal
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.journal.records import scan
-from madderbeam.journal.segments import name
+from madderbeam.journal.segments import segment_name
 from madderbeam.ports.real import RealClock, RealDisk
 
 
 def write_journal(folder, count=20):
     journal = Journal(RealDisk(), RealClock(), str(folder), 1_000_000, 15.0)
     for n in range(1, count + 1):
-        journal.take(PendingMessage(n, f"m{n}", 0, 0, 7, f"k{n}", time.time() + 9, False, b"body"))
+        journal.accept(PendingMessage(n, f"m{n}", 0, 0, 7, f"k{n}", time.time() + 9, False, b"body"))
         journal.attempt([n], journal.wall())
-    journal.end(journal.held[2], "deferred", 5)
-    journal.final(2, "deferred", 5)
-    journal.done(1)
+    journal.set_outcome(journal.pending[2], "deferred", 5)
+    journal.record_outcome(2, "deferred", 5)
+    journal.complete(1)
     journal.close()
 
 
@@ -56,17 +56,19 @@
 
 def test_verify_shows_damage_with_its_place_and_a_torn_tail_as_harmless(tmp_path, capsys):
     write_journal(tmp_path)
-    path = tmp_path / name(1)
+    path = tmp_path / segment_name(1)
     data = bytearray(path.read_bytes())
     path.write_bytes(data[:-3])
     assert main(["journal", "verify", str(tmp_path)]) == 0
     shown = capsys.readouterr().out.splitlines()
-    assert shown[0].startswith(f"harmless: {name(1)}: ends in a part of a record") and shown[1:] == ["whole"]
+    assert shown[0].startswith(f"harmless: {segment_name(1)}: ends in a part of a record") and shown[1:] == [
+        "whole"
+    ]
     at = scan(bytes(data))[0][5][0]
     data[at + 10] ^= 1
     path.write_bytes(data)
     assert main(["journal", "verify", str(tmp_path)]) == 1
-    row = f"damage: {name(1)}: holds a record whose checksum is wrong from byte {at} to "
+    row = f"damage: {segment_name(1)}: holds a record whose checksum is wrong from byte {at} to "
     assert row in capsys.readouterr().out
 
 
--- a/tests/kafka/brokers.py
+++ b/tests/kafka/brokers.py
@@ -94,7 +94,7 @@
         return found
 
     async def settled(self):
-        while self.host.journal.held:
+        while self.host.journal.pending:
             await asyncio.sleep(0.005)
 
     def finals(self):
--- a/tests/relay/test_relay_settling.py
+++ b/tests/relay/test_relay_settling.py
@@ -9,7 +9,7 @@
 from madderbeam.relay.values import Published
 
 ME = MemberId("savannah", "m2")
-MESSAGE = PendingMessage(151, "deposit", 0, 0, 1, "", 100.0, False, b"body", relayed=True)
+MESSAGE = PendingMessage(151, "deposit", 0, 0, 1, "", 100.0, False, b"body", is_relayed=True)
 
 
 def passed_on(settling):
--- a/tests/routing/test_pooled_courier.py
+++ b/tests/routing/test_pooled_courier.py
@@ -87,7 +87,7 @@
         return [name for _, name in sorted(found)]
 
     async def settled(self):
-        while self.host.journal.held:
+        while self.host.journal.pending:
             await asyncio.sleep(0.002)
 
     async def one(self, client, ident, **more):
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -128,7 +128,7 @@
 
 @bug(1, "lost", "order", "books")
 def takes_on_what_a_full_disk_did_not_take(patch):
-    take = Journal.take
+    take = Journal.accept
 
     def careless(self, m, done, failed):
         try:
@@ -369,7 +369,7 @@
 
 @bug(10, "repeat")
 def compaction_drops_keys(patch):
-    copy = Journal._copy
+    copy = Journal._copy_live_records
 
     def careless(self, segment):
         for key in list(segment.keys):
@@ -381,7 +381,7 @@
 
 @bug(10, "lost")
 def compaction_drops_open_messages(patch):
-    copy = Journal._copy
+    copy = Journal._copy_live_records
 
     def careless(self, segment):
         for n in list(segment.messages)[:1]:
@@ -430,7 +430,7 @@
 
 @bug(66, "order")
 def restores_messages_in_the_order_of_their_copies(patch):
-    hold = Journal._hold
+    hold = Journal._add_pending
 
     def behind(self, m):
         hold(self, m)
@@ -568,7 +568,7 @@
 
 @bug(0, "lost", "books", script="owed_notices_meet_compaction")
 def compaction_drops_owed_notices(patch):
-    copy = Journal._copy
+    copy = Journal._copy_live_records
 
     def careless(self, segment):
         for n in [n for n in segment.messages if n in self.held and self.held[n].status]:
--- a/tests/simulation/test_long_service.py
+++ b/tests/simulation/test_long_service.py
@@ -70,7 +70,9 @@
         part = looks[min(3, int(world.now_us / quarter))]
         for machine in world.machines:
             journal = machine.host.journal
-            assert set(journal.open_keys) == {m.key for m in journal.held.values() if m.key and not m.status}
+            assert set(journal.open_keys) == {
+                m.key for m in journal.pending.values() if m.key and not m.status
+            }
             for path, size in books.kept(machine.host).items():
                 part[path] = max(part.get(path, 0), size)
         world.after(10_000_000, look)
--- a/tests/simulation/test_mended.py
+++ b/tests/simulation/test_mended.py
@@ -10,8 +10,8 @@
 from madderbeam.host.attempts import Attempts
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.journal.records import frame
-from madderbeam.journal.recovery import OLD
-from madderbeam.journal.steady_clock import BOOT
+from madderbeam.journal.recovery import FORMAT_1_FILE
+from madderbeam.journal.steady_clock import BOOT_ID_PATH
 from madderbeam.policy.events import AttemptResult
 from madderbeam.simulation.checker import Handed
 from madderbeam.simulation.clients import command
@@ -30,11 +30,13 @@
     world = staged(Script(seed=1, couriers=1, dests=1, rate_per_s=0, seconds=1.0))
     machine = world.machines[0]
     now = machine.clock.wall()
-    tried = PendingMessage(1, "tried", UNSAFE, 0, 1, "", now + 5, False, b"body", tries=1, trying_at=now - 60)
-    machine.disk.files[f"/state/{OLD}"] = bytearray(
+    tried = PendingMessage(
+        1, "tried", UNSAFE, 0, 1, "", now + 5, False, b"body", attempts=1, latest_attempt_at=now - 60
+    )
+    machine.disk.files[f"/state/{FORMAT_1_FILE}"] = bytearray(
         frame(["clock", 5.0, "an earlier boot"]) + frame(tried.record())
     )
-    assert machine.disk.files[BOOT]
+    assert machine.disk.files[BOOT_ID_PATH]
     world.checker.put(Handed("tried", UNSAFE, 1, "", "", None, 0, 5_000_000))
     report = world.play()
     assert report.violation is None, report.line
--- a/tests/standby/test_machines.py
+++ b/tests/standby/test_machines.py
@@ -182,13 +182,13 @@
     journal, _, _ = waiting()
     journal.attach(room := Room(), frozenset({0}), {})
     told = []
-    journal.take(message(1, journal), lambda: told.append("first"))
-    journal.known("m1", lambda: told.append("again"), lambda: told.append("lost"))
+    journal.accept(message(1, journal), lambda: told.append("first"))
+    journal.call_when_written("m1", lambda: told.append("again"), lambda: told.append("lost"))
     assert not told
     room.asked[0][1]()
     assert told == ["first", "again"]
-    journal.take(message(2, journal), failed=lambda error: told.append(type(error).__name__))
-    journal.known("m2", lambda: told.append("again"), lambda: told.append("lost"))
+    journal.accept(message(2, journal), failed=lambda error: told.append(type(error).__name__))
+    journal.call_when_written("m2", lambda: told.append("again"), lambda: told.append("lost"))
     room.asked[1][2]()
     assert told[2:] == ["UnconfirmedError", "lost"]
 
@@ -196,11 +196,11 @@
 def test_an_attempt_ahead_of_its_ok_waits_for_the_word_whatever_its_class():
     journal, _, _ = waiting()
     journal.attach(room := Room(), frozenset({0}), {})
-    journal.take(message(1, journal))
+    journal.accept(message(1, journal))
     journal.attempt([1], 5.0)
     room.asked[0][1]()
     journal.attempt([1], 6.0)
-    journal.take(message(2, journal, cls=1))
+    journal.accept(message(2, journal, cls=1))
     room.asked[3][1]()
     journal.attempt([2], 7.0)
     assert [sort for sort, _, _ in room.asked] == [
@@ -215,21 +215,21 @@
 def test_an_attempt_that_is_denied_never_ran_after_a_restart_either():
     journal, disk, _ = waiting()
     journal.attach(room := Room(), frozenset(), {})
-    journal.take(message(1, journal))
+    journal.accept(message(1, journal))
     room.asked[0][1]()
     failed = []
     journal.attempt([1], journal.wall(), failed=failed.append)
-    assert journal.held[1].may_have_run_at
+    assert journal.pending[1].possibly_executed_at
     room.asked[1][2]()
-    assert failed and not journal.held[1].may_have_run_at
-    assert not waiting(disk)[0].held[1].may_have_run_at
+    assert failed and not journal.pending[1].possibly_executed_at
+    assert not waiting(disk)[0].pending[1].possibly_executed_at
 
 
 def test_the_window_of_a_key_passes_while_the_word_is_waited_for():
     scheduler = Scheduler(1)
     journal, _, _ = waiting(scheduler=scheduler)
     journal.attach(room := Room(), frozenset(), {1: 5.0})
-    journal.take(message(1, journal, cls=1))
+    journal.accept(message(1, journal, cls=1))
     room.asked[0][1]()
     went, failed = [], []
     for n in (1, 2):
@@ -241,15 +241,19 @@
 
 def test_doubt_is_in_the_folder_before_a_courier_starts():
     journal, disk, clock = waiting()
-    journal.take(message(1, journal))
+    journal.accept(message(1, journal))
     journal.attempt([1], journal.wall())
-    journal.take(message(2, journal))
+    journal.accept(message(2, journal))
     copy = Copy(disk, "/state", False)
     copy.close()
     assert doubt(disk, clock, "/state", 100_000, True) == 2
     for _ in range(2):  # and over further starts
         again = waiting(disk)[0]
-        assert again.held[1].may_have_run_at and again.held[2].may_have_run_at and not again.damage
+        assert (
+            again.pending[1].possibly_executed_at
+            and again.pending[2].possibly_executed_at
+            and not again.damage_count
+        )
 
 
 @pytest.mark.parametrize(
--- a/tests/standby/world.py
+++ b/tests/standby/world.py
@@ -20,7 +20,7 @@
 from madderbeam.host.standby.shared import Watched
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.journal.segments import UnconfirmedError
-from madderbeam.journal.steady_clock import BOOT
+from madderbeam.journal.steady_clock import BOOT_ID_PATH
 from madderbeam.replication import cursor, owner
 from madderbeam.replication.owner import Owner
 from madderbeam.replication.standby import Standby
@@ -199,7 +199,7 @@
         self.clock = Clock(world, ppm, zero)
         self.kill_at, self.operations = 0, 0
         self.disk = SimDisk(random.Random(f"{name} {world.chance.random()}"), self._operation)
-        self.disk.files[BOOT] = bytearray(name.encode())
+        self.disk.files[BOOT_ID_PATH] = bytearray(name.encode())
         self.paused_until = 0
         self.life, self.lives = None, itertools.count(1)
         self.role = "owner" if name == "a" else "standby"
@@ -267,7 +267,7 @@
 
     def _own(self, settings):
         self.journal = ReplicatedJournal(self.disk, self.clock, "/state", LIMIT, WINDOW_S, self.call_later)
-        sizes = {n: s.size for n, s in self.journal.files.all.items()}
+        sizes = {n: s.size for n, s in self.journal.files.segments.items()}
         self.machine = Owner(settings, self.name, sizes, self.kept.map)
         self.runner = Watched(self, self.clock.monotonic_us, self.machine, self.kept, self._act, "standby")
         self.runner.after = self._settled
@@ -279,7 +279,7 @@
     def _work(self):
         """A courier on the folder: what was held is attempted, or ended where it may have run."""
         self.working = True
-        for m in list(self.journal.held.values()):
+        for m in list(self.journal.pending.values()):
             if m.status:
                 self.notice(m)
             else:
@@ -309,7 +309,7 @@
             return
         token = next(self.tokens)
         self.waiting[token] = go, deny
-        self.tell(Wait(token, sort, self.journal.wall.monotonic(until) if until else 0))
+        self.tell(Wait(token, sort, self.journal.wall.monotonic_us_at(until) if until else 0))
 
     # What the machines want done
 
@@ -395,7 +395,7 @@
         if not self.working or (self.role == "owner" and not self.machine.open(self.clock.monotonic_us())):
             return
         m = PendingMessage(
-            j.last + 1,
+            j.last_number + 1,
             ident,
             cls,
             0,
@@ -412,27 +412,31 @@
 
         def failed(error):
             (w.unsure if isinstance(error, UnconfirmedError) else w.refused).add(ident)
-            if isinstance(error, UnconfirmedError) and m.number in j.held:
+            if isinstance(error, UnconfirmedError) and m.number in j.pending:
                 self.end(m, "undeliverable")
 
         try:
-            j.take(m, taken, failed)
+            j.accept(m, taken, failed)
         except OSError as error:
             failed(error)
 
     def go_on(self, number):
         """The next attempt of a message, or its end."""
         j, w = self.journal, self.world
-        m = j.held.get(number)
+        m = j.pending.get(number)
         if m is None or m.status or not self.working:
             return
         if (
-            j.wall() > m.until
-            or (m.cls == UNSAFE and m.may_have_run_at)
-            or (m.cls == KEYED and m.may_have_run_at and j.wall() >= m.may_have_run_at + WINDOW_S - 0.05)
+            j.wall() > m.deadline_s
+            or (m.class_index == UNSAFE and m.possibly_executed_at)
+            or (
+                m.class_index == KEYED
+                and m.possibly_executed_at
+                and j.wall() >= m.possibly_executed_at + WINDOW_S - 0.05
+            )
         ):
             self.end(m, "undeliverable")
-        elif w.chance.random() < 0.15 and not m.may_have_run_at:
+        elif w.chance.random() < 0.15 and not m.possibly_executed_at:
             self.end(m, "deferred")  # it was turned away before it was ever tried
         else:
             j.attempt(
@@ -450,22 +454,22 @@
         self.call_later(0.002 + w.chance.random() * 0.4, self.answered, m.number)
 
     def answered(self, number):
-        if self.working and number in self.journal.held:
-            if self.world.chance.random() < 0.4 and self.journal.held[number].cls != UNSAFE:
+        if self.working and number in self.journal.pending:
+            if self.world.chance.random() < 0.4 and self.journal.pending[number].class_index != UNSAFE:
                 # It failed, and goes again.
                 self.call_later(self.world.chance.choice((0.1, 1.0, 2.2)), self.go_on, number)
             else:
-                self.journal.done(number)
+                self.journal.complete(number)
 
     def end(self, m, status):
         j = self.journal
         if not m.status:
-            j.end(m, status, 0)
+            j.set_outcome(m, status, 0)
             self.end_again(m, status)
 
     def end_again(self, m, status):
-        if self.working and m.number in self.journal.held:
-            self.journal.final(
+        if self.working and m.number in self.journal.pending:
+            self.journal.record_outcome(
                 m.number, status, 0, lambda: self.notice(m), lambda error: self.unsettled(m, status)
             )
 
@@ -479,7 +483,7 @@
 
     def notice(self, m):
         self.world.told[m.id].append((self.name, m.status))
-        self.call_later(0.01, self.journal.told, [m.number])
+        self.call_later(0.01, self.journal.complete_all, [m.number])
 
 
 # Schedules and the judge
--- a/tests/test_full_restart.py
+++ b/tests/test_full_restart.py
@@ -34,10 +34,10 @@
             b"x" * size,
         )
         try:
-            journal.take(m)
+            journal.accept(m)
         except OSError:
             break
-    count = len(journal.held)
+    count = len(journal.pending)
     journal.close()
     return count
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,7 +12,7 @@
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.journal.records import parse
 from madderbeam.journal.segments import JournalFullError
-from madderbeam.journal.steady_clock import BOOT
+from madderbeam.journal.steady_clock import BOOT_ID_PATH
 from madderbeam.policy.actions import Send
 from madderbeam.policy.events import (
     AttemptResult,
@@ -31,7 +31,7 @@
 @pytest.fixture
 def disk():
     made = SimDisk(random.Random(1), lambda name: False)
-    made.files[BOOT] = bytearray(b"one")
+    made.files[BOOT_ID_PATH] = bytearray(b"one")
     return made
 
 
@@ -55,32 +55,32 @@
 
 def test_a_torn_record_that_could_not_be_cut_off_is_cut_off_before_the_next(disk, clock):
     journal = Journal(disk, clock, "/state", 1_000_000)
-    journal.take(held(1))
+    journal.accept(held(1))
     file = journal.files.file
     cut = file.truncate
     file.truncate = lambda size: (_ for _ in ()).throw(OSError(errno.EIO, "no"))
     disk.faults.short = 1.0
     for _ in range(2):
         with pytest.raises(OSError):
-            journal.take(held(2))
+            journal.accept(held(2))
     disk.faults.short, file.truncate = 0.0, cut
-    journal.take(held(3))
+    journal.accept(held(3))
     assert [r[1] for r in records(disk)] == [1, 3]
-    assert sorted(Journal(disk, clock, "/state", 1_000_000).held) == [1, 3]
+    assert sorted(Journal(disk, clock, "/state", 1_000_000).pending) == [1, 3]
 
 
 def test_records_whose_loss_does_no_harm_are_written_once_the_disk_takes_them(disk, clock):
     journal = Journal(disk, clock, "/state", 1_000_000)
-    journal.take(held(1))
+    journal.accept(held(1))
     disk.faults.full = True
-    journal.done(1)
-    assert not journal.held  # nothing is kept in memory for it
+    journal.complete(1)
+    assert not journal.pending  # nothing is kept in memory for it
     with pytest.raises(OSError):
-        journal.take(held(2))
+        journal.accept(held(2))
     disk.faults.full = False
-    journal.take(held(3))
+    journal.accept(held(3))
     assert [r[0] for r in records(disk)] == ["take", "over", "take"]
-    assert list(Journal(disk, clock, "/state", 1_000_000).held) == [3]
+    assert list(Journal(disk, clock, "/state", 1_000_000).pending) == [3]
 
 
 def test_a_message_s_record_holds_all_of_it():
@@ -94,7 +94,7 @@
     journal = Journal(disk, clock, "/state", 1_000_000)
     disk.faults.full = True
     for number in range(2000):
-        journal.missed(number)
+        journal.attempt_not_executed(number)
     assert len(journal.unwritten) <= 256
 
 
@@ -106,7 +106,7 @@
     ends.tellers.append(lambda m, status: told.append((journal.wall(), status)) or True)
     until = journal.wall() + 1.0
     m = held(1, until=until)
-    journal.take(m)
+    journal.accept(m)
     ends.guard(m)
     disk.faults.full = True
     clock.scheduler.run(clock.scheduler.now_us + S // 2)
@@ -120,15 +120,17 @@
 def test_time_does_not_step_with_the_wall_clock_nor_over_a_restart(disk, clock, step_s):
     journal = Journal(disk, clock, "/state", 1_000_000, key_window_s=5.0)
     before = journal.wall()
-    journal.take(held(1, "key"))
+    journal.accept(held(1, "key"))
     journal.attempt([1], journal.wall())
     clock.step_us = step_s * S
     clock.scheduler.run(2 * S)
     assert journal.wall() == pytest.approx(before + 2)
     again = Journal(disk, clock, "/state", 1_000_000, key_window_s=5.0)
-    assert again.wall() == pytest.approx(before + 2) and again.key_ran_at("key") == pytest.approx(before)
-    again.files.fresh()
-    again.take(held(2))  # a segment that begins later has the anchor too
+    assert again.wall() == pytest.approx(before + 2) and again.key_possibly_executed_at(
+        "key"
+    ) == pytest.approx(before)
+    again.files.start_new_segment()
+    again.accept(held(2))  # a segment that begins later has the anchor too
     clock.scheduler.run(3 * S)
     assert Journal(disk, clock, "/state", 1_000_000).wall() == pytest.approx(before + 3)
 
@@ -136,12 +138,12 @@
 def test_after_a_reboot_time_goes_by_the_wall_clock(disk, clock):
     Journal(disk, clock, "/state", 1_000_000)
     clock.step_us = 500 * S
-    disk.files[BOOT] = bytearray(b"two")
+    disk.files[BOOT_ID_PATH] = bytearray(b"two")
     assert Journal(disk, clock, "/state", 1_000_000).wall() == pytest.approx(clock.wall())
 
 
 def test_where_the_system_tells_of_no_boot_time_goes_by_the_wall_clock(disk, clock):
-    del disk.files[BOOT]
+    del disk.files[BOOT_ID_PATH]
     Journal(disk, clock, "/state", 1_000_000)
     clock.step_us = 500 * S
     assert Journal(disk, clock, "/state", 1_000_000).wall() == pytest.approx(clock.wall())
@@ -151,7 +153,7 @@
     journal, taken = Journal(disk, clock, "/state", 40_000), 0
     with pytest.raises(JournalFullError):
         for taken in range(1, 1000):
-            journal.take(held(taken))
+            journal.accept(held(taken))
     assert len(records(disk)) >= taken - 1 and disk.used() <= 40_000
 
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -162,19 +162,23 @@
     limit = 60_000
     journal = Journal(RealDisk(), RealClock(), str(tmp_path), limit)
     keep = PendingMessage(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
-    journal.take(keep)
+    journal.accept(keep)
     journal.attempt([1], 123.0)
     for n in range(2, 1500):
-        journal.take(PendingMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
+        journal.accept(PendingMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
         journal.attempt([n], 1.0)
-        journal.missed(n)
-        journal.done(n)
-        journal.over.expire(time.time() + 60)
+        journal.attempt_not_executed(n)
+        journal.complete(n)
+        journal.completed_ids.expire(time.time() + 60)
         assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
     journal.close()
     again = Journal(RealDisk(), RealClock(), str(tmp_path), limit)
-    assert (again.held[1].id, again.held[1].tries, again.held[1].may_have_run_at) == ("keep", 1, 123.0)
-    assert list(again.held) == [1] and again.last == 1499
+    assert (again.pending[1].id, again.pending[1].attempts, again.pending[1].possibly_executed_at) == (
+        "keep",
+        1,
+        123.0,
+    )
+    assert list(again.pending) == [1] and again.last_number == 1499
     again.close()
 
 
