--- a/madderbeam/journal/journal.py
+++ b/madderbeam/journal/journal.py
@@ -830,7 +830,7 @@
             else:
                 self._copy_live_records(segment)
         except OSError as error:
-            log.error("journal: compaction rests: %s", error)
+            log.error("journal: compaction paused: %s", error)
             self.compaction_paused_until, self.victim, self.copied_bytes = (
                 self.wall() + COMPACTION_RETRY_S,
                 None,
--- a/madderbeam/simulation/fedjudge.py
+++ b/madderbeam/simulation/fedjudge.py
@@ -478,7 +478,7 @@
             "deliveries": room.custody.deliveries,
             "unsettled": room.custody.unsettled,
             "numbers": room.publications.numbers,
-            "journal": room.host.journal.held,
+            "journal": room.host.journal.pending,
             "leaving": room.serving.leaving,
             "on disk": [k for k in self.kept[member] if k[0] in ("custody", "sent")],
         }
--- a/madderbeam/simulation/mutants.py
+++ b/madderbeam/simulation/mutants.py
@@ -31,7 +31,7 @@
         "transport/passing.py",
     }
 )
-EXEMPT = frozenset({"journal/records.py:parse", "journal/records.py:_at"})
+EXEMPT = frozenset({"journal/records.py:parse", "journal/records.py:_record_at"})
 COMPARE = {
     ast.Lt: ast.LtE,
     ast.LtE: ast.Lt,
--- a/tests/changes/test_changes_hard_cases.py
+++ b/tests/changes/test_changes_hard_cases.py
@@ -98,7 +98,7 @@
     late = await courier.client.put("late", dest=1)
     assert late == "-ERR dest: no such destination, must be one of the list"
     a.release.set()  # what was out is heard
-    await courier.until(lambda: not courier.host.journal.held)
+    await courier.until(lambda: not courier.host.journal.pending)
     feed = (courier.estate.folder / "finals.jsonl").read_text().splitlines()
     told = [json.loads(line)["id"] for line in feed]
     delivered = 6 - len(told)
@@ -187,7 +187,7 @@
     )
     await courier.until(lambda: taken > at + 400, 60)
     loading.cancel()
-    await courier.until(lambda: not courier.host.journal.held)
+    await courier.until(lambda: not courier.host.journal.pending)
     for end in ones[:7]:
         begun = [end.calls.get_nowait()[3] for _ in range(end.calls.qsize())]
         assert not [t for t in begun if heard + 1.0 < t < heard + 1.9]  # what was out has long ended
@@ -247,7 +247,7 @@
     assert status == 202, text
     for call in waiting:
         real(*call)
-    await courier.until(lambda: not courier.host.journal.held)
+    await courier.until(lambda: not courier.host.journal.pending)
     for end, body in ((a, b"two"), (b, b"one")):
         assert {end.calls.get_nowait()[2] for _ in range(end.calls.qsize())} == {body}
 
@@ -260,7 +260,7 @@
     for n in range(8):
         assert await courier.client.put(f"one{n}", dest=1, body=b"one") == "+OK"
         assert await courier.client.put(f"two{n}", dest=2, body=b"two") == "+OK"
-    await courier.until(lambda: not courier.host.journal.held)
+    await courier.until(lambda: not courier.host.journal.pending)
     assert a.calls.qsize() + c.calls.qsize() == 8 and b.calls.qsize() == 8
     while not a.calls.empty():
         assert a.calls.get_nowait()[2] == b"two"
--- a/tests/journal/damages.py
+++ b/tests/journal/damages.py
@@ -96,7 +96,7 @@
 
 
 def record_counts(found):
-    return Counter(msgpack.packb(r) for p in found.parts for _, r in p.records)
+    return Counter(msgpack.packb(r) for p in found.segments for _, r in p.records)
 
 
 def check(before, title, files):
--- a/tests/journal/test_keys.py
+++ b/tests/journal/test_keys.py
@@ -13,12 +13,12 @@
 def accept(machine, number):
     """Accept a message with the key; an open one with it is ended, as its client has given it up."""
     journal = machine.journal
-    m = pending_message(number, machine, KEY, ran_at=journal.key_ran_at(KEY))
-    if old := journal.held.get(journal.open_keys.get(KEY, 0)):
-        m.prior_execution_at = m.prior_execution_at or old.may_have_run_at
-        journal.end(old, "deferred", 0)
-        journal.final(old.number, "deferred", 0)
-    journal.take(m)
+    m = pending_message(number, machine, KEY, prior_execution_at=journal.key_possibly_executed_at(KEY))
+    if old := journal.pending.get(journal.open_keys.get(KEY, 0)):
+        m.prior_execution_at = m.prior_execution_at or old.possibly_executed_at
+        journal.set_outcome(old, "deferred", 0)
+        journal.record_outcome(old.number, "deferred", 0)
+    journal.accept(m)
 
 
 def attempt(machine, number):
@@ -32,10 +32,10 @@
 def churn(machine):
     """Accept and complete a message, and run compaction as far as it goes."""
     journal = machine.journal
-    number = journal.last + 1
+    number = journal.last_number + 1
     machine.after(0.002)
-    journal.take(pending_message(number, machine, size=1500, life=0.1))
-    journal.done(number)
+    journal.accept(pending_message(number, machine, size=1500, life=0.1))
+    journal.complete(number)
     journal.commit()
     while journal.step():
         pass
@@ -44,16 +44,18 @@
 def compact_all(machine):
     """Make compaction copy and remove all present segments."""
     last = machine.journal.files.newest
-    while min(machine.journal.files.all) <= last:
+    while min(machine.journal.files.segments) <= last:
         churn(machine)
 
 
 def check_first_attempt(machine, at):
     """Check the key's first possibly executed attempt: now, after a restart, and after compaction."""
-    assert machine.journal.key_ran_at(KEY) == at
-    assert machine.start().key_ran_at(KEY) == at
+    assert machine.journal.key_possibly_executed_at(KEY) == at
+    assert machine.start().key_possibly_executed_at(KEY) == at
     compact_all(machine)
-    assert machine.journal.key_ran_at(KEY) == machine.start().key_ran_at(KEY) == at
+    assert (
+        machine.journal.key_possibly_executed_at(KEY) == machine.start().key_possibly_executed_at(KEY) == at
+    )
 
 
 def started_machine():
--- a/tests/journal/test_store.py
+++ b/tests/journal/test_store.py
@@ -70,20 +70,20 @@
     def agrees(self, journal):
         """Assert that a restored journal has all that was called back, and nothing that contradicts it."""
         for n, tries in self.open.items():
-            m = journal.held.get(n)
+            m = journal.pending.get(n)
             if m is None or m.status:
                 assert n in self.uncertain, f"{n} was lost"
             elif tries:
-                assert m.may_have_run_at, f"{n} is possibly executed"
+                assert m.possibly_executed_at, f"{n} is possibly executed"
         for n, status in self.owed.items():
-            m = journal.held.get(n)
+            m = journal.pending.get(n)
             assert (m is not None and m.status == status) or n in self.uncertain, (
                 f"the notice of {n} was lost"
             )
         for n, ident in self.over.items():
-            assert n not in journal.held or n in self.uncertain, f"{n} was completed and is pending again"
-            if n not in journal.held:
-                assert ident in journal.over
+            assert n not in journal.pending or n in self.uncertain, f"{n} was completed and is pending again"
+            if n not in journal.pending:
+                assert ident in journal.completed_ids
 
 
 def drive(machine, model, rng, steps):
@@ -92,13 +92,13 @@
     for _ in range(steps):
         machine.after(0.004)
         what = rng.random()
-        live = [n for n in model.open if n in journal.held]
+        live = [n for n in model.open if n in journal.pending]
         if what < 0.4 or not live:
-            n = journal.last + 1
+            n = journal.last_number + 1
             m = pending_message(n, machine, f"k{n}" if n % 3 == 0 else "", rng.choice((20, 300, 2000)))
             model.uncertain.add(n)
             with contextlib.suppress(JournalFullError):
-                journal.take(m, lambda n=n: model.open.__setitem__(n, 0), lambda error: None)
+                journal.accept(m, lambda n=n: model.open.__setitem__(n, 0), lambda error: None)
             model.uncertain.discard(n)
         elif what < 0.65:
             n = rng.choice(live)
@@ -108,18 +108,18 @@
         elif what < 0.8 and model.owed:
             n = rng.choice(list(model.owed))
             model.uncertain.add(n)
-            ident = journal.held[n].id
-            journal.told([n])
+            ident = journal.pending[n].id
+            journal.complete_all([n])
             del model.owed[n]
             model.over[n] = ident
             model.uncertain.discard(n)
         elif what < 0.9:
             n = rng.choice(live)
-            m = journal.held[n]
+            m = journal.pending[n]
             model.uncertain.add(n)
-            journal.end(m, "deferred", 5)
+            journal.set_outcome(m, "deferred", 5)
             ok = []
-            journal.final(n, "deferred", 5, lambda ok=ok: ok.append(1), lambda error: None)
+            journal.record_outcome(n, "deferred", 5, lambda ok=ok: ok.append(1), lambda error: None)
             if ok:
                 del model.open[n]
                 model.owed[n] = "deferred"
@@ -127,12 +127,12 @@
         else:
             n = rng.choice(live)
             model.uncertain.add(n)
-            ident = journal.held[n].id
-            journal.done(n)
+            ident = journal.pending[n].id
+            journal.complete(n)
             del model.open[n]
             model.over[n] = ident
             model.uncertain.discard(n)
-        for n in [n for n in model.over if model.over[n] not in journal.over]:
+        for n in [n for n in model.over if model.over[n] not in journal.completed_ids]:
             del model.over[n]  # expired
         assert machine.disk.used() <= machine.limit
 
@@ -178,11 +178,15 @@
 
 
 def check_filled(journal):
-    assert journal.held[1].status == "undeliverable"
-    assert journal.held[2].tries == 1 and journal.held[2].may_have_run_at and not journal.held[2].status
-    assert sorted(journal.held) == [1, 2] and journal.last == 39
-    assert all(f"m{n:06}" in journal.over for n in range(3, 40))
-    assert all(journal.key_ran_at(f"k{n}") for n in range(1, 40))
+    assert journal.pending[1].status == "undeliverable"
+    assert (
+        journal.pending[2].attempts == 1
+        and journal.pending[2].possibly_executed_at
+        and not journal.pending[2].status
+    )
+    assert sorted(journal.pending) == [1, 2] and journal.last_number == 39
+    assert all(f"m{n:06}" in journal.completed_ids for n in range(3, 40))
+    assert all(journal.key_possibly_executed_at(f"k{n}") for n in range(1, 40))
 
 
 def test_a_kill_at_every_operation_of_a_compaction():
@@ -292,19 +296,23 @@
         journal.begin()
         before = accepted
         for _ in range(rng.randrange(max_arrivals + 1)):
-            m = pending_message(journal.last + 1, machine, "", rng.choice(sizes), rng.uniform(0.1, 2.0))
+            m = pending_message(
+                journal.last_number + 1, machine, "", rng.choice(sizes), rng.uniform(0.1, 2.0)
+            )
             with contextlib.suppress(JournalFullError):
-                journal.take(m, lambda: None, lambda error: None)
+                journal.accept(m, lambda: None, lambda error: None)
                 accepted += 1
-        for m in [m for m in journal.held.values() if not m.status]:
-            if not m.tries and rng.random() < 0.3:
+        for m in [m for m in journal.pending.values() if not m.status]:
+            if not m.attempts and rng.random() < 0.3:
                 journal.attempt([m.number], journal.wall())
-            elif m.until < journal.wall() + 0.05 or rng.random() < 0.05:
+            elif m.deadline_s < journal.wall() + 0.05 or rng.random() < 0.05:
                 if rng.random() < 0.5:
-                    journal.done(m.number)
+                    journal.complete(m.number)
                     continue
-                journal.end(m, "deferred", 100)
-                journal.final(m.number, "deferred", 100, lambda n=m.number: journal.told([n]))
+                journal.set_outcome(m, "deferred", 100)
+                journal.record_outcome(
+                    m.number, "deferred", 100, lambda n=m.number: journal.complete_all([n])
+                )
         journal.commit()
         row = 0 if accepted > before else row + 1
         longest = max(longest, row)
@@ -575,8 +583,8 @@
         return machine
 
     def check_migrated(journal):
-        assert sorted(journal.held) == [1, 2, 3, 4, 7, 8]
-        h = journal.held
+        assert sorted(journal.pending) == [1, 2, 3, 4, 7, 8]
+        h = journal.pending
         assert [h[n].state for n in (1, 2, 3, 4, 7, 8)] == [
             "trying",
             "taken",
@@ -586,10 +594,18 @@
             "taken",
         ]
         assert (
-            (h[1].ran_at or h[1].trying_at) == NOW + 1 and h[7].tries == 2 and h[4].status == "undeliverable"
+            (h[1].prior_execution_at or h[1].latest_attempt_at) == NOW + 1
+            and h[7].attempts == 2
+            and h[4].status == "undeliverable"
+        )
+        assert (
+            "m5" in journal.completed_ids
+            and "m6" in journal.completed_ids
+            and journal.key_possibly_executed_at("k5") == NOW + 3
+        )
+        assert (
+            h[8].body == b"body 8" and journal.last_number == 8 and not journal.key_possibly_executed_at("k8")
         )
-        assert "m5" in journal.over and "m6" in journal.over and journal.key_ran_at("k5") == NOW + 3
-        assert h[8].body == b"body 8" and journal.last == 8 and not journal.key_ran_at("k8")
 
     machine = folder()
     check_migrated(machine.start())
--- a/tests/relay/test_relay_settling.py
+++ b/tests/relay/test_relay_settling.py
@@ -19,7 +19,7 @@
     host = SimpleNamespace(
         s=SimpleNamespace(classes=[unsafe], tenants=[]),
         tell=lambda event: None,
-        journal=SimpleNamespace(wall=SimpleNamespace(monotonic=lambda wall: int(wall * 1e6))),
+        journal=SimpleNamespace(wall=SimpleNamespace(monotonic_us_at=lambda wall: int(wall * 1e6))),
     )
     streams = SimpleNamespace(sent=SimpleNamespace(sites=dict))
     table = SimpleNamespace(number=4, owners={1: "macon"})
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -108,7 +108,7 @@
 @bug(3, "repeat", "refusal", "ends", "order", "design")
 def has_no_record_before_an_attempt(patch):
     def attempt(self, numbers, at, done=None, failed=None):
-        self._effect(["try", numbers, at], 0)
+        self._apply(["try", numbers, at], 0)
         done()
 
     patch.setattr(Journal, "attempt", attempt)
@@ -136,7 +136,7 @@
         except OSError:
             done()
 
-    patch.setattr(Journal, "take", careless)
+    patch.setattr(Journal, "accept", careless)
 
 
 @bug(2, "ends")
@@ -169,7 +169,7 @@
             if not m.status:
                 self.end(m, "undeliverable", 0)
 
-        self.loop.call_later(max(0.0, m.until + completions.OVERDUE_S - self.journal.wall()), end)
+        self.loop.call_later(max(0.0, m.deadline_s + completions.OVERDUE_S - self.journal.wall()), end)
 
     patch.setattr(Completions, "guard", guard)
 
@@ -207,7 +207,7 @@
 
     def together(self, *args, **more):
         init(self, *args, **more)
-        self.held = shared
+        self.pending = shared
 
     patch.setattr(Journal, "__init__", together)
 
@@ -259,7 +259,7 @@
 
 @bug(10, "limits")
 def never_compacts(patch):
-    patch.setattr(Journal, "_look", lambda self: None)
+    patch.setattr(Journal, "_start_compaction", lambda self: None)
     init = Journal.__init__
 
     def unlimited(self, disk, clock, folder, limit, *more):
@@ -281,9 +281,9 @@
 @bug(1, "repeat", "lost", "refusal", "ends", "order", "books")
 def leaves_a_torn_record_in_the_middle(patch):
     def cut(self):
-        self.torn = False
+        self.may_be_torn = False
 
-    patch.setattr(SegmentFiles, "_cut", cut)
+    patch.setattr(SegmentFiles, "_cut_torn_tail", cut)
 
 
 @bug(6, "repeat", "lost", "design")
@@ -376,7 +376,7 @@
             self.keys.drop(key)
         copy(self, segment)
 
-    patch.setattr(Journal, "_copy", careless)
+    patch.setattr(Journal, "_copy_live_records", careless)
 
 
 @bug(10, "lost")
@@ -385,18 +385,18 @@
 
     def careless(self, segment):
         for n in list(segment.messages)[:1]:
-            self._homeless(n)
+            self._drop_whole_record(n)
         copy(self, segment)
 
-    patch.setattr(Journal, "_copy", careless)
+    patch.setattr(Journal, "_copy_live_records", careless)
 
 
 @bug(11, "repeat", "ends", "refusal")
 def a_segment_goes_before_those_that_it_makes_void(patch):
     def touch(self, n, segment):
-        self.places.setdefault(n, set()).add(segment.number)
+        self.segments_by_message.setdefault(n, set()).add(segment.number)
 
-    patch.setattr(Journal, "_touch", touch)
+    patch.setattr(Journal, "_track_segment", touch)
 
 
 @bug(1, "repeat", "refusal", "ends", "order", "overlap", "lost")
@@ -405,8 +405,8 @@
 
     def early(self):
         for row in self.staged:
-            row.done()
-            row.done = lambda: None
+            row.on_written()
+            row.on_written = lambda: None
         commit(self)
 
     patch.setattr(Journal, "commit", early)
@@ -417,15 +417,15 @@
     def one_by_one(self, rows):
         for row in rows:
             try:
-                self._of_one_held(row.record)
-                self.files.append(row.data, self.spare)
+                self._require_pending(row.record)
+                self.files.append(row.data, self.compaction_reserve_bytes)
             except OSError as error:
-                self._failed(row, error)
+                self._handle_failure(row, error)
             else:
-                self._place(row.record, self.files.newest)
-                row.done()
+                self._index_record(row.record, self.files.newest)
+                row.on_written()
 
-    patch.setattr(Journal, "_one_by_one", one_by_one)
+    patch.setattr(Journal, "_write_one_by_one", one_by_one)
 
 
 @bug(66, "order")
@@ -434,15 +434,15 @@
 
     def behind(self, m):
         hold(self, m)
-        self.held[m.number] = self.held.pop(m.number)
+        self.pending[m.number] = self.pending.pop(m.number)
 
-    patch.setattr(Journal, "_hold", behind)
+    patch.setattr(Journal, "_add_pending", behind)
     restore = Journal._restore
 
     def as_it_came(self, found):
         restore(self, found)
-        homes = {n: (home, at) for at, (n, (home, _)) in enumerate(self.homes.items())}
-        self.held = dict(sorted(self.held.items(), key=lambda item: homes.get(item[0], (0, 0))))
+        homes = {n: (home, at) for at, (n, (home, _)) in enumerate(self.whole_records.items())}
+        self.pending = dict(sorted(self.pending.items(), key=lambda item: homes.get(item[0], (0, 0))))
 
     patch.setattr(Journal, "_restore", as_it_came)
 
@@ -571,11 +571,11 @@
     copy = Journal._copy_live_records
 
     def careless(self, segment):
-        for n in [n for n in segment.messages if n in self.held and self.held[n].status]:
-            self._homeless(n)
+        for n in [n for n in segment.messages if n in self.pending and self.pending[n].status]:
+            self._drop_whole_record(n)
         copy(self, segment)
 
-    patch.setattr(Journal, "_copy", careless)
+    patch.setattr(Journal, "_copy_live_records", careless)
 
 
 @bug(33, "lost")
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -146,7 +146,7 @@
     ended = Publications.ended
 
     def twice(self, action):
-        m = self.host.journal.held.get(self.numbers.get(action.name, 0))
+        m = self.host.journal.pending.get(self.numbers.get(action.name, 0))
         if m is not None and not action.delivered:
             self.host.notices.add(m.number, m.id, "undeliverable", 0)
             self.host.loop.call_later(0.01, self.host.notices.add, m.number, m.id, "undeliverable", 0)
--- a/tests/simulation/test_books.py
+++ b/tests/simulation/test_books.py
@@ -71,15 +71,15 @@
 
 
 def _open(host):
-    host.journal.open -= 1
+    host.journal.open_count -= 1
 
 
 def _live(host):
-    next(iter(host.journal.files.all.values())).live += 8
+    next(iter(host.journal.files.segments.values())).live_bytes += 8
 
 
 def _used(host):
-    host.journal.files.used += 512
+    host.journal.files.used_bytes += 512
 
 
 def _guard(host):
@@ -141,8 +141,8 @@
     host = machine.host
     host.journal.commit()
     assert next(books.restarted(host, machine.restarted()), "") == ""
-    number = next(n for n, m in host.journal.held.items() if not m.status)
-    host.journal.held[number].tries += 1
+    number = next(n for n, m in host.journal.pending.items() if not m.status)
+    host.journal.pending[number].attempts += 1
     assert "after a restart" in next(books.restarted(host, machine.restarted()))
 
 
@@ -163,11 +163,11 @@
     host = machine.host
     for message in host.courier.state.messages.values():
         message.deadline_us = 0
-    late = next(iter(host.journal.held.values()))
+    late = next(iter(host.journal.pending.values()))
     host.admission.arrived[1 << 20] = (late, [])
-    late.until = host.journal.wall() + 6
+    late.deadline_s = host.journal.wall() + 6
     assert books.left(host) == ""
-    late.until = host.journal.wall() - 6
+    late.deadline_s = host.journal.wall() - 6
     assert "are left at the end" in books.left(host)
 
 
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -45,7 +45,7 @@
     # Seed 50758, shrunk: one message takes a segment of 14 KB where copies have 6. It was copied with all the
     # room that was left; from then on nothing was recorded, and a kill brought back what had been told.
     (report,) = played(script("a_copy_finds_no_room"), [50758])
-    assert not times(report, "log journal: compaction rests") and report.kills == 1
+    assert not times(report, "log journal: compaction paused") and report.kills == 1
 
 
 def test_an_end_that_is_not_written_as_its_segment_goes_leaves_no_places_behind():
--- a/tests/standby/world.py
+++ b/tests/standby/world.py
@@ -448,7 +448,7 @@
 
     def first_byte(self, m):
         w = self.world
-        w.effects[m.id].append((self.name, w.now, m.cls))
+        w.effects[m.id].append((self.name, w.now, m.class_index))
         if self.name == "a" and w.over_at is not None:
             w.late.append((m.id, w.now - w.over_at))
         self.call_later(0.002 + w.chance.random() * 0.4, self.answered, m.number)
@@ -475,7 +475,7 @@
 
     def unsettled(self, m, status):
         """As the host's ends do: once its time is over nothing is promised."""
-        if self.journal.wall() < m.until + 0.1:
+        if self.journal.wall() < m.deadline_s + 0.1:
             self.call_later(0.05, self.end_again, m, status)
         else:
             m.status = "undeliverable"
--- a/tests/test_bundles.py
+++ b/tests/test_bundles.py
@@ -48,7 +48,7 @@
         assert final["id"] == "short"
         endpoint.over.add("short")
         endpoint.release.set()
-        while not all(i in fleet.host.journal.over for i in ("middle", "long")):
+        while not all(i in fleet.host.journal.completed_ids for i in ("middle", "long")):
             await bounded(asyncio.sleep(0.01))
         assert fleet.discovery.finals.empty()
 
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -473,7 +473,7 @@
     host._leave()
     assert await client.rest() == b"$%d\r\n%s\r\n" % (size, b"x" * size)
     await bounded(host.closed)
-    assert "m1" not in host.journal.ids and "m1" not in host.journal.over
+    assert "m1" not in host.journal.numbers_by_id and "m1" not in host.journal.completed_ids
 
 
 @courier
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -51,7 +51,7 @@
         client = await Client().open(fleet.port_of_host())
         assert (await client.send(request)).startswith("-ERR"), name
         assert await client.send(c(b"PING")) == "+PONG", name
-    assert not fleet.host.journal.held and not fleet.host.journal.over
+    assert not fleet.host.journal.pending and not fleet.host.journal.completed_ids
 
 
 @courier
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -58,7 +58,7 @@
 
 
 async def all_done(fleet):
-    while fleet.host.journal.held:
+    while fleet.host.journal.pending:
         await asyncio.sleep(0.01)
 
 
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -88,7 +88,7 @@
     assert (await e.call())[0] == "/events/bundle"
     finals = [await fleet.discovery.final() for _ in range(2)]
     assert {f["id"]: f["status"] for f in finals} == {"b2": "undeliverable", "b3": "deferred"}
-    assert "b1" in fleet.host.journal.over
+    assert "b1" in fleet.host.journal.completed_ids
 
 
 @courier
@@ -133,7 +133,7 @@
     await client.put("u", kind="unsafe")
     for status in (500, 503, 204):
         assert await fleet.discovery.final(status) == {"id": "u", "status": "undeliverable"}
-    while fleet.host.journal.held:
+    while fleet.host.journal.pending:
         await asyncio.sleep(0.01)
 
 
@@ -144,7 +144,7 @@
     client.writer.write(client.message("m", kind="unsafe") * 2)
     assert [await client.line() for _ in range(2)] == ["+OK"] * 2
     await e.call()
-    while fleet.host.journal.held:
+    while fleet.host.journal.pending:
         await asyncio.sleep(0.01)
     assert await client.put("m", kind="unsafe") == "+OK"
     await client.put("n")
@@ -170,7 +170,7 @@
     assert "+OK" in answers and answers[-1].startswith("-BUSY ")
     files = (fleet.folder / "state").iterdir()
     assert sum(-(-f.stat().st_size // 512) * 512 for f in files) < 100_000
-    assert len(fleet.host.journal.held) == answers.count("+OK") < 10
+    assert len(fleet.host.journal.pending) == answers.count("+OK") < 10
     e = await fleet.endpoint("a")
     fleet.discovery.rev += 1
     fleet.discovery.drop()  # the watch is opened again and brings the endpoint: room comes free
--- a/tests/test_full_restart.py
+++ b/tests/test_full_restart.py
@@ -111,7 +111,7 @@
 
 loop.run_until_complete(listed())
 at.append(time.process_time())
-print(json.dumps([b - a for a, b in zip(at, at[1:])]), len(host.journal.held))
+print(json.dumps([b - a for a, b in zip(at, at[1:])]), len(host.journal.pending))
 host.close()
 """
 
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -14,7 +14,7 @@
 
 async def settled(fleet):
     """All calls are over and all clients gone."""
-    while fleet.host.calls.out or fleet.host.journal.open:
+    while fleet.host.calls.out or fleet.host.journal.open_count:
         await asyncio.sleep(0.01)
     await asyncio.sleep(0.05)
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -21,9 +21,9 @@
         "guards": len(host.ends.guards),
         "attempts": len(host.attempts.numbers),
         "clients": len(host.clients.clients),
-        "held": len(journal.held),
-        "ids": len(journal.ids),
-        "open": journal.open,
+        "held": len(journal.pending),
+        "ids": len(journal.numbers_by_id),
+        "open": journal.open_count,
         "open keys": len(journal.open_keys),
         "pools": len(calls.pools),
         "out": len(calls.out),
@@ -54,7 +54,7 @@
         fleet.discovery.change(f"e{n}", state="in_service")
         fleet.discovery.change(f"e{n - 1}", state="terminated")
         del fleet.discovery.targets[f"e{n - 1}"]
-        while host.watch.rev != fleet.discovery.rev or host.journal.held or host.calls.out:
+        while host.watch.rev != fleet.discovery.rev or host.journal.pending or host.calls.out:
             await asyncio.sleep(0.002)
         if n in (10, 59):
             await asyncio.sleep(0.05)
--- a/tests/test_key_window.py
+++ b/tests/test_key_window.py
@@ -135,7 +135,7 @@
             assert endpoint.calls.empty()
         else:
             assert (await endpoint.call())[3] - at_first < WINDOW_S
-            await bounded(until(lambda: not fleet.host.journal.held))
+            await bounded(until(lambda: not fleet.host.journal.pending))
 
     run(tmp_path)
 
@@ -154,22 +154,22 @@
         endpoint = await fleet.endpoint("e")
         client = await fleet.inside()
         host, hooks, states = fleet.host, fleet.host.calls.hooks, []
-        may_write, missed = hooks.may_write, host.journal.missed
+        may_write, missed = hooks.may_write, host.journal.attempt_not_executed
 
         def drains():
             hooks.may_write = lambda endpoint: False
 
         def seen(number):
             missed(number)
-            states.append(host.journal.held[number].state)
+            states.append(host.journal.pending[number].state)
             hooks.may_write = may_write
 
-        host.journal.missed = seen
+        host.journal.attempt_not_executed = seen
         at_attempt(host, 1, drains)
         assert await client.put("a", kind=kind, key="k1") == "+OK"
         await endpoint.call()
         assert states == ["taken"]
-        await bounded(until(lambda: not host.journal.held))
+        await bounded(until(lambda: not host.journal.pending))
         assert endpoint.calls.empty() and fleet.discovery.finals.empty()
 
     run(tmp_path)
@@ -188,8 +188,8 @@
     assert await second.answers(2) == b"+OK\r\n" * 2
     assert await first.answers(1) == b"-BUSY\r\n"
     assert {(await endpoint.call())[1]["x-request-id"] for _ in range(2)} == {"m2", "m3"}
-    await bounded(until(lambda: not fleet.host.journal.held and not fleet.host.courier.state.messages))
-    assert endpoint.calls.empty() and "m1" not in fleet.host.journal.over
+    await bounded(until(lambda: not fleet.host.journal.pending and not fleet.host.courier.state.messages))
+    assert endpoint.calls.empty() and "m1" not in fleet.host.journal.completed_ids
     assert fleet.host.figures.ends == {"succeeded": [0, 2, 0], "declined": [0, 1, 0], "aborted": [0, 0, 0]}
 
 
@@ -227,14 +227,14 @@
     fleet.discovery.notice_status = [503] * 1000
     assert await client.put("b", kind="keyed", key="k1", dest=9) == "+OK"
     assert await endpoint.call() == ["b"]
-    while "b" not in journal.over:
+    while "b" not in journal.completed_ids:
         await asyncio.sleep(0.01)
     ran = journal.wall()
     endpoint.release.set()
-    while "other" not in journal.over:
+    while "other" not in journal.completed_ids:
         await asyncio.sleep(0.01)
-    assert "a" in journal.ids  # its notice is owed
-    assert 0 < journal.key_ran_at("k1") <= ran
+    assert "a" in journal.numbers_by_id  # its notice is owed
+    assert 0 < journal.key_possibly_executed_at("k1") <= ran
     await asyncio.sleep(max(0.0, ran + WINDOW_S - journal.wall()))
     assert (await client.put("c", kind="keyed", key="k1", dest=9)).startswith("-BUSY")
     fleet.discovery.notice_status.clear()
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -47,7 +47,7 @@
 
 
 def states(fleet):
-    return {m.id: m.state for m in fleet.host.journal.held.values()}
+    return {m.id: m.state for m in fleet.host.journal.pending.values()}
 
 
 @courier
@@ -62,7 +62,7 @@
     fleet.host._leave()  # what SIGTERM's last timer calls
     fleet.host.close()
     assert states(fleet) == {"m2": "ended", "m3": "ended", "m4": "trying"}
-    assert {m.id: m.status for m in fleet.host.journal.held.values() if m.status} == {
+    assert {m.id: m.status for m in fleet.host.journal.pending.values() if m.status} == {
         "m2": "deferred",
         "m3": "undeliverable",
     }
--- a/tests/test_last_requests.py
+++ b/tests/test_last_requests.py
@@ -108,7 +108,9 @@
             second.send(rest.pop(second))
         host._leave()  # what SIGTERM's last timer calls
         assert not host.clients.clients
-        assert not rest and {"m1", "m2"} <= set(host.journal.ids) | set(host.journal.over.known)
+        assert not rest and {"m1", "m2"} <= set(host.journal.numbers_by_id) | set(
+            host.journal.completed_ids.entries
+        )
         assert await first.line() == await second.line() == b"+OK\r\n"
         assert await first.line() == await second.line() == b""
         await bounded(host.closed)
--- a/tests/test_learnt_late.py
+++ b/tests/test_learnt_late.py
@@ -57,7 +57,7 @@
     for n in range(3):
         assert await client.put(f"m{n}") == "+OK"
         await endpoint.call()
-        while fleet.host.journal.held:
+        while fleet.host.journal.pending:
             await asyncio.sleep(0.005)
     return client
 
@@ -90,7 +90,7 @@
     go()
     (await slow.done())()
     assert (await b.call())[0] == "u" and a.calls.empty()  # proved not to have run, though it is unsafe
-    while fleet.host.journal.held:
+    while fleet.host.journal.pending:
         await asyncio.sleep(0.005)
     assert fleet.discovery.finals.empty()
 
@@ -124,7 +124,7 @@
     go()
     (await slow.done())()
     assert (await b.call())[0] == "u" and a.calls.empty()  # proved not to have run, though it is unsafe
-    while fleet.host.journal.held:
+    while fleet.host.journal.pending:
         await asyncio.sleep(0.005)
     assert fleet.discovery.finals.empty()
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -75,7 +75,7 @@
 async def test_figures_tell_what_became_of_each_message(fleet):
     endpoint, client, port = await served(fleet, answer(200), answer(500), answer(503))
     assert await client.put("m1") == "+OK"
-    await until(lambda: fleet.host.journal.open == 0)
+    await until(lambda: fleet.host.journal.open_count == 0)
     assert await client.put("u1", kind="unsafe") == "+OK"
     assert (await fleet.discovery.final())["status"] == "undeliverable"
     assert await client.put("m2") == "+OK"
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -61,7 +61,7 @@
     assert await client.put("came", dest=5) == "+OK"
     assert {(await endpoint.call())[1]["x-request-id"] for _ in range(2)} == {"held", "came"}
     await bounded(host.closed)  # nothing is left, its clients are let go: no need to wait for the last timer
-    assert not host.journal.held and await bounded(client.reader.read()) == b""
+    assert not host.journal.pending and await bounded(client.reader.read()) == b""
 
 
 @courier
