--- a/madderbeam/shared/candidacy.py
+++ b/madderbeam/shared/candidacy.py
@@ -1,4 +1,4 @@
-"""When this member requests the lease term of a group: the first live member by hash does, else the next.
+"""When this member requests the lease term of a group: the first live member by hash does, or the next.
 
 Which member requests it affects only how fast a grantor is found; the votes ensure that there is one at a
 time.
--- a/madderbeam/shared/findings.py
+++ b/madderbeam/shared/findings.py
@@ -44,8 +44,8 @@
     FindingKind.TABLE_FULL: 10_000_000,
     FindingKind.RATE_LIMIT: 60_000_000,
 }  # lower caps for kinds that never last so long
-SUBJECTS_PER_MEMBER_MAX = 512  # subjects per member
-UID_MAX_BYTES = 96  # bytes
+SUBJECTS_PER_MEMBER_MAX = 512
+UID_MAX_BYTES = 96
 BODY_FORMAT = struct.Struct(">BQd")
 RESEND_DIVISOR = 2  # a finding is sent again once no more than 1/RESEND_DIVISOR of its duration is left
 REPORTERS_REQUIRED = 2  # members that have to report an outage before one that saw nothing itself believes it
@@ -53,7 +53,9 @@
 URGENT_KINDS = frozenset(
     {FindingKind.RETRY_AFTER, FindingKind.SUSPICION, FindingKind.OUTAGE, FindingKind.RECOVERY}
 )
-WEIGHED_KINDS = frozenset({FindingKind.SUSPICION, FindingKind.OUTAGE})  # weighed by the number of reporters
+WEIGHED_KINDS = frozenset(
+    {FindingKind.SUSPICION, FindingKind.OUTAGE}
+)  # partner_outages.py weighs these by their reporters
 
 Subject = tuple[FindingKind, int, str]
 
@@ -94,7 +96,7 @@
         self.cut = self.refused = 0
         self._events: dict[type, Callable[[int, Any], list[Any]]] = {
             LocalFinding: self._local_finding,
-            SiteMembers: self._site,
+            SiteMembers: self._site_changed,
             GossipReceived: self._gossip_received,
             MemberChanged: self._member_changed,
             IncarnationRaised: self._incarnation_raised,
@@ -164,7 +166,7 @@
             return []
         return actions + self._merge(now_us)
 
-    def _site(self, now_us: int, event: SiteMembers) -> list[Any]:
+    def _site_changed(self, now_us: int, event: SiteMembers) -> list[Any]:
         self.members = frozenset({*event.members, self.own_id})
         for owner in [member for member in self.owners if member not in self.members]:
             del self.owners[owner]
@@ -181,8 +183,8 @@
 
         The findings of a dead member expire as usual, but it no longer counts as a reporter or as the prober.
         """
-        gone = event.view.state in (State.DEAD, State.LEFT)
-        self.departed = self.departed | {event.view.id} if gone else self.departed - {event.view.id}
+        is_gone = event.view.state in (State.DEAD, State.LEFT)
+        self.departed = self.departed | {event.view.id} if is_gone else self.departed - {event.view.id}
         return []
 
     def _local_finding(self, now_us: int, event: LocalFinding) -> list[Any]:
@@ -270,7 +272,7 @@
         records[subject] = FindingRecord(now_us + min(left_us, longest), value, since_us)
         return log_lines
 
-    # What follows
+    # Merging
 
     def _merge(self, now_us: int) -> list[Any]:
         """The changes of the merged findings, for the host."""
--- a/madderbeam/shared/grantor.py
+++ b/madderbeam/shared/grantor.py
@@ -52,7 +52,7 @@
         self.request()
 
     def end(self) -> None:
-        """Stop granting under the current term, and tell all members."""
+        """Stop granting under the current term, and notify all members."""
         if self.term.is_active:
             self.term.end()
             self._clear()
--- a/madderbeam/shared/lease_messages.py
+++ b/madderbeam/shared/lease_messages.py
@@ -13,9 +13,9 @@
 NUMBER_MAX = 2**62
 SPAN_MAX_US = 2 * 3_600 * 1_000_000
 ROWS_MAX = 4_096
-NAME_MAX_CHARACTERS = 128  # characters of a resource's name
+NAME_MAX_CHARACTERS = 128  # of a resource
 AMOUNT_MAX = 1e15
-BITMAP_MAX_BYTES = 4_096  # bytes of a bitmap
+BITMAP_MAX_BYTES = 4_096
 
 
 @dataclass(frozen=True)
--- a/madderbeam/shared/leases.py
+++ b/madderbeam/shared/leases.py
@@ -92,7 +92,7 @@
             for number in range(settings.slots)
         ]
         self._by_event: dict[type, Callable[[Any], None]] = {
-            SiteMembers: self._site,
+            SiteMembers: self._site_changed,
             Limit: self._limit,
             Need: self._need,
             MemberChanged: self._changed,
@@ -160,7 +160,7 @@
 
     # Membership
 
-    def _site(self, event: SiteMembers) -> None:
+    def _site_changed(self, event: SiteMembers) -> None:
         self.membership.update(self.out.now_us, event)
         self._floors()
         for slot in self.groups:
--- a/madderbeam/shared/majority.py
+++ b/madderbeam/shared/majority.py
@@ -29,7 +29,7 @@
 
 
 def has_majority(group: int, members: Members, agreeing: Collection[MemberId]) -> bool:
-    """Whether the members in `of` are a majority.
+    """Whether the members in `agreeing` are a majority.
 
     The first by hash breaks a tie; no members is no majority.
     """
--- a/madderbeam/shared/partner_outages.py
+++ b/madderbeam/shared/partner_outages.py
@@ -65,7 +65,7 @@
     """Which partners are out, and which member probes each.
 
     Takes the events of the findings board, and CallFailed and CallAnswered; returns its actions, and
-    SetProbing. Only members that do not probe are told to hold off for an outage or, briefly, for a
+    SetProbing. Only members that do not probe are made to hold off for an outage or, briefly, for a
     suspicion.
     """
 
--- a/tests/quota/test_credits.py
+++ b/tests/quota/test_credits.py
@@ -226,17 +226,17 @@
     made.set_lease("school", 0.01, 4 * S, 0.0, 0)
     assert made.admit("choir", "notice", 60_000, 0, 0).retry_after_us > 0
     assert "can never pass" in made.admit("choir", "notice", 2 * SIZES, 0, 0).reason
-    lot = made.leased.nodes["school"]
+    school = made.leased.nodes["school"]
     ((_, _, largest),) = made.take_demand().values()
-    assert made.leased.needed_fraction(lot, 0.0, 0.0, largest) >= 0.6
+    assert made.leased.needed_fraction(school, 0.0, 0.0, largest) >= 0.6
 
 
 def test_the_need_is_that_of_the_dominant_dimension():
     made = gate(leased=True)
-    lot = made.leased.nodes["school"]
-    assert made.leased.needed_fraction(lot, RATE / 4, SIZES / 2, 0) == pytest.approx(0.5)
-    assert made.leased.needed_fraction(lot, RATE / 4, SIZES / 8, 0) == pytest.approx(0.25)
-    assert made.leased.needed_fraction(lot, 9 * RATE, 0.0, 0) == 1.0
+    school = made.leased.nodes["school"]
+    assert made.leased.needed_fraction(school, RATE / 4, SIZES / 2, 0) == pytest.approx(0.5)
+    assert made.leased.needed_fraction(school, RATE / 4, SIZES / 8, 0) == pytest.approx(0.25)
+    assert made.leased.needed_fraction(school, 9 * RATE, 0.0, 0) == 1.0
 
 
 def test_debts_stay_as_a_fraction_falls_and_are_paid_by_its_earnings():
--- a/tests/quota/test_gate.py
+++ b/tests/quota/test_gate.py
@@ -98,9 +98,9 @@
 def test_retry_after_is_accurate_and_jittered():
     g = gate(*school())
     passes(g, "choir", 0)
-    told = [g.admit("choir", "notice", 0, 0, 0).retry_after_us for _ in range(50)]
-    assert min(told) > 0 and len(set(told)) > 20
-    assert g.admit("choir", "notice", 0, 0, min(told)).passed
+    retry_after_us = [g.admit("choir", "notice", 0, 0, 0).retry_after_us for _ in range(50)]
+    assert min(retry_after_us) > 0 and len(set(retry_after_us)) > 20
+    assert g.admit("choir", "notice", 0, 0, min(retry_after_us)).passed
 
 
 def test_64_kib_against_10_kib_a_second_can_never_pass():
@@ -289,7 +289,9 @@
     room = 40 + 40 * (asyncio.get_running_loop().time() - begun)  # the burst, and what flowed in since
     assert 5 < answers.count("+OK") <= room and all(a == "+OK" or a.startswith("-BUSY ") for a in answers)
     assert [await client.send(message(f"u{n}", "u")) for n in range(20)] == ["+OK"] * 20
-    again = [n for n, told in enumerate(answers) if told == "+OK"][:5]  # already accepted: not counted again
+    again = [n for n, reply in enumerate(answers) if reply == "+OK"][
+        :5
+    ]  # already accepted: not counted again
     assert [await client.send(message(f"t{n}")) for n in again] == ["+OK"] * 5
     figures = dict(line.split("=") for line in made.host.all_figures().splitlines())
     assert int(figures["app.quota.refused"]) == sum(a != "+OK" for a in answers)
--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -119,11 +119,11 @@
 class ModelCourier:
     """The host's part, for Shared and the delivery engine."""
 
-    def __init__(self, town, node, settings):
-        self.town, self.node, self.s = town, node, settings
-        self.clock = lambda: town.now
+    def __init__(self, network, node, settings):
+        self.network, self.node, self.s = network, node, settings
+        self.clock = lambda: network.now
         self.listing = EndpointRegistry(settings, (), self.clock)
-        self.courier = DeliveryEngine(settings, town.chance.getrandbits(32))
+        self.courier = DeliveryEngine(settings, network.chance.getrandbits(32))
         hooks = SimpleNamespace(told_wait=self.listing.told_wait, ended=self._ended)
         self.calls = SimpleNamespace(hooks=hooks)
         self.events, self.queue, self.attempts = [], deque(), {}
@@ -133,7 +133,7 @@
         self.shared = None
         self.config = SimpleNamespace(quota=None)  # without leases on places and quotas
         self.routing = SimpleNamespace(router=None)
-        if town.share:
+        if network.share:
             self.partners = PartnerOutages(node.id, Incarnation(1, 1))
             serving = SimpleNamespace(before_call=None, refresh=lambda: None)
             leases = SimpleNamespace(status=lambda now: {}, amount=lambda name, now: 0.0)
@@ -156,13 +156,13 @@
         if self.shared is not None:
             self.tell_news(SiteMembers(members))
             self.shared.warm()
-            self.later(self.town.chance.random() / 4, self.shared._look)
+            self.later(self.network.chance.random() / 4, self.shared._look)
             self.list_told(ListUpdateKind.DELTA, entries)
 
     # Parts of the host
 
     def later(self, seconds, act):
-        self.town.later(seconds * S, act)
+        self.network.later(seconds * S, act)
 
     def list_told(self, form, entries):
         self.tell(EndpointListUpdate(form, tuple(map(self.listing.shown, entries))))
@@ -171,19 +171,19 @@
         self.events.append(event)
         if not self.due:
             self.due = True
-            self.town.later(max(0, self.last + self.s.tick_us - self.town.now), self._turn)
+            self.network.later(max(0, self.last + self.s.tick_us - self.network.now), self._turn)
 
     def _turn(self):
-        self.due, self.last = False, self.town.now
+        self.due, self.last = False, self.network.now
         events, self.events = self.events, []
-        for a in self.courier.handle(self.town.now, events):
+        for a in self.courier.handle(self.network.now, events):
             if isinstance(a, Send):
                 self._send(a)
             elif isinstance(a, policy_actions.SetTimer):
-                self.town.later(a.delay_us + 50, lambda token=a.token: self.tell(EngineTimerDue(token)))
+                self.network.later(a.delay_us + 50, lambda token=a.token: self.tell(EngineTimerDue(token)))
             elif isinstance(a, (Reject, Fail)):
                 self.attempts.pop(a.message, None)
-                self.town.partner.unserved += 1
+                self.network.partner.unserved += 1
 
     def _send(self, a):
         attempt = self.attempts.get(a.message, 0)
@@ -191,16 +191,18 @@
         if not self.listing.may_write(a.endpoint):
             self.tell(AttemptEnded(a.message, attempt, a.endpoint, AttemptResult.NOT_SENT, 1))
             return
-        result, latency, wait = self.town.partner.call(self.town.now, self.town.chance, self.node.id, a)
-        item, begun = Item(a.message, attempt, "", "", b"", a.timeout_us), self.town.now
+        result, latency, wait = self.network.partner.call(
+            self.network.now, self.network.chance, self.node.id, a
+        )
+        item, begun = Item(a.message, attempt, "", "", b"", a.timeout_us), self.network.now
 
         def end():
             if wait:
                 self.calls.hooks.told_wait(a.endpoint, wait)
             outcome = Outcome(result, result is AttemptResult.OK, wait)
-            self.calls.hooks.ended(item, a.endpoint, outcome, self.town.now - begun)
+            self.calls.hooks.ended(item, a.endpoint, outcome, self.network.now - begun)
 
-        self.town.later(latency, end)
+        self.network.later(latency, end)
 
     def _ended(self, item, endpoint, outcome, latency):
         if outcome.over:
@@ -213,11 +215,11 @@
 
     def feed(self, rate):
         if rate > 0:
-            self.later(self.town.chance.expovariate(rate), lambda: self._arrives(rate))
+            self.later(self.network.chance.expovariate(rate), lambda: self._arrives(rate))
 
     def _arrives(self, rate):
         self.number += 1
-        self.tell(MessageArrived(self.number, 0, 1, self.town.now + CLASS.deadline_us))
+        self.tell(MessageArrived(self.number, 0, 1, self.network.now + CLASS.deadline_us))
         self.feed(rate)
 
     # The state machine of the findings
@@ -228,18 +230,18 @@
             return
         self.busy = True
         while self.queue:
-            for action in self.partners.handle(self.town.now, self.queue.popleft()):
+            for action in self.partners.handle(self.network.now, self.queue.popleft()):
                 self._act(action)
         self.busy = False
 
     def _act(self, action):
         if isinstance(action, Disseminate):
-            self.town.net.give(self.node, action)
+            self.network.net.give(self.node, action)
         elif isinstance(action, SetTimer):
             self.timers[action.token] = action.at_us
-            self.town.later(action.at_us - self.town.now, lambda: self._timer(action))
+            self.network.later(action.at_us - self.network.now, lambda: self._timer(action))
         elif isinstance(action, ApplyFinding):
-            self.heeds.append((self.town.now, action.finding))
+            self.heeds.append((self.network.now, action.finding))
             self.shared.heed(action)
         elif isinstance(action, FindingExpired):
             self.shared.lapsed(action)
--- a/tests/shared/test_ended_lease.py
+++ b/tests/shared/test_ended_lease.py
@@ -16,6 +16,6 @@
     shared._show = lambda dest, cold=False: shown.append(dest)
     assert [shared.before_call(1) for _ in range(3)] == [False] * 3
     assert shared.rates == {1: 0.5} and shown == [1] and shared.before_call(2)
-    [heard] = later
-    heard()
+    [engine_notified] = later
+    engine_notified()
     assert shared.before_call(1) and shown == [1, 1]
--- a/tests/shared/test_news.py
+++ b/tests/shared/test_news.py
@@ -45,7 +45,7 @@
     def __init__(self, make, count=3, seed=1, lost=0.0, slow=S // 2):
         self.chance, self.lost, self.now, self.slow = random.Random(seed), lost, 0, slow
         self.members = {m: make(m, Incarnation(1, n)) for n, m in enumerate(NAMES[:count])}
-        self.told = {m: [] for m in self.members}
+        self.actions = {m: [] for m in self.members}
         self.under_way, self.timers = [], {}
         self.newest = {}
         for m in self.members:
@@ -63,7 +63,7 @@
             elif isinstance(action, SetTimer):
                 self.timers[member, action.token] = action.at_us
             else:
-                self.told[member].append((self.now, action))
+                self.actions[member].append((self.now, action))
 
     def run(self, until):
         """Entries arrive in any order; an older version than the newest is dropped, as in membership."""
@@ -87,12 +87,12 @@
     def heeds(self, member, kind):
         return [
             (at, a.finding)
-            for at, a in self.told[member]
+            for at, a in self.actions[member]
             if isinstance(a, ApplyFinding) and a.finding.kind is kind
         ]
 
     def lapses(self, member, kind):
-        return [at for at, a in self.told[member] if isinstance(a, FindingExpired) and a.kind is kind]
+        return [at for at, a in self.actions[member] if isinstance(a, FindingExpired) and a.kind is kind]
 
 
 def wait(left_us, dest=7, uid=""):
@@ -105,7 +105,7 @@
         net.tell(NAMES[0], wait(2 * S))
         net.tell(NAMES[1], wait(3 * S))
         net.run(4 * S)
-        ends = {at + news.left_us for at, news in net.heeds(NAMES[2], FindingKind.RETRY_AFTER)}
+        ends = {at + finding.left_us for at, finding in net.heeds(NAMES[2], FindingKind.RETRY_AFTER)}
         assert max(ends) >= 3 * S
         assert (
             net.lapses(NAMES[2], FindingKind.RETRY_AFTER)
@@ -117,10 +117,10 @@
     net = GossipNetwork(FindingsBoard)
     net.tell(NAMES[0], wait(3 * S))
     net.run(S)
-    before = len(net.told[NAMES[1]])
+    before = len(net.actions[NAMES[1]])
     net.tell(NAMES[0], wait(S))
     net.run(2 * S)
-    assert len(net.told[NAMES[1]]) == before
+    assert len(net.actions[NAMES[1]]) == before
 
 
 def test_a_delayed_finding_restricts_for_longer_never_shorter():
@@ -200,8 +200,8 @@
 def test_malformed_findings_are_logged_and_have_no_effect(key, body):
     net = GossipNetwork(FindingsBoard)
     net.tell(NAMES[1], GossipReceived(GossipEntry(NAMES[0], key, 1, body)))
-    ((_, note),) = net.told[NAMES[1]]
-    assert note.error.code == "news-refused" and not net.members[NAMES[1]].applied
+    ((_, line),) = net.actions[NAMES[1]]
+    assert line.error.code == "news-refused" and not net.members[NAMES[1]].applied
 
 
 @pytest.mark.parametrize(
@@ -218,7 +218,7 @@
     entry = GossipEntry(NAMES[0], f"news/{kind.value}/7", 1, BODY_FORMAT.pack(0, 365 * 86_400 * S, 2.0))
     net.tell(NAMES[1], GossipReceived(entry))
     assert net.heeds(NAMES[1], kind)[0][1].left_us == most_us
-    assert any(getattr(a, "error", None) for _, a in net.told[NAMES[1]])
+    assert any(getattr(a, "error", None) for _, a in net.actions[NAMES[1]])
 
 
 def test_what_is_stored_is_bounded():
@@ -268,7 +268,7 @@
             net.run(turn * S)
             report_outage(net, later[: min(5, turn + 2)])  # one more each second
         (first,) = probers(net)
-        tries = [(at, m, a.enabled) for m in NAMES for at, a in net.told[m] if isinstance(a, SetProbing)]
+        tries = [(at, m, a.enabled) for m in NAMES for at, a in net.actions[m] if isinstance(a, SetProbing)]
         assert first in later[:2] and not [t for t in tries if t[0] >= S], tries
 
 
@@ -304,15 +304,15 @@
     net.run(S)
     (first,) = probers(net)
     net.members[first].answered(net.now, 7)
-    for news in (Finding(FindingKind.RECOVERY, 7, "", 12 * S), Finding(FindingKind.OUTAGE, 7, "", 0)):
-        net.tell(first, LocalFinding(news))
+    for finding in (Finding(FindingKind.RECOVERY, 7, "", 12 * S), Finding(FindingKind.OUTAGE, 7, "", 0)):
+        net.tell(first, LocalFinding(finding))
     for m in NAMES[:3]:
         net.tell(m, LocalFinding(Finding(FindingKind.OUTAGE, 7, "", 0)))
     net.run(3 * S)
     assert not probers(net) and not any(p.held_off for p in net.members.values())
     assert all(net.heeds(m, FindingKind.RECOVERY) for m in NAMES[:4] if m != first)
     assert all(net.lapses(m, FindingKind.OUTAGE) for m in NAMES[:4] if m != first)
-    assert any(isinstance(a, SetProbing) and not a.enabled for _, a in net.told[first])
+    assert any(isinstance(a, SetProbing) and not a.enabled for _, a in net.actions[first])
 
 
 # Suspicions
@@ -386,8 +386,8 @@
     for n, other in enumerate(others):
         entry = GossipEntry(other, "news/outage/8", 1, BODY_FORMAT.pack(0, 9 * S, 0.0))
         me.handle(S, GossipReceived(entry))
-        (told,) = disseminated(me, [LocalFinding(Finding(FindingKind.OUTAGE, 8, "", 3 * S))])
-        assert told[0].at_once is (n == 0)
+        (sent,) = disseminated(me, [LocalFinding(Finding(FindingKind.OUTAGE, 8, "", 3 * S))])
+        assert sent[0].at_once is (n == 0)
         me.handle(S, LocalFinding(Finding(FindingKind.OUTAGE, 8, "", 0)))
 
 
@@ -426,5 +426,5 @@
     for step in range(40):
         net.tell(NAMES[0], LocalFinding(Finding(FindingKind.OUTAGE, 7, "", 3 * S)))
         net.run(step * S)
-    codes = [a.error.code for _, a in net.told[NAMES[0]] if getattr(a, "error", None)]
+    codes = [a.error.code for _, a in net.actions[NAMES[0]] if getattr(a, "error", None)]
     assert codes == ["out-alone"] and not held(net)
--- a/tests/shared/test_places.py
+++ b/tests/shared/test_places.py
@@ -110,7 +110,7 @@
 
 
 def test_a_new_grantor_that_does_not_wait_for_calls_is_found():
-    wait = mock.patch.object(Grantor, "_wait_until_us", lambda self, pot: self.term.earlier_grants_until_us)
+    wait = mock.patch.object(Grantor, "_wait_until_us", lambda self, pool: self.term.earlier_grants_until_us)
     with wait, pytest.raises(AssertionError, match="open at "):
         for seed in range(30):
             cut_off_with_open_calls(seed)
