--- a/madderbeam/journal/damage.py
+++ b/madderbeam/journal/damage.py
@@ -116,7 +116,7 @@
             and header[0] == "segment"
             and isinstance(header[6], (int, float))
         )
-        return header if is_header and all(isinstance(x, int) for x in header[1:4]) else []
+        return header if is_header and all(isinstance(value, int) for value in header[1:4]) else []
 
     @property
     def number(self) -> int:
--- a/madderbeam/journal/journal.py
+++ b/madderbeam/journal/journal.py
@@ -84,15 +84,12 @@
         self.unattempted_count = 0  # of them those without an attempt
         self.open_keys: dict[str, int] = {}  # of open messages: message number by key
         self.pending_bytes = self.id_and_key_bytes = self.last_number = 0
-        self.whole_records: dict[
-            int, tuple[int, int]
-        ] = {}  # of messages: segment and bytes of the newest whole record
-        self.segments_by_message: dict[
-            int, set[int]
-        ] = {}  # of messages: all segments that have records of them
-        self.unwritten_completions: dict[
-            int, str
-        ] = {}  # ids of completed messages whose "over" record is not written yet
+        # By message number: the segment and the bytes of the newest whole record.
+        self.whole_records: dict[int, tuple[int, int]] = {}
+        # By message number: all segments that have records of the message.
+        self.segments_by_message: dict[int, set[int]] = {}
+        # By message number: the ids of completed messages whose "over" record is not written yet.
+        self.unwritten_completions: dict[int, str] = {}
         self.completed_ids = ExpiringSet(functools.partial(self._move_live_text, "ids"))
         # Keys, with the time of the first attempt that was possibly executed.
         self.keys = ExpiringSet(functools.partial(self._move_live_text, "keys"))
@@ -429,10 +426,12 @@
 
         self._stage(record, done, undo)
 
-    def call_when_written(self, ident: str, told: Callable[[], None], lost: Callable[[], None]) -> None:
-        """For an id that is pending or remembered: call `told` once its record is safe, `lost` if it never
-        is."""
-        told()
+    def call_when_written(
+        self, ident: str, on_written: Callable[[], None], on_lost: Callable[[], None]
+    ) -> None:
+        """For an id that is pending or remembered: call `on_written` once its record is safe, `on_lost` if it
+        never will be."""
+        on_written()
 
     def attempt(
         self,
@@ -530,15 +529,14 @@
 
     # The effects of records
 
-    def _apply(self, record: list[Any], home: int, message: PendingMessage | None = None) -> None:
-        """Apply a record, whether it was just made or read. `home`: its segment, 0 if it is not written
-        yet."""
+    def _apply(self, record: list[Any], segment_number: int, message: PendingMessage | None = None) -> None:
+        """Apply a record that was just made or read. `segment_number`: its segment, 0 if not written yet."""
         kind = record[0]
         if kind == "take":
             found = message or PendingMessage(*record[1:])
             self._add_pending(found)
             if found.key and found.possibly_executed_at:  # a copy also records its key
-                self._remember_key(found.key, found.possibly_executed_at, home)
+                self._remember_key(found.key, found.possibly_executed_at, segment_number)
         elif kind == "try":
             for number in record[1]:
                 if found := self.pending.get(number):
@@ -546,9 +544,9 @@
                     found.prior_execution_at = found.possibly_executed_at
                     found.attempts, found.latest_attempt_at = found.attempts + 1, record[2]
                     if found.key:
-                        self._remember_key(found.key, found.possibly_executed_at, home)
+                        self._remember_key(found.key, found.possibly_executed_at, segment_number)
             for key in record[3] if len(record) > 3 else ():
-                self._remember_key(key, record[2], home)
+                self._remember_key(key, record[2], segment_number)
         elif kind == "miss":
             missed_at = 0.0
             if found := self.pending.get(record[1]):
@@ -556,20 +554,20 @@
                 if found.prior_execution_at == missed_at:
                     found.prior_execution_at = 0.0
             if len(record) > 2:
-                self._replace_first_attempt(record[2], record[3], home)
+                self._replace_first_attempt(record[2], record[3], segment_number)
             elif found and missed_at and self.keys.time_of(found.key) == missed_at:
-                self._replace_first_attempt(found.key, 0.0, home)
+                self._replace_first_attempt(found.key, 0.0, segment_number)
         elif kind == "final":
             if (found := self.pending.get(record[1])) and not found.status:
                 self.set_outcome(found, record[2], record[3])
         elif kind == "over":
-            self._apply_over(record, home)
+            self._apply_over(record, segment_number)
         elif kind == "known":
             self.last_number = max(self.last_number, record[1])
             for ident, expires_at in record[2].items():
-                self.completed_ids.add(ident, expires_at, expires_at, home)
+                self.completed_ids.add(ident, expires_at, expires_at, segment_number)
             for key, started_at in record[3].items():
-                self.keys.add(key, started_at, started_at + self.key_retention_s, home)
+                self.keys.add(key, started_at, started_at + self.key_retention_s, segment_number)
         elif kind == "segment":
             self.last_number = max(self.last_number, record[3])
 
@@ -601,16 +599,18 @@
         self.pending_bytes -= message.size
         self.id_and_key_bytes -= self._id_and_key_bytes_of(message)
 
-    def _apply_over(self, record: list[Any], home: int) -> None:
+    def _apply_over(self, record: list[Any], segment_number: int) -> None:
         ids = record[3] if len(record) > 3 else {}
         for number in record[1]:
             if message := self.pending.get(number):
                 self._remove_pending(message)
                 self.unwritten_completions[number] = message.id
                 if message.id not in ids:  # a record of format 1 has no ids
-                    self.completed_ids.add(message.id, record[2], message.deadline_s + ID_RETENTION_S, home)
+                    self.completed_ids.add(
+                        message.id, record[2], message.deadline_s + ID_RETENTION_S, segment_number
+                    )
         for ident, expires_at in ids.items():
-            self.completed_ids.add(ident, record[2], expires_at, home)
+            self.completed_ids.add(ident, record[2], expires_at, segment_number)
 
     def set_outcome(self, message: PendingMessage, status: str, again_ms: int) -> None:
         """Set the message's outcome and drop its body: only the notice is outstanding."""
@@ -633,11 +633,11 @@
         started_at = self.keys.time_of(key)
         return started_at if self.wall() - started_at < self.key_retention_s else 0.0
 
-    def _remember_key(self, key: str, started_at: float, home: int) -> None:
+    def _remember_key(self, key: str, started_at: float, segment_number: int) -> None:
         if not self.key_possibly_executed_at(key):
-            self.keys.add(key, started_at, started_at + self.key_retention_s, home)
+            self.keys.add(key, started_at, started_at + self.key_retention_s, segment_number)
 
-    def _replace_first_attempt(self, key: str, started_at: float, home: int) -> None:
+    def _replace_first_attempt(self, key: str, started_at: float, segment_number: int) -> None:
         """Make the attempt of `started_at` the first one with the key, 0 if there is none, because the former
         first one was never executed. Until this is written, the older record of the key stands, which is the
         safe side."""
@@ -646,7 +646,10 @@
             message.prior_execution_at = started_at if started_at != message.latest_attempt_at else 0.0
         if started_at:
             self.keys.add(
-                key, started_at, started_at + self.key_retention_s, home or self.keys.segment_of(key)
+                key,
+                started_at,
+                started_at + self.key_retention_s,
+                segment_number or self.keys.segment_of(key),
             )
         else:
             self.keys.drop(key)
@@ -699,8 +702,8 @@
 
     def _drop_whole_record(self, number: int) -> None:
         """The message's whole record, if any, is no longer live."""
-        home, size = self.whole_records.pop(number, (0, 0))
-        if segment := self.files.segments.get(home):
+        segment_number, size = self.whole_records.pop(number, (0, 0))
+        if segment := self.files.segments.get(segment_number):
             segment.messages.discard(number)
             segment.live_bytes -= size
 
--- a/madderbeam/journal/pending_message.py
+++ b/madderbeam/journal/pending_message.py
@@ -1,7 +1,7 @@
 """The life cycle of a message as the journal records it.
 
     state     entered by                   what a restart does with it
-    taken     "take" (tries 0)             goes to the delivery engine; none of its attempts was executed
+    taken     "take" (no attempt)          goes to the delivery engine; none of its attempts was executed
     trying    "try"                        possibly executed since then: a non-idempotent message is ended,
                                            one with a key is retried within the key's window, and an
                                            idempotent one is retried
