--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -348,7 +348,7 @@
         try:
             told = READ[channel, type(event)](event)
             if isinstance(told, MessageReceived):
-                told = replace(told, said_us=self._said(event))
+                told = replace(told, earliest_sent_us=self._said(event))
         except ValueError as error:
             self.mesh.count_invalid_row(f"channel {channel}: {error}")
             return
@@ -385,9 +385,9 @@
 
     def _acts(self) -> dict[type, Callable[[Any], None]]:
         return {
-            SendDatagram: lambda a: self.mesh.send_datagram(a.to, M, gossip.to_row(a.message)),
-            StartStateExchange: lambda a: self.mesh.exchange(a.to, gossip.to_row(a.message)),
-            StateReply: lambda a: self.mesh.reply(a.reply, gossip.to_row(a.message)),
+            SendDatagram: lambda a: self.mesh.send_datagram(a.address, M, gossip.to_row(a.message)),
+            StartStateExchange: lambda a: self.mesh.exchange(a.address, gossip.to_row(a.message)),
+            StateReply: lambda a: self.mesh.reply(a.reply_id, gossip.to_row(a.message)),
             MemberChanged: self._member_changed,
             GossipReceived: self._rumour,
             Disseminate: self.members.tell,
@@ -541,9 +541,9 @@
 
 READ: dict[tuple[str, type], Callable[[Any], Any]] = {
     (M, heard.DatagramArrived): _came,
-    (M, heard.ExchangeRequested): lambda e: StateReceived(gossip.from_row(e.row), e.reply),
+    (M, heard.ExchangeRequested): lambda e: StateReceived(gossip.from_row(e.row), e.reply_id),
     (M, heard.ExchangeReplied): lambda e: StateReceived(gossip.from_row(e.row)),
-    (M, heard.ExchangeAborted): lambda e: ExchangeFailed(e.to),
+    (M, heard.ExchangeAborted): lambda e: ExchangeFailed(e.address),
     (R, MessageReceived): lambda e: MessageReceived(e.member, streams.from_row(e.message)),
     (T, MessageReceived): lambda e: MessageReceived(e.member, words.from_row(e.message)),
     (S, MessageReceived): lambda e: MessageReceived(e.member, messages.from_row(e.message)),
--- a/madderbeam/membership/settings.py
+++ b/madderbeam/membership/settings.py
@@ -44,7 +44,9 @@
 
     def __post_init__(self) -> None:
         for name in self.__dataclass_fields__:
-            if getattr(self, name) < (0 if name in ("indirect", "health_most", "confirmations") else 1):
+            if getattr(self, name) < (
+                0 if name in ("indirect_probes", "max_health_score", "confirmations") else 1
+            ):
                 raise ValueError(f"{name} is {getattr(self, name)}: allowed are numbers above 0")
         if self.probe_timeout_us >= self.probe_period_us:
             raise ValueError(f"probe_timeout_us is {self.probe_timeout_us}: allowed is below probe_period_us")
--- a/madderbeam/simulation/federation.py
+++ b/madderbeam/simulation/federation.py
@@ -131,8 +131,8 @@
         self.room = next(r for r in self.host.rooms if isinstance(r, FederationComponent))
         send = self.room.mesh.send
 
-        def tapped(member: MemberId, channel: str, row: list[Any], said_us: int | None = None) -> bool:
-            sent = send(member, channel, row, said_us)
+        def tapped(member: MemberId, channel: str, row: list[Any], sent_us: int | None = None) -> bool:
+            sent = send(member, channel, row, sent_us)
             if sent:
                 self.world.judge.sent(self, member, channel, row)
             return sent
--- a/tests/federation/faulty_links.py
+++ b/tests/federation/faulty_links.py
@@ -184,7 +184,7 @@
 
     def _last(self, frames, data):
         """How much of it passes where a frame in it is the last one that the source sends; else None."""
-        at = -len(frames.kept)
+        at = -len(frames.buffer)
         with contextlib.suppress(InvalidFrame):  # tests send these as well
             for frame in frames.feed(data):
                 at += LENGTH_PREFIX_BYTES + len(frame)
--- a/tests/federation/test_mesh.py
+++ b/tests/federation/test_mesh.py
@@ -53,11 +53,11 @@
 
 def test_a_datagram_carries_its_sender_and_can_be_replied_to_at_its_source(rig):
     a, b = rig.node(A, 3), rig.node(B)
-    a.mesh.datagram(rig.address(A, B), "m", ["ping", 1])
+    a.mesh.send_datagram(rig.address(A, B), "m", ["ping", 1])
     rig.until(lambda: b.of(DatagramArrived, "m"))
     came = b.of(DatagramArrived)[0]
     assert (came.sender, came.incarnation, came.row) == (A, Incarnation(3, 10), ["ping", 1])
-    b.mesh.datagram(came.source, "m", ["ack", 1])
+    b.mesh.send_datagram(came.source, "m", ["ack", 1])
     rig.until(lambda: a.of(DatagramArrived, "m"))
     assert a.of(DatagramArrived)[0].row == ["ack", 1] and a.of(DatagramArrived)[0].sender == B
 
@@ -67,8 +67,8 @@
     # longer than ten rounds, even on a busy machine
     rig.fault(A, B, loss=0.3, double=0.3, late=0.2, late_s=1.0)
     for n in range(400):
-        a.mesh.datagram(rig.address(A, B), "m", [n])
-        b.mesh.datagram(rig.address(B, A), "m", [n])
+        a.mesh.send_datagram(rig.address(A, B), "m", [n])
+        b.mesh.send_datagram(rig.address(B, A), "m", [n])
         rig.until(lambda n=n: len(a.of(DatagramArrived)) == n + 1)  # the return direction has no faults
     copies = rig.passed(A, B)  # including delayed ones: all 400 rounds may take less time than one delay
     rig.until(lambda: len(b.of(DatagramArrived)) >= copies)
@@ -76,15 +76,15 @@
     assert len(came) == copies
     assert 230 < len(set(came)) < 390 and len(came) > len(set(came)) + 30 and came != sorted(came)
     rig.heal(A, B)
-    a.mesh.datagram(rig.address(A, B), "m", ["whole"])
+    a.mesh.send_datagram(rig.address(A, B), "m", ["whole"])
     rig.until(lambda: ["whole"] in [e.row for e in b.of(DatagramArrived)])
 
 
 def test_oversized_datagrams_and_unusable_addresses_are_only_counted(rig):
     a = rig.node(A)
-    a.mesh.datagram(rig.address(A, B), "m", [b"x" * 1400])
+    a.mesh.send_datagram(rig.address(A, B), "m", [b"x" * 1400])
     for address in (("savannah.example", 7946), ("127.0.0.1", 0), ("127.0.0.1", 70_000), ("0.0.0.0", 1)):
-        a.mesh.datagram(address, "m", [])
+        a.mesh.send_datagram(address, "m", [])
     assert a.count("unsendable") == 1 and a.count("unusable_addresses") == 4
     assert a.count("datagrams_out") == 0
 
@@ -114,7 +114,7 @@
 def test_frames_and_links_of_another_federation_are_rejected(rig):
     a, b = rig.node(A), rig.node(B, federation="bands")
     rig.want(A, B)
-    a.mesh.datagram(rig.address(A, B), "m", [1])
+    a.mesh.send_datagram(rig.address(A, B), "m", [1])
     a.mesh.exchange(rig.address(A, B), [1])
     rig.until(lambda: b.count("strange_federation") >= 4 and a.of(ExchangeAborted))
     assert not b.told and not a.of(LinkUp)
@@ -122,7 +122,7 @@
 
 def test_a_link_to_the_address_of_another_member_does_not_come_up(rig):
     a, b = rig.node(A), rig.node(B)
-    a.mesh.want(C, rig.address(A, B))
+    a.mesh.open_link(C, rig.address(A, B))
     rig.until(lambda: a.count("links_refused") >= 2)
     assert not a.told and not b.told and b.count("links_in") == 0
     rig.node(C)
@@ -195,12 +195,12 @@
 
 
 def test_a_reader_that_stops_loses_its_link_and_costs_bounded_memory(rig):
-    a, b = joined(rig, settings=replace(QUICK, unsent_bytes=1 << 20, ping_s=5.0))
+    a, b = joined(rig, settings=replace(QUICK, max_unsent_bytes=1 << 20, ping_s=5.0))
     link = b.mesh.accepted.links[A]
     b.network.off_readable(link.connection.sock)
     sent = 0
     while a.mesh.send(B, "r", [sent, b"x" * 10_000]):
-        assert a.mesh.figures()["unsent_bytes"] <= 1 << 20
+        assert a.mesh.metrics()["unsent_bytes"] <= 1 << 20
         sent += 1
         if sent % 20 == 0:
             rig.until(lambda: True)
@@ -255,7 +255,7 @@
     assert rows(b) == [[2]] and len(a.of(LinkDown)) == 1
     old = rig.node(B, 1)  # restarted from an older copy of its state
     rig.until(lambda: len(a.of(LinkDown)) == 2)
-    old.mesh.datagram(rig.address(B, A), "m", ["old"])
+    old.mesh.send_datagram(rig.address(B, A), "m", ["old"])
     rig.want(B, A)
     rig.until(lambda: old.of(LaterIncarnationSeen) and a.count("older") >= 3)
     assert old.of(LaterIncarnationSeen)[0] == LaterIncarnationSeen(A, Incarnation(2, 9))
@@ -268,7 +268,7 @@
     a, b = joined(rig)
     rig.want(B, A)
     rig.until(lambda: b.of(LinkUp))
-    a.mesh.saw(B, Incarnation(4, 1))
+    a.mesh.record_incarnation(B, Incarnation(4, 1))
     rig.until(lambda: a.of(LinkDown) and b.of(LinkDown) and b.of(LaterIncarnationSeen))
     assert b.of(LaterIncarnationSeen)[0].seen == Incarnation(4, 1)
 
@@ -276,7 +276,7 @@
 def test_an_unwanted_link_is_closed_and_can_be_wanted_again(rig):
     a, b = joined(rig)
     for times in range(1, 4):
-        a.mesh.unwant(B)
+        a.mesh.close_link(B)
         assert not a.mesh.send(B, "r", [0]) and len(a.of(LinkDown)) == times - 1
         rig.want(A, B)
         rig.until(lambda times=times: len(a.of(LinkUp)) == times + 1)
@@ -311,7 +311,7 @@
     a.mesh.exchange(rig.address(A, B), [b"x" * frames.MAX_STREAM_FRAME_BYTES])
     rig.until(lambda: len(a.of(ExchangeAborted, "m")) == 4)
     rig.until(lambda: b.count("exchanges_open") == 0)
-    b.mesh.reply(b.of(ExchangeRequested)[0].reply, ["too late"])
+    b.mesh.reply(b.of(ExchangeRequested)[0].reply_id, ["too late"])
     for _ in range(QUICK.max_exchanges + 5):
         a.mesh.exchange(rig.address(A, B), ["many"])
     assert a.count("exchanges_open") == QUICK.max_exchanges
@@ -341,11 +341,11 @@
 
 def test_an_older_connection_replaces_no_link_and_a_later_one_replaces_it(real):
     a, b = joined(real)
-    with raw(b, hello(A, 0, life=a.mesh.here.incarnation)) as late:
+    with raw(b, hello(A, 0, life=a.mesh.context.incarnation)) as late:
         pinged = a.mesh.links[B].ping_number
         real.until(lambda: a.mesh.links[B].ping_number > pinged + 2)
         assert late.recv(10) == b"" and not a.of(LinkDown)
-    with raw(b, hello(A, 1000, life=a.mesh.here.incarnation)) as later:
+    with raw(b, hello(A, 1000, life=a.mesh.context.incarnation)) as later:
         real.until(lambda: b.mesh.accepted.links[A].number == 1000)
         a.mesh.send(B, "r", ["by the link before"])
         real.until(lambda: a.of(LinkDown))
@@ -391,7 +391,7 @@
         writer.close()
 
     server = real.loop.run_until_complete(asyncio.start_server(answers, "127.0.0.1", 0))
-    a.mesh.want(B, server.sockets[0].getsockname())
+    a.mesh.open_link(B, server.sockets[0].getsockname())
     real.until(lambda: len(calls) >= 2)
     assert not a.told
     server.close()
@@ -455,5 +455,5 @@
     rig = SimRig()
     a = rig.node(A, settings=replace(QUICK, max_members=100))
     for n in range(1000):
-        a.mesh.saw(MemberId("macon", f"x{n}"), Incarnation(1, n))
-    assert len(a.mesh.here.incarnations.latest) == 100
+        a.mesh.record_incarnation(MemberId("macon", f"x{n}"), Incarnation(1, n))
+    assert len(a.mesh.context.incarnations.latest) == 100
--- a/tests/federation/two_meshes.py
+++ b/tests/federation/two_meshes.py
@@ -72,7 +72,7 @@
         """Replaced by a test that reacts to an event."""
 
     def want(self, a, b):
-        self.nodes[a].mesh.want(b, self.address(a, b))
+        self.nodes[a].mesh.open_link(b, self.address(a, b))
 
 
 class RealRig(Rig):
--- a/tests/federation_switch/test_model.py
+++ b/tests/federation_switch/test_model.py
@@ -198,7 +198,7 @@
         """All that is under way arrives, but for what comes from or goes to the one that is cut off."""
         while self.flight:
             to, event = self.flight.pop(0)
-            if cut not in (to, getattr(event, "member", None), getattr(event, "rumour", event)):
+            if cut not in (to, getattr(event, "member", None), getattr(event, "entry", event)):
                 self.give(to, event)
 
     def check(self) -> None:
--- a/tests/membership/swimnet.py
+++ b/tests/membership/swimnet.py
@@ -166,7 +166,7 @@
             elif kind is StartStateExchange:
                 self._exchange(node, action)
             elif kind is StateReply:
-                back, run, _ = self.replies.pop(action.reply)
+                back, run, _ = self.replies.pop(action.reply_id)
                 if self.bytes is not None:
                     self.bytes += len(msgpack.packb(to_row(action.message)))
                 if back.run == run:
--- a/tests/membership/test_swim_bounds.py
+++ b/tests/membership/test_swim_bounds.py
@@ -57,7 +57,7 @@
 
 
 def held(node, key):
-    return [r for r in node.machine.speech.entries.entries.values() if r.key == key]
+    return [r for r in node.machine.dissemination.entries.entries.values() if r.key == key]
 
 
 @pytest.mark.parametrize("period", [30 * S, 100_000 * S], ids=["with exchange", "by datagrams alone"])
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize("name, value", [
-    ("probe_timeout_us", 1_000_000), ("members_most", 0), ("datagram_bytes", 500), ("indirect", -1),
+    ("probe_timeout_us", 1_000_000), ("members_most", 0), ("datagram_bytes", 500), ("indirect_probes", -1),
 ])  # fmt: skip
 def test_invalid_settings_are_named(name, value):
     with pytest.raises(ValueError, match=f"{name} is {value}: allowed"):
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -80,7 +80,7 @@
 
 @bug(2, "F6")
 def a_suspicion_that_is_not_lifted(patch):
-    patch.setattr(LocalMember, "hear", lambda self, report: ReportOutcome.IGNORED)
+    patch.setattr(LocalMember, "check_report", lambda self, report: ReportOutcome.IGNORED)
 
 
 @bug(3, "F1")
@@ -214,12 +214,12 @@
 
 @bug(6, "F2", "F6")
 def a_raised_start_is_not_spoken(patch):
-    patch.setattr(Mesh, "live", lambda self, life: None)
+    patch.setattr(Mesh, "set_incarnation", lambda self, incarnation: None)
 
 
 @bug(3, "F3")
 def time_rests_on_the_way(patch):
-    patch.setattr(ClockLeadBound, "said", lambda self, now_us, stamp_us: now_us)
+    patch.setattr(ClockLeadBound, "earliest_sent_us", lambda self, now_us, stamp_us: now_us)
 
 
 @bug(1197, "F5")
