--- a/madderbeam/membership/dissemination.py
+++ b/madderbeam/membership/dissemination.py
@@ -69,7 +69,7 @@
         self.direct_sends_us: list[int] = []  # when entries of the last probe period were sent directly
         self.logged_errors: set[type[Exception]] = set()
         self.is_outdated = False  # after a pause: what arrives now may be outdated and is not forwarded
-        self.isolation_ended = False  # the isolation of this member has ended
+        self.isolation_ended = False  # set until the machine has handled it
         self.first_actions: list[Any] = []  # actions that wait for no record and precede all others
         self.notifications: list[Any] = []  # actions that follow `changed` members and precede `sends`
         self.sends: list[Any] = []
--- a/madderbeam/membership/member_table.py
+++ b/madderbeam/membership/member_table.py
@@ -31,13 +31,12 @@
     address: Address
     since_us: int
     draining: bool = False
-    declared_dead_by: MemberId | None = None  # who declared it dead
+    declared_dead_by: MemberId | None = None
     is_dead_only_locally: bool = False  # declared dead while this member received nothing: not disseminated
     last_received_us: int = NEVER
     suspicion: Suspicion | None = None  # set while it is SUSPECT
-    reached_by: list[MemberId] = field(
-        default_factory=list
-    )  # members that reached it recently, the latest first
+    # members that reached it recently, the latest first
+    reached_by: list[MemberId] = field(default_factory=list)
 
     @property
     def is_live(self) -> bool:
@@ -70,9 +69,8 @@
         self.settings, self.local_id = settings, local_id
         self.members: dict[MemberId, Member] = {}
         self.suspects: dict[MemberId, Member] = {}
-        self.removed: dict[
-            MemberId, tuple[Incarnation, int]
-        ] = {}  # last incarnation and refutation number of dead members that were removed
+        # last incarnation and refutation number of dead members that were removed
+        self.removed: dict[MemberId, tuple[Incarnation, int]] = {}
         self.changed: list[Member] = []
         self.newly_alive: list[MemberId] = []  # newly alive, for the failure detector
         self.live_count = 1  # live members, the local one included
--- a/madderbeam/membership/settings.py
+++ b/madderbeam/membership/settings.py
@@ -27,7 +27,7 @@
     exchange_period_us: int = 30_000_000
     exchange_bytes: int = 16_384  # sent in one exchange without a longer period
     reprobe_periods: int = 10  # a random dead member is pinged once in this many periods
-    silence_periods: int = 3  # after this long without receiving anything its pings say so
+    silence_periods: int = 3  # after this long without receiving anything its pings carry `hears_nobody`
     isolation_periods: int = 10  # after this long in silence others are declared dead, only locally
     recent_periods: int = 5  # members active within these may reach one that another member lost
     pause_query_attempts: int = 5  # members asked for their state after a pause before probing resumes
@@ -38,7 +38,7 @@
     max_dead_members: int = 256  # dead or left members that are remembered
     max_incarnations: int = 2_048  # highest incarnations stored on disk
     max_entries: int = 8_192
-    max_entries_per_owner: int = 4_096  # per owner
+    max_entries_per_owner: int = 4_096
     max_entries_bytes: int = 2_097_152
     max_entry_retention_us: int = 3_600_000_000  # after the owner's death, limits the entry's keep_us
 
@@ -51,4 +51,6 @@
         if self.probe_timeout_us >= self.probe_period_us:
             raise ValueError(f"probe_timeout_us is {self.probe_timeout_us}: allowed is below probe_period_us")
         if not 1_000 <= self.datagram_bytes - self.frame_overhead_bytes <= 60_000:
-            raise ValueError(f"datagram_bytes is {self.datagram_bytes}: allowed is 1000 + frame_bytes up")
+            raise ValueError(
+                f"datagram_bytes is {self.datagram_bytes}: allowed is 1000 + frame_overhead_bytes up"
+            )
--- a/madderbeam/transport/mesh/exchanges.py
+++ b/madderbeam/transport/mesh/exchanges.py
@@ -1,4 +1,4 @@
-"""Exchanges: a row sent on a connection of its own, and the row sent back, within a time limit."""
+"""Exchanges: a request row on a connection of its own and a reply row, within a time limit."""
 
 from __future__ import annotations
 
--- a/madderbeam/transport/mesh/here.py
+++ b/madderbeam/transport/mesh/here.py
@@ -60,9 +60,7 @@
     incarnations: LatestIncarnations
     emit: EventHandler
     channels: frozenset[str]
-    link_numbers: Iterator[int] = field(
-        default_factory=lambda: itertools.count(1)
-    )  # sequence numbers of links
+    link_numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
     def now_us(self) -> int:
         """The event loop's time in microseconds."""
--- a/madderbeam/transport/mesh/links.py
+++ b/madderbeam/transport/mesh/links.py
@@ -4,7 +4,7 @@
 other way. So two members need not agree on which of two connections between them to use, and a member that
 can be reached but cannot reach others still receives. The opener pings; a link without a reply within a
 bounded time is broken, and is reopened after an exponential backoff with jitter. Each frame carries a stamp
-of its sending time, so that the receiver can bound how long it was under way (ahead.py).
+of its sending time, so that the receiver can bound how long it was under way (clock_lead.py).
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
         self.connection: Connection | None = None
         self.incarnation: Incarnation | None = None  # the other member's, while the link is up
         self.attempts = 0  # connection attempts since the link was last confirmed by a pong
-        self.failure_logged = False  # whether the failure to connect was logged
+        self.failure_logged = False  # one line per outage
         self.is_stopped = False
         self.rtts: deque[int] = deque(maxlen=RTT_SAMPLES)
         self.ping_number, self.missed_pongs, self.awaits_pong = 0, 0, False
