--- a/bench/changes.py
+++ b/bench/changes.py
@@ -26,7 +26,7 @@
 from madderbeam.host.changes.reading import snapshot_of
 from madderbeam.host.composition import assemble
 from madderbeam.host.host import Host
-from madderbeam.host.process import collector_rests
+from madderbeam.host.process import collector_paused
 from madderbeam.journal.records import frame
 from madderbeam.membership.values import Persist
 from madderbeam.ports.real import RealDisk, real_ports
@@ -98,7 +98,7 @@
     (folder / "n.json").write_text(json.dumps(seal(file)))
     loop = asyncio.get_running_loop()
     host = assemble(loop, real_ports(loop), load_sidecar(str(folder / "n.json"), RealDisk()))
-    with collector_rests():
+    with collector_paused():
         host.start()
     return host
 
@@ -112,14 +112,14 @@
 
 def applied(host: Host, before: Snapshot, after: Snapshot) -> tuple[float, float]:
     """ms of the instant, and of the turn that follows."""
-    room = next(r for r in host.rooms if type(r).__name__ == "ChangesComponent")
+    room = next(r for r in host.components if type(r).__name__ == "ChangesComponent")
     instant = spent(lambda: room.applying.apply(Apply(before, after)))
-    return instant, spent(host.turn)
+    return instant, spent(host.run_cycle)
 
 
 async def changes(folder: Path, endpoints: int) -> None:
     host = courier(folder / "a", endpoints, True)
-    host.turn()
+    host.run_cycle()
     base = snapshot_of(host.config)
     uids = [row(n)["uid"] for n in range(endpoints)]
     ops = {
@@ -145,7 +145,7 @@
                 f"turn behind it {turn:.2f} ms"
             )
     targets = [{**row(n), "state": "terminating"} for n in range(endpoints)]
-    listed = [spent(lambda: host.listed({"all": False, "targets": targets})) for _ in range(7)]
+    listed = [spent(lambda: host.apply_list({"all": False, "targets": targets})) for _ in range(7)]
     print(f"for comparison, {endpoints} drains by the list's own way: {statistics.median(listed):.2f} ms")
     host.close()
     on_disk(base, uids[0])
@@ -200,20 +200,20 @@
     hosts = {name: courier(folder / name, 100, name == "with") for name in ("without", "with")}
     took: dict[str, list[float]] = {name: [] for name in hosts}
     for host in hosts.values():
-        host.turn()
+        host.run_cycle()
     for lot in range(messages // 40):
         for name, host in hosts.items():
 
             def many(host: Host = host, lot: int = lot) -> None:
                 for n in range(40):
-                    host.admission.put(
+                    host.admission.submit(
                         Put(f"m{lot}-{n}", 0, "safe", None, 1000, 0, "", False, b"x" * 100), Quiet()
                     )  # type: ignore[arg-type]
-                host.turn()
+                host.run_cycle()
 
             took[name].append(spent(many) / 40 * 1e3)
             for m in list(host.journal.pending.values()):
-                host.ends.done(m)
+                host.completions.complete_without_notice(m)
             host.courier.state.messages.clear()
             for dest in host.courier.state.destinations.values():
                 dest.queue.clear()
--- a/bench/changes_load.py
+++ b/bench/changes_load.py
@@ -115,7 +115,7 @@
             return may_write(endpoint)
 
         courier.host.calls.hooks.may_write = writes
-        courier.host.admission.taken_up.append(seen)
+        courier.host.admission.numbered_listeners.append(seen)
         load = Load(courier, args.per_s)
         loading = asyncio.ensure_future(load.run())
         began = time.monotonic()
--- a/madderbeam/host/admin_service.py
+++ b/madderbeam/host/admin_service.py
@@ -22,26 +22,26 @@
 
     def __init__(self, clients: ClientServer) -> None:
         self.clients, self.loop = clients, clients.loop
-        self.on = False
-        self.since = 0.0
+        self.is_active = False
+        self.started_at_s = 0.0
 
     def begin(self) -> None:
         """Start to drain; without effect if it drains already."""
-        if not self.on:
-            self.on, self.since = True, self.loop.time()
+        if not self.is_active:
+            self.is_active, self.started_at_s = True, self.loop.time()
             self.clients.ready = False
-            self.loop.call_later(IDLE_CLOSE_DELAY_S, self._close_idle_clients, self.since)
+            self.loop.call_later(IDLE_CLOSE_DELAY_S, self._close_idle_clients, self.started_at_s)
             log.info("draining: closing idle client connections")
 
     def end(self) -> None:
         """Serve clients again."""
-        if self.on:
-            self.on = False
+        if self.is_active:
+            self.is_active = False
             self.clients.ready = True
             log.info("drain ended, serving clients again")
 
     def _close_idle_clients(self, since: float) -> None:
-        if self.on and self.since == since:
+        if self.is_active and self.started_at_s == since:
             self.clients.let_go()
             self.loop.call_later(IDLE_CLOSE_INTERVAL_S, self._close_idle_clients, since)
 
@@ -62,9 +62,9 @@
         metrics_text: Callable[[], str],
         apply_entries: Callable[[Sequence[EndpointEntry]], None],
     ) -> None:
-        self.listing, self.bans, self.drain = registry, disabled, drain
-        self.ready, self.metrics_text, self.apply_entries = ready, metrics_text, apply_entries
-        self.over = False  # whether another process has taken over
+        self.registry, self.disabled, self.drain = registry, disabled, drain
+        self.is_ready, self.metrics_text, self.apply_entries = ready, metrics_text, apply_entries
+        self.is_handed_over = False  # whether another process has taken over
         self.calls: dict[str, tuple[str, Callable[[bytes], Answer]]] = {
             "/ready": ("GET", self._ready),
             "/metrics": ("GET", lambda _: Answer(200, self.metrics_text())),
@@ -74,7 +74,7 @@
             "/endpoints/enable": ("PUT", self._enable),
         }
 
-    def act(self, method: str, path: str, body: bytes) -> Answer:
+    def handle(self, method: str, path: str, body: bytes) -> Answer:
         """Handle one call and return its response."""
         call = self.calls.get(f"{method} {path}") or self.calls.get(path)  # a path may have two methods
         if call is None:
@@ -82,12 +82,12 @@
         allowed_method, action = call
         if method != allowed_method:
             return Answer(405, f"{path}: the method must be {allowed_method}\n")
-        if self.over and allowed_method == "PUT":
+        if self.is_handed_over and allowed_method == "PUT":
             return Answer(503, "another process has charge of everything\n")
         return action(body)
 
     def _ready(self, _: bytes) -> Answer:
-        return Answer(200, "ready\n") if self.ready() else Answer(503, "not ready\n")
+        return Answer(200, "ready\n") if self.is_ready() else Answer(503, "not ready\n")
 
     def _drain(self, _: bytes) -> Answer:
         self.drain.begin()
@@ -115,7 +115,7 @@
             uid = self._parse_member(body)
         except (ValueError, RecursionError):
             return Answer(400, 'the body must be a JSON object like {"member":"ID"}\n')
-        if uid not in self.listing.ever and uid not in self.bans:
+        if uid not in self.registry.ever and uid not in self.disabled:
             return Answer(404, f"member: no endpoint {uid!r} was ever listed\n")
         try:
             change(uid)
@@ -128,17 +128,17 @@
 
     def _disable_endpoint(self, uid: str) -> None:
         try:
-            self.bans.add(uid)
+            self.disabled.add(uid)
         finally:
-            if uid in self.bans:
+            if uid in self.disabled:
                 log.info("endpoint %s disabled by an operator", uid)
-                self.apply_entries(self.listing.set_enabled(uid, enabled=False))
+                self.apply_entries(self.registry.set_enabled(uid, enabled=False))
 
     def _enable_endpoint(self, uid: str) -> None:
-        was_disabled = uid in self.bans
+        was_disabled = uid in self.disabled
         try:
-            self.bans.remove(uid)
+            self.disabled.remove(uid)
         finally:
             if was_disabled:
                 log.info("endpoint %s enabled by an operator", uid)
-                self.apply_entries(self.listing.set_enabled(uid, enabled=True))
+                self.apply_entries(self.registry.set_enabled(uid, enabled=True))
--- a/madderbeam/host/admission.py
+++ b/madderbeam/host/admission.py
@@ -11,7 +11,7 @@
 from madderbeam.host.components import AdmissionCheck, MessageInterceptor
 from madderbeam.host.endpoint_registry import EndpointRegistry
 from madderbeam.host.metrics import ABORTED, DECLINED, Metrics
-from madderbeam.host.routing import NOWHERE, Routing
+from madderbeam.host.routing import UNROUTED, Routing
 from madderbeam.journal.journal import Journal
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.journal.segments import UnconfirmedError
@@ -45,55 +45,55 @@
         metrics: Metrics,
         routing: Routing,
     ) -> None:
-        self.s, self.journal, self.listing = settings, journal, registry
-        self.ends, self.attempts = completions, attempts
-        self.cancel, self.tell, self.retry_after_us = cancel, post_event, retry_after_us
-        self.figures, self.routing = metrics, routing
-        self.gates: list[AdmissionCheck] = []  # the checks that are configured
-        self.doors: list[MessageInterceptor] = []
-        self.taken_up: list[
+        self.settings, self.journal, self.registry = settings, journal, registry
+        self.completions, self.attempts = completions, attempts
+        self.cancel, self.post_event, self.retry_after_us = cancel, post_event, retry_after_us
+        self.metrics, self.routing = metrics, routing
+        self.checks: list[AdmissionCheck] = []  # the checks that are configured
+        self.interceptors: list[MessageInterceptor] = []
+        self.numbered_listeners: list[
             Callable[[PendingMessage], None]
         ] = []  # called with each message once it has its number
-        self.numbers = journal.last_number
+        self.last_number = journal.last_number
         self.classes = {cls.name: number for number, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
         # Messages by number, with the requests that wait for a reply.
         self.arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]] = {}
-        self.arriving: dict[str, int] = {}  # numbers of these messages by id
+        self.arriving_ids: dict[str, int] = {}  # numbers of these messages by id
         self.arriving_keys: dict[str, int] = {}  # and by idempotency key
 
-    def put(self, put: Put, reply: ReplyHandle) -> None:
+    def submit(self, put: Put, reply: ReplyHandle) -> None:
         """Submit a message. BadRequest if it is invalid for this courier."""
-        if put.dest == NOWHERE and not put.topic:
+        if put.dest == UNROUTED and not put.topic:
             put = replace(put, dest=self.routing.destination(put))
         cls, tenant = self._validated(put)
-        if put.id in self.arriving:
-            self.arrived[self.arriving[put.id]][1].append(reply)
+        if put.id in self.arriving_ids:
+            self.arrived[self.arriving_ids[put.id]][1].append(reply)
             return
         if put.id in self.journal.numbers_by_id or put.id in self.journal.completed_ids:
             # Submitted again over a new connection: the message is accepted, or was.
             self.journal.call_when_written(put.id, reply.taken, reply.failed)
             return
-        if self.journal.open_count + len(self.arrived) >= self.s.max_pending:
-            self.figures.ended(DECLINED, cls)
+        if self.journal.open_count + len(self.arrived) >= self.settings.max_pending:
+            self.metrics.count_completion(DECLINED, cls)
             reply.busy(self.retry_after_us())
             return
         weight = 1.0
-        for check in self.gates:
-            verdict = check.ask(tenant, cls, len(put.body))
+        for check in self.checks:
+            verdict = check.check(tenant, cls, len(put.body))
             if verdict.reason:
-                self.figures.ended(ABORTED, cls)
+                self.metrics.count_completion(ABORTED, cls)
                 reply.failed(verdict.reason)
                 return
             if not verdict.passed:
-                self.figures.ended(DECLINED, cls)
+                self.metrics.count_completion(DECLINED, cls)
                 reply.busy(verdict.retry_after_us)
                 return
             weight *= verdict.weight
-        self.numbers += 1
+        self.last_number += 1
         expires_at_s = self.journal.wall() + put.life_ms / 1e3
         message = PendingMessage(
-            self.numbers,
+            self.last_number,
             put.id,
             cls,
             tenant,
@@ -107,15 +107,15 @@
             is_relayed=put.relayed,
         )
         self._withdraw_same_key(message)
-        for notify in self.taken_up:
+        for notify in self.numbered_listeners:
             notify(message)
-        if any(intercept(put, message, reply) for intercept in self.doors):
+        if any(intercept(put, message, reply) for intercept in self.interceptors):
             return
         self.arrived[message.number] = (message, [reply])
-        self.arriving[message.id] = message.number
+        self.arriving_ids[message.id] = message.number
         if message.key:
             self.arriving_keys[message.key] = message.number
-        self.tell(self.arrival(message, weight))
+        self.post_event(self.arrival_event(message, weight))
 
     def _validated(self, put: Put) -> tuple[int, int]:
         """Validate a message; return the numbers of its class and its tenant."""
@@ -125,19 +125,21 @@
         tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
         if tenant < 0:
             raise BadRequest("t: no such tenant, must be one of the settings")
-        if self.s.classes[cls].idempotency is Idempotency.WITH_KEY and not put.key:
+        if self.settings.classes[cls].idempotency is Idempotency.WITH_KEY and not put.key:
             raise BadRequest("k: lacks, must be given for a keyed class")
-        max_life_ms = MAX_DEADLINE_MULTIPLE * self.s.classes[cls].deadline_us // 1000
+        max_life_ms = MAX_DEADLINE_MULTIPLE * self.settings.classes[cls].deadline_us // 1000
         if put.life_ms > max_life_ms:
             raise BadRequest(f"d: must be at most {max_life_ms}, by the deadline of the class")
-        if put.topic and not self.doors:
+        if put.topic and not self.interceptors:
             raise BadRequest("topic: this courier is in no federation")
         # Another site may serve a destination that this courier's list lacks; an interceptor decides that.
-        if self.listing.dests and not self.doors and put.dest not in self.listing.dests:
+        if self.registry.dests and not self.interceptors and put.dest not in self.registry.dests:
             raise BadRequest("dest: no such destination, must be one of the list")
         return cls, tenant
 
-    def arrival(self, message: PendingMessage, weight: float = 1.0, restored: bool = False) -> MessageArrived:
+    def arrival_event(
+        self, message: PendingMessage, weight: float = 1.0, restored: bool = False
+    ) -> MessageArrived:
         """Return the event that announces a message to the engine.
 
         `weight` comes from quotas; `restored` if the message was accepted by an earlier process.
@@ -170,55 +172,57 @@
         """
         if arrived := self.arriving_keys.pop(message.key, 0):
             older, replies = self.arrived.pop(arrived)
-            del self.arriving[older.id]
-            self.tell(MessageWithdrawn(arrived))
-            self.figures.ended(DECLINED, older.class_index)
+            del self.arriving_ids[older.id]
+            self.post_event(MessageWithdrawn(arrived))
+            self.metrics.count_completion(DECLINED, older.class_index)
             for reply in replies:
                 reply.busy(0)
         pending = self.journal.pending.get(self.journal.open_keys.get(message.key, 0))
         if pending is None:
             return
         message.prior_execution_at = message.prior_execution_at or pending.possibly_executed_at
-        self.tell(MessageWithdrawn(pending.number))
-        newest_attempt = self.attempts.newest(pending.number)
-        self.ends.end(pending, "deferred", 0)
+        self.post_event(MessageWithdrawn(pending.number))
+        newest_attempt = self.attempts.newest_attempt(pending.number)
+        self.completions.complete(pending, "deferred", 0)
         self.cancel(pending.number, newest_attempt)
 
     # Replies of a dispatch cycle
 
-    def turn(self) -> dict[int, tuple[PendingMessage, list[ReplyHandle]]]:
+    def take_arrived(self) -> dict[int, tuple[PendingMessage, list[ReplyHandle]]]:
         """Return and reset the messages that arrived since the last dispatch cycle, to reply in this one."""
         arrived, self.arrived = self.arrived, {}
-        self.arriving.clear()
+        self.arriving_ids.clear()
         self.arriving_keys.clear()
         return arrived
 
-    def answer(
+    def apply_decisions(
         self, arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]], actions: Iterable[Action]
     ) -> None:
         """Reject the messages that the engine rejects or fails, and accept the others."""
         for action in actions:
             if isinstance(action, (Reject, Fail)) and action.message in arrived:
                 message, replies = arrived.pop(action.message)
-                self.figures.ended(DECLINED if isinstance(action, Reject) else ABORTED, message.class_index)
+                self.metrics.count_completion(
+                    DECLINED if isinstance(action, Reject) else ABORTED, message.class_index
+                )
                 for reply in replies:
                     if isinstance(action, Reject):
                         reply.busy(action.retry_after_us)
                     else:
                         reply.failed()
         for message, replies in arrived.values():
-            self.take(message, replies)
+            self.accept(message, replies)
 
-    def take(
+    def accept(
         self, message: PendingMessage, replies: list[ReplyHandle], then: Callable[[], None] = lambda: None
     ) -> None:
         """Accept a message: record it, then send the replies and call `then`."""
         if not any(reply.wanted for reply in replies):
-            self.tell(MessageWithdrawn(message.number))  # no client waits for the reply any more
+            self.post_event(MessageWithdrawn(message.number))  # no client waits for the reply any more
             return
 
         def accepted() -> None:
-            self.ends.guard(message)
+            self.completions.start_deadline_timer(message)
             for reply in replies:
                 reply.taken()
             then()
@@ -226,15 +230,15 @@
         def rejected(error: OSError) -> None:
             log.error("journal write failed; message not accepted: %s", error)
             self.attempts.forget(message.number)
-            self.tell(MessageWithdrawn(message.number))
+            self.post_event(MessageWithdrawn(message.number))
             if isinstance(
                 error, UnconfirmedError
             ):  # recorded, but not confirmed: it gets an outcome, and clients no acceptance
-                self.ends.end(message, "undeliverable", 0)
+                self.completions.complete(message, "undeliverable", 0)
                 for reply in replies:
                     reply.failed(str(error))
                 return
-            self.figures.ended(DECLINED, message.class_index)
+            self.metrics.count_completion(DECLINED, message.class_index)
             for reply in replies:
                 reply.busy(self.retry_after_us())
 
--- a/madderbeam/host/attempts.py
+++ b/madderbeam/host/attempts.py
@@ -35,35 +35,42 @@
         metrics: Metrics,
     ) -> None:
         """`after_attempt` is called after each attempt that has ended; it may have been the last open one."""
-        self.s, self.journal, self.listing, self.ends = settings, journal, registry, completions
-        self.figures = metrics
-        self.tell, self.over = post_event, after_attempt
+        self.settings, self.journal, self.registry, self.completions = (
+            settings,
+            journal,
+            registry,
+            completions,
+        )
+        self.metrics = metrics
+        self.post_event, self.after_attempt = post_event, after_attempt
         self.calls: Calls  # set by the caller, since Calls in turn needs callbacks of this object
-        self.numbers: dict[int, int] = {}  # next attempt number by message, in step with the engine's count
+        self.next_numbers: dict[
+            int, int
+        ] = {}  # next attempt number by message, in step with the engine's count
 
     def forget(self, number: int) -> None:
         """Drop the attempt count of a message that is completed."""
-        self.numbers.pop(number, None)
+        self.next_numbers.pop(number, None)
 
-    def newest(self, number: int) -> int:
+    def newest_attempt(self, number: int) -> int:
         """Return the number of the message's newest attempt, -1 if there was none in this process."""
-        return self.numbers.get(number, 0) - 1
+        return self.next_numbers.get(number, 0) - 1
 
-    def flush(self, bundles: dict[int, list[Item]]) -> None:
+    def send_bundles(self, bundles: dict[int, list[Item]]) -> None:
         """Send the bundles of one dispatch cycle, by endpoint: one call for up to a full bundle."""
         for endpoint, items in bundles.items():
-            max_items = self.listing.batch(endpoint)
+            max_items = self.registry.max_batch(endpoint)
             for start in range(0, len(items), max_items):
                 self._call(endpoint, items[start : start + max_items])
 
     def send(self, action: Send, bundles: dict[int, list[Item]]) -> None:
         """Send an attempt at once, or add it to `bundles` if the endpoint takes several messages a call."""
         message = self.journal.pending.get(action.message)
-        attempt = self.numbers.get(action.message, message.attempts if message else 0)
+        attempt = self.next_numbers.get(action.message, message.attempts if message else 0)
         if message is not None and not message.status:  # a completed message gets no further attempt numbers
-            self.numbers[action.message] = attempt + 1
-        if message is None or message.status or self.ends.blocked(message):
-            self.tell(
+            self.next_numbers[action.message] = attempt + 1
+        if message is None or message.status or self.completions.is_blocked_by_order(message):
+            self.post_event(
                 AttemptEnded(
                     action.message, attempt, action.endpoint, AttemptResult.NOT_SENT, 0, message is None
                 )
@@ -79,7 +86,7 @@
             action.new_connection_timeout_us,
             action.requires_new_connection,
         )
-        if self.listing.batch(action.endpoint) > 1:
+        if self.registry.max_batch(action.endpoint) > 1:
             bundles.setdefault(action.endpoint, []).append(item)
         else:
             self._call(action.endpoint, [item])
@@ -89,7 +96,7 @@
 
         def time_left_us(item: Item) -> int:
             until = pending[item.number].deadline_s
-            return wall.monotonic_us_at(until) - wall.monotonic_us() - 2 * self.s.tick_us
+            return wall.monotonic_us_at(until) - wall.monotonic_us() - 2 * self.settings.tick_us
 
         # No call outlasts an ordered message: else its attempt would still be in flight when the next one is
         # sent.
@@ -116,11 +123,11 @@
                 if not item.ended:
                     item.ended = True
                     result = AttemptResult.RESET if item.begun else AttemptResult.NOT_SENT
-                    self.ended(item, endpoint, Outcome(result), 0)
+                    self.attempt_ended(item, endpoint, Outcome(result), 0)
 
     # Callbacks of the calls
 
-    def begin(self, items: list[Item], decide: Callable[[bool], None]) -> None:
+    def record_start(self, items: list[Item], decide: Callable[[bool], None]) -> None:
         """Record that these attempts are about to be written, then call `decide`: False if they can't be.
 
         Within a dispatch cycle `decide` is called at the cycle's end.
@@ -132,8 +139,8 @@
         if any(
             message is None
             or message.status
-            or self._key_s(message, message.possibly_executed_at) <= 0
-            or self.ends.blocked(message)
+            or self._key_window_left_s(message, message.possibly_executed_at) <= 0
+            or self.completions.is_blocked_by_order(message)
             for message in messages
         ):
             decide(False)
@@ -142,7 +149,7 @@
         def recorded() -> None:
             decide(True)
             for item in items:  # not written after all; a newer attempt's record must not be withdrawn
-                if not item.begun and self.newest(item.number) == item.attempt:
+                if not item.begun and self.newest_attempt(item.number) == item.attempt:
                     self.journal.attempt_not_executed(item.number)
 
         def failed(error: OSError) -> None:
@@ -151,17 +158,17 @@
 
         self.journal.attempt([item.number for item in items], self.journal.wall(), recorded, failed)
 
-    def _key_s(self, m: PendingMessage, ran_at: float) -> float:
+    def _key_window_left_s(self, m: PendingMessage, executed_at_s: float) -> float:
         """Return the seconds left of the message's idempotency key window; infinity if it has none.
 
         The window starts at `ran_at`, the time of the attempt that was possibly executed.
         """
-        cls = self.s.classes[m.class_index]
-        if cls.idempotency is not Idempotency.WITH_KEY or not ran_at:
+        cls = self.settings.classes[m.class_index]
+        if cls.idempotency is not Idempotency.WITH_KEY or not executed_at_s:
             return math.inf
-        return ran_at + (cls.key_window_us - self.s.tick_us) / 1e6 - self.journal.wall()
+        return executed_at_s + (cls.key_window_us - self.settings.tick_us) / 1e6 - self.journal.wall()
 
-    def write_s(self, items: list[Item]) -> float:
+    def write_window_s(self, items: list[Item]) -> float:
         """Return the seconds left in which the last byte of a recorded attempt may be written.
 
         An attempt that reaches the endpoint after the key window has a second effect, however early its write
@@ -169,11 +176,14 @@
         """
         messages = [self.journal.pending.get(item.number) for item in items]
         return min(
-            (self._key_s(m, m.prior_execution_at) if m and not m.status else 0.0 for m in messages),
+            (
+                self._key_window_left_s(m, m.prior_execution_at) if m and not m.status else 0.0
+                for m in messages
+            ),
             default=math.inf,
         )
 
-    def ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
+    def attempt_ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
         """Complete the message of an attempt or report its result to the engine; latency in microseconds."""
         message = self.journal.pending.get(item.number)
         is_completed = outcome.over or message is None
@@ -183,7 +193,7 @@
             self.journal.attempt_not_executed(message.number)
         if is_completed:
             self.forget(item.number)
-        self.tell(
+        self.post_event(
             AttemptEnded(
                 item.number,
                 item.attempt,
@@ -196,14 +206,14 @@
                 outcome.spoilt,
             )
         )
-        self.over()
+        self.after_attempt()
 
     def _complete(self, m: PendingMessage, outcome: Outcome) -> None:
         if outcome.result is AttemptResult.OK and not m.status:
-            self.figures.ended(SUCCEEDED, m.class_index)
-        self.ends.done(m, outcome.result is AttemptResult.OK)
+            self.metrics.count_completion(SUCCEEDED, m.class_index)
+        self.completions.complete_without_notice(m, outcome.result is AttemptResult.OK)
 
-    def late(self, item: Item, outcome: Outcome) -> None:
+    def late_outcome(self, item: Item, outcome: Outcome) -> None:
         """Process an outcome that came after the attempt's timeout, in the response to its bundle.
 
         It counts if the message is not completed yet.
@@ -212,8 +222,8 @@
         if message and not message.status:
             self._complete(message, outcome)
             self.forget(message.number)
-            self.tell(MessageWithdrawn(message.number))
+            self.post_event(MessageWithdrawn(message.number))
 
-    def probed(self, endpoint: int, result: AttemptResult, latency: int) -> None:
+    def probe_ended(self, endpoint: int, result: AttemptResult, latency: int) -> None:
         """Report the result of a health check to the engine; latency in microseconds."""
-        self.tell(HealthCheckEnded(endpoint, result, latency))
+        self.post_event(HealthCheckEnded(endpoint, result, latency))
--- a/madderbeam/host/changes/applying.py
+++ b/madderbeam/host/changes/applying.py
@@ -13,7 +13,7 @@
 from madderbeam.changes.values import DRAINING, Endpoint, Snapshot
 from madderbeam.changes.values import READY as IN_SERVICE
 from madderbeam.host.changes.reading import settings_of, target_of
-from madderbeam.host.composition import remembered_s
+from madderbeam.host.composition import key_retention_s
 from madderbeam.host.host import Host
 from madderbeam.host.metrics import Metrics
 from madderbeam.journal.journal import KEY_RETENTION_MARGIN_S
@@ -51,7 +51,7 @@
     def readmit(self, uids: tuple[str, ...], snapshot: Snapshot) -> None:
         """Their drains are over: they come in as returning ones."""
         rows = [row for uid in uids if (row := snapshot.get(("endpoint", uid))) is not None]
-        self.host.list_changed([self._come(row, row, False) for row in rows])
+        self.host.entries_changed([self._come(row, row, False) for row in rows])
         self._cold(frozenset(uids))
 
     # The list
@@ -73,7 +73,7 @@
         if raw != routing(action.before):
             host.routing.configure(raw or NO_ROUTING)
         entries = [self._come(old, new, new.uid in action.held) for old, new in come]
-        host.list_changed([*gone, *entries])
+        host.entries_changed([*gone, *entries])
         self._cold(action.cold)
         for dest, address, until in waits:
             self._waits_on(after, dest, address, until)
@@ -81,51 +81,51 @@
             self._dests(after)
 
     def _gone(self, row: Endpoint) -> list[EndpointEntry]:
-        number = self.host.listing.uids.get(row.uid)
+        number = self.host.registry.uids.get(row.uid)
         if number is None:
             return []
-        self.host.gone(number)
+        self.host.remove_endpoint(number)
         return [EndpointEntry(number, row.dest, EndpointState.GONE)]
 
     def _come(self, old: Endpoint | None, new: Endpoint, held: bool) -> EndpointEntry:
         """An endpoint that is new, or that is otherwise where it is."""
-        listing, calls = self.host.listing, self.host.calls
-        if new.uid in listing.bans or any(row.topic or row.topics for row in (old or new, new)):
-            [(entry, address)] = listing.read({"targets": [target_of(new, DRAINING if held else "")]})
+        listing, calls = self.host.registry, self.host.calls
+        if new.uid in listing.disabled or any(row.topic or row.topics for row in (old or new, new)):
+            [(entry, address)] = listing.apply({"targets": [target_of(new, DRAINING if held else "")]})
         else:
-            number = listing.number(new.uid)
+            number = listing.number_of(new.uid)
             state = READY if new.state == IN_SERVICE and not held else EndpointState.DRAINING
             entry = EndpointEntry(
                 number,
                 new.dest,
                 state,
                 new.per_s,
-                listing.kinds.get(new.kind, 0),
-                listing.zones.get(new.zone, 0),
+                listing.kind_numbers.get(new.kind, 0),
+                listing.zone_numbers.get(new.zone, 0),
             )
             listing.entries[number] = entry
             listing.dests.add(new.dest)
             listing.told.pop(number, None)
-            listing.drains_passed_on.pop(new.uid, None)
+            listing.relayed_drains.pop(new.uid, None)
             address = None
         if old is None:
             address = address or fields.address(new.address) or ("", 0)
             calls.place(entry.endpoint, address, new.topic, entry.destination)
-            self.host.routing.placed([(entry, address)])
+            self.host.routing.set_addresses([(entry, address)])
         if entry.state is EndpointState.DRAINING:
             calls.close_idle(entry.endpoint)
         return entry
 
     def _cold(self, uids: frozenset[str]) -> None:
-        listing = self.host.listing
+        listing = self.host.registry
         entries = [listing.entries[listing.uids[uid]] for uid in sorted(uids) if uid in listing.uids]
         cold = [replace(e, recovering=True) for e in entries if e.state is EndpointState.READY]
         if cold:
-            self.host.list_told(ListUpdateKind.DELTA, cold)
+            self.host.post_list_update(ListUpdateKind.DELTA, cold)
 
     def _wait(self, row: Endpoint) -> list[tuple[int, str, int]]:
         """A wait that was told by one endpoint alone, and still runs."""
-        listing = self.host.listing
+        listing = self.host.registry
         until = listing.waits.get((row.dest, listing.uids.get(row.uid, -1)), 0)
         return [(row.dest, row.address, until)] if until > self.host.clock() else []
 
@@ -133,25 +133,27 @@
         """It counts for whoever is at the same address of the same destination."""
         for row in after.endpoints.values():
             if (row.dest, row.address) == (dest, address):
-                self.host.list_told(ListUpdateKind.DELTA, self.host.listing.told_again(dest, row.uid, until))
+                self.host.post_list_update(
+                    ListUpdateKind.DELTA, self.host.registry.adopt_retry_after(dest, row.uid, until)
+                )
 
     def _dests(self, after: Snapshot) -> None:
         """A message for a destination that has gone altogether is turned down."""
         if len(after.endpoints):
-            self.host.listing.dests &= {row.dest for row in after.endpoints.values()}
+            self.host.registry.dests &= {row.dest for row in after.endpoints.values()}
 
     # Settings
 
     def _settings(self, snapshot: Snapshot) -> None:
         host = self.host
-        s = settings_of(host.s, snapshot)
+        s = settings_of(host.settings, snapshot)
         host.config = host.routing.config = replace(host.config, settings=s)
-        host.s = host.admission.s = host.attempts.s = host.listing.s = s
-        host.listing.kinds = {k.name: n for n, k in enumerate(s.kinds)}
+        host.settings = host.admission.settings = host.attempts.settings = host.registry.settings = s
+        host.registry.kind_numbers = {k.name: n for n, k in enumerate(s.kinds)}
         self._decisions(s)
-        _figures(host.figures, s)
+        _figures(host.metrics, s)
         host.journal.key_retention_s = max(
-            host.journal.key_retention_s, remembered_s(s) + KEY_RETENTION_MARGIN_S
+            host.journal.key_retention_s, key_retention_s(s) + KEY_RETENTION_MARGIN_S
         )
         if (quota := self._quota_room()) is not None:
             quota.config = host.config
@@ -168,10 +170,10 @@
 
     def _zones(self, named: set[str]) -> None:
         """A zone that is new gets the next number."""
-        listing = self.host.listing
+        listing = self.host.registry
         if new := named - set(listing.zone_names):
             listing.zone_names += tuple(sorted(new))
-            listing.zones = {z: n for n, z in enumerate(listing.zone_names)}
+            listing.zone_numbers = {z: n for n, z in enumerate(listing.zone_names)}
 
     def _quota(self, raw: dict[str, Any] | None) -> None:
         """A gate made anew goes on from what the one before has saved."""
@@ -179,14 +181,14 @@
         old = self._quota_room()
         if old is not None:
             old.save()
-            host.rooms.remove(old)
-            host.admission.gates.remove(old)
+            host.components.remove(old)
+            host.admission.checks.remove(old)
         host.config = replace(host.config, quota=raw or None)
         if raw:
             importlib.import_module(QUOTA).join(host, self.ports)
 
     def _quota_room(self) -> Any:
-        return next((room for room in self.host.rooms if type(room).__module__ == QUOTA), None)
+        return next((room for room in self.host.components if type(room).__module__ == QUOTA), None)
 
 
 def _moved(old: Endpoint, new: Endpoint) -> bool:
@@ -200,5 +202,5 @@
 def _figures(figures: Metrics, s: Settings) -> None:
     """Counts go on; a new class begins at none."""
     figures.classes = tuple(c.name for c in s.classes)
-    for counts in figures.ends.values():
+    for counts in figures.completed.values():
         counts += [0] * (len(figures.classes) - len(counts))
--- a/madderbeam/host/changes/component.py
+++ b/madderbeam/host/changes/component.py
@@ -63,7 +63,7 @@
         return int((wall() - (self.host.clock() - now_us) / 1e6) * 1e3)
 
     def _later(self, seconds: float, action: Callable[[], None]) -> None:
-        self.host.later(seconds, lambda: action() if not self.runner.closed else None)
+        self.host.schedule(seconds, lambda: action() if not self.runner.closed else None)
 
     # As a room
 
@@ -92,14 +92,14 @@
         if self.started:
             self.file.look()
 
-    def look(self) -> None:
+    def reload_files(self) -> None:
         self.file.look()
 
     def close(self) -> None:
         self.runner.close()
         self.kept.close()
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         ends = Counter(o.what for o in self.machine.past.values())
         return {
             "changes.version": self.machine.current.version,
@@ -149,7 +149,7 @@
     """The courier's configuration changes by way of its room, and its list by that alone."""
     room = ChangesComponent(host, ports)
     host.watch.told = room.listed
-    host.admission.taken_up.append(room.admitted)
-    host.service.calls |= room.calls.table()
+    host.admission.numbered_listeners.append(room.admitted)
+    host.admin_service.calls |= room.calls.table()
     host.control.most = max(host.control.most, CALL_MOST)
-    host.rooms.append(room)
+    host.components.append(room)
--- a/madderbeam/host/changes/facts.py
+++ b/madderbeam/host/changes/facts.py
@@ -37,21 +37,21 @@
             self.host.calls.hooks.ended = self._ended if on else self.ended
 
     def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
-        uid = self.host.listing.names.get(endpoint)
+        uid = self.host.registry.names.get(endpoint)
         if uid is not None and outcome.result not in UNTOLD:
             ended, failed = self.calls.get(uid, (0, 0))
             self.calls[uid] = ended + 1, failed + (outcome.result in FAILED)
         self.ended(item, endpoint, outcome, latency)
 
     def _refused(self) -> int:
-        return sum(self.host.figures.ends[DECLINED])
+        return sum(self.host.metrics.completed[DECLINED])
 
     def facts(self) -> Facts:
         """As it is at this instant."""
         host, courier = self.host, self.host.courier
         avoided = set(courier.ejected_endpoints())
         ready: dict[int, int] = {}
-        for number, entry in host.listing.entries.items():
+        for number, entry in host.registry.entries.items():
             if entry.state is EndpointState.READY and number not in avoided:
                 ready[entry.destination] = ready.get(entry.destination, 0) + 1
         at, refused = self.samples[0]
@@ -67,5 +67,5 @@
             dict(self.calls),
             now,
             (now - refused) / max(1.0, host.loop.time() - at),
-            host.s.max_pending,
+            host.settings.max_pending,
         )
--- a/madderbeam/host/completions.py
+++ b/madderbeam/host/completions.py
@@ -15,7 +15,7 @@
 from madderbeam.transport.discovery import Notices
 from madderbeam.transport.local import Feed
 
-SETTLE_S = 0.05  # interval at which an outcome that the disk refuses is recorded again
+RECORD_RETRY_S = 0.05  # interval at which an outcome that the disk refuses is recorded again
 OVERDUE_S = 0.1  # after its deadline a message without an outcome is completed here, as a last resort
 log = logging.getLogger(__name__)
 
@@ -36,65 +36,65 @@
         on_completed: Callable[[int], None],
         metrics: Metrics,
     ) -> None:
-        self.loop, self.journal, self.notices, self.tell, self.ended = (
+        self.loop, self.journal, self.notices, self.post_event, self.on_completed = (
             loop,
             journal,
             notices,
             post_event,
             on_completed,
         )
-        self.figures = metrics
-        self.guards: dict[int, asyncio.TimerHandle] = {}
+        self.metrics = metrics
+        self.deadline_timers: dict[int, asyncio.TimerHandle] = {}
         self.closed = False
-        self.unsettled: dict[int, PendingMessage] = {}  # completed, with the outcome not recorded yet
-        self.tellers: list[CompletionListener] = []  # for messages that no client submitted here
+        self.unrecorded: dict[int, PendingMessage] = {}  # completed, with the outcome not recorded yet
+        self.listeners: list[CompletionListener] = []  # for messages that no client submitted here
 
     # Deadline timers
 
-    def guard(self, m: PendingMessage) -> None:
+    def start_deadline_timer(self, m: PendingMessage) -> None:
         """Complete the message as undeliverable if it has no outcome shortly after its deadline."""
         delay = max(0.0, m.deadline_s + OVERDUE_S - self.journal.wall())
-        self.guards[m.number] = self.loop.call_later(delay, self._overdue, m.number)
+        self.deadline_timers[m.number] = self.loop.call_later(delay, self._overdue, m.number)
 
     def close(self) -> None:
         """Stop all timers and records, because another process has taken over the messages."""
         self.closed = True
-        for timer in self.guards.values():
+        for timer in self.deadline_timers.values():
             timer.cancel()
 
-    def unguard(self, number: int) -> None:
+    def cancel_deadline_timer(self, number: int) -> None:
         """Cancel the deadline timer of a message."""
-        if guard := self.guards.pop(number, None):
+        if guard := self.deadline_timers.pop(number, None):
             guard.cancel()
 
     def _overdue(self, number: int) -> None:
         message = self.journal.pending.get(number)
         if message and not message.status:
             log.error("message %s has no outcome, completing it as undeliverable", message.id)
-            self.tell(MessageWithdrawn(number))
-            self.end(message, "undeliverable", 0)
+            self.post_event(MessageWithdrawn(number))
+            self.complete(message, "undeliverable", 0)
 
     # Completion with a notice
 
-    def final(self, action: Reject | Fail) -> None:
+    def complete_by_decision(self, action: Reject | Fail) -> None:
         """Complete a message that the engine rejects or fails."""
         message = self.journal.pending.get(action.message)
         if message is None or message.status:
             return
         if isinstance(action, Reject):
-            self.end(message, "deferred", -(-action.retry_after_us // 1000))
+            self.complete(message, "deferred", -(-action.retry_after_us // 1000))
         else:
-            self.end(message, "undeliverable", 0)
+            self.complete(message, "undeliverable", 0)
 
-    def end(self, m: PendingMessage, status: str, again_ms: int) -> None:
+    def complete(self, m: PendingMessage, status: str, retry_after_ms: int) -> None:
         """Complete a message with a notice of this status; `again_ms` is its Retry-After."""
-        self.figures.ended(DECLINED if status == "deferred" else ABORTED, m.class_index)
-        self.unguard(m.number)
-        self.ended(m.number)
-        self.journal.set_outcome(m, status, again_ms)
-        self._settle(m, status, again_ms)
+        self.metrics.count_completion(DECLINED if status == "deferred" else ABORTED, m.class_index)
+        self.cancel_deadline_timer(m.number)
+        self.on_completed(m.number)
+        self.journal.set_outcome(m, status, retry_after_ms)
+        self._record_outcome(m, status, retry_after_ms)
 
-    def _settle(self, message: PendingMessage, status: str, again_ms: int) -> None:
+    def _record_outcome(self, message: PendingMessage, status: str, retry_after_ms: int) -> None:
         """Record the outcome, then send its notice.
 
         Without the record a restart would send a rejected message again, besides the one that its client
@@ -106,48 +106,50 @@
         self.journal.record_outcome(
             message.number,
             status,
-            again_ms,
-            lambda: self._notify(message),
-            lambda error: self._unsettled(message, status, again_ms, error),
+            retry_after_ms,
+            lambda: self._outcome_recorded(message),
+            lambda error: self._outcome_not_recorded(message, status, retry_after_ms, error),
         )
 
-    def _unsettled(self, m: PendingMessage, status: str, again_ms: int, error: OSError) -> None:
+    def _outcome_not_recorded(
+        self, m: PendingMessage, status: str, retry_after_ms: int, error: OSError
+    ) -> None:
         log.error("journal write failed; outcome not recorded: %s", error)
         if self.journal.wall() < m.deadline_s:
-            self.unsettled[m.number] = m
-            self.loop.call_later(SETTLE_S, self._settle, m, status, again_ms)
+            self.unrecorded[m.number] = m
+            self.loop.call_later(RECORD_RETRY_S, self._record_outcome, m, status, retry_after_ms)
         else:  # no record holds the outcome until the notice is accepted: the next message of an order waits
-            self.unsettled[m.number] = m
+            self.unrecorded[m.number] = m
             m.status, m.retry_after_ms = "undeliverable", 0
             self.notify(m)
 
-    def accepted(self, numbers: list[int]) -> None:
+    def notices_accepted(self, numbers: list[int]) -> None:
         """The notices of these messages were accepted: an outcome without a record needs none any more."""
         for number in numbers:
-            self.unsettled.pop(number, None)
+            self.unrecorded.pop(number, None)
 
-    def _notify(self, m: PendingMessage) -> None:
-        self.unsettled.pop(m.number, None)
+    def _outcome_recorded(self, m: PendingMessage) -> None:
+        self.unrecorded.pop(m.number, None)
         self.notify(m)
 
     def notify(self, m: PendingMessage) -> None:
         """Report the recorded outcome: to a completion listener, else by a notice."""
-        if not any(handles(m, m.status) for handles in self.tellers):
+        if not any(handles(m, m.status) for handles in self.listeners):
             self.notices.add(m.number, m.id, m.status, m.retry_after_ms)
 
-    def over(self, numbers: list[int]) -> None:
+    def outcomes_stored(self, numbers: list[int]) -> None:
         """Remove messages whose outcomes the completion listeners have stored."""
-        self.accepted(numbers)
+        self.notices_accepted(numbers)
         self.journal.complete_all(numbers)
 
-    def blocked(self, m: PendingMessage) -> bool:
+    def is_blocked_by_order(self, m: PendingMessage) -> bool:
         """Whether the message must wait until the outcome of an earlier message of its order is recorded."""
-        return bool(m.order_key) and any(x.order_key == m.order_key for x in self.unsettled.values())
+        return bool(m.order_key) and any(x.order_key == m.order_key for x in self.unrecorded.values())
 
     # Completion without a notice
 
-    def done(self, m: PendingMessage, delivered: bool = False) -> None:
+    def complete_without_notice(self, m: PendingMessage, delivered: bool = False) -> None:
         """Complete a message that was delivered or withdrawn; its client gets no notice."""
-        self.unguard(m.number)
-        if not any(handles(m, "" if delivered else "undeliverable") for handles in self.tellers):
+        self.cancel_deadline_timer(m.number)
+        if not any(handles(m, "" if delivered else "undeliverable") for handles in self.listeners):
             self.journal.complete(m.number)
--- a/madderbeam/host/components.py
+++ b/madderbeam/host/components.py
@@ -54,7 +54,7 @@
 class AdmissionCheck(Protocol):
     """Checks each message before it is journaled; the engine gets only messages that pass all checks."""
 
-    def ask(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
+    def check(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
         """Whether a message of `size` bytes passes; a message that passes is counted."""
         ...
 
@@ -63,23 +63,23 @@
     """An optional part of a courier, created where it is configured; every hook does nothing by default."""
 
     @property
-    def fronts(self) -> Sequence[ClientListener]:
+    def listeners(self) -> Sequence[ClientListener]:
         """The client listeners of this component."""
         return ()
 
     def open(self) -> None:
         """Begin to listen; all pending messages are restored. OSError if that fails."""
 
-    def look(self) -> None:
+    def reload_files(self) -> None:
         """Handle SIGHUP: the files that this component reads may have changed."""
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Prepare for a planned shutdown: the process exits within seconds."""
 
     def close(self) -> None:
         """Release all resources at once."""
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Return this component's metrics by name."""
         return {}
 
--- a/madderbeam/host/composition.py
+++ b/madderbeam/host/composition.py
@@ -62,25 +62,33 @@
     )
     _create_state(host, ports)
     network = Sparing(ports.network, lambda: host.clients.make_room() or host.calls.spare())
-    environment = create_environment(loop, ports.disk, network, config, host.accepted, host.listed)
+    environment = create_environment(
+        loop, ports.disk, network, config, host.notices_accepted, host.apply_list
+    )
     host.notices, host.watch = environment.notices, environment.watch
-    host.ends = Completions(
-        loop, host.journal, host.notices, host.tell, lambda n: host.attempts.forget(n), host.figures
+    host.completions = Completions(
+        loop, host.journal, host.notices, host.post_event, lambda n: host.attempts.forget(n), host.metrics
     )
     host.attempts = Attempts(
-        settings, host.journal, host.listing, host.ends, host.tell, host.maybe_exit, host.figures
+        settings,
+        host.journal,
+        host.registry,
+        host.completions,
+        host.post_event,
+        host.maybe_exit,
+        host.metrics,
     )
     hooks = Hooks(
-        host.listing.may_write,
-        host.attempts.begin,
-        host.attempts.ended,
-        host.told_wait,
-        host.attempts.probed,
-        host.attempts.late,
-        host.told_load,
-        host.listing.waited,
-        host.figures.forwarded,
-        host.attempts.write_s,
+        host.registry.may_write,
+        host.attempts.record_start,
+        host.attempts.attempt_ended,
+        host.apply_retry_after,
+        host.attempts.probe_ended,
+        host.attempts.late_outcome,
+        host.apply_load_report,
+        host.registry.is_under_retry_after,
+        host.metrics.count_forwarded,
+        host.attempts.write_window_s,
     )
     host.calls = Calls(
         loop,
@@ -94,31 +102,31 @@
     host.admission = Admission(
         settings,
         host.journal,
-        host.listing,
-        host.ends,
+        host.registry,
+        host.completions,
         host.attempts,
         host.calls.cancel,
-        host.tell,
+        host.post_event,
         host.courier.admission.retry_after_us,
-        host.figures,
+        host.metrics,
         host.routing,
     )
-    host.clients = ClientServer(loop, ports.network, host.admission.put, environment.client_limits)
-    host.fronts.append(host.clients)
+    host.clients = ClientServer(loop, ports.network, host.admission.submit, environment.client_limits)
+    host.listeners.append(host.clients)
     _create_admin_service(host, control or ControlServer(loop, ports.network))
     for field, module in COMPONENT_MODULES.items():
         if getattr(config, field) is not None:
             importlib.import_module(module).join(host, ports)
-    host.fronts += [listener for component in host.rooms for listener in component.fronts]
+    host.listeners += [listener for component in host.components for listener in component.listeners]
     return host
 
 
 def _create_state(host: Host, ports: Ports) -> None:
     """Create the journal and the registries of the host."""
-    config, settings = host.config, host.s
+    config, settings = host.config, host.settings
     max_journal_bytes = config.disk_bytes - (RESERVED_BYTES if config.control else 0)
-    host.bans = DisabledEndpoints(ports.disk, config.state)
-    host.figures = Metrics([cls.name for cls in settings.classes])
+    host.disabled_endpoints = DisabledEndpoints(ports.disk, config.state)
+    host.metrics = Metrics([cls.name for cls in settings.classes])
     journal: Callable[..., Journal] = Journal
     if config.standby is not None:
         journal = importlib.import_module("madderbeam.host.standby.journal").ReplicatedJournal
@@ -127,29 +135,38 @@
         ports.clock,
         config.state,
         max_journal_bytes,
-        remembered_s(settings),
-        host.later,
+        key_retention_s(settings),
+        host.schedule,
         bool(config.sidecar and config.sidecar.sync),
     )
     # A sidecar's endpoints may have a hostname as address.
-    host.listing = EndpointRegistry(
-        settings, config.zones, host.clock, host.bans, parse_address if config.sidecar else dialed_address
+    host.registry = EndpointRegistry(
+        settings,
+        config.zones,
+        host.clock,
+        host.disabled_endpoints,
+        parse_address if config.sidecar else dialed_address,
     )
-    host.routing = Routing(config, host.listing, ports.clock)
+    host.routing = Routing(config, host.registry, ports.clock)
 
 
 def _create_admin_service(host: Host, control: ControlServer) -> None:
     """Create the service of the admin address, for operators."""
     host.drain = Drain(host.clients)
-    host.service = AdminService(
-        host.listing, host.bans, host.drain, host.ready, host.all_figures, host.apply_operator_change
+    host.admin_service = AdminService(
+        host.registry,
+        host.disabled_endpoints,
+        host.drain,
+        host.is_ready,
+        host.metrics_text,
+        host.apply_operator_change,
     )
     host.control = control
-    control.act = host.service.act
+    control.act = host.admin_service.handle
     control.spare = lambda: host.clients.make_room() or host.calls.spare()
 
 
-def remembered_s(settings: Settings) -> float:
+def key_retention_s(settings: Settings) -> float:
     """Return the seconds for which the key of a possibly executed attempt is remembered.
 
     The key's window alone is too short: a client may submit the key again until the message's deadline, and
--- a/madderbeam/host/config_reload.py
+++ b/madderbeam/host/config_reload.py
@@ -36,7 +36,7 @@
         self.backoff = Backoff(rng)
         self.timer: asyncio.TimerHandle | None = None
 
-    def hup(self) -> None:
+    def reload(self) -> None:
         """Handle a SIGHUP: read the file at once."""
         self.backoff.reset()
         self.is_counted = False
--- a/madderbeam/host/endpoint_registry.py
+++ b/madderbeam/host/endpoint_registry.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from madderbeam.config.platform import ConfigError, dialed_address
-from madderbeam.host.rate_limits import ReportedRates, told
+from madderbeam.host.rate_limits import ReportedRates, reported_rate
 from madderbeam.policy.events import EndpointEntry, EndpointState
 from madderbeam.policy.settings import DestinationKind, Settings
 from madderbeam.ports import Address
@@ -22,7 +22,7 @@
 READY = EndpointState.READY
 # What parsing a malformed entry may raise.
 UNREADABLE = (LookupError, TypeError, ValueError, OverflowError, AttributeError, ConfigError)
-EVER = 4096  # most recent endpoint ids that are remembered as once listed
+MAX_REMEMBERED_IDS = 4096  # most recent endpoint ids that are remembered as once listed
 log = logging.getLogger(__name__)
 
 
@@ -41,9 +41,14 @@
         disabled: Container[str] = (),
         parse_address: Callable[[Any, str], Address] = dialed_address,
     ) -> None:
-        self.s, self.clock, self.bans, self.address = settings, clock, disabled, parse_address
-        self.kinds = {kind.name: number for number, kind in enumerate(settings.kinds)}
-        self.zones = {zone: number for number, zone in enumerate(zones)}
+        self.settings, self.clock, self.disabled, self.parse_address = (
+            settings,
+            clock,
+            disabled,
+            parse_address,
+        )
+        self.kind_numbers = {kind.name: number for number, kind in enumerate(settings.kinds)}
+        self.zone_numbers = {zone: number for number, zone in enumerate(zones)}
         self.zone_names = tuple(zones)
         self.uids: dict[str, int] = {}  # numbers by id
         self.names: dict[int, str] = {}  # ids by number
@@ -54,25 +59,27 @@
         self.told: dict[int, EndpointState] = {}
         self.dests: set[int] = set()  # once listed; a destination without endpoints may get some again
         self.topics: dict[int, str] = {}  # topics of Kafka partners' endpoints
-        self.subscribed: dict[int, tuple[str, ...]] = {}  # federation topics that an endpoint subscribes to
-        self.limits = ReportedRates()  # by the same key as the Retry-After times
+        self.subscribed_topics: dict[
+            int, tuple[str, ...]
+        ] = {}  # federation topics that an endpoint subscribes to
+        self.reported_rates = ReportedRates()  # by the same key as the Retry-After times
         self.waits: dict[tuple[int, int], int] = {}  # end of the Retry-After, by destination or route
         # Removed endpoints: the key of their Retry-After, and until when a call to them may be in flight.
-        self.left: dict[int, tuple[tuple[int, int], int]] = {}
-        self.longest_us = max(cls.deadline_us for cls in settings.classes)
+        self.removed: dict[int, tuple[tuple[int, int], int]] = {}
+        self.longest_deadline_us = max(cls.deadline_us for cls in settings.classes)
         # Whether this courier serves a destination now; set where another courier may serve it.
-        self.serves: Callable[[int], bool] | None = None
+        self.is_served: Callable[[int], bool] | None = None
         # Ids that another courier saw draining, until this courier's own list has an entry of them.
-        self.drains_passed_on: dict[str, None] = {}
+        self.relayed_drains: dict[str, None] = {}
         # The rate of an entry to show to the engine, where several couriers share a destination's rate.
-        self.rate: Callable[[EndpointEntry], float] | None = None
+        self.shared_rate: Callable[[EndpointEntry], float] | None = None
         # Adds the findings of other couriers to an entry for the engine.
-        self.learnt: Callable[[EndpointEntry], EndpointEntry] | None = None
-        self.strange: set[str] = set()  # malformed entries that have been logged
+        self.add_shared_findings: Callable[[EndpointEntry], EndpointEntry] | None = None
+        self.malformed: set[str] = set()  # malformed entries that have been logged
         # Whether the newest list had a malformed entry that is new: then the list should be sent again.
-        self.puzzled = False
+        self.has_new_malformed = False
 
-    def read(self, change: dict[str, Any]) -> list[tuple[EndpointEntry, Address | None]]:
+    def apply(self, change: dict[str, Any]) -> list[tuple[EndpointEntry, Address | None]]:
         """Apply the well-formed entries of a change; return them with their addresses.
 
         The address is None where it stays as it was: a malformed entry may still drain or remove its
@@ -92,12 +99,14 @@
             parsed.append((entry, address))
             self.entries[entry.endpoint] = entry
             self.dests.add(entry.destination)
-        for text in malformed - self.strange:
+        for text in malformed - self.malformed:
             log.error("discovery: malformed entry; its endpoint is kept, drained or removed: %s", text)
-        self.puzzled = not malformed <= self.strange
+        self.has_new_malformed = not malformed <= self.malformed
         # The malformed entries of a complete list replace all earlier ones.
-        self.strange = (
-            malformed if change.get("all") or len(self.strange) > EVER else self.strange | malformed
+        self.malformed = (
+            malformed
+            if change.get("all") or len(self.malformed) > MAX_REMEMBERED_IDS
+            else self.malformed | malformed
         )
         return parsed
 
@@ -106,23 +115,26 @@
         uid, capacity_hint = target["uid"], float(target.get("capacity_hint") or 0.0)
         if not uid or not isinstance(uid, str) or not 0 <= capacity_hint < math.inf:
             raise ValueError("invalid uid or capacity_hint")
-        kind, zone = self.kinds.get(target.get("model", ""), 0), self.zones.get(target.get("az", ""), 0)
+        kind, zone = (
+            self.kind_numbers.get(target.get("model", ""), 0),
+            self.zone_numbers.get(target.get("az", ""), 0),
+        )
         dest, state = int(target["pod_group"]), STATES[target["state"]]
-        address = self.address(target["endpoint"], "endpoint")
+        address = self.parse_address(target["endpoint"], "endpoint")
         topic, subscribed = str(target.get("topic") or ""), tuple(map(str, target.get("topics") or ()))
-        self.drains_passed_on.pop(uid, None)
-        number = self.number(uid)
+        self.relayed_drains.pop(uid, None)
+        number = self.number_of(uid)
         entry = EndpointEntry(number, dest, state, capacity_hint, kind, zone)
-        if self.s.load_report_fields:  # load reports replace the list's rate
-            entry = replace(entry, rate_per_s=self.limits[self._key(entry)])
+        if self.settings.load_report_fields:  # load reports replace the list's rate
+            entry = replace(entry, rate_per_s=self.reported_rates[self._limit_key(entry)])
         if topic:
             self.topics[number] = topic
         else:
             self.topics.pop(number, None)
         if subscribed:
-            self.subscribed[number] = subscribed
+            self.subscribed_topics[number] = subscribed
         else:
-            self.subscribed.pop(number, None)
+            self.subscribed_topics.pop(number, None)
         return self._with_disabled_state(uid, entry), address
 
     def _drained(self, target: dict[str, Any]) -> EndpointEntry:
@@ -132,14 +144,14 @@
             raise ValueError("the entry neither drains nor removes its endpoint")
         return self._with_disabled_state(target["uid"], replace(entry, state=state))
 
-    def number(self, uid: str) -> int:
+    def number_of(self, uid: str) -> int:
         """Return the endpoint's number; an id that is not listed gets a new one."""
         if uid not in self.uids:
             self.listed_ever += 1
             self.uids[uid], self.names[self.listed_ever] = self.listed_ever, uid
             self.ever.pop(uid, None)
             self.ever[uid] = None
-            if len(self.ever) > EVER:
+            if len(self.ever) > MAX_REMEMBERED_IDS:
                 del self.ever[next(iter(self.ever))]
         return self.uids[uid]
 
@@ -147,7 +159,7 @@
 
     def _with_disabled_state(self, uid: str, entry: EndpointEntry) -> EndpointEntry:
         """Return the entry as reported, or as draining if an operator has disabled its endpoint."""
-        if uid in self.bans:
+        if uid in self.disabled:
             return self._disabled(entry)
         self.told.pop(entry.endpoint, None)
         return entry
@@ -174,24 +186,24 @@
         return [entry]
 
     @property
-    def out_by_hand(self) -> set[int]:
+    def disabled_numbers(self) -> set[int]:
         """Numbers of the listed endpoints that an operator has disabled."""
         return {number for number in self.told if number in self.entries}
 
-    def kept(self, change: dict[str, Any], read: list[EndpointEntry]) -> list[EndpointEntry]:
+    def unchanged_entries(self, change: dict[str, Any], parsed: list[EndpointEntry]) -> list[EndpointEntry]:
         """Return the entries that a complete list leaves unchanged because its entries of them are malformed.
 
         If a malformed entry does not even have an id, all endpoints are kept. `read`: the well-formed
         entries.
         """
-        known = {e.endpoint for e in read}
+        known = {e.endpoint for e in parsed}
         ids = [t.get("uid") if isinstance(t, dict) else None for t in change.get("targets", [])]
         keeps_all, listed = not all(isinstance(uid, str) and uid for uid in ids), {str(uid) for uid in ids}
         return [
             e for n, e in self.entries.items() if n not in known and (keeps_all or self.names[n] in listed)
         ]
 
-    def unnamed(self, entries: list[EndpointEntry]) -> list[int]:
+    def unlisted(self, entries: list[EndpointEntry]) -> list[int]:
         """Return the known endpoints that are not among the entries of a complete list."""
         listed = {e.endpoint for e in entries}
         return [n for n in self.entries if n not in listed]
@@ -199,58 +211,64 @@
     def forget(self, endpoint: int) -> None:
         """Remove an endpoint that is no longer listed."""
         if endpoint in self.entries:
-            self.left[endpoint] = (self._wait_key(endpoint), self.clock() + self.longest_us)
+            self.removed[endpoint] = (
+                self._retry_after_key(endpoint),
+                self.clock() + self.longest_deadline_us,
+            )
             route = (self.entries.pop(endpoint).destination, endpoint)
             self.waits.pop(route, None)
-            self.limits.forget(route)
-            while next(iter(self.left.values()))[1] <= self.clock():
-                del self.left[next(iter(self.left))]
+            self.reported_rates.forget(route)
+            while next(iter(self.removed.values()))[1] <= self.clock():
+                del self.removed[next(iter(self.removed))]
         self.told.pop(endpoint, None)
         self.topics.pop(endpoint, None)
-        self.subscribed.pop(endpoint, None)
+        self.subscribed_topics.pop(endpoint, None)
         self.uids.pop(self.names.pop(endpoint, ""), None)  # ids are not reused
 
     def _kind(self, entry: EndpointEntry) -> DestinationKind:
-        return self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)]
+        return self.settings.kinds[min(entry.kind, len(self.settings.kinds) - 1)]
 
-    def zone(self, number: int) -> str:
+    def zone_name(self, number: int) -> str:
         """Return a zone's name, '' if it has none."""
         return self.zone_names[number] if number < len(self.zone_names) else ""
 
-    def batch(self, endpoint: int) -> int:
+    def max_batch(self, endpoint: int) -> int:
         """Return how many messages one call to the endpoint may hold."""
         entry = self.entries.get(endpoint)
         return self._kind(entry).max_batch if entry else 1
 
-    def shown(self, entry: EndpointEntry) -> EndpointEntry:
+    def as_shown_to_engine(self, entry: EndpointEntry) -> EndpointEntry:
         """Return the entry as the engine is to see it.
 
         An endpoint is shown as draining if this courier does not serve its destination now.
         """
-        is_hidden = self.serves is not None and not self.serves(entry.destination)
-        is_hidden = is_hidden or self.names.get(entry.endpoint, "") in self.drains_passed_on
-        if self.rate is not None:
-            entry = replace(entry, rate_per_s=self.rate(entry))
-        if self.learnt is not None:
-            entry = self.learnt(entry)
+        is_hidden = self.is_served is not None and not self.is_served(entry.destination)
+        is_hidden = is_hidden or self.names.get(entry.endpoint, "") in self.relayed_drains
+        if self.shared_rate is not None:
+            entry = replace(entry, rate_per_s=self.shared_rate(entry))
+        if self.add_shared_findings is not None:
+            entry = self.add_shared_findings(entry)
         return replace(entry, state=EndpointState.DRAINING) if is_hidden and entry.state is READY else entry
 
-    def told_load(self, endpoint: int, load: dict[str, float]) -> list[EndpointEntry]:
+    def apply_load_report(self, endpoint: int, load: dict[str, float]) -> list[EndpointEntry]:
         """Apply the load report of a response; return the entries whose rate it changes."""
         entry = self.entries.get(endpoint)
-        if entry is None or not self.s.load_report_fields:
+        if entry is None or not self.settings.load_report_fields:
             return []
-        key, values = self._key(entry), [load.get(name, 0.0) for name in self.s.load_report_fields]
-        if not self.limits.told(key, told(self.s.load_report_fields, values)):
+        key, values = (
+            self._limit_key(entry),
+            [load.get(name, 0.0) for name in self.settings.load_report_fields],
+        )
+        if not self.reported_rates.update(key, reported_rate(self.settings.load_report_fields, values)):
             return []
-        same_key = [other for other in self.entries.values() if self._key(other) == key]
-        changed = [replace(other, rate_per_s=self.limits[key]) for other in same_key]
+        same_key = [other for other in self.entries.values() if self._limit_key(other) == key]
+        changed = [replace(other, rate_per_s=self.reported_rates[key]) for other in same_key]
         self.entries.update({other.endpoint: other for other in changed})
         return changed
 
     # Retry-After
 
-    def told_again(self, dest: int, uid: str, until: int) -> tuple[EndpointEntry, ...]:
+    def adopt_retry_after(self, dest: int, uid: str, until: int) -> tuple[EndpointEntry, ...]:
         """Apply a Retry-After that another process received; return the entries under it.
 
         The id '' stands for a whole destination. A later end that was received here stays in force.
@@ -262,19 +280,21 @@
 
     def _with_retry_after(self, entries: list[EndpointEntry], until: int) -> tuple[EndpointEntry, ...]:
         """Return the entries with a Retry-After that ends at `until` or later."""
-        for key in {self._wait_key(e.endpoint) for e in entries}:
+        for key in {self._retry_after_key(e.endpoint) for e in entries}:
             self.waits[key] = max(self.waits.get(key, 0), until)
-        return tuple(replace(e, retry_after_until_us=self.waits[self._wait_key(e.endpoint)]) for e in entries)
+        return tuple(
+            replace(e, retry_after_until_us=self.waits[self._retry_after_key(e.endpoint)]) for e in entries
+        )
 
-    def _wait_key(self, endpoint: int) -> tuple[int, int]:
+    def _retry_after_key(self, endpoint: int) -> tuple[int, int]:
         entry = self.entries.get(endpoint)
-        return self.left.get(endpoint, ((-1, endpoint), 0))[0] if entry is None else self._key(entry)
+        return self.removed.get(endpoint, ((-1, endpoint), 0))[0] if entry is None else self._limit_key(entry)
 
-    def _key(self, entry: EndpointEntry) -> tuple[int, int]:
+    def _limit_key(self, entry: EndpointEntry) -> tuple[int, int]:
         """Return what a Retry-After and a rate apply to: a destination, or one route of it."""
         return (entry.destination, entry.endpoint if self._kind(entry).limits_per_endpoint else -1)
 
-    def waits_by_name(self) -> list[tuple[int, str, int]]:
+    def active_retry_after(self) -> list[tuple[int, str, int]]:
         """Return the active Retry-After times: destination, endpoint id or '' for all, and the end."""
         now = self.clock()
         return [
@@ -283,22 +303,22 @@
             if dest >= 0 and until > now
         ]
 
-    def told_wait(self, endpoint: int, wait_us: int) -> tuple[EndpointEntry, ...]:
+    def apply_retry_after(self, endpoint: int, wait_us: int) -> tuple[EndpointEntry, ...]:
         """Apply the Retry-After of a response; return the entries under it.
 
         An endpoint that is no longer listed still sets it for its destination.
         """
-        key = self._wait_key(endpoint)
-        affected = [e for e in self.entries.values() if self._wait_key(e.endpoint) == key]
+        key = self._retry_after_key(endpoint)
+        affected = [e for e in self.entries.values() if self._retry_after_key(e.endpoint) == key]
         return self._with_retry_after(affected, self.clock() + wait_us)
 
     def may_write(self, endpoint: int) -> bool:
         """Whether a call may be written now, after drains and Retry-After that came while it connected."""
         entry = self.entries.get(endpoint)
-        if entry is None or self.shown(entry).state is not READY:
+        if entry is None or self.as_shown_to_engine(entry).state is not READY:
             return False
-        return not self.waited(endpoint)
+        return not self.is_under_retry_after(endpoint)
 
-    def waited(self, endpoint: int) -> bool:
+    def is_under_retry_after(self, endpoint: int) -> bool:
         """Whether the endpoint is under an active Retry-After."""
-        return self.waits.get(self._wait_key(endpoint), 0) > self.clock()
+        return self.waits.get(self._retry_after_key(endpoint), 0) > self.clock()
--- a/madderbeam/host/federation/calls.py
+++ b/madderbeam/host/federation/calls.py
@@ -60,7 +60,7 @@
     def __init__(self, member: Member) -> None:
         self.member, self.me = member, member.config.id
         self.outcomes: dict[ProposalId, ProposalOutcome] = {}
-        service, control = member.host.service, member.host.control
+        service, control = member.host.admin_service, member.host.control
         control.most = max(control.most, CALL_MOST)
         service.calls |= {
             "/federation": ("GET", self._show),
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -203,7 +203,9 @@
         self.subscriptions = Subscriptions(self.me, self.life)
         self.tables = Tables(self.me.site, self.subscriptions.subscribers)
         backlog = Backlog(c.backlog_messages, c.backlog_bytes, away_again_us=c.wait_told_ms * 1000)
-        windows = [k.key_window_us for k in self.host.s.classes if k.idempotency is Idempotency.WITH_KEY]
+        windows = [
+            k.key_window_us for k in self.host.settings.classes if k.idempotency is Idempotency.WITH_KEY
+        ]
         settings = StreamSettings(room=backlog, keyed_window_us=min(windows, default=0))
         self.streams = Streams(settings, self.me, self.life, self._wall_ms, self.kept.map)
         self.custodian = Custodian(
@@ -289,8 +291,8 @@
     def listed(self) -> None:
         """The partner list may have other subscriptions."""
         topics: dict[str, set[int]] = {}
-        for number, named in self.host.listing.subscribed.items():
-            if entry := self.host.listing.entries.get(number):
+        for number, named in self.host.registry.subscribed_topics.items():
+            if entry := self.host.registry.entries.get(number):
                 for topic in named:
                     topics.setdefault(topic, set()).add(entry.destination)
         # Also where there is none: others wait for this site's word after their start.
@@ -300,10 +302,10 @@
         if self.started and self.shared is not None:
             self.shared.listed()
 
-    def look(self) -> None:
+    def reload_files(self) -> None:
         self.calls.offer_file()
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         for runner in (self.relay, self.members, *((self.leases,) if self.news is not None else ())):
             runner.tell(SetDraining(True))
 
@@ -319,7 +321,7 @@
         self.mesh.close()
         self.kept.close()
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         custody = {f"federation.{name}": count for name, count in self.custodian.figures.items()}
         mesh = {f"mesh.{name}": count for name, count in sorted(self.mesh.metrics().items())}
         return {
@@ -511,7 +513,7 @@
             action.table.digest,
             f", after {action.previous.number}" if action.previous else "",
         )
-        self.host.later(0, self.publications.sweep)
+        self.host.schedule(0, self.publications.sweep)
         if self.shared is not None:
             before = [t for t in self.switch.book.ledger.history if t.number < action.table.number]
             self.shared.table(action.table, tuple(t.members(self.me.site) for t in before))
@@ -526,7 +528,7 @@
     def _hold(self, action: SuspendServing) -> None:
         self.serving.keep(action)
         if not action.is_suspended:
-            self.host.later(0, self.publications.sweep)
+            self.host.schedule(0, self.publications.sweep)
 
     def _released(self, released: DestinationReleased) -> None:
         self.federation.tell(released)
@@ -555,15 +557,15 @@
     """A member of the federation that the configuration has."""
     assert host.config.federation is not None
     room = FederationComponent(host, ports, host.config.federation)
-    ended = host.ends.ended
+    ended = host.completions.on_completed
 
     def over(number: int) -> None:
         ended(number)
         room.publications.over(number)
 
-    host.ends.ended = over
-    host.ends.tellers.append(room.custody.ended)
-    host.admission.doors.append(room.publications.door)
-    host.claims.append(room.publications.claims)
-    host.on_list.append(room.listed)
-    host.rooms.append(room)
+    host.completions.on_completed = over
+    host.completions.listeners.append(room.custody.ended)
+    host.admission.interceptors.append(room.publications.door)
+    host.restore_handlers.append(room.publications.claims)
+    host.list_listeners.append(room.listed)
+    host.components.append(room)
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -154,12 +154,12 @@
         """A look now and then: each wakes the process, so that there are few where nothing happens."""
         if not self.closed:
             self._look_at_room()
-            self.host.later(CREDIT_S if self.same < QUIET else REST_S, self._credit)
+            self.host.schedule(CREDIT_S if self.same < QUIET else REST_S, self._credit)
 
     def _look_at_room(self) -> None:
         """How much more can be taken on."""
         host, journal = self.host, self.host.journal
-        room = max(0, host.s.max_pending - journal.open_count - len(host.admission.arrived) - SPARE)
+        room = max(0, host.settings.max_pending - journal.open_count - len(host.admission.arrived) - SPARE)
         left = max(0, (journal.limit_bytes - journal.files.used_bytes - journal.needed_bytes) // 2)
         now = Credit(room, left)
         self.same = self.same + 1 if now == self.told and room > SPARE and left > BODY_MOST else 0
@@ -205,7 +205,7 @@
             relayed=True,
         )
         try:
-            self.host.admission.put(put, Hand(self, work, dest))
+            self.host.admission.submit(put, Hand(self, work, dest))
         except BadRequest as error:
             work.open.discard(dest)
             self.turned_down(work, dest, str(error))
@@ -257,7 +257,7 @@
             self.tell(Taken(name, tuple(sorted(work.taken))))
             return
         work.open = set(busy)
-        self.host.later(max(AGAIN_S, after_us / 1e6), lambda: self._again(work))
+        self.host.schedule(max(AGAIN_S, after_us / 1e6), lambda: self._again(work))
 
     def _again(self, work: Expansion) -> None:
         for dest in sorted(work.open):
@@ -271,7 +271,7 @@
         found = self.deliveries.get(m.id)
         if found is None:
             if m.is_relayed:  # its record is gone, or was never written: nobody can be told
-                self.host.ends.over([m.number])
+                self.host.completions.outcomes_stored([m.number])
             return m.is_relayed
         if not status:
             result = Result.DELIVERED
@@ -298,7 +298,7 @@
                 if not told_here and m.id not in self.deliveries:
                     over.append(m.number)
         if over:
-            self.host.ends.over(over)
+            self.host.completions.outcomes_stored(over)
 
     # What this courier hands to itself
 
@@ -315,7 +315,7 @@
         if isinstance(message, Nak):
             publication = self.own.pop(message.seq, None)
             if publication is not None and self.host.clock() + message.after_us < publication.until_us:
-                self.host.later(max(AGAIN_S, message.after_us / 1e6), lambda: self.local(publication))
+                self.host.schedule(max(AGAIN_S, message.after_us / 1e6), lambda: self.local(publication))
         elif isinstance(message, Ends):
             for row in message.rows:
                 if not row.left:
--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -32,7 +32,7 @@
     def __init__(self, host: Host, leases: Leases, lease: Callable[[Any], None]) -> None:
         self.host, self.leases, self.lease = host, leases, lease
         self.members = 1
-        self.longest_s = max(c.deadline_us for c in host.s.classes) / 1e6
+        self.longest_s = max(c.deadline_us for c in host.settings.classes) / 1e6
         self.places: dict[int, dict[int, int]] = {}  # max_conns, by destination and endpoint
         self.dests: dict[int, int] = {}  # by endpoint
         self.parts: dict[int, tuple[int, dict[int, int]]] = {}  # by destination: its lease, dealt out
@@ -43,7 +43,7 @@
         if host.config.quota is not None:
             from madderbeam.host.quota import QuotaComponent  # loaded already where there are quotas
 
-            self.gate = next(g.gate for g in host.admission.gates if isinstance(g, QuotaComponent))
+            self.gate = next(g.gate for g in host.admission.checks if isinstance(g, QuotaComponent))
             if self.gate.leased.unleased_count:
                 self._many(f"{self.gate.leased.unleased_count} quotas have equal parts")
         self.meters: dict[str, tuple[RateMeter, RateMeter]] = {}  # by quota's node: messages, bytes
@@ -112,7 +112,7 @@
         courier."""
         limited = self.places[dest]
         order = sorted(limited)
-        first = self.host.s.courier_index % len(order)
+        first = self.host.settings.courier_index % len(order)
         whole = sum(limited.values())
         parts = rounded({n: lease * limited[n] / whole for n in order[first:] + order[:first]})
         return {n: int(part) for n, part in parts.items()}
@@ -124,9 +124,9 @@
         self.told[endpoint] = most
         if (router := self.host.routing.router) is not None:
             router.allow(dest, endpoint, most, now)
-        entry = self.host.listing.entries.get(endpoint)
+        entry = self.host.registry.entries.get(endpoint)
         if entry is not None and (before is None or most > before):
-            self.host.list_told(ListUpdateKind.DELTA, [entry])  # what waits may go now
+            self.host.post_list_update(ListUpdateKind.DELTA, [entry])  # what waits may go now
 
     def in_use(self, resource: str) -> float:
         """Connections open by this resource, or about to be."""
@@ -182,7 +182,7 @@
     def status(self) -> dict[str, Any]:
         """For GET /federation: of places how many connections are open and how many may be, of quotas this
         courier's parts."""
-        calls, names = self.host.calls, self.host.listing.names
+        calls, names = self.host.calls, self.host.registry.names
         found: dict[str, Any] = {}
         if self.places:
             found["places"] = {
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -88,7 +88,7 @@
                 return False
             self._busy(m, reply, self._settling_us())
         elif owner is None:
-            self.host.figures.ended(ABORTED, m.class_index)
+            self.host.metrics.count_completion(ABORTED, m.class_index)
             reply.failed(f"dest: no site serves it by table {table.number}")
         elif self.serving.hold.is_suspended and self.serving.hold.destinations is None:
             self._busy(m, reply, self._settling_us())
@@ -108,7 +108,7 @@
         if own:
             sites = (self.me.site, *sites)
         if not sites:
-            self.host.figures.ended(ABORTED, m.class_index)
+            self.host.metrics.count_completion(ABORTED, m.class_index)
             reply.failed("topic: nobody has subscribed to it")
             return
         envelope = msgpack.packb([put.topic, table.number, list(sites), m.body])
@@ -120,13 +120,13 @@
         try:
             after = self.streams.refusal(sites, len(publication.body))
         except FederationError as error:
-            self.host.figures.ended(ABORTED, m.class_index)
+            self.host.metrics.count_completion(ABORTED, m.class_index)
             reply.failed(error.line())
             return
         if after is not None:
             self._busy(m, reply, after)
             return
-        self.host.admission.take(m, [reply], lambda: self._publish(m, publication, sites))
+        self.host.admission.accept(m, [reply], lambda: self._publish(m, publication, sites))
 
     def _settling_us(self) -> int:
         """When to come again to what is not served yet: as long as the change of hands has taken so far, so
@@ -136,7 +136,7 @@
 
     def _busy(self, m: PendingMessage, reply: ReplyHandle, after_us: int) -> None:
         self.refused += 1
-        self.host.figures.ended(DECLINED, m.class_index)
+        self.host.metrics.count_completion(DECLINED, m.class_index)
         reply.busy(after_us)
 
     # On its way
@@ -144,7 +144,7 @@
     def _single(self, m: PendingMessage) -> Publication:
         """The message as an entry of one. What is in custody here has an id of its own on its further way: it
         may go back to where it came from, which knows its id as that of its own message."""
-        s = self.host.s
+        s = self.host.settings
         cls = s.classes[m.class_index]
         tenant = s.tenants[m.tenant].name if m.tenant < len(s.tenants) else ""
         until_us = self.host.journal.wall.monotonic_us_at(m.deadline_s)
@@ -176,15 +176,15 @@
         if m.number in self.names or self.settling(m.number):
             return
         owner = self.table().owners.get(m.dest)
-        self.host.tell(MessageWithdrawn(m.number))
+        self.host.post_event(MessageWithdrawn(m.number))
         if owner is None or not self._may_go(m):
-            self.host.ends.end(m, "undeliverable" if m.possibly_executed_at else "deferred", 0)
+            self.host.completions.complete(m, "undeliverable" if m.possibly_executed_at else "deferred", 0)
         elif owner != self.me.site:
             self._publish(m, self._single(m), (owner,))
 
     def _may_go(self, m: PendingMessage) -> bool:
         """Another site may make attempts of it: it never ran, or does no harm twice."""
-        cls, ran = self.host.s.classes[m.class_index], m.possibly_executed_at
+        cls, ran = self.host.settings.classes[m.class_index], m.possibly_executed_at
         if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
         # The other site does not know when the first attempt was: the window has to outlast the message.
@@ -200,7 +200,7 @@
         name = self.names[m.number]
         self._forget(name)
         self.tell(Withdrawn(name))
-        self.host.tell(self.host.admission.arrival(m))
+        self.host.post_event(self.host.admission.arrival_event(m))
         return True
 
     # Over a restart
@@ -227,7 +227,7 @@
                 topic, table, sites, body = msgpack.unpackb(m.body)
             except (ValueError, TypeError, msgpack.UnpackException) as error:
                 log.error("a publication that can't be read ends: %s: %s", m.id, error)
-                self.host.ends.end(m, "undeliverable", 0)
+                self.host.completions.complete(m, "undeliverable", 0)
                 continue
             publication = replace(self._single(replace(m, body=body)), topic=topic, dest=-1, table=table)
             self._publish(m, publication, tuple(sites))
@@ -256,12 +256,12 @@
         if m is None or m.status:
             return
         if action.delivered:
-            self.host.figures.ended(SUCCEEDED, m.class_index)
-            self.host.ends.done(m, delivered=True)
+            self.host.metrics.count_completion(SUCCEEDED, m.class_index)
+            self.host.completions.complete_without_notice(m, delivered=True)
             return
         log.warning("federation: %s was not delivered to all: %s", action.name, action.what)
         single = m.dest != TOPIC
-        self.host.ends.end(m, "deferred" if single and harmless else "undeliverable", 0)
+        self.host.completions.complete(m, "deferred" if single and harmless else "undeliverable", 0)
 
     def over(self, number: int) -> None:
         """A message has ended otherwise: its time was up, or it was handed in anew."""
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -54,7 +54,7 @@
         self.looking = False
         self.before_call: Callable[[int], bool] | None = None  # what couriers of a site share may hold back
         self.changed_us = host.clock()  # when a table came in force, or a hold began or ended
-        host.listing.serves = self.serves
+        host.registry.is_served = self.serves
 
     # What others ask
 
@@ -73,7 +73,7 @@
     def why_not(self, table: Table, site: str) -> str:
         """What stands against serving by this table: "" or the first thing, with its place."""
         for dest, owner in sorted(table.owners.items()):
-            if owner == site and dest not in self.host.listing.dests:
+            if owner == site and dest not in self.host.registry.dests:
                 return f"owners.{dest}: this site's partner list has no endpoint of it"
         return ""
 
@@ -81,7 +81,7 @@
 
     def begin(self, action: BeginServing) -> None:
         """Served from now on, with what its old owners passed on."""
-        dest, listing = action.dest, self.host.listing
+        dest, listing = action.dest, self.host.registry
         self.leaving.pop(dest, None)
         if dest in self.begun:
             return
@@ -91,11 +91,11 @@
         for release in action.releases:
             for wait in release.retry_waits:
                 uid = wait.uid if wait.uid in listing.uids else ""
-                for entry in listing.told_again(dest, uid, now + wait.remaining_us):
+                for entry in listing.adopt_retry_after(dest, uid, now + wait.remaining_us):
                     before = closed.get(entry.endpoint, entry)
                     until = max(before.retry_after_until_us, entry.retry_after_until_us)
                     closed[entry.endpoint] = replace(entry, retry_after_until_us=until)
-            listing.drains_passed_on.update(dict.fromkeys(w.uid for w in release.draining))
+            listing.relayed_drains.update(dict.fromkeys(w.uid for w in release.draining))
         cold = any(release.is_cold for release in action.releases)
         entries = [closed.get(e.endpoint, e) for e in self._entries(dest)]
         self._show([replace(e, recovering=cold or e.recovering) for e in entries])
@@ -133,7 +133,7 @@
 
     def refresh(self) -> None:
         """A lease has ended or begun: the list as it is now."""
-        self._show(self.host.listing.entries.values())
+        self._show(self.host.registry.entries.values())
 
     # Letting go
 
@@ -146,7 +146,7 @@
     def _look_again(self) -> None:
         if not self.looking:
             self.looking = True
-            self.host.later(LOOK_S, self._look)
+            self.host.schedule(LOOK_S, self._look)
 
     def _look(self) -> None:
         self.looking = False
@@ -170,9 +170,9 @@
             self._look_again()
 
     def _release(self, dest: int, table: int) -> Release:
-        listing, now = self.host.listing, self.host.clock()
+        listing, now = self.host.registry, self.host.clock()
         waits = tuple(
-            RemainingSpan(uid, until - now) for d, uid, until in listing.waits_by_name() if d == dest
+            RemainingSpan(uid, until - now) for d, uid, until in listing.active_retry_after() if d == dest
         )
         drains = tuple(
             RemainingSpan(listing.names[e.endpoint], DRAIN_US)
@@ -195,12 +195,12 @@
     # The list
 
     def _entries(self, dest: int) -> list[EndpointEntry]:
-        return [e for e in self.host.listing.entries.values() if e.destination == dest]
+        return [e for e in self.host.registry.entries.values() if e.destination == dest]
 
     def _dest(self, endpoint: int) -> int:
-        entry = self.host.listing.entries.get(endpoint)
+        entry = self.host.registry.entries.get(endpoint)
         return entry.destination if entry else -1
 
     def _show(self, entries: Iterable[EndpointEntry]) -> None:
         if shown := list(entries):
-            self.host.list_told(ListUpdateKind.DELTA, shown)
+            self.host.post_list_update(ListUpdateKind.DELTA, shown)
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/shared.py
@@ -92,7 +92,7 @@
         self.more = Limits(host, leases, lease)
         self.closed = False
         self.warming = True
-        host.listing.rate, host.listing.learnt = self.rate, self.learnt
+        host.registry.shared_rate, host.registry.add_shared_findings = self.rate, self.learnt
         serving.before_call = self.before_call
         told, ended = host.calls.hooks.told_wait, host.calls.hooks.ended
 
@@ -113,7 +113,7 @@
 
     def open(self) -> None:
         """All has started. What others know is waited for, for a moment, before the first call."""
-        self.host.later(WARM_S, self.warm)
+        self.host.schedule(WARM_S, self.warm)
         self._look()
 
     def warm(self) -> None:
@@ -145,7 +145,7 @@
             # All that was chosen by it goes back, until the decision module goes by what there is without.
             self.stale.add(dest)
             self._rate(dest, self.leases.amount(f"rate/{dest}", self.host.clock()), 0)
-            self.host.later(TOLD_S, lambda: self._told(dest))
+            self.host.schedule(TOLD_S, lambda: self._told(dest))
         return dest not in self.stale
 
     def _told(self, dest: int) -> None:
@@ -156,12 +156,14 @@
     # What this courier learns
 
     def _entry(self, endpoint: int) -> EndpointEntry | None:
-        return self.host.listing.entries.get(endpoint)
+        return self.host.registry.entries.get(endpoint)
 
     def _waits(self, endpoint: int, wait_us: int) -> None:
         if (entry := self._entry(endpoint)) is not None:
-            apart = self.host.s.kinds[min(entry.kind, len(self.host.s.kinds) - 1)].limits_per_endpoint
-            uid = self.host.listing.names[endpoint] if apart else ""
+            apart = self.host.settings.kinds[
+                min(entry.kind, len(self.host.settings.kinds) - 1)
+            ].limits_per_endpoint
+            uid = self.host.registry.names[endpoint] if apart else ""
             self.news(LocalFinding(Finding(FindingKind.RETRY_AFTER, entry.destination, uid, wait_us)))
 
     def answered(self, endpoint: int) -> None:
@@ -177,7 +179,7 @@
             self.out.discard(dest)
             log.info("federation: destination %d answers again", dest)
             tried = dest in self.partners.probing
-            self.news(LocalFinding(Finding(FindingKind.RECOVERY, dest, "", self.host.s.warm_up_us)))
+            self.news(LocalFinding(Finding(FindingKind.RECOVERY, dest, "", self.host.settings.warm_up_us)))
             self.news(LocalFinding(Finding(FindingKind.OUTAGE, dest, "", 0)))
             if tried:
                 self._show(dest, cold=True)
@@ -191,18 +193,20 @@
         self.news(CallFailed(entry.destination))
         if not self.looking:
             self.looking = True
-            self.host.later(SOON_S, self._look_soon)
+            self.host.schedule(SOON_S, self._look_soon)
 
     def listed(self) -> None:
         """The list has changed: drains that are new here."""
-        listing = self.host.listing
+        listing = self.host.registry
         now = {
             listing.names[e.endpoint]: e.destination
             for e in listing.entries.values()
             if e.state is EndpointState.DRAINING
         }
         for uid in now.keys() - self.drains:
-            self.news(LocalFinding(Finding(FindingKind.DRAIN, now[uid], uid, self.host.s.drain_grace_us)))
+            self.news(
+                LocalFinding(Finding(FindingKind.DRAIN, now[uid], uid, self.host.settings.drain_grace_us))
+            )
         self.drains = set(now)
         self._limits()
         self.more.listed()
@@ -232,7 +236,7 @@
         """Connection tables that were full, and the pace that refusals led to, where no rate is listed."""
         for lane in dest.scopes:
             for ep in lane.endpoints.values():
-                uid = self.host.listing.names.get(ep.id)
+                uid = self.host.registry.names.get(ep.id)
                 if (
                     ep.connection_limit_at_us > self.full_us.get(ep.id, 0)
                     and ep.connection_limit < math.inf
@@ -262,13 +266,13 @@
                 meter.record_arrivals(came, LOOK_S)
                 self.lease(Need(f"rate/{number}", meter.needed_rate(len(dest.queue))))
         self.more.look(LOOK_S)
-        self.host.later(LOOK_S, self._look)
+        self.host.schedule(LOOK_S, self._look)
 
     def _limits(self) -> None:
         """Partners' rates, of all members together."""
-        if not self.host.s.rates_listed:
+        if not self.host.settings.rates_listed:
             return
-        for entry in self.host.listing.entries.values():
+        for entry in self.host.registry.entries.values():
             name = f"rate/{entry.destination}"
             limit = Limit(name, entry.rate_per_s, entry.rate_per_s / self.members)
             if entry.rate_per_s > 0 and self.limits.get(name) != limit:
@@ -279,13 +283,13 @@
 
     def heed(self, action: ApplyFinding) -> None:
         """Hold back by it."""
-        news, listing = action.finding, self.host.listing
+        news, listing = action.finding, self.host.registry
         if news.kind is FindingKind.RETRY_AFTER:
             uid = news.uid if news.uid in listing.uids else ""
-            entries = listing.told_again(news.dest, uid, self.host.clock() + news.left_us)
-            self.host.list_told(ListUpdateKind.DELTA, entries)
+            entries = listing.adopt_retry_after(news.dest, uid, self.host.clock() + news.left_us)
+            self.host.post_list_update(ListUpdateKind.DELTA, entries)
         elif news.kind is FindingKind.DRAIN and news.uid in listing.uids:
-            listing.drains_passed_on[news.uid] = None
+            listing.relayed_drains[news.uid] = None
             self._show(news.dest)
         elif news.kind in (FindingKind.OUTAGE, FindingKind.SUSPICION):
             if news.kind is FindingKind.OUTAGE:
@@ -354,7 +358,7 @@
     def rate(self, entry: EndpointEntry) -> float:
         """What the list says of it, by the lease: a rate of all couriers of these settings together."""
         amount = self.rates.get(entry.destination)
-        return entry.rate_per_s if amount is None else max(1e-3, amount) * self.host.s.courier_count
+        return entry.rate_per_s if amount is None else max(1e-3, amount) * self.host.settings.courier_count
 
     def learnt(self, entry: EndpointEntry) -> EndpointEntry:
         """What the list says of it, by who tries, and whether its rate is this courier's own."""
@@ -362,7 +366,7 @@
         return replace(entry, max_probe_interval_us=gap_us, rate_is_leased=entry.destination in self.rates)
 
     def _entries(self, dest: int) -> list[EndpointEntry]:
-        return [e for e in self.host.listing.entries.values() if e.destination == dest]
+        return [e for e in self.host.registry.entries.values() if e.destination == dest]
 
     def _show(self, dest: int, cold: bool = False) -> None:
         part = 1 / max(1, self.partners.board.live_member_count) if cold else 1.0
@@ -370,9 +374,9 @@
 
     def _tell(self, dest: int, change: Callable[[EndpointEntry], EndpointEntry], uid: str = "") -> None:
         """The decision module hears of the destination's entries, or of one."""
-        names = self.host.listing.names
+        names = self.host.registry.names
         found = [e for e in self._entries(dest) if uid in ("", names[e.endpoint])]
-        self.host.list_told(ListUpdateKind.DELTA, list(map(change, found)))
+        self.host.post_list_update(ListUpdateKind.DELTA, list(map(change, found)))
 
     # The second address
 
--- a/madderbeam/host/kafka.py
+++ b/madderbeam/host/kafka.py
@@ -63,7 +63,7 @@
         self.loop.call_later(seconds, action)
 
     @property
-    def fronts(self) -> tuple[ClientListener, ...]:
+    def listeners(self) -> tuple[ClientListener, ...]:
         """The server for Kafka clients."""
         return (self.server,)
 
@@ -133,7 +133,7 @@
     """Add the Kafka component to a host: its clients submit messages to admission and consume the feed."""
     assert host.config.kafka is not None
     feed = host.notices if isinstance(host.notices, Feed) else None
-    host.rooms.append(
+    host.components.append(
         KafkaComponent(
             host.loop,
             ports.network,
@@ -141,7 +141,7 @@
             ports.clock,
             host.config,
             host.config.kafka,
-            host.admission.put,
+            host.admission.submit,
             feed,
         )
     )
--- a/madderbeam/host/metrics.py
+++ b/madderbeam/host/metrics.py
@@ -13,24 +13,24 @@
 
     def __init__(self, classes: Sequence[str]) -> None:
         self.classes = tuple(classes)
-        self.ends = {outcome: [0] * len(self.classes) for outcome in (SUCCEEDED, DECLINED, ABORTED)}
+        self.completed = {outcome: [0] * len(self.classes) for outcome in (SUCCEEDED, DECLINED, ABORTED)}
         self.forwards = 0
         self.reloads = {True: 0, False: 0}  # SIGHUPs, by whether the file was valid
 
-    def ended(self, outcome: str, cls: int) -> None:
+    def count_completion(self, outcome: str, cls: int) -> None:
         """Count a completed message; one of a class that the settings no longer have is not counted."""
         if cls < len(self.classes):
-            self.ends[outcome][cls] += 1
+            self.completed[outcome][cls] += 1
 
-    def forwarded(self, messages: int) -> None:
+    def count_forwarded(self, messages: int) -> None:
         """Count messages that were written completely to an endpoint."""
         self.forwards += messages
 
-    def reloaded(self, applied: bool) -> None:
+    def count_reload(self, applied: bool) -> None:
         """Count a SIGHUP, by whether its file was valid."""
         self.reloads[applied] += 1
 
-    def lines(
+    def render(
         self,
         outstanding: int,
         discovered: int,
@@ -41,7 +41,7 @@
         """Return all metrics, one name=value a line; `more`: metrics of optional components."""
         rows = [
             (f"{outcome}.{name}", count)
-            for outcome, counts in self.ends.items()
+            for outcome, counts in self.completed.items()
             for name, count in zip(self.classes, counts, strict=True)
         ]
         rows += [
--- a/madderbeam/host/object_graph.py
+++ b/madderbeam/host/object_graph.py
@@ -21,7 +21,7 @@
     """The data does not encode objects of the known classes, or an object is not of one of them."""
 
 
-def form(classes: Iterable[type]) -> str:
+def classes_digest(classes: Iterable[type]) -> str:
     """Return a digest of the classes' fields; data encoded under another digest must not be decoded."""
     descriptions = []
     for cls in classes:
--- a/madderbeam/host/process.py
+++ b/madderbeam/host/process.py
@@ -52,7 +52,7 @@
     env: Mapping[str, str],
     config: Config,
     control: ControlServer | None = None,
-    passed: TransferredState | None = None,
+    transferred: TransferredState | None = None,
 ) -> Host:
     """Start one courier on this loop; the caller closes it once its `closed` is done.
 
@@ -63,11 +63,11 @@
     """
     trace = (lambda text: print(text, file=sys.stderr, flush=True)) if env.get(TRACE_VARIABLE) else None
     host = assemble(loop, ports, config, control, trace)
-    begin(loop, ports, env, host, passed)
+    start_host(loop, ports, env, host, transferred)
     return host
 
 
-def begin(
+def start_host(
     loop: asyncio.AbstractEventLoop,
     ports: Ports,
     env: Mapping[str, str],
@@ -77,10 +77,15 @@
     """Install the signal handlers and start an assembled courier; OSError as of `start`."""
     config = host.config
     reloader = ConfigReloader(
-        loop, env, ports.disk, host.move, random.Random(f"reload {config.seed}"), host.figures.reloaded
+        loop,
+        env,
+        ports.disk,
+        host.move_discovery,
+        random.Random(f"reload {config.seed}"),
+        host.metrics.count_reload,
     )
     # Without a handler, SIGHUP would terminate the process. A sidecar reads its partner list again at once.
-    loop.add_signal_handler(signal.SIGHUP, host.look if config.sidecar else reloader.hup)
+    loop.add_signal_handler(signal.SIGHUP, host.reload_files if config.sidecar else reloader.reload)
     loop.add_signal_handler(signal.SIGTERM, host.terminate)
     loop.add_signal_handler(signal.SIGINT, host.terminate)
     host.closed.add_done_callback(lambda _: reloader.stop())
@@ -89,7 +94,7 @@
 
 
 @contextlib.contextmanager
-def collector_rests() -> Iterator[None]:
+def collector_paused() -> Iterator[None]:
     """Pause garbage collection while a courier restores its state, and exempt that state from it afterwards.
 
     Ordinary processing makes no reference cycles, so a collection finds nothing: with 128,000 pending
@@ -126,15 +131,15 @@
         control.listen(config.control)
     restarts = True
     while restarts:
-        takeover = await process_upgrade.take(config, ports.disk)
-        with collector_rests():
-            host = start(loop, ports, env, config, control, takeover.passed)
+        takeover = await process_upgrade.take_over(config, ports.disk)
+        with collector_paused():
+            host = start(loop, ports, env, config, control, takeover.transferred)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # delivers one that came meanwhile
-        takeover.done()
+        takeover.report_working()
         if config.control:
             process_upgrade.StateTransferServer(host, takeover.lock)
         await host.closed
-        restarts = host.alone
+        restarts = host.successor_died
         if not restarts:
             host.close()
     control.close()
--- a/madderbeam/host/process_upgrade.py
+++ b/madderbeam/host/process_upgrade.py
@@ -18,7 +18,7 @@
 from madderbeam.transport import passing
 from madderbeam.transport.passing import Broken
 
-LOCK = "lock"
+LOCK_FILE = "lock"
 # First and longest wait between attempts while another process holds the lock and offers no hand-over.
 RETRY_S, MAX_RETRY_S = 0.05, 0.5
 SETTLE_S = 0.6  # how long the active process waits for responses that are half read
@@ -46,7 +46,7 @@
             conn, _ = self.sock.accept()
         except OSError:
             return
-        if self.conn is not None or self.host.closing_at:
+        if self.conn is not None or self.host.shutdown_deadline:
             conn.close()  # one hand-over at a time, and none during a shutdown
             return
         conn.settimeout(HELLO_TIMEOUT_S)
@@ -62,14 +62,14 @@
         self._when_ready(form, self.loop.time() + SETTLE_S)
 
     def _when_ready(self, form: str, until: float) -> None:
-        if self.host.closing_at:
+        if self.host.shutdown_deadline:
             self._refuse()
-        elif state_transfer.ready(self.host):
+        elif state_transfer.is_ready(self.host):
             self._transfer(form)
         elif self.loop.time() < until:
             self.loop.call_later(0.005, self._when_ready, form, until)
         else:
-            state_transfer.settle(self.host)
+            state_transfer.end_untransferable(self.host)
             self._transfer(form)
 
     def _refuse(self) -> None:
@@ -94,7 +94,7 @@
             log.exception("upgrade: hand-over failed, this process continues")
             self._refuse()
             return
-        self.host.let_go()
+        self.host.stop_after_handover()
         self._stop_offering()
         self.lock.close()
         with contextlib.suppress(Broken):
@@ -110,10 +110,10 @@
             log.info("upgrade: hand-over complete; this process waits for its termination")
         except Broken as error:
             log.error("upgrade: the other process has died, restarting this one: %s", error)
-            self.host.alone = True
+            self.host.successor_died = True
         self.loop.remove_reader(self.conn)
         self._refuse()
-        if self.host.alone and not self.host.closed.done():
+        if self.host.successor_died and not self.host.closed.done():
             self.host.closed.set_result(None)
 
     def _stop_offering(self) -> None:
@@ -138,9 +138,9 @@
         conn: socket.socket | None = None,
         state: state_transfer.TransferredState | None = None,
     ) -> None:
-        self.lock, self.conn, self.passed = lock, conn, state
+        self.lock, self.conn, self.transferred = lock, conn, state
 
-    def done(self) -> None:
+    def report_working(self) -> None:
         """Report that this process works, so that the other one may exit."""
         if self.conn is not None:
             with contextlib.suppress(Broken):
@@ -148,7 +148,7 @@
             self.conn.close()
 
 
-async def take(config: Config, disk: Disk) -> Takeover:
+async def take_over(config: Config, disk: Disk) -> Takeover:
     """Become the active process of the folder: at once, by a hand-over, or when the active process exits.
 
     Without an admin address nobody could see that a second process is ready: no hand-over is requested, and
@@ -164,7 +164,7 @@
                 conn.close()
                 log.warning("upgrade: hand-over failed: %s", error)
         with contextlib.suppress(BlockingIOError):
-            return Takeover(disk.lock(f"{config.state}/{LOCK}"))
+            return Takeover(disk.lock(f"{config.state}/{LOCK_FILE}"))
         if wait_s == RETRY_S:
             log.info("another process holds the folder's lock and offers no hand-over; waiting")
         await asyncio.sleep(wait_s)
@@ -173,7 +173,7 @@
 
 async def _request_handover(conn: socket.socket, config: Config, disk: Disk) -> Takeover:
     conn.settimeout(PEER_TIMEOUT_S)
-    passing.send(conn, {"say": "hello", "form": state_transfer.form()})
+    passing.send(conn, {"say": "hello", "form": state_transfer.state_version()})
     await _wait_readable(conn, SETTLE_S + PEER_TIMEOUT_S)
     message, sockets = passing.receive(conn)
     try:
@@ -187,7 +187,7 @@
     try:
         passing.send(conn, {"say": "take"})
         passing.receive(conn)
-        lock = _wait_for_lock(disk, f"{config.state}/{LOCK}")
+        lock = _wait_for_lock(disk, f"{config.state}/{LOCK_FILE}")
     except (Broken, TransferRefusedError):
         state.close()
         raise
--- a/madderbeam/host/quota.py
+++ b/madderbeam/host/quota.py
@@ -31,11 +31,11 @@
         self.gate = QuotaAdmission(raw, clock.monotonic_us(), rng, config.settings.max_pending, leased)
         self.path = quota_path(config.state)
         self.saved_at_us = clock.monotonic_us()
-        self.refused = self.borrowed = 0
+        self.rejected = self.borrowed = 0
         self._load()
         self.save()
 
-    def ask(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
+    def check(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
         """Check a message of `size` bytes against the quotas; it is counted if it passes.
 
         The use of an hourly limit is stored before a further part of the limit can be used.
@@ -43,16 +43,16 @@
         settings, now_us = self.config.settings, self.clock.monotonic_us()
         name = settings.tenants[tenant].name if tenant < len(settings.tenants) else ""
         verdict = self.gate.admit(name, settings.classes[cls].name, size, self.pending(), now_us)
-        self.refused += not verdict.passed
+        self.rejected += not verdict.passed
         self.borrowed += verdict.borrowed
         if verdict.passed and (self.gate.is_save_due or now_us - self.saved_at_us > SAVE_INTERVAL_S * 1e6):
             self.save()
         return verdict
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Return the quota metrics by name."""
         return {
-            "quota.refused": self.refused,
+            "quota.refused": self.rejected,
             "quota.borrowed": self.borrowed,
             "quota.nodes": self.gate.tree.size,
         }
@@ -92,5 +92,5 @@
     quota = QuotaComponent(
         host.config, host.config.quota, ports.disk, ports.clock, lambda: host.journal.open_count
     )
-    host.admission.gates.append(quota)
-    host.rooms.append(quota)
+    host.admission.checks.append(quota)
+    host.components.append(quota)
--- a/madderbeam/host/rate_limits.py
+++ b/madderbeam/host/rate_limits.py
@@ -11,7 +11,7 @@
 MIN_RELATIVE_CHANGE = 0.3
 
 
-def told(fields: Sequence[str], load: Sequence[float]) -> float:
+def reported_rate(fields: Sequence[str], load: Sequence[float]) -> float:
     """Return the rate in a report, whose values are in the order of `fields`; 0 if it has none."""
     index = fields.index(RATE) if RATE in fields else len(load)
     return load[index] if index < len(load) and load[index] > 0 else 0.0
@@ -31,7 +31,7 @@
         """Remove the rate of a key."""
         self.rates.pop(key, None)
 
-    def told(self, key: Hashable, rate: float) -> bool:
+    def update(self, key: Hashable, rate: float) -> bool:
         """Set a reported rate if it differs enough from the current one; return whether it does."""
         if rate <= 0 or abs(rate - self[key]) <= MIN_RELATIVE_CHANGE * self[key]:
             return False
--- a/madderbeam/host/routing.py
+++ b/madderbeam/host/routing.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from madderbeam.routing.router import Router
 
-NOWHERE = -1  # destination of a message that is to be routed by name or path
+UNROUTED = -1  # destination of a message that is to be routed by name or path
 log = logging.getLogger(__name__)
 
 
@@ -24,7 +24,7 @@
     """Keeps the router up to date with the endpoint list; the engine uses the router to prefer endpoints."""
 
     def __init__(self, config: Config, registry: EndpointRegistry, clock: Clock) -> None:
-        self.config, self.listing, self.clock = config, registry, clock
+        self.config, self.registry, self.clock = config, registry, clock
         self.router: Router | None = None
         self.addresses: dict[int, str] = {}
 
@@ -45,18 +45,18 @@
             return
         self.router = router
 
-    def placed(self, rows: Iterable[tuple[EndpointEntry, Address]]) -> None:
+    def set_addresses(self, rows: Iterable[tuple[EndpointEntry, Address]]) -> None:
         """Set the addresses of endpoints that a list has."""
         for entry, (host, port) in rows:
             self.addresses[entry.endpoint] = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
     def refresh(self) -> None:
         """Update the router after a change of the endpoint list or of the routing."""
-        entries = self.listing.entries
+        entries = self.registry.entries
         self.addresses = {number: address for number, address in self.addresses.items() if number in entries}
         if self.router is not None:
             ready = [
-                (number, entry.destination, self.addresses[number], self.listing.zone(entry.zone))
+                (number, entry.destination, self.addresses[number], self.registry.zone_name(entry.zone))
                 for number, entry in entries.items()
                 if entry.state is EndpointState.READY and number in self.addresses
             ]
@@ -83,6 +83,6 @@
         tenant = tenants[m.tenant].name if m.tenant < len(tenants) else ""
         return self.router.affinity(m.dest, tenant, m.key, m.order_key, m.id)
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Return the routing metrics by name."""
         return self.router.figures() if self.router is not None else {}
--- a/madderbeam/host/standalone.py
+++ b/madderbeam/host/standalone.py
@@ -16,7 +16,7 @@
 from madderbeam.config.platform import Config, ConfigError, load_sidecar
 from madderbeam.host import atomic_file
 from madderbeam.host.host import Host
-from madderbeam.host.process import collector_rests, log_to_stderr, start, with_descriptor_limit
+from madderbeam.host.process import collector_paused, log_to_stderr, start, with_descriptor_limit
 from madderbeam.ports import Address, Disk, Lock, Network, Ports, Socket
 from madderbeam.ports.real import RealDisk, real_ports
 from madderbeam.transport.clients import BACKLOG
@@ -48,7 +48,7 @@
         return self.sock if address == self.address else self.network.listen(address, backlog)
 
 
-def guard(config: Config, ports: Ports) -> tuple[Ports, Lock]:
+def claim_resources(config: Config, ports: Ports) -> tuple[Ports, Lock]:
     """Claim the port and the folder.
 
     ResourceHeldError if another courier has one of them; then neither is claimed.
@@ -77,7 +77,7 @@
         ) from None
 
 
-def hold(config: Config, disk: Disk) -> Lock:
+def lock_folder(config: Config, disk: Disk) -> Lock:
     """Lock the folder only, and create it if missing; ResourceHeldError if another courier has it."""
     if not disk.is_folder(config.state):
         disk.make_folder(config.state)
@@ -120,8 +120,8 @@
 
 async def _serve(config: Config, follow: bool) -> None:
     loop = asyncio.get_running_loop()
-    ports, lock = guard(config, real_ports(loop))
-    with collector_rests():
+    ports, lock = claim_resources(config, real_ports(loop))
+    with collector_paused():
         host = start(loop, ports, {}, config)
     if follow:
         loop.add_reader(STDIN, _stdin_readable, loop, host)
--- a/madderbeam/host/standby/primary.py
+++ b/madderbeam/host/standby/primary.py
@@ -76,10 +76,12 @@
         self.released: asyncio.Future[None] = self.loop.create_future()
         self.file: tuple[int, bytes] = 0, b""  # the segment that is being read
         self.moving = self.fenced = False
-        safe = frozenset(n for n, c in enumerate(host.s.classes) if c.idempotency is Idempotency.IDEMPOTENT)
+        safe = frozenset(
+            n for n, c in enumerate(host.settings.classes) if c.idempotency is Idempotency.IDEMPOTENT
+        )
         windows = {
-            n: (c.key_window_us - host.s.tick_us) / 1e6
-            for n, c in enumerate(host.s.classes)
+            n: (c.key_window_us - host.settings.tick_us) / 1e6
+            for n, c in enumerate(host.settings.classes)
             if c.idempotency is Idempotency.WITH_KEY
         }
         self.runner.after = self._look
@@ -184,10 +186,10 @@
             self.settled.set_result(False)
             return
         self.loop.call_soon(self._let_go)
-        self.host.handed = True
+        self.host.is_handed_over = True
 
     def _let_go(self) -> None:
-        self.host.let_go()
+        self.host.stop_after_handover()
         if not self.host.closed.done():
             self.host.closed.set_result(None)
 
@@ -216,7 +218,7 @@
 
     # What those who run it see
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         m = self.machine
         return {
             "standby_in_step": int(m.in_step),
@@ -251,9 +253,9 @@
     if told(host.config).to is None:
         return
     room = PrimaryComponent(host, ports)
-    host.rooms.append(room)
-    host.admission.gates.append(_Gate(room))
-    host.service.calls["/standby"] = ("GET", lambda _: Answer(200, json.dumps(room.status()) + "\n"))
+    host.components.append(room)
+    host.admission.checks.append(_Gate(room))
+    host.admin_service.calls["/standby"] = ("GET", lambda _: Answer(200, json.dumps(room.status()) + "\n"))
 
 
 class _Gate:
@@ -262,5 +264,5 @@
     def __init__(self, room: PrimaryComponent) -> None:
         self.room = room
 
-    def ask(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
+    def check(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
         return self.room.gate(tenant, cls, size)
--- a/madderbeam/host/standby/process.py
+++ b/madderbeam/host/standby/process.py
@@ -14,7 +14,7 @@
 from madderbeam.host import process
 from madderbeam.host.composition import assemble
 from madderbeam.host.federation.kept import Kept
-from madderbeam.host.standalone import STDIN, guard, hold
+from madderbeam.host.standalone import STDIN, claim_resources, lock_folder
 from madderbeam.host.standby.copy import doubt
 from madderbeam.host.standby.keeper import Keeper
 from madderbeam.host.standby.primary import PrimaryComponent
@@ -49,10 +49,10 @@
     ports = real_ports(loop)
     try:
         if told(config).listen is None:
-            ports, lock = guard(config, ports)
+            ports, lock = claim_resources(config, ports)
             with contextlib.closing(lock):
                 return await _courier(loop, ports, config, None, ends)
-        with contextlib.closing(hold(config, ports.disk)):
+        with contextlib.closing(lock_folder(config, ports.disk)):
             return await _standby(loop, ports, config, ends)
     except Gone:
         return 0
@@ -112,9 +112,9 @@
     kept.close()
     if fence:
         return _fenced(fence)
-    with process.collector_rests():
+    with process.collector_paused():
         host = assemble(loop, ports, config, control)
-    room = next((r for r in host.rooms if isinstance(r, PrimaryComponent)), None)
+    room = next((r for r in host.components if isinstance(r, PrimaryComponent)), None)
     if room is not None:
         if config.control and host.control.sock is None:
             host.control.listen(config.control)
@@ -127,7 +127,7 @@
         if not room.settled.result():
             host.close()
             return _fenced(room.machine.fenced)
-    process.begin(loop, ports, {}, host)
+    process.start_host(loop, ports, {}, host)
     ends.add_done_callback(lambda _: host.terminate())
     if ends.done():
         host.terminate()
--- a/madderbeam/host/state_transfer.py
+++ b/madderbeam/host/state_transfer.py
@@ -79,16 +79,16 @@
 log = logging.getLogger(__name__)
 
 
-def form() -> str:
+def state_version() -> str:
     """Return the version of the engine's state; an engine is transferred only between equal versions."""
-    return f"{FORMAT_VERSION} {object_graph.form(CLASSES)}"
+    return f"{FORMAT_VERSION} {object_graph.classes_digest(CLASSES)}"
 
 
-def ready(host: Host) -> bool:
+def is_ready(host: Host) -> bool:
     """Whether the host can be transferred at this instant, between two dispatch cycles."""
-    if host.first is not None:  # it has not started work
+    if host.start_timer is not None:  # it has not started work
         return False
-    host.rest()
+    host.run_until_idle()
     return (
         not host.events
         and not host.calls.unsettled
@@ -96,7 +96,7 @@
     )
 
 
-def settle(host: Host) -> None:
+def end_untransferable(host: Host) -> None:
     """End what can't be transferred.
 
     Calls whose response has begun count as invalid responses; clients whose request waits for a failing disk
@@ -104,7 +104,7 @@
     """
     for call in host.calls.unsettled:
         call.drop()
-    host.rest()
+    host.run_until_idle()
     for client in [client for client in host.clients.clients if client.pending]:
         client.close()
 
@@ -116,10 +116,10 @@
     """
     message: dict[str, Any] = {
         "series": FORMAT_VERSION,
-        "drained": host.drain.on,
-        "numbers": host.admission.numbers,
-        "waits": host.listing.waits_by_name(),
-        "bans": list(host.bans.ids),
+        "drained": host.drain.is_active,
+        "numbers": host.admission.last_number,
+        "waits": host.registry.active_retry_after(),
+        "bans": list(host.disabled_endpoints.ids),
         "nodes": None,
         "calls": [],
         "clients": [],
@@ -128,14 +128,14 @@
     if host.clients.sock is not None:
         sockets.append(host.clients.sock)
     message["listens"] = len(sockets)
-    if wanted == form():
+    if wanted == state_version():
         host.courier.state.actions = []
         transferred = {
             "courier": host.courier,
-            "numbers": host.attempts.numbers,
+            "numbers": host.attempts.next_numbers,
             "rev": host.watch.rev if isinstance(host.watch, Watch) else 0,
             "pools": {number: pool.address for number, pool in host.calls.pools.items()},
-            **{name: getattr(host.listing, name) for name in REGISTRY_FIELDS},
+            **{name: getattr(host.registry, name) for name in REGISTRY_FIELDS},
         }
         state = host.courier.state
         router, state.endpoint_preference = state.endpoint_preference, None  # not transferred
@@ -169,15 +169,15 @@
         self.message, self.sockets = message, sockets
         if message.get("series") != FORMAT_VERSION:
             raise object_graph.UnknownStateError(f"series {message.get('series')!r} of what is passed on")
-        self.whole: dict[str, Any] | None = None
+        self.state: dict[str, Any] | None = None
         if message["nodes"] is not None:
-            self.whole = object_graph.decode(
+            self.state = object_graph.decode(
                 message["nodes"], CLASSES, random.Random(f"passed {seed} {message['numbers']}")
             )
             message["nodes"] = None
-            if self.whole["courier"].state.settings != settings:
+            if self.state["courier"].state.settings != settings:
                 log.warning("upgrade: the settings have changed; messages are restored from the journal")
-                self.whole = None
+                self.state = None
         calls = len(message["calls"])
         if len(sockets) != message["listens"] + calls + len(message["clients"]):
             raise object_graph.UnknownStateError("sockets lack")
@@ -193,22 +193,24 @@
 
 def adopt(host: Host, transferred: TransferredState) -> int:
     """Continue from the transferred state with a newly created host; return the port."""
-    state, message = transferred.whole, transferred.message
-    host.bans.ids.update(dict.fromkeys(message.get("bans", ())))  # also those that could not be stored
+    state, message = transferred.state, transferred.message
+    host.disabled_endpoints.ids.update(
+        dict.fromkeys(message.get("bans", ()))
+    )  # also those that could not be stored
     if state is None:
         for sock in transferred.calls:  # their messages are possibly executed
             sock.close()
-        host.begin({(dest, uid): until for dest, uid, until in message["waits"]})
+        host.load_state({(dest, uid): until for dest, uid, until in message["waits"]})
     else:
         _restore_registry(host, state)
-        _decisions(host, state)
+        _restore_engine(host, state)
         for sock, call in zip(transferred.calls, message["calls"], strict=True):
             host.calls.adopt(sock, call)
-        host.attempts.numbers = state["numbers"]
-    host.admission.numbers = max(host.journal.last_number, message["numbers"])
+        host.attempts.next_numbers = state["numbers"]
+    host.admission.last_number = max(host.journal.last_number, message["numbers"])
     if message["drained"]:
         host.drain.begin()
-    host.rest()
+    host.run_until_idle()
     host.watch.open()
     for sock, client in zip(transferred.clients, message["clients"], strict=True):
         host.clients.adopt(sock, client)
@@ -221,22 +223,22 @@
 
 def _restore_registry(host: Host, state: dict[str, Any]) -> None:
     for name in REGISTRY_FIELDS:
-        setattr(host.listing, name, state[name])
+        setattr(host.registry, name, state[name])
     if isinstance(host.watch, Watch):
         host.watch.rev = state["rev"]
     for number, address in state["pools"].items():
-        if entry := host.listing.entries.get(number):
+        if entry := host.registry.entries.get(number):
             host.calls.place(number, address, dest=entry.destination)
     host.routing.configure(host.config.known.get("routing"))
-    host.routing.placed(
+    host.routing.set_addresses(
         (entry, state["pools"][number])
-        for number, entry in host.listing.entries.items()
+        for number, entry in host.registry.entries.items()
         if number in state["pools"]
     )
     host.routing.refresh()
 
 
-def _decisions(host: Host, state: dict[str, Any]) -> None:
+def _restore_engine(host: Host, state: dict[str, Any]) -> None:
     """Continue with the transferred engine, its messages, calls and timers.
 
     A message that the journal lacks is completed; one that only the journal has is restored as after a
@@ -249,8 +251,8 @@
         host.events.append(MessageWithdrawn(number))
     for message in host.journal.pending.values():
         if message.status or message.number not in courier.state.messages:
-            host.restore(message)
+            host.restore_message(message)
         else:
-            host.ends.guard(message)
+            host.completions.start_deadline_timer(message)
     for due_us in courier.state.timers:
-        host.loop.call_later(max(0, due_us - host.clock()) / 1e6 + 5e-5, host.tell, TimerDue(0))
+        host.loop.call_later(max(0, due_us - host.clock()) / 1e6 + 5e-5, host.post_event, TimerDue(0))
--- a/madderbeam/simhost.py
+++ b/madderbeam/simhost.py
@@ -7,7 +7,7 @@
 from typing import Any, BinaryIO
 
 from madderbeam import wire
-from madderbeam.host.rate_limits import ReportedRates, told
+from madderbeam.host.rate_limits import ReportedRates, reported_rate
 from madderbeam.policy.engine import DeliveryEngine
 from madderbeam.policy.events import EndpointEntry, EndpointListUpdate, ListUpdateKind
 from madderbeam.policy.settings import Settings
@@ -29,8 +29,8 @@
             self.entries.update({e.endpoint: e for e in event.entries})
         elif isinstance(event, wire.LoadReport):
             entry = self.entries.get(event.endpoint)
-            if entry is None or not self.limits.told(
-                self._key(entry), told(self.s.load_report_fields, event.values)
+            if entry is None or not self.limits.update(
+                self._key(entry), reported_rate(self.s.load_report_fields, event.values)
             ):
                 return []
             event = EndpointListUpdate(ListUpdateKind.DELTA, (self._rated(entry),))
--- a/madderbeam/simulation/books.py
+++ b/madderbeam/simulation/books.py
@@ -58,11 +58,11 @@
         "slots": state.calls_in_flight,
         "queues": [d.number for d in state.destinations.values() if d.queue],
         "open in the journal": j.open_count,
-        "numbers of attempts": host.attempts.numbers,
-        "guards": host.ends.guards,
+        "numbers of attempts": host.attempts.next_numbers,
+        "guards": host.completions.deadline_timers,
         "calls out": host.calls.out,
         "arrivals": host.admission.arrived,
-        "ids that arrive": host.admission.arriving,
+        "ids that arrive": host.admission.arriving_ids,
         "keys that arrive": host.admission.arriving_keys,
         "staged records": j.staged,
     }
@@ -278,12 +278,12 @@
     known = {n for n, m in state.messages.items() if not m.is_completed}
     if not host.events and not host.admission.arrived:
         yield from _same("messages of the decision module", known, open_)
-    if guarded := open_ ^ set(host.ends.guards):
+    if guarded := open_ ^ set(host.completions.deadline_timers):
         yield f"guards and open messages differ by {sorted(guarded)[:5]}"
     out = {item.number for call in host.calls.out for item in call.items}
-    if lost := set(host.attempts.numbers) - set(j.pending) - set(state.messages) - out:
+    if lost := set(host.attempts.next_numbers) - set(j.pending) - set(state.messages) - out:
         yield f"numbers of attempts are kept of messages that are over: {sorted(lost)[:5]}"
-    if host.admission.arriving.keys() - {m.id for m, _ in host.admission.arrived.values()}:
+    if host.admission.arriving_ids.keys() - {m.id for m, _ in host.admission.arrived.values()}:
         yield "ids arrive of messages that are answered"
     if host.admission.arriving_keys != {m.key: n for n, (m, _) in host.admission.arrived.items() if m.key}:
         yield "keys that arrive are not those of the messages that are not answered"
@@ -291,7 +291,7 @@
 
 def _list(host: Host) -> Wrong:
     """The list as the rooms, the decision module and those who run it see it."""
-    listing, state = host.listing, host.courier.state
+    listing, state = host.registry, host.courier.state
     if not host.events:
         kept = {
             n: (ep.scope.destination.number, ep.state)
@@ -301,7 +301,7 @@
         wanted = {n: (entry.destination, entry.state) for n, entry in listing.entries.items()}
         yield from _same("endpoints of the decision module", kept, wanted)
     for number, entry in listing.entries.items():
-        by_hand = listing.names[number] in host.bans
+        by_hand = listing.names[number] in host.disabled_endpoints
         if by_hand is not (number in listing.told):
             yield f"whether endpoint {number} is out by hand: {by_hand}, and the list has it otherwise"
         if by_hand and entry.state is EndpointState.READY:
@@ -317,10 +317,14 @@
 
 def _owed(host: Host) -> Wrong:
     """Each notice that is owed is about to be told, and no other."""
-    if host.handed or host.closed.done():
+    if host.is_handed_over or host.closed.done():
         return
     notices = host.notices
-    telling = {*notices.waiting, *(notices.begun if isinstance(notices, Feed) else ()), *host.ends.unsettled}
+    telling = {
+        *notices.waiting,
+        *(notices.begun if isinstance(notices, Feed) else ()),
+        *host.completions.unrecorded,
+    }
     staged = {row.record[1] for row in host.journal.staged if row.record[0] == "final"}
     owed = {n for n, m in host.journal.pending.items() if m.status}
     if lost := owed - telling - staged:
@@ -336,7 +340,7 @@
     lines += [line for pool in h.calls.pools.values() for line in pool.idle]
     owned = {id(line.sock) for line in lines if line is not None}
     owned |= {id(link.sock) for line in lines for link in getattr(line, "links", {}).values()}
-    owned |= {id(client.sock) for front in h.fronts for client in (*front.clients, *front.leaving)}
+    owned |= {id(client.sock) for front in h.listeners for client in (*front.clients, *front.leaving)}
     owned |= {id(x.sock) for x in h.control.callers}
     if lost := [sock for sock in open_ if id(sock) not in owned]:
         yield f"{len(lost)} sockets are nobody's, the first to {lost[0].address}"
@@ -355,7 +359,7 @@
         return {
             m.id: (n, m.status, m.attempts, m.possibly_executed_at, m.deadline_s, m.key, len(m.body))
             for n, m in j.pending.items()
-            if n not in host.ends.unsettled
+            if n not in host.completions.unrecorded
         }
 
     found, known = rows(read), rows(live)
@@ -371,7 +375,7 @@
 
 def listed(host: Host, told: dict[str, dict[str, Any]]) -> str:
     """What is wrong with the list, held against what discovery has told for a while; empty if nothing."""
-    listing, names = host.listing, {state: name for name, state in STATES.items()}
+    listing, names = host.registry, {state: name for name, state in STATES.items()}
     kept = {}
     for number, entry in listing.entries.items():
         address = "{}:{}".format(*host.calls.pools[number].address)
@@ -387,7 +391,7 @@
 def calls(host: Host) -> Wrong:
     """Calls out, pools and clients."""
     pools = host.calls.pools
-    yield from _same("pools", set(pools), set(host.listing.entries))
+    yield from _same("pools", set(pools), set(host.registry.entries))
     yield from _same("idle connections", host.calls.idle, sum(len(p.idle) for p in pools.values()))
     for number, pool in pools.items():
         if set(pool.idle) != set(pool.timers):
--- a/madderbeam/simulation/changes.py
+++ b/madderbeam/simulation/changes.py
@@ -86,7 +86,7 @@
             return may
 
         host.calls.hooks.may_write = writes
-        host.admission.taken_up.append(lambda m: self._hold(host, "an admission"))
+        host.admission.numbered_listeners.append(lambda m: self._hold(host, "an admission"))
 
     def _apply(self, room: ChangesComponent, action: Apply) -> None:
         """One version follows another, by the rows of changes that were handed in."""
@@ -116,7 +116,7 @@
             self.broken(f"{where}: {wrong}")
 
     def _written(self, host: Host, endpoint: int) -> None:
-        uid = host.listing.names.get(endpoint, "")
+        uid = host.registry.names.get(endpoint, "")
         heard = self.heard.get(uid)
         now = self.world.now_us
         if heard is not None and heard < now < heard + HOLD_US:
@@ -164,7 +164,7 @@
             self.broken(f"a wrong change was answered {status}: {json.dumps(parts)}")
 
     def _call(self, path: str, body: dict[str, Any]) -> int:
-        answer = _host(self.machine).service.act("POST", path, json.dumps(body).encode())
+        answer = _host(self.machine).admin_service.handle("POST", path, json.dumps(body).encode())
         self.world.note(self.machine.name, "change", body=body, status=answer.status, text=answer.text)
         if answer.status >= 500:
             self.broken(f"{path} was answered {answer.status}")
@@ -290,7 +290,7 @@
 
 
 def _room(host: Host) -> ChangesComponent:
-    return next(room for room in host.rooms if isinstance(room, ChangesComponent))
+    return next(room for room in host.components if isinstance(room, ChangesComponent))
 
 
 def _differing(one: Snapshot, other: Snapshot) -> set[Key]:
@@ -308,7 +308,7 @@
 
 def _wrong(host: Host, room: ChangesComponent) -> str:
     """What the parts of a courier go by that is not of the version in force, '' if all is."""
-    m, listing = room.machine, host.listing
+    m, listing = room.machine, host.registry
     entries = {listing.names[number]: entry for number, entry in listing.entries.items()}
     rows = dict(m.current.endpoints.items())
     if entries.keys() != rows.keys():
@@ -321,9 +321,9 @@
         drains = row.state == DRAINING or uid in m.drains.heard
         if (entry.state is EndpointState.DRAINING) != drains:
             return f"{uid} is {entry.state.value}, against version {m.version}"
-    s = host.s
+    s = host.settings
     present = {name: m.current.get(("class", name))["number"] for name in m.current.names("class")}
-    one = host.courier.state.settings is s and host.admission.s is s
+    one = host.courier.state.settings is s and host.admission.settings is s
     if host.admission.classes != present or not one or s.max_pending != m.current.get(("limit", "max_held")):
         return f"settings are not those of version {m.version}"
     for name, number in present.items():
--- a/madderbeam/simulation/couriers.py
+++ b/madderbeam/simulation/couriers.py
@@ -17,7 +17,7 @@
 from madderbeam.host import process, state_transfer
 from madderbeam.host.host import Host
 from madderbeam.host.process_upgrade import SETTLE_S
-from madderbeam.host.standalone import ResourceHeldError, guard
+from madderbeam.host.standalone import ResourceHeldError, claim_resources
 from madderbeam.journal.journal import KEY_RETENTION_MARGIN_S, Journal
 from madderbeam.journal.records import parse
 from madderbeam.journal.steady_clock import BOOT_ID_PATH
@@ -203,7 +203,7 @@
 
     def _sidecar(self, ports: Ports) -> Host:
         config = replace(load_sidecar(local.CONFIG, self.disk), seed=self.chance.getrandbits(64))
-        guarded, _ = guard(config, ports)
+        guarded, _ = claim_resources(config, ports)
         return process.start(self.loop, guarded, {}, config)
 
     def _closed(self, _: Any) -> None:
@@ -310,23 +310,23 @@
 
     def _hand_over(self, how: str, until: int) -> None:
         old = self.host
-        if old is None or self.loop.dead or old.closing_at:
+        if old is None or self.loop.dead or old.shutdown_deadline:
             return
         with contextlib.suppress(Killed):
-            if not state_transfer.ready(old):
+            if not state_transfer.is_ready(old):
                 if self.kernel.now_us < until:
                     self.kernel.scheduler.after(5_000, self._hand_over, how, until, loop=self.loop)
                     return
-                state_transfer.settle(old)
+                state_transfer.end_untransferable(old)
             self._pass(old, how)
 
     def _pass(self, old: Host, how: str) -> None:
-        message, socks = state_transfer.snapshot(old, "" if how == "form" else state_transfer.form())
+        message, socks = state_transfer.snapshot(old, "" if how == "form" else state_transfer.state_version())
         message = msgpack.unpackb(msgpack.packb(message), strict_map_key=False)
         self.kernel.note(
             self.name, "is upgraded", how=how, clients=len(message["clients"]), calls=len(message["calls"])
         )
-        passed = state_transfer.TransferredState(message, socks, old.s, old.config.seed)
+        passed = state_transfer.TransferredState(message, socks, old.settings, old.config.seed)
         if how == "before":
             return
         before, self.loop = self.loop, process_loop(self.kernel.scheduler)
@@ -337,7 +337,7 @@
         for sock in socks:
             self.network.pass_on(sock, network)
         self.kernel.lives[network] = self.life
-        old.let_go()
+        old.stop_after_handover()
         self.network = network
         self.kernel.after(EXIT_US, setattr, before, "dead", True)  # until then it has nothing left to do
         if how == "after":
@@ -349,7 +349,9 @@
             self.kernel.lives[network] = self.life
         self.write_config()
         ports = Ports(self.clock, network, self.disk)
-        self.host = process.start(self.loop, ports, self.env(), load(self.env(), self.disk), passed=passed)
+        self.host = process.start(
+            self.loop, ports, self.env(), load(self.env(), self.disk), transferred=passed
+        )
         self.host.control.listen(self.control)
         self.host.closed.add_done_callback(self._closed)
 
--- a/madderbeam/simulation/federation.py
+++ b/madderbeam/simulation/federation.py
@@ -17,7 +17,7 @@
 from madderbeam.host import process
 from madderbeam.host.federation.component import FederationComponent
 from madderbeam.host.host import Host
-from madderbeam.host.standalone import guard
+from madderbeam.host.standalone import claim_resources
 from madderbeam.journal.steady_clock import BOOT_ID_PATH
 from madderbeam.membership.values import MemberId
 from madderbeam.ports import Address, Ports
@@ -120,7 +120,7 @@
     def _main(self) -> None:
         config = replace(load_sidecar(CONFIG, self.disk), seed=self.chance.getrandbits(64))
         try:
-            ports, _ = guard(config, Ports(self.clock, self.network, self.disk))
+            ports, _ = claim_resources(config, Ports(self.clock, self.network, self.disk))
             self.host = process.start(self.loop, ports, {}, config)
         except OSError:
             if self.sick_us < self.world.now_us:
@@ -128,7 +128,7 @@
             self.die()
             return
         self.host.closed.add_done_callback(lambda _: self._closed())
-        self.room = next(r for r in self.host.rooms if isinstance(r, FederationComponent))
+        self.room = next(r for r in self.host.components if isinstance(r, FederationComponent))
         send = self.room.mesh.send
 
         def tapped(member: MemberId, channel: str, row: list[Any], sent_us: int | None = None) -> bool:
@@ -204,7 +204,7 @@
         """A call of the operator's at the second address, in the member's own time."""
 
         def act() -> None:
-            answer = self.host.service.act(method, path, json.dumps(document).encode())
+            answer = self.host.admin_service.handle(method, path, json.dumps(document).encode())
             self.world.note(self.name, f"{path} is answered {answer.status} {answer.text.strip()}")
 
         if self.up and self.ready_us >= 0:
--- a/madderbeam/simulation/world.py
+++ b/madderbeam/simulation/world.py
@@ -260,7 +260,7 @@
 
     def _books(self, machine: Machine, end: bool = False) -> None:
         host = machine.host
-        if not self.audited or host is None or not machine.works or host.handed:
+        if not self.audited or host is None or not machine.works or host.is_handed_over:
             return
         found = books.wrong(host, machine.clock.monotonic_us()) or (end and books.left(host))
         found = found or next(books.sockets(host, machine.network.open), "")
--- a/tests/changes/estates_changes.py
+++ b/tests/changes/estates_changes.py
@@ -97,7 +97,7 @@
 
     @property
     def room(self):
-        return next(r for r in self.host.rooms if type(r).__name__ == "ChangesComponent")
+        return next(r for r in self.host.components if type(r).__name__ == "ChangesComponent")
 
     @property
     def machine(self):
@@ -105,7 +105,7 @@
 
     def do(self, method, path, **body):
         """A call at the second address, without its socket: status and text."""
-        answer = self.host.service.act(method, path, json.dumps(body).encode())
+        answer = self.host.admin_service.handle(method, path, json.dumps(body).encode())
         return answer.status, answer.text
 
     def apply(self, **change):
--- a/tests/changes/test_changes_hard_cases.py
+++ b/tests/changes/test_changes_hard_cases.py
@@ -300,7 +300,7 @@
             assert courier.machine.trials[0].id == "less"
             if how == "removed":
                 assert courier.host.admission.classes == {"unsafe": 1, "other": 2}
-                assert courier.host.s.classes[0].name == "safe"
+                assert courier.host.settings.classes[0].name == "safe"
             await courier.until(lambda: not courier.host.journal.pending)  # delivered under its own terms
             feed = made.folder / "finals.jsonl"
             assert not feed.exists() or not feed.read_text()
--- a/tests/changes/test_room.py
+++ b/tests/changes/test_room.py
@@ -44,14 +44,14 @@
         estate.partners = {1: [address(a)], 3: [address(b)]}
         estate.more = "max_held = 300"
         estate.write()
-        courier.host.look()
+        courier.host.reload_files()
         await courier.until(lambda: len(courier.machine.past) == 1)  # the address is had twice
         assert courier.machine.current.get(("limit", "max_held")) == 200
         courier.do("POST", "/changes/undo", name="by-hand")
         estate.partners = {1: [address(a)]}
         estate.write()
-        courier.host.look()
-        await courier.until(lambda: courier.host.s.max_pending == 300)
+        courier.host.reload_files()
+        await courier.until(lambda: courier.host.settings.max_pending == 300)
         assert any(t.change.source == "file" for t in courier.machine.trials)
         await courier.until(lambda: not courier.machine.trials)
     assert RealDisk().is_folder(str(estate.folder / "state-changes"))
@@ -69,9 +69,9 @@
         )
         estate.states[address(a)] = "terminating"
         estate.write()
-        courier.host.look()
+        courier.host.reload_files()
         name = uid(1, a)
-        entry = courier.host.listing.entries[courier.host.listing.uids[name]]
+        entry = courier.host.registry.entries[courier.host.registry.uids[name]]
         assert entry.state.value == "draining"
         assert [t.id for t in courier.machine.trials] == ["edit"]
         courier.do("POST", "/changes/undo", name="edit")
@@ -85,12 +85,12 @@
         await courier.until_ended("more")
         estate.more = "max_held = 300"
         estate.write()
-        courier.host.look()
-        await courier.until(lambda: courier.host.s.max_pending == 300)
+        courier.host.reload_files()
+        await courier.until(lambda: courier.host.settings.max_pending == 300)
         assert "more" in courier.machine.current.endpoints
         await courier.until(lambda: not courier.machine.trials)
     async with Courier(estate) as courier:
-        assert "more" in courier.host.listing.uids and courier.host.s.max_pending == 300
+        assert "more" in courier.host.registry.uids and courier.host.settings.max_pending == 300
 
 
 @run
@@ -102,10 +102,10 @@
         estate.write()
         new = manifest.read_bytes()
         manifest.write_bytes(old)
-        courier.host.look()
-        assert len(courier.host.listing.entries) == 1
+        courier.host.reload_files()
+        assert len(courier.host.registry.entries) == 1
         manifest.write_bytes(new)
-        await courier.until(lambda: len(courier.host.listing.entries) == 2)
+        await courier.until(lambda: len(courier.host.registry.entries) == 2)
 
 
 @run
@@ -133,13 +133,13 @@
             courier.host.courier.state.destination_window == 3
             and courier.host.courier.state.attempts_per_message == 2
         )
-        assert courier.host.figures.classes == ("safe", "unsafe", "new")
+        assert courier.host.metrics.classes == ("safe", "unsafe", "new")
         courier.do("POST", "/changes/undo", name="one")
         assert await courier.client.put("m3", kind="new", dest=1) == unknown
-        assert await courier.client.put("m4", dest=1) == "+OK" and not courier.host.admission.gates
+        assert await courier.client.put("m4", dest=1) == "+OK" and not courier.host.admission.checks
         assert await courier.client.put("m5", dest=1) == "+OK"
         assert courier.host.courier.state.destination_window == 12
-        assert "app.succeeded.new=" in courier.host.all_figures()
+        assert "app.succeeded.new=" in courier.host.metrics_text()
 
 
 @run
@@ -159,7 +159,7 @@
     write(render(report.loaded), estate.folder / "rendered")
     async with Courier(estate) as courier:
         assert courier.host.admission.classes == {"unsafe": 0}
-        assert [c.name for c in courier.host.s.classes] == ["unsafe"]
+        assert [c.name for c in courier.host.settings.classes] == ["unsafe"]
 
 
 @run
@@ -173,8 +173,12 @@
     )
     os.mkdir(plain.state)
     host = assemble(loop, real_ports(loop), plain)
-    assert not host.rooms and not host.admission.taken_up and "/changes" not in str(host.service.calls)
-    assert host.watch.told == host.listed
+    assert (
+        not host.components
+        and not host.admission.numbered_listeners
+        and "/changes" not in str(host.admin_service.calls)
+    )
+    assert host.watch.told == host.apply_list
     host.close()
     code = "import sys, madderbeam.host.process; print([m for m in sys.modules if '.changes' in m])"
     child = await asyncio.create_subprocess_exec(
--- a/tests/kafka/brokers.py
+++ b/tests/kafka/brokers.py
@@ -70,7 +70,7 @@
     async def start(self):
         self.host, self.lock = beside(self.folder / "out" / "n.json")
         self.host.start()
-        self.address = f"127.0.0.2:{self.host.rooms[-1].front.setup.port}"
+        self.address = f"127.0.0.2:{self.host.components[-1].front.setup.port}"
 
     def kill(self):
         """As SIGKILL leaves it: nothing is told to anybody."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 
 from madderbeam.config.platform import load, load_sidecar
 from madderbeam.host.composition import assemble
-from madderbeam.host.standalone import guard
+from madderbeam.host.standalone import claim_resources
 from madderbeam.ports.real import RealDisk, real_ports
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -292,7 +292,7 @@
     if config.kafka is not None:  # an address of its own, since the guard holds the first by its name
         own = ("127.0.0.2", 0)
         config = replace(config, kafka=replace(config.kafka, listen=own, advertised=own))
-    ports, lock = guard(config, real_ports(loop))
+    ports, lock = claim_resources(config, real_ports(loop))
     return assemble(loop, ports, config), lock
 
 
--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -124,7 +124,7 @@
         self.clock = lambda: network.now
         self.listing = EndpointRegistry(settings, (), self.clock)
         self.courier = DeliveryEngine(settings, network.chance.getrandbits(32))
-        hooks = SimpleNamespace(told_wait=self.listing.told_wait, ended=self._ended)
+        hooks = SimpleNamespace(told_wait=self.listing.apply_retry_after, ended=self._ended)
         self.calls = SimpleNamespace(hooks=hooks)
         self.events, self.queue, self.attempts = [], deque(), {}
         self.busy = self.due = False
@@ -147,11 +147,11 @@
                 self.tell_news,
                 lambda event: None,
             )
-            self.listing.serves = self.shared.before_call
+            self.listing.is_served = self.shared.before_call
 
     def begin(self, members):
         target = {"uid": "p-1", "endpoint": "10.0.0.1:80", "pod_group": 1, "state": "in_service"}
-        entries = [e for e, _ in self.listing.read({"targets": [target]})]
+        entries = [e for e, _ in self.listing.apply({"targets": [target]})]
         self.list_told(ListUpdateKind.CACHED, entries)
         if self.shared is not None:
             self.tell_news(SiteMembers(members))
@@ -165,7 +165,7 @@
         self.network.later(seconds * S, act)
 
     def list_told(self, form, entries):
-        self.tell(EndpointListUpdate(form, tuple(map(self.listing.shown, entries))))
+        self.tell(EndpointListUpdate(form, tuple(map(self.listing.as_shown_to_engine, entries))))
 
     def tell(self, event):
         self.events.append(event)
--- a/tests/sidecar/test_check.py
+++ b/tests/sidecar/test_check.py
@@ -16,7 +16,7 @@
 from madderbeam.config.render import render, write
 from madderbeam.config.source import MAX_BYTES, lines
 from madderbeam.host import process
-from madderbeam.host.standalone import guard
+from madderbeam.host.standalone import claim_resources
 from madderbeam.ports import Ports
 from madderbeam.simulation.couriers import SimClock
 from madderbeam.simulation.disk import SimDisk
@@ -209,7 +209,7 @@
     loop = ProcessLoop(scheduler)
     network = SimNetwork(loop, {}, Link(), random.Random(1), lambda what: False, 256)
     config = load_sidecar(path, disk)
-    ports, _ = guard(config, Ports(SimClock(scheduler), network, disk))
+    ports, _ = claim_resources(config, Ports(SimClock(scheduler), network, disk))
     host = process.start(loop, ports, {}, config)
     scheduler.run(2_000_000)
     assert config.name == name and host.clients.listening and not host.closed.done()
--- a/tests/sidecar/test_redis_clients.py
+++ b/tests/sidecar/test_redis_clients.py
@@ -14,7 +14,7 @@
 from madderbeam.config.platform import load_sidecar
 from madderbeam.config.rendered import seal
 from madderbeam.host.composition import assemble
-from madderbeam.host.standalone import guard
+from madderbeam.host.standalone import claim_resources
 from madderbeam.ports.real import RealDisk, real_ports
 
 FIELDS = "c=safe,t=t,d=5000,dest=7"
@@ -135,7 +135,7 @@
         (self.folder / "n.json").write_text(json.dumps(seal(file)))
         loop = asyncio.get_running_loop()
         config = load_sidecar(f"{self.folder}/n.json", RealDisk())
-        ports, self.lock = guard(config, real_ports(loop))
+        ports, self.lock = claim_resources(config, real_ports(loop))
         self.host = assemble(loop, ports, config)
         self.port = self.host.start()
         return self
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -116,7 +116,7 @@
 
 @bug(1, "lost")
 def records_after_it_has_answered(patch):
-    take = Admission.take
+    take = Admission.accept
 
     def late(self, m, replies):
         for reply in replies:
@@ -189,7 +189,7 @@
 
 @bug(18, "wait")
 def forgets_waits_on_a_change_of_the_list(patch):
-    listed = Host.listed
+    listed = Host.apply_list
 
     def forget(self, change, form=None):
         listed(self, change, form)
@@ -241,7 +241,7 @@
 
 @bug(0, "answer")
 def answers_late(patch):
-    take = Admission.take
+    take = Admission.accept
     patch.setattr(
         Admission, "take", lambda self, m, replies: self.ends.loop.call_later(0.39, take, self, m, replies)
     )
@@ -452,7 +452,7 @@
 
 @bug(98, "wait")
 def an_upgrade_forgets_told_waits(patch):
-    adopt = state_transfer._decisions
+    adopt = state_transfer._restore_engine
 
     def careless(host, whole):
         host.listing.waits.clear()
@@ -475,7 +475,7 @@
         state.calls.clear()
         adopt(host, whole)
 
-    adopt = state_transfer._decisions
+    adopt = state_transfer._restore_engine
     patch.setattr(state_transfer, "_decisions", careless)
     patch.setattr(calls.Calls, "adopt", lambda self, sock, state: None)
 
@@ -562,7 +562,7 @@
 
 @bug(1, "design")
 def hands_back_with_no_time_to_come_back(patch):
-    end = Completions.end
+    end = Completions.complete
     patch.setattr(Completions, "end", lambda self, m, status, again_ms: end(self, m, status, 0))
 
 
@@ -698,7 +698,7 @@
 @bug(510, "books")
 def keeps_the_numbers_of_what_was_not_taken_on(patch):
     forget = Attempts.forget
-    refused = Admission.take.__code__
+    refused = Admission.accept.__code__
 
     def forgets(self, number):
         if sys._getframe(1).f_code not in refused.co_consts:
@@ -821,7 +821,7 @@
 
 @bug(14, "quota")
 def takes_on_what_its_quotas_refuse(patch):
-    ask = quota.QuotaComponent.ask
+    ask = quota.QuotaComponent.check
 
     def lax(self, tenant, cls, size):
         ask(self, tenant, cls, size)
--- a/tests/simulation/test_long_service.py
+++ b/tests/simulation/test_long_service.py
@@ -11,7 +11,7 @@
 
 from madderbeam.host.attempts import Attempts
 from madderbeam.host.completions import Completions
-from madderbeam.host.endpoint_registry import EVER, EndpointRegistry
+from madderbeam.host.endpoint_registry import MAX_REMEMBERED_IDS, EndpointRegistry
 from madderbeam.journal.expiring_set import ExpiringSet
 from madderbeam.policy.endpoint_list import EndpointList
 from madderbeam.simulation import books
@@ -47,7 +47,7 @@
     "gaps",
     "notices_torn",
 )
-BOUNDED = {"host.listing.ever": EVER}  # grows up to that many
+BOUNDED = {"host.listing.ever": MAX_REMEMBERED_IDS}  # grows up to that many
 # Held against what is open at each look, which is stricter than by size: that is chance, as troubles are.
 EXACT = "host.journal.open_keys"
 SLACK = 6  # elements; and a fifth
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -7,7 +7,7 @@
 import pytest
 from loopback import LIMIT, Client, bounded, courier
 
-from madderbeam.host.host import GRACE_S
+from madderbeam.host.host import CLIENT_GRACE_S
 from madderbeam.ports.real import RealNetwork
 from madderbeam.simulation.loop import ProcessLoop, Scheduler
 from madderbeam.simulation.network import Link, SimNetwork
@@ -488,7 +488,7 @@
     at = host.loop.time()
     assert not host.closed.done() and host.clients.leaving and not host.clients.clients
     await bounded(host.closed)
-    assert GRACE_S <= host.loop.time() - at < host.closing_at - at
+    assert CLIENT_GRACE_S <= host.loop.time() - at < host.closing_at - at
     assert await client.rest() == b""
 
 
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -310,11 +310,11 @@
             e = await fleet.endpoint("a")
             client = await fleet.inside()
             host = fleet.host
-            number = host.listing.uids["a"]
+            number = host.registry.uids["a"]
             if news == "wait":
-                host.listing.told_wait(number, 60_000_000)
+                host.registry.apply_retry_after(number, 60_000_000)
             else:
-                entries = host.listing.entries
+                entries = host.registry.entries
                 entries[number] = replace(entries[number], state=EndpointState.DRAINING)
             # Attempts that are held back cost no try: its time ends it, ahead of the list's being told anew.
             assert await client.put("m", kind="unsafe", life=1500) == "+OK"
--- a/tests/test_last_requests.py
+++ b/tests/test_last_requests.py
@@ -6,7 +6,7 @@
 import pytest
 from loopback import Client, bounded, courier
 
-from madderbeam.host.host import MOST_TURNS
+from madderbeam.host.host import MAX_CYCLES
 from madderbeam.ports.real import RealFile
 
 
@@ -139,7 +139,7 @@
     host.clients.last_call()
     host.clients.let_go, host.clients.look = crossed(host.clients.let_go), crossed(host.clients.look)
     host._leave()
-    assert not host.clients.clients and len(sent) == 2 * MOST_TURNS
+    assert not host.clients.clients and len(sent) == 2 * MAX_CYCLES
     got = b""
     while part := await client.line():
         got += part
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -6,7 +6,7 @@
 import pytest
 from test_messages import Host, S, of
 
-from madderbeam.host.completions import SETTLE_S, Completions
+from madderbeam.host.completions import RECORD_RETRY_S, Completions
 from madderbeam.host.metrics import Metrics
 from madderbeam.journal.journal import Journal
 from madderbeam.journal.pending_message import PendingMessage
@@ -103,17 +103,17 @@
     loop = process_loop(clock.scheduler)
     journal, told = Journal(disk, clock, "/state", 1_000_000), []
     ends = Completions(loop, journal, None, lambda event: None, lambda number: None, Metrics(()))
-    ends.tellers.append(lambda m, status: told.append((journal.wall(), status)) or True)
+    ends.listeners.append(lambda m, status: told.append((journal.wall(), status)) or True)
     until = journal.wall() + 1.0
     m = held(1, until=until)
     journal.accept(m)
-    ends.guard(m)
+    ends.start_deadline_timer(m)
     disk.faults.full = True
     clock.scheduler.run(clock.scheduler.now_us + S // 2)
-    ends.end(m, "deferred", 5)
+    ends.complete(m, "deferred", 5)
     clock.scheduler.run(clock.scheduler.now_us + 2 * S)
     assert [status for _, status in told] == ["undeliverable"]  # no promise is made that was not recorded
-    assert until <= told[0][0] <= until + SETTLE_S
+    assert until <= told[0][0] <= until + RECORD_RETRY_S
 
 
 @pytest.mark.parametrize("step_s", [-30, 30])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -81,7 +81,7 @@
         reloader = ConfigReloader(
             loop, {"LB_CONFIG": str(path)}, RealDisk(), fleet.host.move, random.Random(1), told.put_nowait
         )
-        loop.call_soon(reloader.hup)
+        loop.call_soon(reloader.reload)
         used = await bounded(told.get())
         assert await client.put("m1") == "+OK"
         assert (await e.call())[1]["x-request-id"] == "m1"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -170,7 +170,7 @@
             out, client, port = await served(fleet)
             assert (await call(port, "PUT", "/endpoints/disable", member("a")))[0] == 200
             fleet.discovery.change("a", state="terminated")
-            await until(lambda: fleet.host.listing.entries == {})
+            await until(lambda: fleet.host.registry.entries == {})
             assert (await figures(port))["app.ejected"] == 0
             fleet.host.close()
             fleet.discovery.targets["a"]["state"] = "in_service"
@@ -214,7 +214,7 @@
             await until(lambda: host.courier.state.endpoints[1].circuit.slow_start_since_us >= 0)
             fleet.discovery.change("a", capacity_hint=90.0)  # a later word does not chill it again
             await until(lambda: host.watch.rev == 2)
-            assert host.listing.entries[1].recovering is False
+            assert host.registry.entries[1].recovering is False
 
     asyncio.run(inner())
 
--- a/tests/test_told_again.py
+++ b/tests/test_told_again.py
@@ -19,11 +19,11 @@
         lambda: now[0],
     )
     target = {"uid": "p-1", "endpoint": "127.0.0.1:80", "pod_group": 1, "state": "in_service"}
-    for entry, _ in listing.read({"targets": [target]}):
+    for entry, _ in listing.apply({"targets": [target]}):
         listing.entries[entry.endpoint] = entry
     endpoint = listing.uids["p-1"]
-    listing.told_wait(endpoint, own_s * S)
-    told = listing.told_again(1, "", now[0] + others_s * S)
+    listing.apply_retry_after(endpoint, own_s * S)
+    told = listing.adopt_retry_after(1, "", now[0] + others_s * S)
     assert [e.retry_after_until_us for e in told] == [(10 + ends_s) * S]
     now[0] = (10 + ends_s) * S - 1
     assert not listing.may_write(endpoint)
--- a/tests/test_told_limits.py
+++ b/tests/test_told_limits.py
@@ -11,7 +11,7 @@
 
 from madderbeam import simhost, wire
 from madderbeam.host.endpoint_registry import EndpointRegistry
-from madderbeam.host.rate_limits import ReportedRates, told
+from madderbeam.host.rate_limits import ReportedRates, reported_rate
 from madderbeam.policy.events import (
     AttemptEnded,
     EndpointEntry,
@@ -100,7 +100,7 @@
         ("here",),
         lambda: 0,
     )
-    listing.read(
+    listing.apply(
         {
             "targets": [
                 {
@@ -114,22 +114,22 @@
             ]
         }
     )
-    assert listing.told_load(1, told_load({"x-server-load": text})) == []
-    assert listing.told_load(99, {"x1": 5.0}) == []  # one that has left the list
+    assert listing.apply_load_report(1, told_load({"x-server-load": text})) == []
+    assert listing.apply_load_report(99, {"x1": 5.0}) == []  # one that has left the list
 
 
 def test_a_noisy_report_is_no_news_and_a_lowered_limit_is():
     limits = ReportedRates()
-    assert limits.told(7, 10.0)
-    assert not any(limits.told(7, rate) for rate in (8.0, 9.0, 11.0, 12.9, 0.0, -1.0)) and limits[7] == 10
-    assert limits.told(7, 5.0) and limits[7] == 5 and limits[8] == 0
+    assert limits.update(7, 10.0)
+    assert not any(limits.update(7, rate) for rate in (8.0, 9.0, 11.0, 12.9, 0.0, -1.0)) and limits[7] == 10
+    assert limits.update(7, 5.0) and limits[7] == 5 and limits[8] == 0
 
 
 def test_each_route_apart_has_a_rate_of_its_own():
     kinds = (DestinationKind("apart", limits_per_endpoint=True),)
     s = Settings((MessageClass("c", 1, 1),), 1, 1, kinds=kinds, rates_listed=True, load_report_fields=FIELDS)
     listing = EndpointRegistry(s, ("here",), lambda: 0)
-    listing.read(
+    listing.apply(
         {
             "targets": [
                 {
@@ -144,9 +144,9 @@
             ]
         }
     )
-    assert [e.endpoint for e in listing.told_load(2, {"x0": 1.0, "x1": 6.0})] == [2]
+    assert [e.endpoint for e in listing.apply_load_report(2, {"x0": 1.0, "x1": 6.0})] == [2]
     listing.forget(2)
-    assert not listing.limits.rates
+    assert not listing.reported_rates.rates
 
 
 def test_the_simulators_reports_are_heard_alike():
@@ -154,8 +154,8 @@
     assert (
         s.rates_listed
         and s.load_report_fields == FIELDS
-        and told(FIELDS, (0.5, 9.0)) == 9
-        and told((), (9.0,)) == 0
+        and reported_rate(FIELDS, (0.5, 9.0)) == 9
+        and reported_rate((), (9.0,)) == 0
     )
     heard = simhost.List(s)
     entry = EndpointEntry(1, 7, EndpointState.READY, rate_per_s=1.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -253,7 +253,7 @@
 async def passed_on(fleet, take=False):
     """The connection to the process in charge, and what it passes on, or its word after that was taken. It is
     asked again where this process was too slow for its patience."""
-    hello = {"say": "hello", "form": state_transfer.form()}
+    hello = {"say": "hello", "form": state_transfer.state_version()}
     while True:
         conn = passing.ask(str(fleet.folder / "state"))
         conn.settimeout(5)
@@ -312,7 +312,7 @@
 def test_without_a_hand_over_a_process_waits_until_the_folder_is_free(tmp_path):
     async def test(fleet, processes):
         e = await fleet.endpoint("a")
-        lock = RealDisk.lock(str(fleet.folder / "state" / process_upgrade.LOCK))
+        lock = RealDisk.lock(str(fleet.folder / "state" / process_upgrade.LOCK_FILE))
         new = await processes.start(ready=False)
         while await processes.asked(new.control) != 503:
             await asyncio.sleep(0.02)
@@ -331,8 +331,8 @@
 async def two(fleet, change=lambda message: None, settings_=None, wanted=None):
     """The host of this fleet passes on to a second one, which is returned with its message."""
     host = fleet.host
-    assert state_transfer.ready(host)
-    message, socks = state_transfer.snapshot(host, wanted or state_transfer.form())
+    assert state_transfer.is_ready(host)
+    message, socks = state_transfer.snapshot(host, wanted or state_transfer.state_version())
     left, right = socket.socketpair(socket.AF_UNIX)
     left.settimeout(5)
     right.settimeout(5)
@@ -345,7 +345,7 @@
     passed = state_transfer.TransferredState(message, socks, settings_ or config.settings, 1)
     host.let_go()
     loop = asyncio.get_running_loop()
-    fleet.host = start(loop, real_ports(loop), fleet.env(), config, passed=passed)
+    fleet.host = start(loop, real_ports(loop), fleet.env(), config, transferred=passed)
     return host
 
 
@@ -400,7 +400,7 @@
         {"nodes": [["list", [7]]]},
         {"listens": 2},
     ):
-        message, socks = state_transfer.snapshot(fleet.host, state_transfer.form())
+        message, socks = state_transfer.snapshot(fleet.host, state_transfer.state_version())
         with pytest.raises(object_graph.UnknownStateError):
             state_transfer.TransferredState({**message, **change}, socks, fleet.host.s, 1)
 
@@ -448,8 +448,8 @@
         def __init__(self):
             self.one = 1
 
-    before = object_graph.form([Message])
+    before = object_graph.classes_digest([Message])
     Message.__init__ = lambda self: setattr(self, "two", 2)
-    assert object_graph.form([Message]) != before and object_graph.form(
+    assert object_graph.classes_digest([Message]) != before and object_graph.classes_digest(
         [Message, Idempotency]
-    ) != object_graph.form([Idempotency])
+    ) != object_graph.classes_digest([Idempotency])
