--- a/bench/journal.py
+++ b/bench/journal.py
@@ -124,8 +124,8 @@
     """A store, with the garbage collector set as the courier's process sets it."""
     if which != "new":
         return kind()
-    from madderbeam.host.process import collector_rests
-    with collector_rests():
+    from madderbeam.host.process import collector_paused
+    with collector_paused():
         return kind()
 
 if ids:
--- a/madderbeam/host/completions.py
+++ b/madderbeam/host/completions.py
@@ -64,8 +64,8 @@
 
     def cancel_deadline_timer(self, number: int) -> None:
         """Cancel the deadline timer of a message."""
-        if guard := self.deadline_timers.pop(number, None):
-            guard.cancel()
+        if timer := self.deadline_timers.pop(number, None):
+            timer.cancel()
 
     def _overdue(self, number: int) -> None:
         message = self.journal.pending.get(number)
--- a/tests/changes/test_changes_hard_cases.py
+++ b/tests/changes/test_changes_hard_cases.py
@@ -36,7 +36,7 @@
 
 def state(courier, name):
     """As the turn sees it; None if it is not there."""
-    listing = courier.host.listing
+    listing = courier.host.registry
     entry = listing.entries.get(listing.uids.get(name, -1))
     return entry.state if entry else None
 
@@ -66,7 +66,7 @@
     await courier.until(
         lambda: (
             courier.host.courier.state.endpoints[
-                courier.host.listing.uids[uid(1, a)]
+                courier.host.registry.uids[uid(1, a)]
             ].circuit.slow_start_since_us
             >= 0
         )
@@ -82,7 +82,7 @@
     rows[17]["address"] = rows[3]["address"]
     status, text = courier.apply(name="forty", add=rows)
     assert status == 409 and "endpoint e17.address: e3 has the endpoint" in text
-    assert len(courier.host.listing.entries) == 1 and courier.machine.current.version == 1
+    assert len(courier.host.registry.entries) == 1 and courier.machine.current.version == 1
 
 
 @estate(partners=(1, 1))
@@ -110,7 +110,7 @@
     [a] = ones
     a.script[:] = [answer(503, retry_after="1.5")]
     assert await courier.client.put("m0", dest=1) == "+OK"
-    await courier.until(lambda: courier.host.listing.waits)
+    await courier.until(lambda: courier.host.registry.waits)
     told = courier.host.clock()
     courier.apply(name="swap", remove=[uid(1, a)], add=[added("new", 1, a)], accept=["orphans"])
     assert await courier.client.put("m1", dest=1) == "+OK"
@@ -126,7 +126,7 @@
     assert courier.apply(name="chain", remove=[uid(1, a)], **chain)[0] == 202
     a.script[:] = [answer(503, retry_after="1.5")]
     assert await courier.client.put("m0", dest=5) == "+OK"
-    await courier.until(lambda: courier.host.listing.waits)
+    await courier.until(lambda: courier.host.registry.waits)
     told = courier.host.clock()
     row = added("new", 5, a, kind="apart")
     assert courier.apply(name="swap", remove=["old"], add=[row], accept=["orphans"])[0] == 202
@@ -177,7 +177,7 @@
     heard, at = asyncio.get_running_loop().time(), taken
     await courier.until(lambda: taken > at + 200, 60)
     courier.do("POST", "/changes/undo", name="swap")
-    numbers = courier.host.listing.uids
+    numbers = courier.host.registry.uids
     await courier.until(
         lambda: all(  # back, and as returning ones
             state(courier, name) is EndpointState.READY
--- a/tests/changes/test_thousand.py
+++ b/tests/changes/test_thousand.py
@@ -45,7 +45,7 @@
 
     def one_by_one(self, action, rows):
         for row in rows:
-            self.host.later(0.002, lambda row=row: whole(self, action, [row]))
+            self.host.schedule(0.002, lambda row=row: whole(self, action, [row]))
 
     patch.setattr(Applying, "_list", one_by_one)
 
@@ -115,7 +115,9 @@
 def settings_come_a_turn_later(patch):
     settings = Applying._settings
     patch.setattr(
-        Applying, "_settings", lambda self, snapshot: self.host.later(0.003, lambda: settings(self, snapshot))
+        Applying,
+        "_settings",
+        lambda self, snapshot: self.host.schedule(0.003, lambda: settings(self, snapshot)),
     )
 
 
--- a/tests/kafka/test_front.py
+++ b/tests/kafka/test_front.py
@@ -592,7 +592,7 @@
         assert await asyncio.wait_for(reader.read(), 3) == b""
         assert tracemalloc.get_traced_memory()[1] < 5_000_000
         tracemalloc.stop()
-        assert not made.host.rooms[-1].server.clients
+        assert not made.host.components[-1].server.clients
 
     play(tmp_path)
 
--- a/tests/quota/test_gate.py
+++ b/tests/quota/test_gate.py
@@ -293,7 +293,7 @@
         :5
     ]  # already accepted: not counted again
     assert [await client.send(message(f"t{n}")) for n in again] == ["+OK"] * 5
-    figures = dict(line.split("=") for line in made.host.all_figures().splitlines())
+    figures = dict(line.split("=") for line in made.host.metrics_text().splitlines())
     assert int(figures["app.quota.refused"]) == sum(a != "+OK" for a in answers)
     await bounded(made.settled())
     rendered = str(made.folder / "out" / "n.json")
--- a/tests/relay/test_relay_settling.py
+++ b/tests/relay/test_relay_settling.py
@@ -17,8 +17,8 @@
     told = []
     unsafe = SimpleNamespace(name="unsafe", idempotency=Idempotency.NON_IDEMPOTENT)
     host = SimpleNamespace(
-        s=SimpleNamespace(classes=[unsafe], tenants=[]),
-        tell=lambda event: None,
+        settings=SimpleNamespace(classes=[unsafe], tenants=[]),
+        post_event=lambda event: None,
         journal=SimpleNamespace(wall=SimpleNamespace(monotonic_us_at=lambda wall: int(wall * 1e6))),
     )
     streams = SimpleNamespace(sent=SimpleNamespace(sites=dict))
--- a/tests/routing/test_pooled_courier.py
+++ b/tests/routing/test_pooled_courier.py
@@ -330,7 +330,7 @@
         f'[[partner]]\nname = "venue"\nnumber = 1\nper_s = 50\nendpoints = ["{made.address("a")}"]\n'
     )
     assert (
-        made.host.courier.state.endpoint_preference is None and "route.pools" not in made.host.all_figures()
+        made.host.courier.state.endpoint_preference is None and "route.pools" not in made.host.metrics_text()
     )
     assert await made.one(client, "m1") == ["a"]
 
--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -120,11 +120,11 @@
     """The host's part, for Shared and the delivery engine."""
 
     def __init__(self, network, node, settings):
-        self.network, self.node, self.s = network, node, settings
+        self.network, self.node, self.settings = network, node, settings
         self.clock = lambda: network.now
-        self.listing = EndpointRegistry(settings, (), self.clock)
+        self.registry = EndpointRegistry(settings, (), self.clock)
         self.courier = DeliveryEngine(settings, network.chance.getrandbits(32))
-        hooks = SimpleNamespace(told_wait=self.listing.apply_retry_after, ended=self._ended)
+        hooks = SimpleNamespace(told_wait=self.registry.apply_retry_after, ended=self._ended)
         self.calls = SimpleNamespace(hooks=hooks)
         self.events, self.queue, self.attempts = [], deque(), {}
         self.busy = self.due = False
@@ -147,31 +147,31 @@
                 self.tell_news,
                 lambda event: None,
             )
-            self.listing.is_served = self.shared.before_call
+            self.registry.is_served = self.shared.before_call
 
     def begin(self, members):
         target = {"uid": "p-1", "endpoint": "10.0.0.1:80", "pod_group": 1, "state": "in_service"}
-        entries = [e for e, _ in self.listing.apply({"targets": [target]})]
-        self.list_told(ListUpdateKind.CACHED, entries)
+        entries = [e for e, _ in self.registry.apply({"targets": [target]})]
+        self.post_list_update(ListUpdateKind.CACHED, entries)
         if self.shared is not None:
             self.tell_news(SiteMembers(members))
             self.shared.warm()
-            self.later(self.network.chance.random() / 4, self.shared._look)
-            self.list_told(ListUpdateKind.DELTA, entries)
+            self.schedule(self.network.chance.random() / 4, self.shared._look)
+            self.post_list_update(ListUpdateKind.DELTA, entries)
 
     # Parts of the host
 
-    def later(self, seconds, act):
+    def schedule(self, seconds, act):
         self.network.later(seconds * S, act)
 
-    def list_told(self, form, entries):
-        self.tell(EndpointListUpdate(form, tuple(map(self.listing.as_shown_to_engine, entries))))
+    def post_list_update(self, form, entries):
+        self.post_event(EndpointListUpdate(form, tuple(map(self.registry.as_shown_to_engine, entries))))
 
-    def tell(self, event):
+    def post_event(self, event):
         self.events.append(event)
         if not self.due:
             self.due = True
-            self.network.later(max(0, self.last + self.s.tick_us - self.network.now), self._turn)
+            self.network.later(max(0, self.last + self.settings.tick_us - self.network.now), self._turn)
 
     def _turn(self):
         self.due, self.last = False, self.network.now
@@ -180,7 +180,9 @@
             if isinstance(a, Send):
                 self._send(a)
             elif isinstance(a, policy_actions.SetTimer):
-                self.network.later(a.delay_us + 50, lambda token=a.token: self.tell(EngineTimerDue(token)))
+                self.network.later(
+                    a.delay_us + 50, lambda token=a.token: self.post_event(EngineTimerDue(token))
+                )
             elif isinstance(a, (Reject, Fail)):
                 self.attempts.pop(a.message, None)
                 self.network.partner.unserved += 1
@@ -188,8 +190,8 @@
     def _send(self, a):
         attempt = self.attempts.get(a.message, 0)
         self.attempts[a.message] = attempt + 1
-        if not self.listing.may_write(a.endpoint):
-            self.tell(AttemptEnded(a.message, attempt, a.endpoint, AttemptResult.NOT_SENT, 1))
+        if not self.registry.may_write(a.endpoint):
+            self.post_event(AttemptEnded(a.message, attempt, a.endpoint, AttemptResult.NOT_SENT, 1))
             return
         result, latency, wait = self.network.partner.call(
             self.network.now, self.network.chance, self.node.id, a
@@ -207,7 +209,7 @@
     def _ended(self, item, endpoint, outcome, latency):
         if outcome.over:
             self.attempts.pop(item.number, None)
-        self.tell(
+        self.post_event(
             AttemptEnded(
                 item.number, item.attempt, endpoint, outcome.result, latency, outcome.over, outcome.wait_us
             )
@@ -215,11 +217,11 @@
 
     def feed(self, rate):
         if rate > 0:
-            self.later(self.network.chance.expovariate(rate), lambda: self._arrives(rate))
+            self.schedule(self.network.chance.expovariate(rate), lambda: self._arrives(rate))
 
     def _arrives(self, rate):
         self.number += 1
-        self.tell(MessageArrived(self.number, 0, 1, self.network.now + CLASS.deadline_us))
+        self.post_event(MessageArrived(self.number, 0, 1, self.network.now + CLASS.deadline_us))
         self.feed(rate)
 
     # The state machine of the findings
--- a/tests/shared/test_ended_lease.py
+++ b/tests/shared/test_ended_lease.py
@@ -8,7 +8,7 @@
 def test_calls_are_not_written_until_the_engine_knows_that_the_lease_expired():
     later = []
     shared = object.__new__(Shared)
-    shared.host = SimpleNamespace(clock=lambda: 1_000, later=lambda seconds, do: later.append(do))
+    shared.host = SimpleNamespace(clock=lambda: 1_000, schedule=lambda seconds, do: later.append(do))
     shared.leases = SimpleNamespace(amount=lambda resource, now: 0.5)
     shared.warming, shared.held, shared.until, shared.stale = False, set(), {1: 1_000, 2: 1_001}, set()
     shared.rates = {1: 5.0}
--- a/tests/sidecar/test_redis_clients.py
+++ b/tests/sidecar/test_redis_clients.py
@@ -195,8 +195,11 @@
         assert await in_thread(lambda: list(client.finals(wait=False))) == [found]
         with pytest.raises(ValueError, match="no such destination"):
             await in_thread(lambda: client.put("safe", 8, b"x", 5000, tenant="t"))
-        made.host.admission.s = made.host.s.__class__(
-            **{**{f: getattr(made.host.s, f) for f in made.host.s.__dataclass_fields__}, "max_pending": 1}
+        made.host.admission.settings = made.host.settings.__class__(
+            **{
+                **{f: getattr(made.host.settings, f) for f in made.host.settings.__dataclass_fields__},
+                "max_pending": 1,
+            }
         )
         made.endpoint.script = ["hang"]
         await in_thread(lambda: client.put("safe", 7, b"x", 5000, tenant="t"))
@@ -210,7 +213,7 @@
 
 def test_no_answer_is_told_apart_from_a_refusal(tmp_path):
     async def test(made):
-        made.host.admission.put = None
+        made.host.admission.submit = None
         made.host.clients.put = lambda put, reply: None
         client = Courier(f"redis://127.0.0.1:{made.port}")
         with pytest.raises(Unknown) as unknown:
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -97,12 +97,12 @@
 @bug(1, "repeat")
 def uses_a_key_past_its_window(patch):
     _classes(patch, key_window_us=60_000_000)
-    patch.setattr(Attempts, "_key_s", lambda self, m, ran_at: math.inf)
+    patch.setattr(Attempts, "_key_window_left_s", lambda self, m, executed_at_s: math.inf)
 
 
 @bug(6, "repeat")
 def forgets_keys_with_their_window(patch):
-    patch.setattr(composition, "remembered_s", lambda settings: 0.0)
+    patch.setattr(composition, "key_retention_s", lambda settings: 0.0)
 
 
 @bug(3, "repeat", "refusal", "ends", "order", "design")
@@ -123,7 +123,7 @@
             reply.send(b"+OK\r\n")
         take(self, m, replies)
 
-    patch.setattr(Admission, "take", late)
+    patch.setattr(Admission, "accept", late)
 
 
 @bug(1, "lost", "order", "books")
@@ -167,11 +167,11 @@
     def guard(self, m):
         def end():
             if not m.status:
-                self.end(m, "undeliverable", 0)
+                self.complete(m, "undeliverable", 0)
 
         self.loop.call_later(max(0.0, m.deadline_s + completions.OVERDUE_S - self.journal.wall()), end)
 
-    patch.setattr(Completions, "guard", guard)
+    patch.setattr(Completions, "start_deadline_timer", guard)
 
 
 @bug(132, "pushed")
@@ -193,12 +193,12 @@
 
     def forget(self, change, form=None):
         listed(self, change, form)
-        self.listing.waits.clear()
+        self.registry.waits.clear()
         for destination in self.courier.state.destinations.values():
             for scope in destination.scopes:
                 scope.retry_after_until_us = 0
 
-    patch.setattr(Host, "listed", forget)
+    patch.setattr(Host, "apply_list", forget)
 
 
 @bug(2, "form", "lost", "ends", "overlap", "repeat", "crash", "refusal")
@@ -243,7 +243,9 @@
 def answers_late(patch):
     take = Admission.accept
     patch.setattr(
-        Admission, "take", lambda self, m, replies: self.ends.loop.call_later(0.39, take, self, m, replies)
+        Admission,
+        "accept",
+        lambda self, m, replies: self.completions.loop.call_later(0.39, take, self, m, replies),
     )
 
 
@@ -254,7 +256,7 @@
 
 @bug(3, "lost", "drain")
 def does_not_follow_discovery(patch):
-    patch.setattr(Host, "move", lambda self, address: None)
+    patch.setattr(Host, "move_discovery", lambda self, address: None)
 
 
 @bug(10, "limits")
@@ -275,7 +277,11 @@
 
 @bug(1776, "refusal", "repeat", "ends", "lost")
 def tells_an_end_that_the_disk_did_not_take(patch):
-    patch.setattr(Completions, "_unsettled", lambda self, m, status, again_ms, error: self._notify(m))
+    patch.setattr(
+        Completions,
+        "_outcome_not_recorded",
+        lambda self, m, status, retry_after_ms, error: self._outcome_recorded(m),
+    )
 
 
 @bug(1, "repeat", "lost", "refusal", "ends", "order", "books")
@@ -305,7 +311,7 @@
 
 @bug(346, "ends")
 def ends_by_a_notice_what_its_bundle_says_is_done(patch):
-    patch.setattr(Attempts, "late", lambda self, item, outcome: None)
+    patch.setattr(Attempts, "late_outcome", lambda self, item, outcome: None)
 
 
 @bug(31, "lost")
@@ -455,13 +461,13 @@
     adopt = state_transfer._restore_engine
 
     def careless(host, whole):
-        host.listing.waits.clear()
+        host.registry.waits.clear()
         for destination in whole["courier"].state.destinations.values():
             for scope in destination.scopes:
                 scope.retry_after_until_us = 0
         adopt(host, whole)
 
-    patch.setattr(state_transfer, "_decisions", careless)
+    patch.setattr(state_transfer, "_restore_engine", careless)
 
 
 @bug(10, "overlap", "repeat", "ends", "order", "refusal")
@@ -476,7 +482,7 @@
         adopt(host, whole)
 
     adopt = state_transfer._restore_engine
-    patch.setattr(state_transfer, "_decisions", careless)
+    patch.setattr(state_transfer, "_restore_engine", careless)
     patch.setattr(calls.Calls, "adopt", lambda self, sock, state: None)
 
 
@@ -503,7 +509,7 @@
         self.calls.close()
         self.clients.close()
 
-    patch.setattr(Host, "let_go", careless)
+    patch.setattr(Host, "stop_after_handover", careless)
 
 
 @bug(18, "drain")
@@ -551,7 +557,7 @@
 
 @bug(0, "form")
 def puts_one_too_many_into_a_bundle(patch):
-    patch.setattr(EndpointRegistry, "batch", lambda self, endpoint: 6)
+    patch.setattr(EndpointRegistry, "max_batch", lambda self, endpoint: 6)
     _settings(patch, lambda s: replace(s, kinds=tuple(replace(k, max_batch=6) for k in s.kinds)))
 
 
@@ -563,7 +569,7 @@
 @bug(1, "design")
 def hands_back_with_no_time_to_come_back(patch):
     end = Completions.complete
-    patch.setattr(Completions, "end", lambda self, m, status, again_ms: end(self, m, status, 0))
+    patch.setattr(Completions, "complete", lambda self, m, status, retry_after_ms: end(self, m, status, 0))
 
 
 @bug(0, "lost", "books", script="owed_notices_meet_compaction")
@@ -674,14 +680,14 @@
     def rest(self):
         self.journal.commit()
         if self.events or self.admission.arrived:
-            self.turn()
+            self.run_cycle()
 
     def ready(host):
-        host.rest()
+        host.run_until_idle()
         return not host.calls.unsettled and not any(c.pending for c in host.clients.clients)
 
-    patch.setattr(Host, "rest", rest)
-    patch.setattr(state_transfer, "ready", ready)
+    patch.setattr(Host, "run_until_idle", rest)
+    patch.setattr(state_transfer, "is_ready", ready)
 
 
 @bug(0, "books", script="put_back_while_its_circuit_is_open")
@@ -827,11 +833,11 @@
         ask(self, tenant, cls, size)
         return admission.QuotaVerdict(True)
 
-    patch.setattr(quota.QuotaComponent, "ask", lax)
+    patch.setattr(quota.QuotaComponent, "check", lax)
 
 
 @bug(14, "quota")
 def counts_an_hour_from_its_last_saved_state_as_if_nothing_had_gone_since(patch):
     patch.setattr(admission, "SAVE_DIVISOR", 1)  # saved far too seldom
-    patch.setattr(quota, "EVERY_S", 1e9)
+    patch.setattr(quota, "SAVE_INTERVAL_S", 1e9)
     patch.setattr(admission.QuotaAdmission, "restore", lambda self, rows, elapsed, now: None)
--- a/tests/simulation/test_books.py
+++ b/tests/simulation/test_books.py
@@ -83,15 +83,15 @@
 
 
 def _guard(host):
-    host.ends.guards.popitem()
+    host.completions.deadline_timers.popitem()
 
 
 def _number(host):
-    host.attempts.numbers[1 << 40] = 1
+    host.attempts.next_numbers[1 << 40] = 1
 
 
 def _name(host):
-    host.listing.uids["s-none"] = 77
+    host.registry.uids["s-none"] = 77
 
 
 def _idle(host):
--- a/tests/simulation/test_long_service.py
+++ b/tests/simulation/test_long_service.py
@@ -47,7 +47,7 @@
     "gaps",
     "notices_torn",
 )
-BOUNDED = {"host.listing.ever": MAX_REMEMBERED_IDS}  # grows up to that many
+BOUNDED = {"host.registry.ever": MAX_REMEMBERED_IDS}  # grows up to that many
 # Held against what is open at each look, which is stricter than by size: that is chance, as troubles are.
 EXACT = "host.journal.open_keys"
 SLACK = 6  # elements; and a fifth
@@ -101,7 +101,7 @@
 
 LEAKS = {
     "numbers of attempts": lambda p: p.setattr(Attempts, "forget", lambda self, number: None),
-    "guards": lambda p: p.setattr(Completions, "unguard", lambda self, number: None),
+    "guards": lambda p: p.setattr(Completions, "cancel_deadline_timer", lambda self, number: None),
     "remembered ids and keys": lambda p: p.setattr(ExpiringSet, "expire", lambda self, now, most=0: None),
     "endpoints that have gone": lambda p: p.setattr(EndpointRegistry, "forget", lambda self, endpoint: None),
     "pools of endpoints that have gone": lambda p: p.setattr(Calls, "forget", lambda self, endpoint: None),
--- a/tests/simulation/test_mended.py
+++ b/tests/simulation/test_mended.py
@@ -102,7 +102,7 @@
 def test_a_key_s_window_passes_while_a_connection_is_made(monkeypatch, mended):
     # The first attempt hangs until shortly before the window's end; the second waits for a slow handshake.
     if not mended:
-        monkeypatch.setattr(Attempts, "_key_s", lambda self, m, ran_at: math.inf)
+        monkeypatch.setattr(Attempts, "_key_window_left_s", lambda self, m, executed_at_s: math.inf)
     faults = [Fault("hung", 100, 1500), Fault("slow_handshakes", 600, 8000, 0, 0.999)]
     made = Script(seed=1, couriers=1, dests=1, rate_per_s=0, seconds=2.0, tight=50.0)
     rules = set()
--- a/tests/simulation/test_mutation.py
+++ b/tests/simulation/test_mutation.py
@@ -77,15 +77,15 @@
 
 def test_a_mutant_that_nothing_can_tell_is_not_found():
     # Whether a wait ends at its last microsecond or behind it.
-    same = one("host/endpoint_registry.py", "EndpointRegistry.waited", "compare", ">")
+    same = one("host/endpoint_registry.py", "EndpointRegistry.is_under_retry_after", "compare", ">")
     assert apart(same, days(range(4))).verdict == "no difference"
 
 
 def test_a_mutant_has_the_same_verdict_in_any_order_and_on_any_number_of_workers():
     wanted = [
         one("host/completions.py", "Completions.notify", "left out", "self.notices.add"),
-        one("host/endpoint_registry.py", "EndpointRegistry.waited", "compare", ">"),
-        one("host/completions.py", "Completions.unguard", "left out", "guard.cancel"),
+        one("host/endpoint_registry.py", "EndpointRegistry.is_under_retry_after", "compare", ">"),
+        one("host/completions.py", "Completions.cancel_deadline_timer", "left out", "timer.cancel"),
     ]
     alone = [(v.mutant.id, v.verdict, v.seed, v.detail) for v in mutation.score(wanted, 1, reach=4)]
     many = [(v.mutant.id, v.verdict, v.seed, v.detail) for v in mutation.score(wanted[::-1], 3, reach=4)]
@@ -94,7 +94,7 @@
 
 def test_a_mutant_is_played_on_days_that_reach_its_statement_the_cheapest_first():
     cheap, dear = (mutation.Day(draw(n), None, (), steps) for n, steps in ((1, 5), (2, 9)))
-    m = one("host/endpoint_registry.py", "EndpointRegistry.waited", "compare", ">")
+    m = one("host/endpoint_registry.py", "EndpointRegistry.is_under_retry_after", "compare", ">")
     chosen = mutation.Chosen(
         [
             (frozenset({(m.path, m.line)}), dear),
@@ -121,7 +121,7 @@
 
 def test_a_mutant_that_is_stale_is_told():
     gone = mutants.Mutant(
-        "host/completions.py", "Completions.end", 1, "left out", "x", "pass", 10_000, "00000000"
+        "host/completions.py", "Completions.complete", 1, "left out", "x", "pass", 10_000, "00000000"
     )
     with pytest.raises(LookupError):
         mutants.plant(gone)
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -379,7 +379,7 @@
             client.send(message("m1"))
         host.terminate()
         host.clients.last_call()
-        host._leave()
+        host._end_clients()
         assert not host.clients.clients
         assert await client.rest() == OK
         await bounded(host.closed)
@@ -470,7 +470,7 @@
     host.clients.end = crossed
     host.terminate()
     host.clients.last_call()
-    host._leave()
+    host._end_clients()
     assert await client.rest() == b"$%d\r\n%s\r\n" % (size, b"x" * size)
     await bounded(host.closed)
     assert "m1" not in host.journal.numbers_by_id and "m1" not in host.journal.completed_ids
@@ -484,11 +484,11 @@
     assert await client.answers(1) == b"+PONG\r\n"
     host.terminate()
     host.clients.last_call()
-    host._leave()
+    host._end_clients()
     at = host.loop.time()
     assert not host.closed.done() and host.clients.leaving and not host.clients.clients
     await bounded(host.closed)
-    assert CLIENT_GRACE_S <= host.loop.time() - at < host.closing_at - at
+    assert CLIENT_GRACE_S <= host.loop.time() - at < host.shutdown_deadline - at
     assert await client.rest() == b""
 
 
@@ -504,7 +504,7 @@
     assert await client.rest() == b""
     assert host.clients.leaving and not host.closed.done()
     await bounded(host.closed)
-    assert host.loop.time() < host.closing_at and not host.clients.leaving
+    assert host.loop.time() < host.shutdown_deadline and not host.clients.leaving
 
 
 # Requests in pieces
--- a/tests/test_client_fuzz.py
+++ b/tests/test_client_fuzz.py
@@ -117,9 +117,9 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_each_whole_request_is_answered_once_or_was_never_read(tmp_path, monkeypatch, seed):
-    monkeypatch.setattr(host_module, "LISTEN_S", LISTEN_S)
-    monkeypatch.setattr(host_module, "CALLS_S", LISTEN_S)
-    monkeypatch.setattr(host_module, "EXIT_S", EXITS_S[seed % len(EXITS_S)])
+    monkeypatch.setattr(host_module, "ACCEPT_UNTIL_S", LISTEN_S)
+    monkeypatch.setattr(host_module, "CALLS_UNTIL_S", LISTEN_S)
+    monkeypatch.setattr(host_module, "CLIENTS_UNTIL_S", EXITS_S[seed % len(EXITS_S)])
 
     async def test(fleet):
         chance = random.Random(seed)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -71,7 +71,7 @@
     client = await fleet.inside()
     await bounded(fleet.discovery.watches.get())
     fleet.discovery.change("a", state="terminated")
-    while fleet.host.listing.entries:
+    while fleet.host.registry.entries:
         await asyncio.sleep(0.01)
     assert await client.put("m1") == "+OK"
     assert (await client.put("m2", dest=8)).startswith("-ERR")
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -65,10 +65,10 @@
     while a.calls.qsize() + b.calls.qsize() < 12:
         await asyncio.sleep(0.01)
     assert a.calls.qsize() == before
-    assert not fleet.host.calls.pools[fleet.host.listing.uids["a"]].idle
-    number = fleet.host.listing.uids["b"]
+    assert not fleet.host.calls.pools[fleet.host.registry.uids["a"]].idle
+    number = fleet.host.registry.uids["b"]
     fleet.discovery.change("b", state="terminated")
-    while number in fleet.host.listing.entries:
+    while number in fleet.host.registry.entries:
         await asyncio.sleep(0.01)
 
 
--- a/tests/test_full_restart.py
+++ b/tests/test_full_restart.py
@@ -94,19 +94,19 @@
 PHASES = """
 import asyncio, json, os, time
 at = [time.process_time()]
-from madderbeam.host.process import collector_rests
+from madderbeam.host.process import collector_paused
 from madderbeam.config.platform import load
 from madderbeam.host.composition import assemble
 from madderbeam.ports.real import RealDisk, real_ports
 at.append(time.process_time())
 loop = asyncio.new_event_loop()
-with collector_rests():
+with collector_paused():
     host = assemble(loop, real_ports(loop), load(os.environ, RealDisk()))
 at.append(time.process_time())
 
 async def listed():
     host.start()
-    while host.first is not None:
+    while host.start_timer is not None:
         await asyncio.sleep(0.01)
 
 loop.run_until_complete(listed())
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,16 +10,16 @@
 def kept(host):
     """The sizes of all that is kept for something that comes and goes."""
     brain, journal, calls = host.courier, host.journal, host.calls
-    listing, admission = host.listing, host.admission
+    listing, admission = host.registry, host.admission
     return {
         "uids": len(listing.uids),
         "names": len(listing.names),
         "entries": len(listing.entries),
         "waits": len(listing.waits),
         "arrived": len(admission.arrived),
-        "arriving": len(admission.arriving),
-        "guards": len(host.ends.guards),
-        "attempts": len(host.attempts.numbers),
+        "arriving": len(admission.arriving_ids),
+        "guards": len(host.completions.deadline_timers),
+        "attempts": len(host.attempts.next_numbers),
         "clients": len(host.clients.clients),
         "held": len(journal.pending),
         "ids": len(journal.numbers_by_id),
--- a/tests/test_key_window.py
+++ b/tests/test_key_window.py
@@ -190,7 +190,11 @@
     assert {(await endpoint.call())[1]["x-request-id"] for _ in range(2)} == {"m2", "m3"}
     await bounded(until(lambda: not fleet.host.journal.pending and not fleet.host.courier.state.messages))
     assert endpoint.calls.empty() and "m1" not in fleet.host.journal.completed_ids
-    assert fleet.host.figures.ends == {"succeeded": [0, 2, 0], "declined": [0, 1, 0], "aborted": [0, 0, 0]}
+    assert fleet.host.metrics.completed == {
+        "succeeded": [0, 2, 0],
+        "declined": [0, 1, 0],
+        "aborted": [0, 0, 0],
+    }
 
 
 class Bundles(Endpoint):
--- a/tests/test_last_answers.py
+++ b/tests/test_last_answers.py
@@ -59,7 +59,7 @@
     endpoints = await calls_out(fleet, len(texts))
     for endpoint, text in zip(endpoints, texts, strict=True):
         endpoint.answer(text)
-    fleet.host._leave()  # what SIGTERM's last timer calls
+    fleet.host._end_clients()  # what SIGTERM's last timer calls
     fleet.host.close()
     assert states(fleet) == {"m2": "ended", "m3": "ended", "m4": "trying"}
     assert {m.id: m.status for m in fleet.host.journal.pending.values() if m.status} == {
@@ -84,7 +84,7 @@
 
         monkeypatch.setattr(RealFile, "append", written)
         endpoints[0].answer(answer(200))
-        fleet.host._leave()
+        fleet.host._end_clients()
         fleet.host.close()
         assert not late and states(fleet) == {}
         for endpoint in endpoints:
@@ -118,7 +118,7 @@
     assert not call.sent
     fleet.host.terminate()
     fleet.host.clients.last_call()
-    fleet.host._leave()
+    fleet.host._end_clients()
     while True:  # whatever the endpoint reads now: the rest must not come
         try:
             if not await bounded(loop.sock_recv(sock, 1 << 16)):
--- a/tests/test_last_requests.py
+++ b/tests/test_last_requests.py
@@ -106,7 +106,7 @@
             monkeypatch.setattr(RealFile, "append", written)
         else:
             second.send(rest.pop(second))
-        host._leave()  # what SIGTERM's last timer calls
+        host._end_clients()  # what SIGTERM's last timer calls
         assert not host.clients.clients
         assert not rest and {"m1", "m2"} <= set(host.journal.numbers_by_id) | set(
             host.journal.completed_ids.entries
@@ -138,7 +138,7 @@
     host.terminate()
     host.clients.last_call()
     host.clients.let_go, host.clients.look = crossed(host.clients.let_go), crossed(host.clients.look)
-    host._leave()
+    host._end_clients()
     assert not host.clients.clients and len(sent) == 2 * MAX_CYCLES
     got = b""
     while part := await client.line():
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -79,7 +79,12 @@
         good, told = path.read_text(), asyncio.Queue()
         path.write_text(strange)
         reloader = ConfigReloader(
-            loop, {"LB_CONFIG": str(path)}, RealDisk(), fleet.host.move, random.Random(1), told.put_nowait
+            loop,
+            {"LB_CONFIG": str(path)},
+            RealDisk(),
+            fleet.host.move_discovery,
+            random.Random(1),
+            told.put_nowait,
         )
         loop.call_soon(reloader.reload)
         used = await bounded(told.get())
@@ -146,7 +151,7 @@
         await asyncio.sleep(0.01)
     new = await Discovery().start()
     new.targets = fleet.discovery.targets
-    fleet.host.move(("127.0.0.1", new.port))
+    fleet.host.move_discovery(("127.0.0.1", new.port))
     assert await new.final() == {"id": "u1", "status": "undeliverable"}
     await bounded(new.watches.get())
     await new.stop()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -128,7 +128,7 @@
     assert (await call(port, "PUT", "/endpoints/disable", member("a")))[0] == 200
     fleet.discovery.change("b", state="in_service")
     fleet.discovery.change("a", state="in_service")
-    await until(lambda: (fleet.host.watch.rev, len(fleet.host.listing.entries)) == (3, 2))
+    await until(lambda: (fleet.host.watch.rev, len(fleet.host.registry.entries)) == (3, 2))
     for n in range(6):
         assert await client.put(f"m{n}") == "+OK"
         await other.call()
@@ -151,7 +151,7 @@
     started, begin = asyncio.Event(), host.calls._connected
 
     def connected(call_, connection, error):  # the ban comes between the decision and the first byte
-        host.service.act("PUT", "/endpoints/disable", member("a"))
+        host.admin_service.handle("PUT", "/endpoints/disable", member("a"))
         started.set()
         begin(call_, connection, error)
 
@@ -159,7 +159,7 @@
     assert await client.put("m1") == "+OK"
     await bounded(started.wait())
     host.calls._connected = begin
-    host.service.act("PUT", "/endpoints/enable", member("a"))
+    host.admin_service.handle("PUT", "/endpoints/enable", member("a"))
     assert (await out.call())[1]["x-request-id"] == "m1" and out.accepted >= 1
     assert out.calls.empty()
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -55,7 +55,7 @@
     endpoint = await restored(fleet)
     client = await fleet.inside()
     host = fleet.host
-    assert host.first is not None  # it waits for the list
+    assert host.start_timer is not None  # it waits for the list
     host.terminate()
     host.terminate()
     assert await client.put("came", dest=5) == "+OK"
--- a/tests/test_strange_lists.py
+++ b/tests/test_strange_lists.py
@@ -45,7 +45,7 @@
 
 def entries(fleet):
     """Ids by state, as the list has them and as the decision module has them."""
-    listing = fleet.host.listing
+    listing = fleet.host.registry
     known = {listing.names[n]: e.state.name for n, e in listing.entries.items()}
     decided = {
         listing.names[n]: e.state.name
@@ -57,7 +57,7 @@
 
 async def settled(fleet):
     """The watch stands at the newest version, and a turn has heard of it."""
-    while fleet.host.watch.rev != fleet.discovery.rev or fleet.host.scheduled:
+    while fleet.host.watch.rev != fleet.discovery.rev or fleet.host.is_cycle_scheduled:
         await asyncio.sleep(0.005)
 
 
@@ -194,9 +194,9 @@
     await fleet.inside()
     await bounded(fleet.discovery.watches.get())
     await bounded(settled(fleet))
-    listed = fleet.host.listing
+    listed = fleet.host.registry
     for n in range(50):
-        listed.read({"targets": [{"uid": f"s{n}", "state": "?"}]})
+        listed.apply({"targets": [{"uid": f"s{n}", "state": "?"}]})
     assert set(listed.uids) == {"a"} and set(listed.ever) == {"a"} and listed.listed_ever == 1
 
 
--- a/tests/test_told_limits.py
+++ b/tests/test_told_limits.py
@@ -87,7 +87,7 @@
 @courier
 async def test_a_rate_that_was_told_outlasts_changes_of_the_list(fleet):
     lane = await report_comes(fleet, loaded(40))
-    told_of = fleet.host.listing.read({"targets": [fleet.discovery.target("b", 1, 7)]})
+    told_of = fleet.host.registry.apply({"targets": [fleet.discovery.target("b", 1, 7)]})
     assert [entry.rate_per_s for entry, _ in told_of] == [40] and lane.listed_rate_per_s == 20
 
 
--- a/tests/test_told_waits.py
+++ b/tests/test_told_waits.py
@@ -55,7 +55,7 @@
     # held back in turn after turn until no try was left, and was handed back with no call.
     endpoint, client = await taught(fleet)
     endpoint.tell.set()
-    await until(lambda: fleet.host.listing.waits)
+    await until(lambda: fleet.host.registry.waits)
     assert await client.put("b") == "+OK"
     _, headers, _, at = await endpoint.call()
     assert headers["x-request-id"] == "b" and at - endpoint.told_at >= WAIT_S
@@ -71,7 +71,7 @@
     fleet.discovery.change("f")
     fleet.discovery.change("e", state="terminated")
     host, pending, ended = fleet.host, [], []
-    await until(lambda: [host.listing.names[n] for n in host.listing.entries] == ["f"])
+    await until(lambda: [host.registry.names[n] for n in host.registry.entries] == ["f"])
     connected, over = host.calls._connected, host.calls.hooks.ended
     host.calls._connected = lambda *args: pending.append(args)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -343,7 +343,7 @@
     change(message)
     config = load(fleet.env(), RealDisk())
     passed = state_transfer.TransferredState(message, socks, settings_ or config.settings, 1)
-    host.let_go()
+    host.stop_after_handover()
     loop = asyncio.get_running_loop()
     fleet.host = start(loop, real_ports(loop), fleet.env(), config, transferred=passed)
     return host
@@ -402,7 +402,7 @@
     ):
         message, socks = state_transfer.snapshot(fleet.host, state_transfer.state_version())
         with pytest.raises(object_graph.UnknownStateError):
-            state_transfer.TransferredState({**message, **change}, socks, fleet.host.s, 1)
+            state_transfer.TransferredState({**message, **change}, socks, fleet.host.settings, 1)
 
 
 # The graph
