--- a/madderbeam/host/attempts.py
+++ b/madderbeam/host/attempts.py
@@ -161,7 +161,7 @@
     def _key_window_left_s(self, m: PendingMessage, executed_at_s: float) -> float:
         """Return the seconds left of the message's idempotency key window; infinity if it has none.
 
-        The window starts at `ran_at`, the time of the attempt that was possibly executed.
+        The window starts at `executed_at_s`, the time of the attempt that was possibly executed.
         """
         cls = self.settings.classes[m.class_index]
         if cls.idempotency is not Idempotency.WITH_KEY or not executed_at_s:
--- a/madderbeam/host/completions.py
+++ b/madderbeam/host/completions.py
@@ -87,7 +87,7 @@
             self.complete(message, "undeliverable", 0)
 
     def complete(self, m: PendingMessage, status: str, retry_after_ms: int) -> None:
-        """Complete a message with a notice of this status; `again_ms` is its Retry-After."""
+        """Complete a message with a notice of this status; `retry_after_ms` is its Retry-After."""
         self.metrics.count_completion(DECLINED if status == "deferred" else ABORTED, m.class_index)
         self.cancel_deadline_timer(m.number)
         self.on_completed(m.number)
@@ -112,16 +112,16 @@
         )
 
     def _outcome_not_recorded(
-        self, m: PendingMessage, status: str, retry_after_ms: int, error: OSError
+        self, message: PendingMessage, status: str, retry_after_ms: int, error: OSError
     ) -> None:
         log.error("journal write failed; outcome not recorded: %s", error)
-        if self.journal.wall() < m.deadline_s:
-            self.unrecorded[m.number] = m
-            self.loop.call_later(RECORD_RETRY_S, self._record_outcome, m, status, retry_after_ms)
+        if self.journal.wall() < message.deadline_s:
+            self.unrecorded[message.number] = message
+            self.loop.call_later(RECORD_RETRY_S, self._record_outcome, message, status, retry_after_ms)
         else:  # no record holds the outcome until the notice is accepted: the next message of an order waits
-            self.unrecorded[m.number] = m
-            m.status, m.retry_after_ms = "undeliverable", 0
-            self.notify(m)
+            self.unrecorded[message.number] = message
+            message.status, message.retry_after_ms = "undeliverable", 0
+            self.notify(message)
 
     def notices_accepted(self, numbers: list[int]) -> None:
         """The notices of these messages were accepted: an outcome without a record needs none any more."""
--- a/madderbeam/host/components.py
+++ b/madderbeam/host/components.py
@@ -99,6 +99,6 @@
         """Whether the message belongs to this listener, which then reports its outcome.
 
         The outcome is recorded. `status` is "" if the message was delivered, else that of its notice. The
-        listener calls `Completions.over` once it has stored the outcome.
+        listener calls `Completions.outcomes_stored` once it has stored the outcome.
         """
         ...
--- a/madderbeam/host/endpoint_registry.py
+++ b/madderbeam/host/endpoint_registry.py
@@ -193,7 +193,7 @@
     def unchanged_entries(self, change: dict[str, Any], parsed: list[EndpointEntry]) -> list[EndpointEntry]:
         """Return the entries that a complete list leaves unchanged because its entries of them are malformed.
 
-        If a malformed entry does not even have an id, all endpoints are kept. `read`: the well-formed
+        If a malformed entry does not even have an id, all endpoints are kept. `parsed`: the well-formed
         entries.
         """
         known = {e.endpoint for e in parsed}
--- a/madderbeam/host/host.py
+++ b/madderbeam/host/host.py
@@ -148,7 +148,7 @@
     def load_state(self, retry_after: dict[tuple[int, str], int]) -> None:
         """Load the last known endpoint list, active Retry-After times and the journal's pending messages.
 
-        `waits` maps a destination and an endpoint id ("" for all endpoints) to the end of the time, in
+        `retry_after` maps a destination and an endpoint id ("" for all endpoints) to the end of the time, in
         microseconds of the monotonic clock.
         """
         is_complete = self.apply_list({**self.config.known, "all": True}, ListUpdateKind.CACHED)
--- a/madderbeam/host/process.py
+++ b/madderbeam/host/process.py
@@ -56,7 +56,7 @@
 ) -> Host:
     """Start one courier on this loop; the caller closes it once its `closed` is done.
 
-    `passed`: the state from another process that this one continues from.
+    `transferred`: the state from another process that this one continues from.
 
     Used both for a process of its own and for one of many in the simulation. OSError if it can't listen or
     its folder can't be used.
--- a/madderbeam/host/state_transfer.py
+++ b/madderbeam/host/state_transfer.py
@@ -110,9 +110,9 @@
 
 
 def snapshot(host: Host, wanted: str) -> tuple[dict[str, Any], list[Socket]]:
-    """Return the state and the sockets of an idle host, for a process whose `form` is `wanted`.
+    """Return the state and the sockets of an idle host, for a process whose `state_version` is `wanted`.
 
-    The engine, calls and endpoint list are included only if the forms are equal. The host does not change.
+    The engine, calls and endpoint list are included only if the versions are equal. The host does not change.
     """
     message: dict[str, Any] = {
         "series": FORMAT_VERSION,
