--- a/madderbeam/transport/mesh/arrivals.py
+++ b/madderbeam/transport/mesh/accepted_connections.py
@@ -9,8 +9,8 @@
 from madderbeam.ports import Socket
 from madderbeam.transport.mesh import frames
 from madderbeam.transport.mesh.connection import Connection
+from madderbeam.transport.mesh.context import MeshContext
 from madderbeam.transport.mesh.exchanges import REQUEST, Exchanges
-from madderbeam.transport.mesh.here import MeshContext
 from madderbeam.transport.mesh.links import FULL, HELLO, OTHER_MEMBER, OUTDATED, REFUSED, IncomingLink
 
 
--- a/madderbeam/transport/mesh/connection.py
+++ b/madderbeam/transport/mesh/connection.py
@@ -10,7 +10,7 @@
 
 from madderbeam.ports import Address, Network, Socket
 from madderbeam.transport.dialing import Dialed
-from madderbeam.transport.mesh.counts import Counters
+from madderbeam.transport.mesh.counters import Counters
 from madderbeam.transport.mesh.frames import FrameSplitter, InvalidFrame
 from madderbeam.transport.reading import read
 
--- a/madderbeam/transport/mesh/here.py
+++ b/madderbeam/transport/mesh/context.py
@@ -12,7 +12,7 @@
 from madderbeam.ports import Address, Network, Socket
 from madderbeam.transport.mesh import frames
 from madderbeam.transport.mesh.connection import Connection
-from madderbeam.transport.mesh.counts import Counters
+from madderbeam.transport.mesh.counters import Counters
 from madderbeam.transport.mesh.events import EventHandler, MeshSettings
 
 
--- a/madderbeam/transport/mesh/datagrams.py
+++ b/madderbeam/transport/mesh/datagrams.py
@@ -8,7 +8,7 @@
 from madderbeam.ports import Datagrams as Socket
 from madderbeam.transport.mesh import frames
 from madderbeam.transport.mesh.addresses import is_usable
-from madderbeam.transport.mesh.counts import Counters
+from madderbeam.transport.mesh.counters import Counters
 
 MAX_READS_PER_CALLBACK = 64  # datagrams read per event loop callback
 
--- a/madderbeam/transport/mesh/exchanges.py
+++ b/madderbeam/transport/mesh/exchanges.py
@@ -11,8 +11,8 @@
 from madderbeam.transport.mesh import frames
 from madderbeam.transport.mesh.addresses import is_usable
 from madderbeam.transport.mesh.connection import Connection
+from madderbeam.transport.mesh.context import MeshContext
 from madderbeam.transport.mesh.events import ExchangeAborted, ExchangeReplied, ExchangeRequested
-from madderbeam.transport.mesh.here import MeshContext
 
 REQUEST, REPLY = "ask", "answer"
 
--- a/madderbeam/transport/mesh/links.py
+++ b/madderbeam/transport/mesh/links.py
@@ -18,10 +18,10 @@
 from madderbeam.ports import Address
 from madderbeam.transport.mesh import frames
 from madderbeam.transport.mesh.addresses import is_usable
-from madderbeam.transport.mesh.ahead import ClockLeadBound
+from madderbeam.transport.mesh.clock_lead import ClockLeadBound
 from madderbeam.transport.mesh.connection import Connection
+from madderbeam.transport.mesh.context import MeshContext
 from madderbeam.transport.mesh.events import ALL_CHANNELS, LaterIncarnationSeen
-from madderbeam.transport.mesh.here import MeshContext
 
 HELLO, WELCOME, REFUSED = "hello", "welcome", "refused"
 PING_CHANNEL = ""  # channel of pings and pongs on a link
--- a/madderbeam/transport/mesh/mesh.py
+++ b/madderbeam/transport/mesh/mesh.py
@@ -11,12 +11,12 @@
 from madderbeam.ports import Address, Network
 from madderbeam.transport.accepting import Accepting
 from madderbeam.transport.mesh import frames
-from madderbeam.transport.mesh.arrivals import AcceptedConnections
-from madderbeam.transport.mesh.counts import Counters
+from madderbeam.transport.mesh.accepted_connections import AcceptedConnections
+from madderbeam.transport.mesh.context import LatestIncarnations, MeshContext
+from madderbeam.transport.mesh.counters import Counters
 from madderbeam.transport.mesh.datagrams import Datagrams
 from madderbeam.transport.mesh.events import DatagramArrived, EventHandler, MeshSettings
 from madderbeam.transport.mesh.exchanges import Exchanges
-from madderbeam.transport.mesh.here import LatestIncarnations, MeshContext
 from madderbeam.transport.mesh.links import OutgoingLink
 
 PORT_ATTEMPTS = 16  # tried until one is free for both datagrams and connections
--- a/madderbeam/transport/replication.py
+++ b/madderbeam/transport/replication.py
@@ -21,7 +21,7 @@
 from madderbeam.replication.messages import VERSION
 from madderbeam.transport.accepting import Accepting
 from madderbeam.transport.mesh.connection import Connection
-from madderbeam.transport.mesh.counts import Counters
+from madderbeam.transport.mesh.counters import Counters
 from madderbeam.transport.mesh.frames import InvalidFrame, pack_link_frame, unpack_link_frame
 
 UNSENT = 4 << 20  # bytes that wait to be sent on one connection; what does not fit ends it
--- a/tests/federation/test_held_bytes.py
+++ b/tests/federation/test_held_bytes.py
@@ -8,7 +8,7 @@
 from judge import judged
 from noting_partners import now
 
-from madderbeam.transport.mesh.ahead import ClockLeadBound
+from madderbeam.transport.mesh.clock_lead import ClockLeadBound
 
 LIMIT = 60.0  # seconds, for anything that is waited for
 S, DRIFT = 1_000_000, 200
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -24,7 +24,7 @@
 from madderbeam.relay.sent import Sent
 from madderbeam.relay.subscriptions import Subscriptions
 from madderbeam.transport.clients import Put
-from madderbeam.transport.mesh.ahead import ClockLeadBound
+from madderbeam.transport.mesh.clock_lead import ClockLeadBound
 from madderbeam.transport.mesh.mesh import Mesh
 
 BUGS = {}
