--- a/madderbeam/federation/switchover/__init__.py
+++ b/madderbeam/federation/switchover/__init__.py
@@ -1,1 +1,1 @@
-"""The switch to an agreed table: what is served here, released, and in force elsewhere."""
+"""Switching to an agreed table: what this member serves and releases, and what is in force elsewhere."""
--- a/madderbeam/federation/switchover/activation.py
+++ b/madderbeam/federation/switchover/activation.py
@@ -1,13 +1,18 @@
-"""Which agreed table comes in force here next: one after the other, each on disk first."""
+"""Brings agreed tables in force one after the other, each written to disk first."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 from madderbeam.federation.errors import FederationError, TableRefused, TablesDiffer
-from madderbeam.federation.switchover.ledger import COUNCILS_MOST, DEBTS_MOST, Ledger, debts_after
+from madderbeam.federation.switchover.ledger import (
+    MAX_OUTSTANDING_RELEASES,
+    MAX_VOTER_SETS,
+    Ledger,
+    count_outstanding_after,
+)
 from madderbeam.federation.switchover.messages import InForceReply
-from madderbeam.federation.switchover.moves import version
+from madderbeam.federation.switchover.moves import gossip_version
 from madderbeam.federation.switchover.ownership_registry import MemberStanding, OwnershipRegistry
 from madderbeam.federation.switchover.pending_writes import ActionBuffer
 from madderbeam.federation.switchover.release_learning import standing_body
@@ -15,90 +20,108 @@
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import Disseminate, Incarnation, LogLine
 
-AGREED_MOST = 64  # tables that are agreed and wait for those between
+MAX_AGREED_TABLES = 64  # agreed tables that wait until those before them are in force
 
 
 class TableActivation:
-    """`fresh`: nothing is on disk, and what the file says may be old. `candidate`: the ledger that is being
-    written, and whether tables between were skipped."""
+    """Decides which table comes in force next, and announces it.
+
+    `has_no_record`: no table is on disk here, and the one of the configuration file may be out of date.
+    `agreed`: later tables by number. `candidate`: the ledger that is being written, and whether it skips
+    tables.
+    """
 
     def __init__(
         self,
         settings: SwitchoverSettings,
-        book: OwnershipRegistry,
-        out: ActionBuffer,
-        life: Incarnation,
-        fresh: bool,
+        registry: OwnershipRegistry,
+        actions: ActionBuffer,
+        incarnation: Incarnation,
+        has_no_record: bool,
     ) -> None:
-        self.settings, self.book, self.out, self.life, self.fresh = settings, book, out, life, fresh
+        self.settings, self.registry, self.actions, self.incarnation, self.has_no_record = (
+            settings,
+            registry,
+            actions,
+            incarnation,
+            has_no_record,
+        )
         self.agreed: dict[int, Table] = {}
         self.candidate: tuple[Ledger, bool] | None = None
-        self._told: MemberStanding | None = None
+        self._announced: MemberStanding | None = None
 
     def add(self, table: Table) -> None:
-        """It is agreed; known before or older ones change nothing."""
-        mine = self.book.table
-        if table.number == mine.number and table.digest != mine.digest:
-            what = f"table {mine.number} is {mine.digest} here, and {table.digest} was agreed"
-            self.out.do(LogLine(what, TablesDiffer(what)))
-        if table.number > mine.number and len(self.agreed) < AGREED_MOST:
+        """Add an agreed table; one that is known or older changes nothing. Logs an error if the table in
+        force here has the same number and another content."""
+        current = self.registry.table
+        if table.number == current.number and table.digest != current.digest:
+            text = f"table {current.number} has digest {current.digest} here, but {table.digest} was agreed"
+            self.actions.do(LogLine(text, TablesDiffer(text)))
+        if table.number > current.number and len(self.agreed) < MAX_AGREED_TABLES:
             self.agreed.setdefault(table.number, table)
 
-    def told(self, message: InForceReply) -> None:
-        """Take what a member with newer tables told: those that come next, else its ledger."""
-        whole = message.whole
-        if whole is not None and self.candidate is None:
-            above = whole.number - self.book.ledger.number
-            if above > 1 or (above >= 0 and self.fresh):
-                self.put(whole, True)
-        for table in message.tables:
+    def on_reply(self, reply: InForceReply) -> None:
+        """Take the tables of a member that is ahead: the consecutive ones if possible, else its ledger."""
+        ledger = reply.ledger
+        if ledger is not None and self.candidate is None:
+            distance = ledger.number - self.registry.ledger.number
+            if distance > 1 or (distance >= 0 and self.has_no_record):
+                self.write(ledger, True)
+        for table in reply.tables:
             self.add(table)
 
     def advance(self) -> bool:
-        """Write the next table; False if tables are known and the next one is not. Who has nothing on disk
-        learns first what is owed."""
-        if not self.agreed or self.candidate is not None or self.fresh:
+        """Write the next table. Returns False if a later table is known but not the next one.
+
+        A member without records first learns the outstanding releases from replies.
+        """
+        if not self.agreed or self.candidate is not None or self.has_no_record:
             return True
-        table = self.agreed.get(self.book.ledger.number + 1)
+        table = self.agreed.get(self.registry.ledger.number + 1)
         if table is not None:
-            self.put(self.book.next(table), False)
+            self.write(self.registry.next_ledger(table), False)
         return table is not None
 
-    def put(self, ledger: Ledger, skipped: bool) -> None:
-        self.candidate = (ledger, skipped)
-        self.out.write("force", "", ledger.row())
+    def write(self, ledger: Ledger, skipped_tables: bool) -> None:
+        """Write the ledger of the table that comes in force next."""
+        self.candidate = (ledger, skipped_tables)
+        self.actions.write("force", "", ledger.row())
 
-    def tidy(self) -> None:
-        """All debts are paid: the table without them is what is to be kept."""
-        if self.book.ledger.debts and self.candidate is None and not self.fresh:
-            self.put(replace(self.book.ledger, debts={}), False)
+    def write_without_outstanding(self) -> None:
+        """Write the ledger again without its outstanding releases, once all have been made."""
+        if self.registry.ledger.debts and self.candidate is None and not self.has_no_record:
+            self.write(replace(self.registry.ledger, debts={}), False)
 
-    def written(self) -> tuple[Table, bool]:
-        """The candidate is in force. Returns the table before, and whether some were skipped."""
+    def on_written(self) -> tuple[Table, bool]:
+        """The candidate is on disk and comes in force. Returns the previous table, and whether tables were
+        skipped."""
         assert self.candidate is not None
-        before, (ledger, skipped) = self.book.table, self.candidate
-        self.book.ledger, self.candidate, self.fresh = ledger, None, False
-        self.agreed = {n: t for n, t in self.agreed.items() if n > ledger.number}
-        if ledger.table.proposal_id != before.proposal_id:
-            self.book.since_us = self.out.now_us
-        return before, skipped
+        previous, (ledger, skipped_tables) = self.registry.table, self.candidate
+        self.registry.ledger, self.candidate, self.has_no_record = ledger, None, False
+        self.agreed = {number: table for number, table in self.agreed.items() if number > ledger.number}
+        if ledger.table.proposal_id != previous.proposal_id:
+            self.registry.in_force_since_us = self.actions.now_us
+        return previous, skipped_tables
 
     def announce(self, again: bool = False) -> None:
-        """To all, once it is on disk: what is in force here, and whether a release is missed."""
-        if self.fresh:
+        """Disseminate the table in force and whether a release is missing; `again`: even if nothing has
+        changed."""
+        if self.has_no_record:
             return
-        settled = next(self.book.all_missing(), None) is None
-        standing = MemberStanding(self.book.ledger.number, settled, self.settings.lease_us)
-        if standing != self._told or again:
-            self._told = standing
-            at = version(standing.number, self.life, int(settled))
-            self.out.do(Disseminate("force", at, standing_body(standing), self.settings.keep_us))
+        is_settled = next(self.registry.all_missing_releases(), None) is None
+        standing = MemberStanding(self.registry.ledger.number, is_settled, self.settings.lease_us)
+        if standing != self._announced or again:
+            self._announced = standing
+            version = gossip_version(standing.number, self.incarnation, int(is_settled))
+            self.actions.do(
+                Disseminate("force", version, standing_body(standing), self.settings.gossip_retention_us)
+            )
 
     def objection(self, table: Table) -> FederationError | None:
-        """What stands against staging this table here."""
-        ledger, most = self.book.ledger, DEBTS_MOST // 2
-        if len(ledger.councils) >= COUNCILS_MOST and table.voters != ledger.table.voters:
-            return TableRefused(f"members may lease by {COUNCILS_MOST} sets of voters still", "sites")
-        if table.number == ledger.number + 1 and debts_after(ledger, table) > most:
-            return TableRefused(f"more than {most} releases would be due at once", "owners")
+        """Why this table must not be staged here, or None."""
+        ledger, max_outstanding = self.registry.ledger, MAX_OUTSTANDING_RELEASES // 2
+        if len(ledger.councils) >= MAX_VOTER_SETS and table.voters != ledger.table.voters:
+            return TableRefused(f"members may lease by {MAX_VOTER_SETS} sets of voters still", "sites")
+        if table.number == ledger.number + 1 and count_outstanding_after(ledger, table) > max_outstanding:
+            return TableRefused(f"more than {max_outstanding} releases would be due at once", "owners")
         return None
--- a/madderbeam/federation/switchover/ledger.py
+++ b/madderbeam/federation/switchover/ledger.py
@@ -1,9 +1,9 @@
-"""Who owes a release of which destination, by the table in force and those before it.
+"""The outstanding releases by the table in force and its predecessors.
 
-A member owes a release of a destination from the first table on that takes it from it, whether it gives the
-destination to another site or leaves the member out. A later debt of the same member takes the place of an
-earlier one, since a release under a later table covers both. So a chain of any length is a few numbers, not a
-row of tables.
+A release of a destination by a member is outstanding from the first table that takes the destination from the
+member, either by giving it to another site or by omitting the member. A later table that requires the same
+release replaces the earlier entry, since a release under a later table covers both. So a chain of tables of
+any length takes one number for each destination and member instead of the tables themselves.
 """
 
 from __future__ import annotations
@@ -15,29 +15,33 @@
 
 from madderbeam.federation.errors import TableUnfit
 from madderbeam.federation.switchover.release_records import (
-    DEST_MOST,
-    NUMBER_MOST,
-    listed,
-    member_of,
-    number,
-    text,
+    MAX_DESTINATION_NUMBER,
+    MAX_TABLE_NUMBER,
+    read_list,
+    read_member,
+    read_number,
+    read_text,
 )
 from madderbeam.federation.table import MAX_MEMBERS
 from madderbeam.federation.table import read_table as table_of
 from madderbeam.federation.values import Table
 from madderbeam.membership.values import MemberId, Row
 
-HISTORY_MOST = 8  # tables kept, the one in force included
-DEBTS_MOST = 100_000  # (destination, member) pairs: no further table is staged beyond
-COUNCILS_MOST = 64  # different sets of voters kept, likewise
+MAX_HISTORY_TABLES = 8  # stored tables, including the one in force
+MAX_OUTSTANDING_RELEASES = 100_000  # pairs of destination and member; half of it stops staging
+MAX_VOTER_SETS = 64  # at this number no table with other voters is staged
 
 Outstanding = Mapping[int, Mapping[MemberId, int]]
 
 
 @dataclass(frozen=True)
 class Ledger:
-    """What is kept of the tables. `debts`: by destination and member, the table that took it from it.
-    `councils`: the voters, each with the first table that had them (leases are renewed by them)."""
+    """The record of the tables in force.
+
+    `history`: the last tables, including `table`, which is in force. `debts`: by destination and member, the
+    number of the table that requires the release. `councils`: the sets of voters, each with the number of the
+    first table that had it; leases are renewed by them.
+    """
 
     table: Table
     history: tuple[Table, ...]
@@ -46,111 +50,142 @@
 
     @property
     def number(self) -> int:
+        """The number of the table in force."""
         return self.table.number
 
-    def entitled(self, me: MemberId, dest: int) -> bool:
-        """The table in force gives the destination to this member."""
-        return self.table.owners.get(dest) == me.site and named(self.table, me)
+    def gives_to(self, member: MemberId, dest: int) -> bool:
+        """Whether the table in force gives the destination to this member."""
+        return self.table.owners.get(dest) == member.site and named(self.table, member)
 
     def row(self) -> Row:
-        """As it is kept on disk and told to a member that starts from nothing."""
-        debts = [[d, m.site, m.name, n] for d, owed in self.debts.items() for m, n in owed.items()]
-        councils = [[first, [[m.site, m.name] for m in voters]] for first, voters in self.councils]
-        return [[t.document() for t in self.history], debts, councils]
+        """The ledger as it is stored and sent to a member that has no records."""
+        outstanding = [
+            [dest, member.site, member.name, number]
+            for dest, numbers in self.debts.items()
+            for member, number in numbers.items()
+        ]
+        voter_sets = [
+            [first_number, [[member.site, member.name] for member in voters]]
+            for first_number, voters in self.councils
+        ]
+        return [[table.document() for table in self.history], outstanding, voter_sets]
 
 
 def named(table: Table, member: MemberId) -> bool:
-    """The member has a part in the table."""
+    """Whether the table lists the member and does not mark it decommissioned."""
     return member in table.members(member.site) and member not in table.decommissioned
 
 
-def everyone(table: Table) -> tuple[MemberId, ...]:
+def active_members(table: Table) -> tuple[MemberId, ...]:
+    """All members of the table that are not decommissioned, by site."""
     return tuple(
-        m for site in sorted(table.sites) for m in table.members(site) if m not in table.decommissioned
+        member
+        for site in sorted(table.sites)
+        for member in table.members(site)
+        if member not in table.decommissioned
     )
 
 
-def first(table: Table) -> Ledger:
-    """Of a federation that begins with this table."""
+def initial_ledger(table: Table) -> Ledger:
+    """The ledger of a federation that begins with this table."""
     return Ledger(table, (table,), {}, ((table.number, table.voters),))
 
 
-def after(
+def next_ledger(
     ledger: Ledger,
     table: Table,
-    paid: Callable[[int, MemberId, int], bool],
-    oldest: int,
+    is_released: Callable[[int, MemberId, int], bool],
+    oldest_number: int,
 ) -> Ledger:
-    """Once `table` is in force. `paid(dest, member, number)`: this debt is known to be settled; no member
-    has a table below `oldest` in force."""
-    before = ledger.table
-    debts = {d: {m: n for m, n in owed.items() if not paid(d, m, n)} for d, owed in ledger.debts.items()}
-    for dest, site in before.owners.items():
-        stays = table.owners.get(dest) == site
-        for member in before.members(site):
-            if member not in before.decommissioned and not (stays and named(table, member)):
-                debts.setdefault(dest, {})[member] = table.number
+    """The ledger once `table` is in force.
+
+    `is_released(dest, member, number)`: whether this release is known to have been made. No member has a
+    table below `oldest_number` in force.
+    """
+    previous = ledger.table
+    outstanding = {
+        owed_dest: {
+            owing: number for owing, number in numbers.items() if not is_released(owed_dest, owing, number)
+        }
+        for owed_dest, numbers in ledger.debts.items()
+    }
+    for dest, site in previous.owners.items():
+        stays_at_site = table.owners.get(dest) == site
+        for member in previous.members(site):
+            if member not in previous.decommissioned and not (stays_at_site and named(table, member)):
+                outstanding.setdefault(dest, {})[member] = table.number
     if table.decommissioned:
-        debts = {
-            d: {m: n for m, n in owed.items() if m not in table.decommissioned} for d, owed in debts.items()
+        outstanding = {
+            owed_dest: {
+                owing: number for owing, number in numbers.items() if owing not in table.decommissioned
+            }
+            for owed_dest, numbers in outstanding.items()
         }
-    councils = ledger.councils
-    if table.voters != before.voters:
-        councils = (*councils, (table.number, table.voters))
-    while len(councils) > 1 and councils[1][0] <= oldest:
-        councils = councils[1:]
-    history = (*ledger.history, table)[-HISTORY_MOST:]
-    return Ledger(table, history, {d: owed for d, owed in debts.items() if owed}, councils)
+    voter_sets = ledger.councils
+    if table.voters != previous.voters:
+        voter_sets = (*voter_sets, (table.number, table.voters))
+    while len(voter_sets) > 1 and voter_sets[1][0] <= oldest_number:
+        voter_sets = voter_sets[1:]
+    history = (*ledger.history, table)[-MAX_HISTORY_TABLES:]
+    return Ledger(
+        table,
+        history,
+        {owed_dest: numbers for owed_dest, numbers in outstanding.items() if numbers},
+        voter_sets,
+    )
 
 
-def debts_after(ledger: Ledger, table: Table) -> int:
-    """How many debts there can be once `table` is in force."""
-    return sum(map(len, after(ledger, table, lambda d, m, n: False, 0).debts.values()))
+def count_outstanding_after(ledger: Ledger, table: Table) -> int:
+    """The largest possible number of outstanding releases once `table` is in force."""
+    return sum(map(len, next_ledger(ledger, table, lambda dest, member, number: False, 0).debts.values()))
 
 
 def read(row: Any) -> Ledger:
-    """Of its row. Raises ValueError that names the field."""
+    """The ledger of a row. Raises ValueError with the name of the field."""
     if not isinstance(row, (list, tuple)) or len(row) != 3:
         raise ValueError("ledger: allowed: a list of three")
-    tables, owed, councils = row
-    history = tables_of(tables)
+    tables, outstanding, voter_sets = row
+    history = read_tables(tables)
     if not history:
         raise ValueError("ledger.tables: allowed: at least one")
-    return Ledger(history[-1], history, debts_of(owed), _councils(councils))
+    return Ledger(history[-1], history, read_outstanding(outstanding), _read_voter_sets(voter_sets))
 
 
-def tables_of(rows: Any) -> tuple[Table, ...]:
-    """Each a document, every number one above that before it. Raises ValueError that names the field."""
+def read_tables(rows: Any) -> tuple[Table, ...]:
+    """The tables of a list of documents with consecutive numbers. Raises ValueError with the name of the
+    field."""
     tables = []
-    for document in listed(rows, "tables", HISTORY_MOST):
+    for document in read_list(rows, "tables", MAX_HISTORY_TABLES):
         try:
             tables.append(table_of(document))
         except TableUnfit as error:
             raise ValueError(f"tables: {error.what}") from None
-    if any(b.number != a.number + 1 for a, b in itertools.pairwise(tables)):
+    if any(following.number != previous.number + 1 for previous, following in itertools.pairwise(tables)):
         raise ValueError("tables: allowed: numbers one after the other")
     return tuple(tables)
 
 
-def debts_of(rows: Any) -> dict[int, dict[MemberId, int]]:
-    """Raises ValueError that names the field."""
-    debts: dict[int, dict[MemberId, int]] = {}
-    for row in listed(rows, "debts", DEBTS_MOST):
+def read_outstanding(rows: Any) -> dict[int, dict[MemberId, int]]:
+    """Outstanding releases by destination and member. Raises ValueError with the name of the field."""
+    outstanding: dict[int, dict[MemberId, int]] = {}
+    for row in read_list(rows, "debts", MAX_OUTSTANDING_RELEASES):
         if not isinstance(row, (list, tuple)) or len(row) != 4:
             raise ValueError("debts: allowed: lists of four")
-        dest, site, name, table = row
-        member = MemberId(text(site, "debts.site"), text(name, "debts.name"))
-        owed = debts.setdefault(number(dest, "debts.dest", DEST_MOST), {})
-        owed[member] = number(table, "debts.table", NUMBER_MOST)
-    return debts
+        dest, site, name, number = row
+        member = MemberId(read_text(site, "debts.site"), read_text(name, "debts.name"))
+        numbers = outstanding.setdefault(read_number(dest, "debts.dest", MAX_DESTINATION_NUMBER), {})
+        numbers[member] = read_number(number, "debts.table", MAX_TABLE_NUMBER)
+    return outstanding
 
 
-def _councils(rows: Any) -> tuple[tuple[int, tuple[MemberId, ...]], ...]:
-    found = []
-    for row in listed(rows, "councils", COUNCILS_MOST):
+def _read_voter_sets(rows: Any) -> tuple[tuple[int, tuple[MemberId, ...]], ...]:
+    voter_sets = []
+    for row in read_list(rows, "councils", MAX_VOTER_SETS):
         if not isinstance(row, (list, tuple)) or len(row) != 2:
             raise ValueError("councils: allowed: lists of two")
-        start, voters = row
-        members = tuple(member_of(m, "councils") for m in listed(voters, "councils.voters", MAX_MEMBERS))
-        found.append((number(start, "councils.first", NUMBER_MOST), members))
-    return tuple(found)
+        first_number, voters = row
+        members = tuple(
+            read_member(member, "councils") for member in read_list(voters, "councils.voters", MAX_MEMBERS)
+        )
+        voter_sets.append((read_number(first_number, "councils.first", MAX_TABLE_NUMBER), members))
+    return tuple(voter_sets)
--- a/madderbeam/federation/switchover/messages.py
+++ b/madderbeam/federation/switchover/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other about what is in force, about leases and their ends; rows with bounds."""
+"""The messages of the switchover and of leases between members, and their encoding as bounded rows."""
 
 from __future__ import annotations
 
@@ -6,74 +6,87 @@
 from dataclasses import dataclass
 from typing import Any
 
-from madderbeam.federation.switchover.ledger import DEBTS_MOST, Ledger, debts_of, read, tables_of
+from madderbeam.federation.switchover.ledger import (
+    MAX_OUTSTANDING_RELEASES,
+    Ledger,
+    read,
+    read_outstanding,
+    read_tables,
+)
 from madderbeam.federation.switchover.release_records import (
-    DEST_MOST,
-    NUMBER_MOST,
-    flag,
-    listed,
-    member_of,
-    number,
-    release_of,
+    MAX_DESTINATION_NUMBER,
+    MAX_TABLE_NUMBER,
+    read_flag,
+    read_list,
+    read_member,
+    read_number,
+    read_text,
+    release_from_row,
     release_row,
-    text,
 )
 from madderbeam.federation.table import MAX_MEMBERS
 from madderbeam.federation.values import ProposalId, Release, Table
 from madderbeam.membership.values import MemberId, Row
 
-ASK_MOST = 2**62
-PENDING_MOST = 16
-RELEASES_MOST = 10_000  # of one answer: those whose waits still run
-LEASE_MOST_US = 3_600 * 1_000_000
-WHY_MOST = 400
+MAX_REQUEST_ID = 2**62
+MAX_PENDING_PROPOSALS = 16
+MAX_RELEASES_PER_REPLY = 10_000  # of one reply: those with spans that have not ended
+MAX_LEASE_US = 3_600 * 1_000_000
+MAX_REASON_CHARACTERS = 400
 
 
 @dataclass(frozen=True)
 class PendingProposal:
-    """A proposal that a voter has accepted something of. `moves`: the destinations that change hands by it,
-    None where the voter does not know its table."""
+    """A proposal that a voter has accepted and whose outcome it does not know.
+
+    `moved_destinations`: those that change their site by it, None if the voter does not have its table.
+    """
 
     proposal: ProposalId
-    moves: frozenset[int] | None
-    off: frozenset[MemberId] = frozenset()  # members that it leaves out or marks off
+    moved_destinations: frozenset[int] | None
+    removed_members: frozenset[MemberId] = frozenset()  # members that it omits or decommissions
 
 
 @dataclass(frozen=True)
 class InForceQuery:
-    """Asked of a voter: what is in force beyond `number`? `fresh`: nothing is kept here, tell all."""
+    """Requests the tables after `number` from a voter. `has_no_record`: the sender has no table on disk
+    and needs the whole ledger."""
 
     ask: int
     number: int
-    fresh: bool = False
+    has_no_record: bool = False
 
 
 @dataclass(frozen=True)
 class InForceReply:
-    """An answer. `number`, `digest`: of the newest agreed table that is known there; `in_force`: the number
-    of the one in force. `fresh`: it has itself no more than the table in its file. `tables`: those after the
-    number asked, one after the other, at most eight, more with a further question. `whole`: the ledger before
-    them, where they don't reach back so far or all was asked. `debts`: the releases that are still missed by
-    the table in force; with `complete` what is not there is paid. `off`: members called off, with the table
-    up to which. `releases`: those whose waits still run."""
+    """The reply to an InForceQuery.
+
+    `number`, `digest`: of the newest agreed table that the sender knows; `in_force_number`: of its table in
+    force. `has_no_record`: it has only the table of its configuration file. `tables`: consecutive tables
+    after the number of the query, at most eight; a further query returns the next ones. `ledger`: the ledger
+    before `tables`, if these do not reach back to the number of the query or the whole ledger was asked for.
+    `debts`: the releases that the table in force still misses; if `is_complete`, all others have been made.
+    `decommissioned`: members that an operator declared gone, with the number of the table up to which this
+    holds. `releases`: those with spans that have not ended.
+    """
 
     ask: int
     number: int
     digest: str
-    in_force: int
-    fresh: bool = False
+    in_force_number: int
+    has_no_record: bool = False
     tables: tuple[Table, ...] = ()
-    whole: Ledger | None = None
+    ledger: Ledger | None = None
     pending: tuple[PendingProposal, ...] = ()
-    debts: tuple[tuple[int, MemberId, int], ...] = ()
-    complete: bool = True
-    off: tuple[tuple[MemberId, int], ...] = ()
+    outstanding: tuple[tuple[int, MemberId, int], ...] = ()
+    is_complete: bool = True
+    decommissioned: tuple[tuple[MemberId, int], ...] = ()
     releases: tuple[Release, ...] = ()
 
 
 @dataclass(frozen=True)
 class LeaseRequest:
-    """Asked of a voter: may this member, with this table in force, serve for so long from now on?"""
+    """Requests a lease of `lease_us` from now on for a member that has table `number` in force."""
 
     ask: int
     number: int
@@ -82,38 +95,39 @@
 
 @dataclass(frozen=True)
 class LeaseReply:
-    """A voter's answer; `why` if it does not renew, `number` the table that it has in force."""
+    """A voter's reply: `reason` why it does not renew, `number` of the table that it has in force."""
 
     ask: int
     granted: bool
     number: int
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(frozen=True)
 class LeaseEndRequest:
-    """Asked of a voter: have these members no lease any more by a table below the number beside each?"""
+    """Requests a voter's confirmation that these members hold no lease by a table below the number next to
+    each."""
 
     members: tuple[tuple[MemberId, int], ...]
 
 
 @dataclass(frozen=True)
 class LeaseEndConfirmation:
-    """A voter's word, kept on disk: it renewed no lease of these members that could still run, and renews
-    none by a table below the number beside each."""
+    """A voter's confirmation, which it has on disk: no lease that it renewed for these members can still
+    run, and it renews none by a table below the number next to each."""
 
     members: tuple[tuple[MemberId, int], ...]
 
 
 def to_row(message: Any) -> Row:
-    """As the mesh sends it: the kind first."""
+    """The message as a row: its kind, then its fields in a fixed order."""
     kind, pack, _ = _BY_TYPE[type(message)]
     return [kind, *pack(message)]
 
 
 def from_row(row: Any) -> Any:
-    """The message of a row. Raises ValueError that names the field."""
-    fields = listed(row, "message", 16)
+    """The message of a row. Raises ValueError with the name of the field."""
+    fields = read_list(row, "message", 16)
     if not fields or not isinstance(fields[0], str) or fields[0] not in _BY_KIND:
         raise ValueError(f"kind: allowed: {', '.join(sorted(_BY_KIND))}")
     kind, unpack, count = fields[0], *_BY_KIND[fields[0]]
@@ -122,125 +136,156 @@
     return unpack(*fields[1:])
 
 
-def _asked(m: InForceQuery) -> Row:
-    return [m.ask, m.number, m.fresh]
+def _query_fields(message: InForceQuery) -> Row:
+    return [message.ask, message.number, message.has_no_record]
 
 
-def _asked_of(ask: Any, table: Any, fresh: Any) -> InForceQuery:
-    return InForceQuery(_ask(ask), number(table, "number", NUMBER_MOST), flag(fresh, "fresh"))
+def _read_query(request_id: Any, table_number: Any, has_no_record: Any) -> InForceQuery:
+    return InForceQuery(
+        _read_request_id(request_id),
+        read_number(table_number, "number", MAX_TABLE_NUMBER),
+        read_flag(has_no_record, "fresh"),
+    )
 
 
-def _told(m: InForceReply) -> Row:
+def _reply_fields(message: InForceReply) -> Row:
     return [
-        m.ask,
-        m.number,
-        m.digest,
-        m.in_force,
-        m.fresh,
-        [t.document() for t in m.tables],
-        m.whole.row() if m.whole else None,
-        [_pending(p) for p in m.pending],
-        [[d, who.site, who.name, n] for d, who, n in m.debts],
-        m.complete,
-        _pairs(m.off),
-        [release_row(r) for r in m.releases],
+        message.ask,
+        message.number,
+        message.digest,
+        message.in_force_number,
+        message.has_no_record,
+        [table.document() for table in message.tables],
+        message.ledger.row() if message.ledger else None,
+        [_proposal_row(proposal) for proposal in message.pending],
+        [
+            [dest, member.site, member.name, table_number]
+            for dest, member, table_number in message.outstanding
+        ],
+        message.is_complete,
+        _member_numbers(message.decommissioned),
+        [release_row(release) for release in message.releases],
     ]
 
 
-def _told_of(ask: Any, table: Any, digest: Any, in_force: Any, *rest: Any) -> InForceReply:
-    fresh, tables, whole, pending, debts, complete, off, releases = rest
-    owed = debts_of(debts)
+def _read_reply(
+    request_id: Any, table_number: Any, digest: Any, in_force_number: Any, *rest: Any
+) -> InForceReply:
+    has_no_record, tables, ledger, pending, outstanding, is_complete, decommissioned, releases = rest
+    numbers_by_dest = read_outstanding(outstanding)
     return InForceReply(
-        _ask(ask),
-        number(table, "number", NUMBER_MOST),
-        text(digest, "digest", 16),
-        number(in_force, "in_force", NUMBER_MOST),
-        flag(fresh, "fresh"),
-        tables_of(tables),
-        None if whole is None else read(whole),
-        tuple(_pending_of(p) for p in listed(pending, "pending", PENDING_MOST)),
-        tuple((d, who, n) for d, members in owed.items() for who, n in members.items()),
-        flag(complete, "complete"),
-        _pairs_of(off, "off"),
-        tuple(release_of(r) for r in listed(releases, "releases", RELEASES_MOST)),
+        _read_request_id(request_id),
+        read_number(table_number, "number", MAX_TABLE_NUMBER),
+        read_text(digest, "digest", 16),
+        read_number(in_force_number, "in_force", MAX_TABLE_NUMBER),
+        read_flag(has_no_record, "fresh"),
+        read_tables(tables),
+        None if ledger is None else read(ledger),
+        tuple(_read_proposal(item) for item in read_list(pending, "pending", MAX_PENDING_PROPOSALS)),
+        tuple(
+            (dest, member, number)
+            for dest, numbers in numbers_by_dest.items()
+            for member, number in numbers.items()
+        ),
+        read_flag(is_complete, "complete"),
+        _read_member_numbers(decommissioned, "off"),
+        tuple(release_from_row(row) for row in read_list(releases, "releases", MAX_RELEASES_PER_REPLY)),
     )
 
 
-def _pending(p: PendingProposal) -> Row:
-    moves = None if p.moves is None else sorted(p.moves)
-    return [p.proposal.number, p.proposal.digest, moves, [[m.site, m.name] for m in sorted(p.off)]]
+def _proposal_row(proposal: PendingProposal) -> Row:
+    moved = None if proposal.moved_destinations is None else sorted(proposal.moved_destinations)
+    return [
+        proposal.proposal.number,
+        proposal.proposal.digest,
+        moved,
+        [[member.site, member.name] for member in sorted(proposal.removed_members)],
+    ]
 
 
-def _pending_of(row: Any) -> PendingProposal:
+def _read_proposal(row: Any) -> PendingProposal:
     if not isinstance(row, (list, tuple)) or len(row) != 4:
         raise ValueError("pending: allowed: lists of four")
-    table, digest, moves, off = row
-    dests = None
-    if moves is not None:
-        dests = frozenset(
-            number(d, "pending.moves", DEST_MOST) for d in listed(moves, "pending.moves", DEBTS_MOST)
+    table_number, digest, moved, removed = row
+    moved_destinations = None
+    if moved is not None:
+        moved_destinations = frozenset(
+            read_number(dest, "pending.moves", MAX_DESTINATION_NUMBER)
+            for dest in read_list(moved, "pending.moves", MAX_OUTSTANDING_RELEASES)
         )
-    gone = frozenset(member_of(m, "pending.off") for m in listed(off, "pending.off", MAX_MEMBERS))
-    proposal = ProposalId(number(table, "pending.number", NUMBER_MOST), text(digest, "pending.digest", 16))
-    return PendingProposal(proposal, dests, gone)
+    removed_members = frozenset(
+        read_member(member_row, "pending.off")
+        for member_row in read_list(removed, "pending.off", MAX_MEMBERS)
+    )
+    proposal = ProposalId(
+        read_number(table_number, "pending.number", MAX_TABLE_NUMBER), read_text(digest, "pending.digest", 16)
+    )
+    return PendingProposal(proposal, moved_destinations, removed_members)
 
 
-def _renew(m: LeaseRequest) -> Row:
-    return [m.ask, m.number, m.lease_us]
+def _lease_request_fields(message: LeaseRequest) -> Row:
+    return [message.ask, message.number, message.lease_us]
 
 
-def _renew_of(ask: Any, table: Any, lease_us: Any) -> LeaseRequest:
+def _read_lease_request(request_id: Any, table_number: Any, lease_us: Any) -> LeaseRequest:
     return LeaseRequest(
-        _ask(ask), number(table, "number", NUMBER_MOST), number(lease_us, "lease_us", LEASE_MOST_US)
+        _read_request_id(request_id),
+        read_number(table_number, "number", MAX_TABLE_NUMBER),
+        read_number(lease_us, "lease_us", MAX_LEASE_US),
     )
 
 
-def _renewed(m: LeaseReply) -> Row:
-    return [m.ask, m.granted, m.number, m.why]
+def _lease_reply_fields(message: LeaseReply) -> Row:
+    return [message.ask, message.granted, message.number, message.reason]
 
 
-def _renewed_of(ask: Any, granted: Any, table: Any, why: Any) -> LeaseReply:
-    granted = flag(granted, "granted")
-    return LeaseReply(_ask(ask), granted, number(table, "number", NUMBER_MOST), text(why, "why", WHY_MOST))
+def _read_lease_reply(request_id: Any, granted: Any, table_number: Any, reason: Any) -> LeaseReply:
+    granted = read_flag(granted, "granted")
+    return LeaseReply(
+        _read_request_id(request_id),
+        granted,
+        read_number(table_number, "number", MAX_TABLE_NUMBER),
+        read_text(reason, "why", MAX_REASON_CHARACTERS),
+    )
 
 
-def _members(m: LeaseEndRequest | LeaseEndConfirmation) -> Row:
-    return [_pairs(m.members)]
+def _member_numbers_fields(message: LeaseEndRequest | LeaseEndConfirmation) -> Row:
+    return [_member_numbers(message.members)]
 
 
-def _vouch_of(members: Any) -> LeaseEndRequest:
-    return LeaseEndRequest(_pairs_of(members, "members"))
+def _read_lease_end_request(members: Any) -> LeaseEndRequest:
+    return LeaseEndRequest(_read_member_numbers(members, "members"))
 
 
-def _vouched_of(members: Any) -> LeaseEndConfirmation:
-    return LeaseEndConfirmation(_pairs_of(members, "members"))
+def _read_lease_end_confirmation(members: Any) -> LeaseEndConfirmation:
+    return LeaseEndConfirmation(_read_member_numbers(members, "members"))
 
 
-def _pairs(pairs: tuple[tuple[MemberId, int], ...]) -> Row:
-    return [[[m.site, m.name], n] for m, n in pairs]
+def _member_numbers(pairs: tuple[tuple[MemberId, int], ...]) -> Row:
+    return [[[member.site, member.name], number] for member, number in pairs]
 
 
-def _pairs_of(rows: Any, field: str) -> tuple[tuple[MemberId, int], ...]:
-    found = []
-    for row in listed(rows, field, MAX_MEMBERS):
+def _read_member_numbers(rows: Any, field: str) -> tuple[tuple[MemberId, int], ...]:
+    pairs = []
+    for row in read_list(rows, field, MAX_MEMBERS):
         if not isinstance(row, (list, tuple)) or len(row) != 2:
             raise ValueError(f"{field}: allowed: [[site, name], number]")
-        found.append((member_of(row[0], field), number(row[1], f"{field}.number", NUMBER_MOST)))
-    return tuple(found)
+        pairs.append((read_member(row[0], field), read_number(row[1], f"{field}.number", MAX_TABLE_NUMBER)))
+    return tuple(pairs)
 
 
-def _ask(value: Any) -> int:
-    return number(value, "ask", ASK_MOST)
+def _read_request_id(value: Any) -> int:
+    return read_number(value, "ask", MAX_REQUEST_ID)
 
 
 _BY_TYPE: dict[type, tuple[str, Callable[[Any], Row], Callable[..., Any]]] = {
-    InForceQuery: ("wq", _asked, _asked_of),
-    InForceReply: ("wa", _told, _told_of),
-    LeaseRequest: ("lq", _renew, _renew_of),
-    LeaseReply: ("la", _renewed, _renewed_of),
-    LeaseEndRequest: ("vq", _members, _vouch_of),
-    LeaseEndConfirmation: ("va", _members, _vouched_of),
+    InForceQuery: ("wq", _query_fields, _read_query),
+    InForceReply: ("wa", _reply_fields, _read_reply),
+    LeaseRequest: ("lq", _lease_request_fields, _read_lease_request),
+    LeaseReply: ("la", _lease_reply_fields, _read_lease_reply),
+    LeaseEndRequest: ("vq", _member_numbers_fields, _read_lease_end_request),
+    LeaseEndConfirmation: ("va", _member_numbers_fields, _read_lease_end_confirmation),
 }
-_COUNTS = {"wq": 3, "wa": 12, "lq": 3, "la": 4, "vq": 1, "va": 1}
-_BY_KIND = {kind: (unpack, _COUNTS[kind]) for kind, _, unpack in _BY_TYPE.values()}
-KINDS = frozenset(_BY_KIND)  # so that who shares the channel can tell whose a row is
+_FIELD_COUNTS = {"wq": 3, "wa": 12, "lq": 3, "la": 4, "vq": 1, "va": 1}
+_BY_KIND = {kind: (unpack, _FIELD_COUNTS[kind]) for kind, _, unpack in _BY_TYPE.values()}
+KINDS = frozenset(_BY_KIND)  # distinguishes these rows from others on the same channel
--- a/madderbeam/federation/switchover/moves.py
+++ b/madderbeam/federation/switchover/moves.py
@@ -1,7 +1,6 @@
-"""Which destinations this member serves now, which it is letting go of, and what it may begin at.
+"""The destinations that this member serves, those that it relinquishes, and those that it may begin to serve.
 
-`served` holds those that the host was told to begin at, `leaving` those that it was told to relinquish and
-has not released yet. Both are of this process: at a start nothing is served, and nothing is out.
+Both sets are of this process only: at its start nothing is served and no call is in flight.
 """
 
 from __future__ import annotations
@@ -11,93 +10,110 @@
 
 from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
 from madderbeam.federation.switchover.pending_writes import ActionBuffer
-from madderbeam.federation.switchover.release_records import ReleaseRecord, body
+from madderbeam.federation.switchover.release_records import ReleaseRecord, gossip_body
 from madderbeam.federation.values import BeginServing, Release, Relinquish
 from madderbeam.membership.values import Disseminate, Incarnation
 
 
 class DestinationMoves:
-    """`settle` brings destinations to where the book says they are; it may be called at any time."""
+    """Directs the host to serve and to relinquish destinations.
+
+    `served`: BeginServing was sent for these. `relinquishing`: Relinquish was sent for these and the host has
+    not released them yet, with the number of the table that requires it. `reconcile` may be called at any
+    time.
+    """
 
     def __init__(
         self,
-        book: OwnershipRegistry,
-        out: ActionBuffer,
-        life: Incarnation,
+        registry: OwnershipRegistry,
+        actions: ActionBuffer,
+        incarnation: Incarnation,
         wall_ms: Callable[[int], int],
         keep_us: int,
     ) -> None:
-        self.book, self.out, self.life, self.wall_ms, self.keep_us = book, out, life, wall_ms, keep_us
+        self.registry, self.actions, self.incarnation, self.wall_ms, self.keep_us = (
+            registry,
+            actions,
+            incarnation,
+            wall_ms,
+            keep_us,
+        )
         self.served: set[int] = set()
-        self.leaving: dict[int, int] = {}  # the table by which it is let go of
+        self.relinquishing: dict[int, int] = {}  # by destination, the number of the table that requires it
 
-    def settle(self, dests: Iterable[int]) -> None:
+    def reconcile(self, dests: Iterable[int]) -> None:
+        """Bring each destination to the state that the registry requires."""
         for dest in sorted(set(dests)):
-            self._settle(dest)
+            self._reconcile(dest)
 
-    def let_go(self, dests: Iterable[int]) -> None:
-        """Whatever the table says: tables that were not seen may have moved them."""
+    def relinquish(self, dests: Iterable[int]) -> None:
+        """Relinquish the destinations whatever the table says, because a skipped table may have moved
+        them."""
         for dest in sorted(dests):
             self._relinquish(dest)
 
-    def released(self, release: Release) -> None:
-        """Nothing is out there any more, says the host: it is written down before it is told."""
+    def on_released(self, release: Release) -> None:
+        """The host has no call in flight at the destination any more. The release is written before it is
+        announced."""
         dest = release.dest
-        if dest not in self.leaving or self.out.writes.busy("release", str(dest)):
+        if dest not in self.relinquishing or self.actions.writes.busy("release", str(dest)):
             return
-        number = max(self.leaving[dest], self.book.owes(dest))
-        self._write(replace(release, member=self.book.me, table_number=number))
-
-    def written(self, handed: ReleaseRecord) -> None:
-        """A release of one's own is on disk."""
-        dest = handed.release.dest
-        self.leaving.pop(dest, None)
-        self.book.own[dest] = handed
-        self.tell(dest)
-        self._settle(dest)
-
-    def tell(self, dest: int) -> None:
-        """To all, with what is left of it now."""
-        release = self.book.own[dest].left(self.out.now_us)
-        self.out.do(
+        table_number = max(self.relinquishing[dest], self.registry.table_owed_by(dest))
+        self._write(replace(release, member=self.registry.me, table_number=table_number))
+
+    def on_release_written(self, record: ReleaseRecord) -> None:
+        """A release of this member is on disk."""
+        dest = record.release.dest
+        self.relinquishing.pop(dest, None)
+        self.registry.own_releases[dest] = record
+        self.announce(dest)
+        self._reconcile(dest)
+
+    def announce(self, dest: int) -> None:
+        """Disseminate this member's release of the destination, with the spans that remain now."""
+        release = self.registry.own_releases[dest].remaining(self.actions.now_us)
+        self.actions.do(
             Disseminate(
-                f"release/{dest}", version(release.table_number, self.life, 0), body(release), self.keep_us
+                f"release/{dest}",
+                gossip_version(release.table_number, self.incarnation, 0),
+                gossip_body(release),
+                self.keep_us,
             )
         )
 
-    def forget(self, dest: int) -> None:
-        """Everyone knows the release."""
-        number = self.book.own.pop(dest).release.table_number
-        self.out.do(Disseminate(f"release/{dest}", version(number, self.life, 1), b""))
-        self.out.forget("release", str(dest))
+    def retract(self, dest: int) -> None:
+        """Every member knows the release: remove it and its gossip entry."""
+        number = self.registry.own_releases.pop(dest).release.table_number
+        self.actions.do(Disseminate(f"release/{dest}", gossip_version(number, self.incarnation, 1), b""))
+        self.actions.forget("release", str(dest))
 
-    def _settle(self, dest: int) -> None:
-        book = self.book
-        owed, entitled = book.owes(dest), book.ledger.entitled(book.me, dest)
+    def _reconcile(self, dest: int) -> None:
+        registry = self.registry
+        required_number, is_owner = registry.table_owed_by(dest), registry.ledger.gives_to(registry.me, dest)
         if dest in self.served:
-            if owed or not entitled:
+            if required_number or not is_owner:
                 self._relinquish(dest)
-        elif dest in self.leaving:
-            self.leaving[dest] = max(self.leaving[dest], owed)
-        elif owed:
-            if not self.out.writes.busy("release", str(dest)):
-                self._write(book.unbegun(dest, owed, self.out.now_us))
-        elif entitled and not book.missing(dest):
+        elif dest in self.relinquishing:
+            self.relinquishing[dest] = max(self.relinquishing[dest], required_number)
+        elif required_number:
+            if not self.actions.writes.busy("release", str(dest)):
+                self._write(registry.release_of_unserved(dest, required_number, self.actions.now_us))
+        elif is_owner and not registry.missing(dest):
             self.served.add(dest)
-            self.out.do(BeginServing(dest, book.passed_on(dest, self.out.now_us)))
+            self.actions.do(BeginServing(dest, registry.inherited_releases(dest, self.actions.now_us)))
 
     def _relinquish(self, dest: int) -> None:
         self.served.discard(dest)
-        self.leaving[dest] = self.book.owes(dest) or self.book.ledger.number
-        self.out.do(Relinquish(dest, self.leaving[dest]))
+        self.relinquishing[dest] = self.registry.table_owed_by(dest) or self.registry.ledger.number
+        self.actions.do(Relinquish(dest, self.relinquishing[dest]))
 
     def _write(self, release: Release) -> None:
-        now_us = self.out.now_us
-        self.out.write(
+        now_us = self.actions.now_us
+        self.actions.write(
             "release", str(release.dest), ReleaseRecord(release, now_us, self.wall_ms(now_us)).row()
         )
 
 
-def version(number: int, life: Incarnation, last: int) -> int:
-    """Of a rumour: by the table, then the start of its owner, then whether it is its end."""
-    return number << 25 | (life.start & 0xFFFFFF) << 1 | last
+def gossip_version(number: int, incarnation: Incarnation, is_retracted: int) -> int:
+    """The version of a gossip entry: ordered by the table, the owner's start, and then the retraction."""
+    return number << 25 | (incarnation.start & 0xFFFFFF) << 1 | is_retracted
--- a/madderbeam/federation/switchover/ownership_registry.py
+++ b/madderbeam/federation/switchover/ownership_registry.py
@@ -1,6 +1,7 @@
-"""What this member knows: the ledger, who has paid which debt, who was called off, who has what in force.
+"""What this member knows of ownership: the ledger, releases, decommissioned members, tables in force
+elsewhere.
 
-All of it are facts that never become untrue, so they may come in any order, twice and from anyone.
+Each fact stays true once it is true, so facts may arrive in any order, repeatedly and from any member.
 """
 
 from __future__ import annotations
@@ -8,175 +9,215 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from madderbeam.federation.switchover.ledger import Ledger, after, everyone, named
+from madderbeam.federation.switchover.ledger import Ledger, active_members, named, next_ledger
 from madderbeam.federation.switchover.release_records import ReleaseRecord, merged
 from madderbeam.federation.values import Release, Table
 from madderbeam.membership.values import MemberId
 
-FACTS_MOST = 100_000
-STANDINGS_MOST = 2_048
+MAX_RELEASE_RECORDS = 100_000
+MAX_STANDINGS = 2_048
 
 
 @dataclass(frozen=True)
 class MemberStanding:
-    """What a member said of itself: it has this table in force, on disk. `settled`: it misses no release of
-    that table or one before. `lease_us`: it serves by leases of this span (0: without)."""
+    """What a member announced of itself: the number of its table in force, which is on its disk.
+
+    `is_settled`: it misses no release of that table or an earlier one. `lease_us`: the span of the leases by
+    which it serves (0: it serves without leases).
+    """
 
     number: int
-    settled: bool
+    is_settled: bool
     lease_us: int
 
 
 class OwnershipRegistry:
-    """`facts`: by destination and member, on disk here; `own`: this member's releases, likewise; `words`:
-    the table up to which a member was called off."""
-
-    def __init__(self, me: MemberId, ledger: Ledger) -> None:
-        self.me, self.ledger = me, ledger
-        self.facts: dict[int, dict[MemberId, ReleaseRecord]] = {}
-        self.count = 0  # of facts
-        self.since_us = 0  # when the table came in force, in this process
-        self.own: dict[int, ReleaseRecord] = {}
+    """The registry of one member.
+
+    `release_records`: releases of other members by destination and member, all on disk here; `own_releases`:
+    this member's, on disk as well; `words`: the table number up to which an operator declared a member
+    decommissioned.
+    """
+
+    def __init__(self, local_member: MemberId, ledger: Ledger) -> None:
+        self.me, self.ledger = local_member, ledger
+        self.release_records: dict[int, dict[MemberId, ReleaseRecord]] = {}
+        self.record_count = 0  # in release_records
+        self.in_force_since_us = 0  # when the table came in force, or this process started
+        self.own_releases: dict[int, ReleaseRecord] = {}
         self.words: dict[MemberId, int] = {}
         self.standings: dict[MemberId, MemberStanding] = {}
 
     @property
     def table(self) -> Table:
+        """The table in force."""
         return self.ledger.table
 
     @property
-    def left_out(self) -> bool:
-        """The table names this member not at all or as off, or a person called it off."""
+    def is_left_out(self) -> bool:
+        """Whether this member has no part in the table in force, or an operator declared it
+        decommissioned."""
         return not named(self.table, self.me) or self.words.get(self.me, 0) >= self.table.number
 
-    def paid(self, dest: int, member: MemberId, number: int) -> bool:
-        """The member is known to have nothing out at the destination by tables before this number."""
-        fact = self.own.get(dest) if member == self.me else self.facts.get(dest, {}).get(member)
-        released = fact is not None and fact.release.table_number >= number
-        return released or self.words.get(member, 0) >= number
+    def is_released(self, dest: int, member: MemberId, number: int) -> bool:
+        """Whether the member is known to have no call in flight at the destination by tables before this
+        number."""
+        record = (
+            self.own_releases.get(dest)
+            if member == self.me
+            else self.release_records.get(dest, {}).get(member)
+        )
+        has_released = record is not None and record.release.table_number >= number
+        return has_released or self.words.get(member, 0) >= number
 
     def missing(self, dest: int) -> dict[MemberId, int]:
-        """Who of other sites has yet to release it."""
-        owed = self.ledger.debts.get(dest, {})
-        return {m: n for m, n in owed.items() if m.site != self.me.site and not self.paid(dest, m, n)}
-
-    def all_missing(self) -> Iterator[tuple[int, MemberId, int]]:
-        """Every debt, of any site, that is not known to be paid."""
-        for dest, owed in self.ledger.debts.items():
-            for member, number in owed.items():
-                if not self.paid(dest, member, number):
+        """Members of other sites that have yet to release the destination, each with the table that
+        requires it."""
+        outstanding = self.ledger.debts.get(dest, {})
+        return {
+            member: number
+            for member, number in outstanding.items()
+            if member.site != self.me.site and not self.is_released(dest, member, number)
+        }
+
+    def all_missing_releases(self) -> Iterator[tuple[int, MemberId, int]]:
+        """Every outstanding release, of any site, that is not known to have been made."""
+        for dest, outstanding in self.ledger.debts.items():
+            for member, number in outstanding.items():
+                if not self.is_released(dest, member, number):
                     yield dest, member, number
 
     def gains_missing(self) -> Iterator[tuple[int, MemberId, int]]:
-        """Those that keep this member from a destination that is its own by the table."""
+        """The missing releases that keep this member from serving a destination that the table gives to
+        it."""
         for dest in self.ledger.debts:
-            if self.ledger.entitled(self.me, dest):
+            if self.ledger.gives_to(self.me, dest):
                 for member, number in self.missing(dest).items():
                     yield dest, member, number
 
-    def owes(self, dest: int) -> int:
-        """The table by which this member has yet to release it; 0: none. An operator's word does not count:
-        whoever is here to ask lets go itself."""
+    def table_owed_by(self, dest: int) -> int:
+        """The number of the table by which this member has yet to release the destination; 0: none.
+
+        An operator's declaration does not count: a member that runs can release the destination itself.
+        """
         number = self.ledger.debts.get(dest, {}).get(self.me, 0)
-        own = self.own.get(dest)
+        own = self.own_releases.get(dest)
         return number if own is None or own.release.table_number < number else 0
 
-    def wants(self, release: Release) -> bool:
-        """A release that is news and is needed, or will be by a table that is not in force here yet."""
+    def needs(self, release: Release) -> bool:
+        """Whether a release is new and is needed, now or by a table that is not in force here yet."""
         dest, member, number = release.dest, release.member, release.table_number
-        known = self.facts.get(dest, {}).get(member)
+        known = self.release_records.get(dest, {}).get(member)
         if member == self.me or (known is not None and known.release.table_number >= number):
             return False
         if number > self.ledger.number:
-            return self.count < FACTS_MOST
-        owed = self.ledger.debts.get(dest, {}).get(member)
-        return owed is not None and number >= owed
-
-    def learn(self, fact: ReleaseRecord) -> None:
-        """It is on disk here."""
-        facts = self.facts.setdefault(fact.release.dest, {})
-        self.count += fact.release.member not in facts
-        facts[fact.release.member] = fact
-
-    def forget(self, dest: int, member: MemberId) -> None:
-        facts = self.facts[dest]
-        del facts[member]
-        self.count -= 1
-        if not facts:
-            del self.facts[dest]
-
-    def joined(self, release: Release, now_us: int) -> Release:
-        """With what is left of what is known of that member already."""
-        known = self.facts.get(release.dest, {}).get(release.member)
-        return release if known is None else merged(release, [known.left(now_us)])
-
-    def passed_on(self, dest: int, now_us: int) -> tuple[Release, ...]:
-        """What a new owner must heed, as it is left now."""
-        owed = self.ledger.debts.get(dest, {})
-        found = []
-        for member, fact in sorted(self.facts.get(dest, {}).items()):
-            if member in owed or fact.binds(now_us):
-                found.append(fact.left(now_us))
-        own = self.own.get(dest)
-        if own is not None and own.binds(now_us):
-            found.append(own.left(now_us))
-        return tuple(found)
-
-    def unbegun(self, dest: int, number: int, now_us: int) -> Release:
-        """This member's release of what it never began: it hands on what was handed to it."""
-        return merged(Release(dest, self.me, number), self.passed_on(dest, now_us))
-
-    def next(self, table: Table) -> Ledger:
-        return after(self.ledger, table, self.paid, self.oldest())
-
-    def oldest(self) -> int:
-        """No member that may serve has a table below this one in force."""
-        members = set(everyone(self.table)) | {m for owed in self.ledger.debts.values() for m in owed}
+            return self.record_count < MAX_RELEASE_RECORDS
+        required_number = self.ledger.debts.get(dest, {}).get(member)
+        return required_number is not None and number >= required_number
+
+    def add_record(self, record: ReleaseRecord) -> None:
+        """Add a release that is on disk here."""
+        records = self.release_records.setdefault(record.release.dest, {})
+        self.record_count += record.release.member not in records
+        records[record.release.member] = record
+
+    def remove_record(self, dest: int, member: MemberId) -> None:
+        """Remove the release of a destination by a member."""
+        records = self.release_records[dest]
+        del records[member]
+        self.record_count -= 1
+        if not records:
+            del self.release_records[dest]
+
+    def merged_with_known(self, release: Release, now_us: int) -> Release:
+        """The release, merged with the remaining spans of an earlier one of the same member."""
+        known = self.release_records.get(release.dest, {}).get(release.member)
+        return release if known is None else merged(release, [known.remaining(now_us)])
+
+    def inherited_releases(self, dest: int, now_us: int) -> tuple[Release, ...]:
+        """The releases that a new owner of the destination must observe, with the spans that remain now."""
+        outstanding = self.ledger.debts.get(dest, {})
+        releases = []
+        for member, record in sorted(self.release_records.get(dest, {}).items()):
+            if member in outstanding or record.has_spans_left(now_us):
+                releases.append(record.remaining(now_us))
+        own = self.own_releases.get(dest)
+        if own is not None and own.has_spans_left(now_us):
+            releases.append(own.remaining(now_us))
+        return tuple(releases)
+
+    def release_of_unserved(self, dest: int, number: int, now_us: int) -> Release:
+        """This member's release of a destination that it never began to serve; it passes on what it
+        inherited."""
+        return merged(Release(dest, self.me, number), self.inherited_releases(dest, now_us))
+
+    def next_ledger(self, table: Table) -> Ledger:
+        """The ledger once `table` is in force."""
+        return next_ledger(self.ledger, table, self.is_released, self.oldest_number_in_force())
+
+    def oldest_number_in_force(self) -> int:
+        """The lowest number in force at any member that may serve, as far as is known (0: unknown)."""
+        members = set(active_members(self.table)) | {
+            member for outstanding in self.ledger.debts.values() for member in outstanding
+        }
         members -= {self.me}
-        numbers = [self.standings[m].number if m in self.standings else 0 for m in members]
+        numbers = [self.standings[member].number if member in self.standings else 0 for member in members]
         return min([*numbers, self.ledger.number])
 
-    def open(self) -> Ledger:
-        """The ledger with the debts alone that are not known to be paid: for a member that knows nothing."""
-        debts: dict[int, dict[MemberId, int]] = {}
-        for dest, member, number in self.all_missing():
-            debts.setdefault(dest, {})[member] = number
-        return replace(self.ledger, debts=debts)
+    def ledger_of_missing(self) -> Ledger:
+        """The ledger with only the missing releases as outstanding, for a member that has no records."""
+        outstanding: dict[int, dict[MemberId, int]] = {}
+        for dest, member, number in self.all_missing_releases():
+            outstanding.setdefault(dest, {})[member] = number
+        return replace(self.ledger, debts=outstanding)
 
-    def stand(self, member: MemberId, standing: MemberStanding) -> None:
-        if member in self.standings or len(self.standings) < STANDINGS_MOST:
+    def set_standing(self, member: MemberId, standing: MemberStanding) -> None:
+        """Store a member's latest announcement; ignored for new members once MAX_STANDINGS are stored."""
+        if member in self.standings or len(self.standings) < MAX_STANDINGS:
             self.standings[member] = standing
 
-    def ahead(self) -> list[MemberId]:
+    def non_voters_ahead(self) -> list[MemberId]:
         """Members that do not vote and have a newer table in force."""
-        others = set(everyone(self.table)) - set(self.table.voters)
-        known = [(m, self.standings[m].number) for m in sorted(others) if m in self.standings]
-        return [m for m, number in known if number > self.ledger.number]
+        others = set(active_members(self.table)) - set(self.table.voters)
+        numbers = [
+            (member, self.standings[member].number) for member in sorted(others) if member in self.standings
+        ]
+        return [member for member, number in numbers if number > self.ledger.number]
 
-    def over(self, now_us: int) -> list[tuple[int, MemberId]]:
-        """Facts that are of no use any more."""
+    def expired_records(self, now_us: int) -> list[tuple[int, MemberId]]:
+        """Destination and member of each release record that is no longer needed."""
         return [
             (dest, member)
-            for dest, facts in self.facts.items()
+            for dest, records in self.release_records.items()
             if dest not in self.ledger.debts
-            for member, fact in facts.items()
-            if fact.release.table_number <= self.ledger.number and not fact.binds(now_us)
+            for member, record in records.items()
+            if record.release.table_number <= self.ledger.number and not record.has_spans_left(now_us)
         ]
 
-    def settled(self) -> int:
-        """Every other member of the table misses nothing of tables up to this number."""
+    def settled_number(self) -> int:
+        """The highest number up to which no other member of the table misses a release."""
         number = self.ledger.number
-        others = [m for m in everyone(self.table) if m != self.me and self.words.get(m, 0) < number]
-        known = [self.standings.get(m) for m in others]
-        return min((s.number if s is not None and s.settled else 0 for s in known), default=number)
-
-    def released_for_good(self, now_us: int) -> list[int]:
-        """Own releases that every member of the table knows, and that pass nothing on any more."""
-        low = self.settled()
+        others = [
+            member
+            for member in active_members(self.table)
+            if member != self.me and self.words.get(member, 0) < number
+        ]
+        standings = [self.standings.get(member) for member in others]
+        return min(
+            (
+                standing.number if standing is not None and standing.is_settled else 0
+                for standing in standings
+            ),
+            default=number,
+        )
+
+    def releases_known_to_all(self, now_us: int) -> list[int]:
+        """Destinations whose own release every member of the table knows and that have no remaining spans."""
+        settled_number = self.settled_number()
         return [
             dest
-            for dest, own in self.own.items()
-            if own.release.table_number <= low
+            for dest, own in self.own_releases.items()
+            if own.release.table_number <= settled_number
             and self.me not in self.ledger.debts.get(dest, {})
-            and not own.binds(now_us)
+            and not own.has_spans_left(now_us)
         ]
--- a/madderbeam/federation/switchover/pending_writes.py
+++ b/madderbeam/federation/switchover/pending_writes.py
@@ -1,7 +1,9 @@
-"""The actions of one turn, and records on their way to the disk: written until a timer behind them has come.
+"""The actions of one event, and the records whose write is not confirmed yet.
 
-A word that depends on a record is given once `due` returns the record. Until then every `Unwritten`, of
-whatever kind (another part's record may have stood before it in the list), has it written again.
+The host performs actions in order, so a record is on disk once the timer set behind it fires. An action that
+depends on the record is taken when `on_timer` returns it. Until then any WriteFailed, of whatever kind,
+causes the record to be written again, because the host drops all actions behind a failed write, and the
+failed record may be another part's.
 """
 
 from __future__ import annotations
@@ -10,87 +12,100 @@
 
 from madderbeam.membership.values import Persist, SetTimer, TimerDue
 
-PREFIX = "switch/"  # of all tokens of this part's timers
+TOKEN_PREFIX = "switch/"  # of the tokens of all timers of the switchover
 
 
 class PendingWrites:
-    """One record of a kind and key at a time: a later one takes the place of the one before it."""
+    """Records whose write is not confirmed, at most one for each kind and key: a later one replaces the
+    earlier."""
 
     def __init__(self, retry_us: int) -> None:
         self.retry_us = retry_us
-        self.open: dict[int, Persist] = {}
-        self.latest: dict[tuple[str, str], int] = {}
-        self._count = 0
+        self.records: dict[int, Persist] = {}
+        self.latest_ids: dict[tuple[str, str], int] = {}
+        self._last_id = 0
 
     def busy(self, kind: str, key: str) -> bool:
-        return (kind, key) in self.latest
+        """Whether a record of this kind and key is being written."""
+        return (kind, key) in self.latest_ids
 
     def value(self, kind: str, key: str) -> Any:
-        """Of the record that is on its way; None if there is none."""
-        record = self.open.get(self.latest.get((kind, key), 0))
+        """The value that is being written, or None."""
+        record = self.records.get(self.latest_ids.get((kind, key), 0))
         return None if record is None else record.value
 
-    def put(self, now_us: int, kind: str, key: str, value: Any) -> list[Any]:
-        """The actions that write it."""
-        self._count += 1
-        self.open.pop(self.latest.get((kind, key), 0), None)
-        self.open[self._count] = Persist(kind, key, value)
-        self.latest[kind, key] = self._count
-        return self._issue(now_us, self._count)
-
-    def due(self, now_us: int, event: TimerDue) -> tuple[Persist | None, list[Any]]:
-        """The record that is now on disk, if it is one's own timer that came; what is to be done else."""
-        what, _, count = event.token.removeprefix(PREFIX).partition("/")
-        if not count.isdigit() or int(count) not in self.open:
+    def write(self, now_us: int, kind: str, key: str, value: Any) -> list[Any]:
+        """The actions that write the record."""
+        self._last_id += 1
+        self.records.pop(self.latest_ids.get((kind, key), 0), None)
+        self.records[self._last_id] = Persist(kind, key, value)
+        self.latest_ids[kind, key] = self._last_id
+        return self._issue(now_us, self._last_id)
+
+    def on_timer(self, now_us: int, event: TimerDue) -> tuple[Persist | None, list[Any]]:
+        """The record that the timer confirms, if it does, and the actions that follow."""
+        action, _, write_id = event.token.removeprefix(TOKEN_PREFIX).partition("/")
+        if not write_id.isdigit() or int(write_id) not in self.records:
             return None, []
-        if what == "again":
-            return None, self._issue(now_us, int(count))
-        record = self.open.pop(int(count))
-        del self.latest[record.kind, record.key]
+        if action == "again":
+            return None, self._issue(now_us, int(write_id))
+        record = self.records.pop(int(write_id))
+        del self.latest_ids[record.kind, record.key]
         return record, []
 
-    def again(self, now_us: int) -> list[Any]:
-        """Something was not written: what was lost with it is not known, so all is written again, later."""
-        return [SetTimer(now_us + self.retry_us, f"{PREFIX}again/{c}") for c in self.open]
+    def schedule_rewrites(self, now_us: int) -> list[Any]:
+        """The actions that write all unconfirmed records again later: which of them the failed write
+        dropped is unknown."""
+        return [
+            SetTimer(now_us + self.retry_us, f"{TOKEN_PREFIX}again/{write_id}") for write_id in self.records
+        ]
 
-    def _issue(self, now_us: int, count: int) -> list[Any]:
-        return [self.open[count], SetTimer(now_us, f"{PREFIX}written/{count}")]
+    def _issue(self, now_us: int, write_id: int) -> list[Any]:
+        return [self.records[write_id], SetTimer(now_us, f"{TOKEN_PREFIX}written/{write_id}")]
 
 
 class ActionBuffer:
-    """What a turn gives: all else stands before the records, so that a record that fails takes nothing along
-    but records and their own timers."""
+    """Collects the actions of one event.
+
+    Records come after all other actions, so a failed write drops only further records and their timers.
+    Removals come last.
+    """
 
     def __init__(self, retry_us: int) -> None:
         self.now_us = 0
         self.writes = PendingWrites(retry_us)
-        self._first: list[Any] = []
-        self._then: list[Any] = []
-        self._last: list[Any] = []
-
-    def taken(self) -> list[Any]:
-        """The actions of this turn, in their order."""
-        actions = self._first + self._then + self._last
-        self._first, self._then, self._last = [], [], []
+        self._actions: list[Any] = []
+        self._records: list[Any] = []
+        self._removals: list[Any] = []
+
+    def take(self) -> list[Any]:
+        """Return the collected actions in order and clear the buffer."""
+        actions = self._actions + self._records + self._removals
+        self._actions, self._records, self._removals = [], [], []
         return actions
 
     def do(self, action: Any) -> None:
-        self._first.append(action)
+        """Append an action that does not write a record."""
+        self._actions.append(action)
 
-    def timer(self, at_us: int, what: str) -> None:
-        self._first.append(SetTimer(at_us, PREFIX + what))
+    def timer(self, at_us: int, name: str) -> None:
+        """Set a timer of the switchover."""
+        self._actions.append(SetTimer(at_us, TOKEN_PREFIX + name))
 
     def write(self, kind: str, key: str, value: Any) -> None:
-        self._then += self.writes.put(self.now_us, kind, key, value)
+        """Write a record; `on_timer` returns it once it is on disk."""
+        self._records += self.writes.write(self.now_us, kind, key, value)
 
     def forget(self, kind: str, key: str) -> None:
-        """No word hangs on it: if it is lost, the next start forgets it."""
-        self._last.append(Persist(kind, key, None))
+        """Remove a record. Nothing depends on it: if the removal is lost, the next start repeats it."""
+        self._removals.append(Persist(kind, key, None))
 
-    def due(self, event: TimerDue) -> Persist | None:
-        record, actions = self.writes.due(self.now_us, event)
-        self._then += actions
+    def on_timer(self, event: TimerDue) -> Persist | None:
+        """The record that the timer confirms, or None."""
+        record, actions = self.writes.on_timer(self.now_us, event)
+        self._records += actions
         return record
 
-    def again(self) -> None:
-        self._first += self.writes.again(self.now_us)
+    def schedule_rewrites(self) -> None:
+        """Write all unconfirmed records again after a pause."""
+        self._actions += self.writes.schedule_rewrites(self.now_us)
--- a/madderbeam/federation/switchover/queries.py
+++ b/madderbeam/federation/switchover/queries.py
@@ -1,114 +1,147 @@
-"""Asks what is in force elsewhere and takes in the answers; answers others the same."""
+"""Sends queries about the table in force, processes the replies and replies to queries of others."""
 
 from __future__ import annotations
 
 from madderbeam.federation.errors import TablesDiffer
-from madderbeam.federation.switchover import messages as q
+from madderbeam.federation.switchover import messages
 from madderbeam.federation.switchover.activation import TableActivation
 from madderbeam.federation.switchover.inquiry import ConsensusView, InForceInquiry
-from madderbeam.federation.switchover.ledger import everyone
+from madderbeam.federation.switchover.ledger import active_members
 from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
 from madderbeam.federation.switchover.pending_writes import ActionBuffer
 from madderbeam.federation.switchover.release_learning import ReleaseLearning
-from madderbeam.federation.switchover.replies import answer, paid_there
+from madderbeam.federation.switchover.replies import build_reply, releases_known_there
 from madderbeam.federation.switchover.settings import SwitchoverSettings
 from madderbeam.federation.values import FinishProposal
-from madderbeam.membership import values as v
+from madderbeam.membership import values
 
-FACT_ASK = 0  # of a question that is asked for the facts alone
+CATCH_UP_REQUEST_ID = 0  # of queries outside the inquiry; their replies only add releases and tables
 
 
 class InForceQueries:
-    """Joins the inquiry with what its answers bring: tables, releases, words."""
+    """Connects the inquiry with what replies contain: tables, releases, decommissioned members."""
 
     def __init__(
         self,
         settings: SwitchoverSettings,
-        book: OwnershipRegistry,
-        out: ActionBuffer,
-        adoption: TableActivation,
-        learning: ReleaseLearning,
+        registry: OwnershipRegistry,
+        actions: ActionBuffer,
+        activation: TableActivation,
+        release_learning: ReleaseLearning,
         inquiry: InForceInquiry,
-        council: ConsensusView,
+        consensus: ConsensusView,
     ) -> None:
-        self.settings, self.me, self.book, self.out = settings, book.me, book, out
-        self.adoption, self.learning, self.inquiry, self.council = adoption, learning, inquiry, council
-        self._caught_up_us = 0
+        self.settings, self.local_member, self.registry, self.actions = (
+            settings,
+            registry.me,
+            registry,
+            actions,
+        )
+        self.activation, self.release_learning, self.inquiry, self.consensus = (
+            activation,
+            release_learning,
+            inquiry,
+            consensus,
+        )
+        self._last_catch_up_us = 0
 
-    def shared(self) -> bool:
-        """Another site could serve something."""
-        return len(self.book.table.sites) > 1
+    def has_other_sites(self) -> bool:
+        """Whether another site could serve a destination."""
+        return len(self.registry.table.sites) > 1
 
-    def behind(self) -> None:
-        """A newer table is in force somewhere: if agreement does not bring it, it is asked for."""
-        if not self.inquiry.asking:
-            self.inquiry.begin(self.out.now_us, False)
-            self.inquiry.next_us = self.out.now_us + self.settings.ask_us
-            self.out.timer(self.inquiry.next_us, "turn")
+    def on_newer_table(self) -> None:
+        """A newer table is in force somewhere. It is queried for unless the agreement part delivers it
+        first."""
+        if not self.inquiry.is_active:
+            self.inquiry.begin(self.actions.now_us, False)
+            self.inquiry.next_query_us = self.actions.now_us + self.settings.query_retry_us
+            self.actions.timer(self.inquiry.next_query_us, "turn")
 
     def advance(self) -> None:
-        if not self.adoption.advance():
-            self.behind()
+        """Write the next agreed table, or query for it if it is not known."""
+        if not self.activation.advance():
+            self.on_newer_table()
 
-    def answer(self, asked: q.InForceQuery) -> q.InForceReply:
-        adoption = self.adoption
-        return answer(self.out.now_us, asked, self.book, adoption.agreed, self.council, adoption.fresh)
+    def reply_to(self, query: messages.InForceQuery) -> messages.InForceReply:
+        """The reply to a member's query."""
+        activation = self.activation
+        return build_reply(
+            self.actions.now_us,
+            query,
+            self.registry,
+            activation.agreed,
+            self.consensus,
+            activation.has_no_record,
+        )
 
-    def told(self, member: v.MemberId, message: q.InForceReply) -> None:
-        if member not in everyone(self.book.table) and member not in self.book.table.voters:
+    def on_reply(self, member: values.MemberId, reply: messages.InForceReply) -> None:
+        """Process the reply of a member of the table."""
+        if member not in active_members(self.registry.table) and member not in self.registry.table.voters:
             return
-        for gone, number in message.off:
-            self.learning.off(gone, number, mine=False)
-        self.adoption.told(message)
-        for release in message.releases:
-            self.learning.release(release, "told")
-        for release in paid_there(message, self.book):
-            self.learning.release(release, "told")
+        for decommissioned, number in reply.decommissioned:
+            self.release_learning.decommission(decommissioned, number, is_declared_here=False)
+        self.activation.on_reply(reply)
+        for release in reply.releases:
+            self.release_learning.add_release(release, "told")
+        for release in releases_known_there(reply, self.registry):
+            self.release_learning.add_release(release, "told")
         self.advance()
-        self.inquiry.answered(member, message, self.book.table)
+        self.inquiry.on_reply(member, reply, self.registry.table)
 
-    def ask(self, members: list[v.MemberId]) -> None:
-        question = self.inquiry.question(self.book.ledger.number, self.adoption.fresh)
+    def send_query(self, members: list[values.MemberId]) -> None:
+        """Send the inquiry's query to these members; this member replies to itself directly."""
+        query = self.inquiry.query(self.registry.ledger.number, self.activation.has_no_record)
         for member in members:
-            if member == self.me:
-                if self.council.may_vote():
-                    self.told(self.me, self.answer(question))
+            if member == self.local_member:
+                if self.consensus.may_vote():
+                    self.on_reply(self.local_member, self.reply_to(query))
             else:
-                self.out.do(v.SendMessage(member, question))
+                self.actions.do(values.SendMessage(member, query))
 
     def conclude(self) -> None:
-        """The inquiry ends once a majority has told, and nothing is under way."""
-        inquiry, table = self.inquiry, self.book.table
-        if not inquiry.asking or self.adoption.candidate is not None or not inquiry.told(table):
+        """End the inquiry once a majority has replied and no table is being written or pending."""
+        inquiry, table = self.inquiry, self.registry.table
+        if not inquiry.is_active or self.activation.candidate is not None or not inquiry.told(table):
             return
-        differing = inquiry.differing(self.book)
-        if differing:
-            for member in differing:
+        disagreeing = inquiry.members_with_other_table(self.registry)
+        if disagreeing:
+            for member in disagreeing:
                 del inquiry.answers[member]
-            what = f"{', '.join(map(str, differing))} have another table {table.number} than the one here"
-            self.out.do(v.LogLine(what, TablesDiffer(what)))
+            text = (
+                f"{', '.join(map(str, disagreeing))} have a different table {table.number} from the one here"
+            )
+            self.actions.do(values.LogLine(text, TablesDiffer(text)))
             return
-        if self.adoption.fresh:
-            self.adoption.put(self.book.ledger, False)
+        if self.activation.has_no_record:
+            self.activation.write(self.registry.ledger, False)
             return
-        pending, newer = inquiry.pending(), inquiry.newest > table.number
-        if not newer:
-            inquiry.held, inquiry.holding = inquiry.would_lose(pending, table), False
-            if not inquiry.held:
-                inquiry.done()
+        proposals, is_newer_known = inquiry.proposals(), inquiry.newest_number > table.number
+        if not is_newer_known:
+            inquiry.suspended_destinations, inquiry.suspends_all = (
+                inquiry.destinations_at_risk(proposals, table),
+                False,
+            )
+            if not inquiry.suspended_destinations:
+                inquiry.finish()
                 return
-        for p in pending:
-            self.out.do(FinishProposal(p.proposal))
-        inquiry.round(self.out.now_us)  # and asked again, until it is in force, agreed or over
-        inquiry.next_us += self.settings.ask_us
+        for pending in proposals:
+            self.actions.do(FinishProposal(pending.proposal))
+        # Repeats until the newer table is in force or no proposal is pending.
+        inquiry.restart(self.actions.now_us)
+        inquiry.next_query_us += self.settings.query_retry_us
 
     def catch_up(self) -> None:
-        """What no rumour brought is asked of the voters and of those that owe it."""
-        now_us = self.out.now_us
-        if now_us - self._caught_up_us < self.settings.catch_up_us:
+        """Query the voters and the members whose releases are missing, in case gossip did not deliver
+        them."""
+        now_us = self.actions.now_us
+        if now_us - self._last_catch_up_us < self.settings.catch_up_interval_us:
             return
-        self._caught_up_us = now_us
-        owing = {m for _, m, _ in self.book.all_missing()}
-        for member in sorted(owing | set(self.book.table.voters)):
-            if member != self.me:
-                self.out.do(v.SendMessage(member, q.InForceQuery(FACT_ASK, self.book.ledger.number)))
+        self._last_catch_up_us = now_us
+        owing = {owing_member for _, owing_member, _ in self.registry.all_missing_releases()}
+        for member in sorted(owing | set(self.registry.table.voters)):
+            if member != self.local_member:
+                self.actions.do(
+                    values.SendMessage(
+                        member, messages.InForceQuery(CATCH_UP_REQUEST_ID, self.registry.ledger.number)
+                    )
+                )
--- a/madderbeam/federation/switchover/release_learning.py
+++ b/madderbeam/federation/switchover/release_learning.py
@@ -1,4 +1,7 @@
-"""Takes in what others say of releases, members called off and tables in force, on disk where it binds."""
+"""Collects what others announce of releases, decommissioned members and tables in force.
+
+Releases and declarations are written to disk before they count.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +10,20 @@
 from hashlib import blake2b
 from typing import Any
 
-from madderbeam.federation.switchover.messages import LEASE_MOST_US
-from madderbeam.federation.switchover.moves import version
+from madderbeam.federation.switchover.messages import MAX_LEASE_US
+from madderbeam.federation.switchover.moves import gossip_version
 from madderbeam.federation.switchover.ownership_registry import MemberStanding, OwnershipRegistry
 from madderbeam.federation.switchover.pending_writes import ActionBuffer
 from madderbeam.federation.switchover.release_records import (
-    NUMBER_MOST,
+    MAX_TABLE_NUMBER,
     ReleaseRecord,
-    flag,
-    listed,
-    member_of,
-    number,
-    of_body,
-    of_row,
-    revived,
+    read_flag,
+    read_list,
+    read_member,
+    read_number,
+    record_from_row,
+    release_from_gossip,
+    restored,
 )
 from madderbeam.federation.table import MAX_MEMBERS
 from madderbeam.federation.values import Release
@@ -28,117 +31,167 @@
 
 
 class ReleaseLearning:
-    """`wall_ms(now_us)`: Unix time in milliseconds."""
+    """Fills the registry from gossip entries, replies and operators. `wall_ms(now_us)` returns Unix time
+    in ms."""
 
     def __init__(
         self,
-        book: OwnershipRegistry,
-        out: ActionBuffer,
-        life: Incarnation,
+        registry: OwnershipRegistry,
+        actions: ActionBuffer,
+        incarnation: Incarnation,
         wall_ms: Callable[[int], int],
         keep_us: int,
     ) -> None:
-        self.book, self.out, self.life, self.wall_ms, self.keep_us = book, out, life, wall_ms, keep_us
-        self.said: dict[MemberId, int] = {}  # called off by a word that was spoken here
+        self.registry, self.actions, self.incarnation, self.wall_ms, self.keep_us = (
+            registry,
+            actions,
+            incarnation,
+            wall_ms,
+            keep_us,
+        )
+        self.decommissioned_here: dict[MemberId, int] = {}  # declared at this member
 
     def start(self, records: Mapping[tuple[str, str], Any]) -> None:
-        """What is on disk, less the time that it has lain there."""
-        now_us = self.out.now_us
+        """Load the records on disk; spans are shortened by the time that has passed."""
+        now_us = self.actions.now_us
         for (kind, key), value in sorted(records.items()):
             if kind == "heard":
-                self.book.learn(revived(value, now_us, self.wall_ms(now_us)))
+                self.registry.add_record(restored(value, now_us, self.wall_ms(now_us)))
             elif kind == "release":
-                self.book.own[int(key)] = revived(value, now_us, self.wall_ms(now_us))
+                self.registry.own_releases[int(key)] = restored(value, now_us, self.wall_ms(now_us))
             elif kind == "off":
-                self.off_written(value)
+                self.on_decommission_written(value)
 
-    def release(self, release: Release, how: str) -> None:
-        """Someone's release, or what stands for it; `how`: handed.HOWS."""
+    def add_release(self, release: Release, source: str) -> None:
+        """Write a member's release, or what counts as one, if it is needed; `source` is one of SOURCES."""
         key = f"{release.dest}/{release.member}"
-        on_its_way = self.out.writes.value("heard", key)
-        if not self.book.wants(release):
+        pending_row = self.actions.writes.value("heard", key)
+        if not self.registry.needs(release):
             return
-        if on_its_way is not None and of_row(on_its_way).release.table_number >= release.table_number:
+        if (
+            pending_row is not None
+            and record_from_row(pending_row).release.table_number >= release.table_number
+        ):
             return
-        now_us = self.out.now_us
-        lies = ReleaseRecord(self.book.joined(release, now_us), now_us, self.wall_ms(now_us), how)
-        self.out.write("heard", key, lies.row())
+        now_us = self.actions.now_us
+        record = ReleaseRecord(
+            self.registry.merged_with_known(release, now_us), now_us, self.wall_ms(now_us), source
+        )
+        self.actions.write("heard", key, record.row())
 
-    def heard(self, rumour: GossipEntry) -> MemberId | None:
-        """Returns who told that it has another table in force."""
+    def on_gossip(self, entry: GossipEntry) -> MemberId | None:
+        """Process a gossip entry. Returns its owner if it announced another table in force."""
         try:
-            if not rumour.body:
+            if not entry.body:
                 return None
-            if rumour.key.startswith("release/"):
-                release = of_body(rumour.body)
-                if release.member == rumour.owner:
-                    self.release(release, "release")
-            elif rumour.key.startswith("off/"):
-                row, table = listed(json.loads(rumour.body), "off", 2)
-                self.off(member_of(row, "off"), number(table, "off.table", NUMBER_MOST), mine=False)
-            elif rumour.key == "force":
-                return self._stands(rumour)
+            if entry.key.startswith("release/"):
+                release = release_from_gossip(entry.body)
+                if release.member == entry.owner:
+                    self.add_release(release, "release")
+            elif entry.key.startswith("off/"):
+                member_row, number = read_list(json.loads(entry.body), "off", 2)
+                self.decommission(
+                    read_member(member_row, "off"),
+                    read_number(number, "off.table", MAX_TABLE_NUMBER),
+                    is_declared_here=False,
+                )
+            elif entry.key == "force":
+                return self._read_standing(entry)
         except ValueError as error:
-            self.out.do(LogLine(f"rumour {rumour.key} of {rumour.owner} is not understood: {error}"))
+            self.actions.do(LogLine(f"gossip entry {entry.key} from {entry.owner} is malformed: {error}"))
         return None
 
-    def off(self, member: MemberId, table: int, mine: bool) -> None:
-        """An operator's word; `mine`: spoken here."""
-        known = {m for t in self.book.ledger.history for s in t.sites for m in t.members(s)}
-        known |= {m for owed in self.book.ledger.debts.values() for m in owed}
-        value = [[member.site, member.name], table, mine]
-        on_its_way = self.out.writes.value("off", str(member))
-        if mine and member not in known:
-            self.out.do(LogLine(f"{member} is no member that the tables since {self._oldest()} name"))
+    def decommission(self, member: MemberId, number: int, is_declared_here: bool) -> None:
+        """Record an operator's declaration that the member is gone, as of table `number`.
+
+        `is_declared_here`: it was made at this member, which then disseminates it.
+        """
+        known_members = {
+            known_member
+            for table in self.registry.ledger.history
+            for site in table.sites
+            for known_member in table.members(site)
+        }
+        known_members |= {
+            known_member
+            for outstanding in self.registry.ledger.debts.values()
+            for known_member in outstanding
+        }
+        value = [[member.site, member.name], number, is_declared_here]
+        pending_value = self.actions.writes.value("off", str(member))
+        if is_declared_here and member not in known_members:
+            self.actions.do(
+                LogLine(f"cannot decommission {member}: no table since {self._oldest_number()} lists it")
+            )
             return
-        news = table > self.book.words.get(member, 0) or (mine and member not in self.said)
-        if news and member in known and on_its_way != value and len(self.book.words) < MAX_MEMBERS:
-            self.out.write("off", str(member), value)
-
-    def off_written(self, value: Any) -> MemberId:
-        row, table, mine = value
-        member = member_of(row, "off")
-        self.book.words[member] = max(table, self.book.words.get(member, 0))
-        if mine:
-            self.said[member] = table
-            self.tell_off(member)
+        is_new = number > self.registry.words.get(member, 0) or (
+            is_declared_here and member not in self.decommissioned_here
+        )
+        if (
+            is_new
+            and member in known_members
+            and pending_value != value
+            and len(self.registry.words) < MAX_MEMBERS
+        ):
+            self.actions.write("off", str(member), value)
+
+    def on_decommission_written(self, value: Any) -> MemberId:
+        """A declaration is on disk. Returns its member."""
+        row, number, is_declared_here = value
+        member = read_member(row, "off")
+        self.registry.words[member] = max(number, self.registry.words.get(member, 0))
+        if is_declared_here:
+            self.decommissioned_here[member] = number
+            self.announce_decommissioned(member)
         return member
 
-    def tell_off(self, member: MemberId) -> None:
-        table = self.said[member]
-        packed = json.dumps([[member.site, member.name], table], separators=(",", ":")).encode()
-        self.out.do(Disseminate(_off_key(member), version(table, self.life, 0), packed, self.keep_us))
-
-    def forget(self) -> None:
-        """What no table needs any more."""
-        for dest, member in self.book.over(self.out.now_us):
-            self.book.forget(dest, member)
-            self.out.forget("heard", f"{dest}/{member}")
-        settled = self.book.settled() if self.book.words else 0
-        for member, table in list(self.book.words.items()):
-            if table < min(self.book.ledger.number, settled):
-                del self.book.words[member]
-                self.out.forget("off", str(member))
-                if self.said.pop(member, None) is not None:
-                    self.out.do(Disseminate(_off_key(member), version(table, self.life, 1), b""))
-
-    def _stands(self, rumour: GossipEntry) -> MemberId:
-        table, settled, lease_us = listed(json.loads(rumour.body), "force", 3)
+    def announce_decommissioned(self, member: MemberId) -> None:
+        """Disseminate the declaration that the member is gone."""
+        number = self.decommissioned_here[member]
+        body = json.dumps([[member.site, member.name], number], separators=(",", ":")).encode()
+        self.actions.do(
+            Disseminate(
+                _decommissioned_key(member), gossip_version(number, self.incarnation, 0), body, self.keep_us
+            )
+        )
+
+    def remove_expired(self) -> None:
+        """Remove releases and declarations that no table needs any more."""
+        for dest, member in self.registry.expired_records(self.actions.now_us):
+            self.registry.remove_record(dest, member)
+            self.actions.forget("heard", f"{dest}/{member}")
+        settled_number = self.registry.settled_number() if self.registry.words else 0
+        for member, number in list(self.registry.words.items()):
+            if number < min(self.registry.ledger.number, settled_number):
+                del self.registry.words[member]
+                self.actions.forget("off", str(member))
+                if self.decommissioned_here.pop(member, None) is not None:
+                    self.actions.do(
+                        Disseminate(
+                            _decommissioned_key(member), gossip_version(number, self.incarnation, 1), b""
+                        )
+                    )
+
+    def _read_standing(self, entry: GossipEntry) -> MemberId:
+        number, is_settled, lease_us = read_list(json.loads(entry.body), "force", 3)
         standing = MemberStanding(
-            number(table, "force.number", NUMBER_MOST),
-            flag(settled, "force.settled"),
-            number(lease_us, "force.lease_us", LEASE_MOST_US),
+            read_number(number, "force.number", MAX_TABLE_NUMBER),
+            read_flag(is_settled, "force.settled"),
+            read_number(lease_us, "force.lease_us", MAX_LEASE_US),
         )
-        self.book.stand(rumour.owner, standing)
-        return rumour.owner
+        self.registry.set_standing(entry.owner, standing)
+        return entry.owner
 
-    def _oldest(self) -> int:
-        return self.book.ledger.history[0].number
+    def _oldest_number(self) -> int:
+        return self.registry.ledger.history[0].number
 
 
 def standing_body(standing: MemberStanding) -> bytes:
-    return json.dumps([standing.number, standing.settled, standing.lease_us], separators=(",", ":")).encode()
+    """A member's announcement as the body of a gossip entry."""
+    return json.dumps(
+        [standing.number, standing.is_settled, standing.lease_us], separators=(",", ":")
+    ).encode()
 
 
-def _off_key(member: MemberId) -> str:
+def _decommissioned_key(member: MemberId) -> str:
     return f"off/{blake2b(str(member).encode(), digest_size=8).hexdigest()}"
--- a/madderbeam/federation/switchover/replies.py
+++ b/madderbeam/federation/switchover/replies.py
@@ -1,59 +1,73 @@
-"""What a member tells of the tables in force and agreed, of debts and of releases, and what it learns so."""
+"""Builds the reply to a query for the table in force, and infers releases from the replies of others."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping
 
-from madderbeam.federation.switchover.inquiry import ConsensusView, pending_of
-from madderbeam.federation.switchover.ledger import DEBTS_MOST, HISTORY_MOST
-from madderbeam.federation.switchover.messages import RELEASES_MOST, InForceQuery, InForceReply
+from madderbeam.federation.switchover.inquiry import ConsensusView, pending_proposals
+from madderbeam.federation.switchover.ledger import MAX_HISTORY_TABLES, MAX_OUTSTANDING_RELEASES
+from madderbeam.federation.switchover.messages import MAX_RELEASES_PER_REPLY, InForceQuery, InForceReply
 from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
 from madderbeam.federation.values import Release, Table
 
 
-def answer(
+def build_reply(
     now_us: int,
-    asked: InForceQuery,
-    book: OwnershipRegistry,
+    query: InForceQuery,
+    registry: OwnershipRegistry,
     agreed: Mapping[int, Table],
-    council: ConsensusView,
-    fresh: bool,
+    consensus: ConsensusView,
+    has_no_record: bool,
 ) -> InForceReply:
-    """`agreed`: tables that are agreed and not in force here yet. `fresh`: nothing is on disk here yet."""
-    ledger = book.ledger
+    """The reply to a query.
+
+    `agreed`: agreed tables that are not in force here yet. `has_no_record`: no table is on disk here yet.
+    """
+    ledger = registry.ledger
     newest = agreed[max(agreed)] if agreed else ledger.table
-    known = [*ledger.history, *_following(ledger.number, agreed)]
-    back = known[0].number <= asked.number + 1
-    whole = None if fresh or (back and not asked.fresh) else book.open()
-    above = ledger.number if whole is not None else asked.number
-    owed = list(book.all_missing())
-    binding = [r for r in _releases(now_us, book) if r.retry_waits or r.draining or r.is_cold]
+    tables = [*ledger.history, *_following_tables(ledger.number, agreed)]
+    reaches_back = tables[0].number <= query.number + 1
+    full_ledger = (
+        None if has_no_record or (reaches_back and not query.has_no_record) else registry.ledger_of_missing()
+    )
+    after_number = ledger.number if full_ledger is not None else query.number
+    missing = list(registry.all_missing_releases())
+    with_constraints = [
+        release
+        for release in _releases(now_us, registry)
+        if release.retry_waits or release.draining or release.is_cold
+    ]
     return InForceReply(
-        asked.ask,
+        query.ask,
         newest.number,
         newest.digest,
         ledger.number,
-        fresh,
-        tuple(t for t in known if t.number > above)[:HISTORY_MOST],
-        whole,
-        pending_of(council, ledger.table),
-        tuple(owed[:DEBTS_MOST]),
-        not fresh and len(binding) <= RELEASES_MOST and len(owed) <= DEBTS_MOST,
-        tuple(sorted(book.words.items())),
-        tuple(binding[:RELEASES_MOST]),
+        has_no_record,
+        tuple(table for table in tables if table.number > after_number)[:MAX_HISTORY_TABLES],
+        full_ledger,
+        pending_proposals(consensus, ledger.table),
+        tuple(missing[:MAX_OUTSTANDING_RELEASES]),
+        not has_no_record
+        and len(with_constraints) <= MAX_RELEASES_PER_REPLY
+        and len(missing) <= MAX_OUTSTANDING_RELEASES,
+        tuple(sorted(registry.words.items())),
+        tuple(with_constraints[:MAX_RELEASES_PER_REPLY]),
     )
 
 
-def paid_there(message: InForceReply, book: OwnershipRegistry) -> Iterator[Release]:
-    """Releases that are missed here and not there: as they were told, else with nothing left to heed."""
-    if message.fresh or not message.complete or message.in_force < book.ledger.number:
+def releases_known_there(reply: InForceReply, registry: OwnershipRegistry) -> Iterator[Release]:
+    """Releases that are missing here and not at the sender of the reply.
+
+    If the reply does not contain such a release, it has no spans left to observe.
+    """
+    if reply.has_no_record or not reply.is_complete or reply.in_force_number < registry.ledger.number:
         return
-    owed = {(dest, member) for dest, member, _ in message.debts}
-    told = {(r.dest, r.member): r for r in message.releases}
-    for dest, member, number in list(book.all_missing()):
-        if (dest, member) in owed or member == book.me:
+    missing_there = {(dest, member) for dest, member, _ in reply.outstanding}
+    named = {(named_release.dest, named_release.member): named_release for named_release in reply.releases}
+    for dest, member, number in list(registry.all_missing_releases()):
+        if (dest, member) in missing_there or member == registry.me:
             continue
-        release = told.get((dest, member))
+        release = named.get((dest, member))
         yield (
             release
             if release is not None and release.table_number >= number
@@ -61,14 +75,14 @@
         )
 
 
-def _following(number: int, agreed: Mapping[int, Table]) -> Iterator[Table]:
+def _following_tables(number: int, agreed: Mapping[int, Table]) -> Iterator[Table]:
     while (number := number + 1) in agreed:
         yield agreed[number]
 
 
-def _releases(now_us: int, book: OwnershipRegistry) -> Iterator[Release]:
-    for facts in book.facts.values():
-        for fact in facts.values():
-            yield fact.left(now_us)
-    for own in book.own.values():
-        yield own.left(now_us)
+def _releases(now_us: int, registry: OwnershipRegistry) -> Iterator[Release]:
+    for records in registry.release_records.values():
+        for record in records.values():
+            yield record.remaining(now_us)
+    for own_record in registry.own_releases.values():
+        yield own_record.remaining(now_us)
--- a/madderbeam/federation/switchover/status.py
+++ b/madderbeam/federation/switchover/status.py
@@ -1,50 +1,56 @@
-"""What GET /federation shows of switch-over: in force, what is missing and since when, lease, hold."""
+"""The state of the switchover that GET /federation shows."""
 
 from __future__ import annotations
 
 from typing import Any
 
-SHOWN_MOST = 1_000  # destinations
+MAX_DESTINATIONS_SHOWN = 1_000
 
 
 def status(switch: Any) -> dict[str, Any]:
-    """Of a Switch, which imports this. Spans in milliseconds, as of the time of the turn."""
-    book, now_us, gate = switch.book, switch.out.now_us, switch.holds.gate
-    held = None if gate.destinations is None else sorted(gate.destinations)
-    since_ms = (now_us - book.since_us) // 1_000
+    """The state of a Switchover, which imports this module. Spans are in milliseconds as of the last
+    event."""
+    registry, now_us, suspension = switch.book, switch.actions.now_us, switch.suspension.current
+    suspended = None if suspension.destinations is None else sorted(suspension.destinations)
+    since_ms = (now_us - registry.in_force_since_us) // 1_000
     moving: dict[str, Any] = {}
-    hidden = 0
-    for dest in sorted(book.ledger.debts):
-        owing = sorted(m for m, n in book.ledger.debts[dest].items() if not book.paid(dest, m, n))
-        if not owing and dest not in switch.moves.leaving:
+    not_shown = 0
+    for dest in sorted(registry.ledger.debts):
+        missing_members = sorted(
+            member
+            for member, number in registry.ledger.debts[dest].items()
+            if not registry.is_released(dest, member, number)
+        )
+        if not missing_members and dest not in switch.moves.relinquishing:
             continue
-        if len(moving) >= SHOWN_MOST:
-            hidden += 1
+        if len(moving) >= MAX_DESTINATIONS_SHOWN:
+            not_shown += 1
             continue
         moving[str(dest)] = {
-            "owner": book.table.owners.get(dest),
-            "not_released": [str(m) for m in owing],
+            "owner": registry.table.owners.get(dest),
+            "not_released": [str(member) for member in missing_members],
             "for_ms": since_ms,
         }
     return {
-        "in_force": {"number": book.ledger.number, "digest": book.table.digest, "for_ms": since_ms},
-        "agreed_not_in_force": sorted(switch.adoption.agreed),
+        "in_force": {"number": registry.ledger.number, "digest": registry.table.digest, "for_ms": since_ms},
+        "agreed_not_in_force": sorted(switch.activation.agreed),
         "moving": moving,
-        "moving_not_shown": hidden,
+        "moving_not_shown": not_shown,
         "served": len(switch.moves.served),
-        "letting_go": sorted(switch.moves.leaving),
+        "letting_go": sorted(switch.moves.relinquishing),
         "lease": _lease(switch),
-        "hold": {"on": gate.is_suspended, "why": gate.reason, "destinations": held},
+        "hold": {"on": suspension.is_suspended, "why": suspension.reason, "destinations": suspended},
         "others": {
-            str(m): {"in_force": s.number, "settled": s.settled} for m, s in sorted(book.standings.items())
+            str(member): {"in_force": standing.number, "settled": standing.is_settled}
+            for member, standing in sorted(registry.standings.items())
         },
-        "called_off": {str(m): n for m, n in sorted(book.words.items())},
-        "errors": [e.line() for e in switch.holds.errors()],
+        "called_off": {str(member): number for member, number in sorted(registry.words.items())},
+        "errors": [error.line() for error in switch.suspension.errors()],
     }
 
 
 def _lease(switch: Any) -> dict[str, Any] | None:
     if not switch.settings.lease_us:
         return None
-    left_us = switch.holder.valid_until_us - switch.out.now_us
-    return {"lease_ms": switch.settings.lease_us // 1_000, "left_ms": max(0, left_us // 1_000)}
+    remaining_us = switch.lease_holder.valid_until_us - switch.actions.now_us
+    return {"lease_ms": switch.settings.lease_us // 1_000, "left_ms": max(0, remaining_us // 1_000)}
--- a/madderbeam/federation/switchover/suspension.py
+++ b/madderbeam/federation/switchover/suspension.py
@@ -1,4 +1,4 @@
-"""Says when this member holds what it serves, why, and which error the operator sees for it."""
+"""Decides when serving is suspended at this member, why, and which error an operator sees for it."""
 
 from __future__ import annotations
 
@@ -11,123 +11,148 @@
 from madderbeam.federation.values import SuspendServing
 from madderbeam.membership.values import LogLine, MemberId
 
-NAMED_MOST = 5  # members or destinations named in one line
+MAX_NAMES_PER_LINE = 5  # members or destinations in one error text
 
 
 class ServingSuspension:
-    """`gate` is what was told last: nothing, some destinations, or all are held."""
+    """Keeps the host's suspension up to date. `current` is the last one sent: of nothing, some
+    destinations or all."""
 
     def __init__(
         self,
         settings: SwitchoverSettings,
-        book: OwnershipRegistry,
-        out: ActionBuffer,
+        registry: OwnershipRegistry,
+        actions: ActionBuffer,
         inquiry: InForceInquiry,
-        holder: LeaseHolder,
+        lease_holder: LeaseHolder,
     ) -> None:
-        self.settings, self.book, self.out = settings, book, out
-        self.inquiry, self.holder = inquiry, holder
-        self.gate = SuspendServing(True, "has not started")
-        self.leased_us = 0  # since when there is no lease; 0: there is one
+        self.settings, self.registry, self.actions = settings, registry, actions
+        self.inquiry, self.lease_holder = inquiry, lease_holder
+        self.current = SuspendServing(True, "has not started")
+        self.no_lease_since_us = 0  # 0: there is a lease
         self._reported_us: dict[str, int] = {}
 
-    def look(self) -> None:
-        """Tell the host where the gate is another one now."""
-        gate = self._gate()
-        if (gate.is_suspended, gate.destinations) != (
-            self.gate.is_suspended,
-            self.gate.destinations,
-        ) or gate.reason != self.gate.reason:
-            self.gate = gate
-            self.out.do(gate)
-
-    def closed(self, dest: int) -> bool:
-        gate = self.gate
-        return gate.is_suspended and (gate.destinations is None or dest in gate.destinations)
+    def update(self) -> None:
+        """Notify the host if the suspension has changed."""
+        desired = self._desired_state()
+        if (desired.is_suspended, desired.destinations) != (
+            self.current.is_suspended,
+            self.current.destinations,
+        ) or desired.reason != self.current.reason:
+            self.current = desired
+            self.actions.do(desired)
+
+    def covers(self, dest: int) -> bool:
+        """Whether serving of the destination is suspended."""
+        current = self.current
+        return current.is_suspended and (current.destinations is None or dest in current.destinations)
 
     def report(self) -> None:
-        """To the log, every so often: what is missing and what can be done."""
-        now_us = self.out.now_us
+        """Log each error, repeated at the report interval."""
+        now_us = self.actions.now_us
         for error in self.errors():
-            last = self._reported_us.get(error.code)
-            if last is None or now_us - last >= self.settings.report_us:
+            last_us = self._reported_us.get(error.code)
+            if last_us is None or now_us - last_us >= self.settings.report_interval_us:
                 self._reported_us[error.code] = now_us
-                self.out.do(LogLine(error.what, error))
+                self.actions.do(LogLine(error.what, error))
 
     def errors(self) -> list[FederationError]:
-        """What stands against serving all that the table gives to this site, long enough to be told."""
-        found: list[FederationError] = []
-        number = self.book.table.number
-        if self.book.left_out:
-            found.append(LeftOut(f"table {number} does not name {self.book.me}, or it was called off"))
-        if self.inquiry.asking and self._long(self.inquiry.since_us) and self.inquiry.holding:
-            found.append(self._no_word())
-        if not self.holder.is_valid(self.out.now_us) and self.leased_us and self._long(self.leased_us):
-            found.append(self._lease_lost())
-        return found + self._missing()
-
-    def _gate(self) -> SuspendServing:
-        now_us, table = self.out.now_us, self.book.table
-        runs = self.holder.is_valid(now_us)
-        self.leased_us = 0 if runs else self.leased_us or now_us
-        if self.book.left_out:
-            return SuspendServing(True, LeftOut(f"table {table.number} does not name {self.book.me}").line())
-        if self.inquiry.holding:
-            asks = f"asks the voters of table {table.number} what is in force"
-            long = self._long(self.inquiry.since_us)
-            return SuspendServing(True, self._no_word().line() if long else asks)
-        if not runs:
-            long = self._long(self.leased_us)
+        """The errors that have kept this member from serving its site's destinations for the report
+        interval."""
+        errors: list[FederationError] = []
+        number = self.registry.table.number
+        if self.registry.is_left_out:
+            errors.append(LeftOut(f"table {number} does not name {self.registry.me}, or it was called off"))
+        if (
+            self.inquiry.is_active
+            and self._is_reportable(self.inquiry.since_us)
+            and self.inquiry.suspends_all
+        ):
+            errors.append(self._no_word())
+        if (
+            not self.lease_holder.is_valid(self.actions.now_us)
+            and self.no_lease_since_us
+            and self._is_reportable(self.no_lease_since_us)
+        ):
+            errors.append(self._lease_lost())
+        return errors + self._missing_releases()
+
+    def _desired_state(self) -> SuspendServing:
+        now_us, table = self.actions.now_us, self.registry.table
+        has_lease = self.lease_holder.is_valid(now_us)
+        self.no_lease_since_us = 0 if has_lease else self.no_lease_since_us or now_us
+        if self.registry.is_left_out:
+            return SuspendServing(
+                True, LeftOut(f"table {table.number} does not name {self.registry.me}").line()
+            )
+        if self.inquiry.suspends_all:
+            text = f"asks the voters of table {table.number} what is in force"
+            is_reportable = self._is_reportable(self.inquiry.since_us)
+            return SuspendServing(True, self._no_word().line() if is_reportable else text)
+        if not has_lease:
+            is_reportable = self._is_reportable(self.no_lease_since_us)
             return SuspendServing(
-                True, self._lease_lost().line() if long else "waits for its lease to be renewed"
+                True, self._lease_lost().line() if is_reportable else "waits for its lease to be renewed"
             )
-        if self.inquiry.held:
-            why = f"a table after {table.number} is pending that would move them"
-            return SuspendServing(True, why, self.inquiry.held)
+        if self.inquiry.suspended_destinations:
+            reason = f"a table after {table.number} is pending that would move them"
+            return SuspendServing(True, reason, self.inquiry.suspended_destinations)
         return SuspendServing(False, "")
 
-    def _long(self, since_us: int) -> bool:
-        return self.out.now_us - since_us >= self.settings.report_us
+    def _is_reportable(self, since_us: int) -> bool:
+        return self.actions.now_us - since_us >= self.settings.report_interval_us
 
     def _no_word(self) -> NoWord:
-        silent = self.inquiry.silent(self.book.table)
+        silent = self.inquiry.silent_since(self.registry.table)
         return NoWord(
-            f"the voters of table {self.book.table.number} were asked {self._ago(self.inquiry.since_us)} ago "
-            f"and no majority has told what is in force: {self._silent(silent)}"
+            f"the voters of table {self.registry.table.number} were asked "
+            f"{self._age_text(self.inquiry.since_us)} ago "
+            f"and no majority has told what is in force: {self._silent_text(silent)}"
         )
 
     def _lease_lost(self) -> LeaseLost:
-        heard = self.inquiry.heard_us
-        voters = [(v, heard.get(v, 0)) for v in self.book.table.voters if v != self.book.me]
-        quiet = [(v, at) for v, at in voters if self.out.now_us - at > self.settings.lease_us]
+        last_heard_us = self.inquiry.last_heard_us
+        voters = [
+            (voter, last_heard_us.get(voter, 0))
+            for voter in self.registry.table.voters
+            if voter != self.registry.me
+        ]
+        silent = [
+            (voter, heard_us)
+            for voter, heard_us in voters
+            if self.actions.now_us - heard_us > self.settings.lease_us
+        ]
         return LeaseLost(
-            f"no majority of the voters of table {self.book.table.number} has renewed the lease for "
-            f"{self._ago(self.leased_us)}: {self._silent(quiet)}"
+            f"no majority of the voters of table {self.registry.table.number} has renewed the lease for "
+            f"{self._age_text(self.no_lease_since_us)}: {self._silent_text(silent)}"
         )
 
-    def _missing(self) -> list[FederationError]:
-        """By member, from a while after the table came in force on."""
+    def _missing_releases(self) -> list[FederationError]:
+        """The missing releases by member, once the table has been in force for the report interval."""
         owing: dict[MemberId, list[int]] = {}
-        for dest, member, _ in self.book.gains_missing():
+        for dest, member, _ in self.registry.gains_missing():
             owing.setdefault(member, []).append(dest)
-        since_us = self.book.since_us
-        if not owing or not self._long(since_us):
+        since_us = self.registry.in_force_since_us
+        if not owing or not self._is_reportable(since_us):
             return []
         parts = []
-        for member, dests in sorted(owing.items())[:NAMED_MOST]:
-            some = ", ".join(map(str, sorted(dests)[:NAMED_MOST]))
-            more = f" and {len(dests) - NAMED_MOST} more" if len(dests) > NAMED_MOST else ""
-            parts.append(f"{member} has not released {some}{more}")
-        more = f"; {len(owing) - NAMED_MOST} more members" if len(owing) > NAMED_MOST else ""
-        what = f"since table {self.book.table.number} came in force {self._ago(since_us)} ago: "
-        return [ReleaseMissing(what + "; ".join(parts) + more)]
-
-    def _silent(self, voters: list[tuple[MemberId, int]]) -> str:
+        for member, dests in sorted(owing.items())[:MAX_NAMES_PER_LINE]:
+            named_dests = ", ".join(map(str, sorted(dests)[:MAX_NAMES_PER_LINE]))
+            rest = f" and {len(dests) - MAX_NAMES_PER_LINE} more" if len(dests) > MAX_NAMES_PER_LINE else ""
+            parts.append(f"{member} has not released {named_dests}{rest}")
+        rest = f"; {len(owing) - MAX_NAMES_PER_LINE} more members" if len(owing) > MAX_NAMES_PER_LINE else ""
+        prefix = f"since table {self.registry.table.number} came in force {self._age_text(since_us)} ago: "
+        return [ReleaseMissing(prefix + "; ".join(parts) + rest)]
+
+    def _silent_text(self, voters: list[tuple[MemberId, int]]) -> str:
         if not voters:
             return "all were heard meanwhile"
-        told = [f"{v} ({f'heard {self._ago(at)} ago' if at else 'never heard'})" for v, at in voters]
-        more = f" and {len(told) - NAMED_MOST} more" if len(told) > NAMED_MOST else ""
-        return f"silent are {', '.join(told[:NAMED_MOST])}{more}"
-
-    def _ago(self, at_us: int) -> str:
-        return f"{max(0, self.out.now_us - at_us) // 1_000_000} s"
+        parts = [
+            f"{voter} ({f'heard {self._age_text(heard_us)} ago' if heard_us else 'never heard'})"
+            for voter, heard_us in voters
+        ]
+        rest = f" and {len(parts) - MAX_NAMES_PER_LINE} more" if len(parts) > MAX_NAMES_PER_LINE else ""
+        return f"silent are {', '.join(parts[:MAX_NAMES_PER_LINE])}{rest}"
+
+    def _age_text(self, since_us: int) -> str:
+        return f"{max(0, self.actions.now_us - since_us) // 1_000_000} s"
--- a/madderbeam/federation/switchover/switchover.py
+++ b/madderbeam/federation/switchover/switchover.py
@@ -1,7 +1,7 @@
-"""Puts agreed tables in force at this member, and sees to it that nothing is served that another may serve.
+"""Brings agreed tables in force at this member and keeps two sites from serving one destination at once.
 
-Joins moves (what is served), the inquiry (what is in force elsewhere) and leases; each record is on disk
-before what depends on it is done (writes.py).
+Combines the destinations served here (moves.py), the inquiry about the table in force elsewhere (inquiry.py)
+and leases. Every record is on disk before an action that depends on it is taken (pending_writes.py).
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from madderbeam.federation.errors import FederationError, NotInForce
 from madderbeam.federation.leases.coordination import LeaseCoordination
 from madderbeam.federation.leases.lease import LeaseHolder
-from madderbeam.federation.switchover import messages as q
+from madderbeam.federation.switchover import messages
 from madderbeam.federation.switchover.activation import TableActivation
 from madderbeam.federation.switchover.inquiry import ConsensusView, InForceInquiry, NoConsensus
-from madderbeam.federation.switchover.ledger import everyone, first, read
+from madderbeam.federation.switchover.ledger import active_members, initial_ledger, read
 from madderbeam.federation.switchover.moves import DestinationMoves
 from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
-from madderbeam.federation.switchover.pending_writes import PREFIX, ActionBuffer
+from madderbeam.federation.switchover.pending_writes import TOKEN_PREFIX, ActionBuffer
 from madderbeam.federation.switchover.queries import InForceQueries
 from madderbeam.federation.switchover.release_learning import ReleaseLearning
-from madderbeam.federation.switchover.release_records import of_row
+from madderbeam.federation.switchover.release_records import record_from_row
 from madderbeam.federation.switchover.settings import SwitchoverSettings
 from madderbeam.federation.switchover.status import status
 from madderbeam.federation.switchover.suspension import ServingSuspension
@@ -33,273 +33,305 @@
     TableAgreed,
     TableInForce,
 )
-from madderbeam.membership import values as v
+from madderbeam.membership import values
 
-AHEAD_MOST = 3  # members with a newer table that are asked besides the voters
+MAX_NON_VOTERS_QUERIED = 3  # members with a newer table that are queried besides the voters
 
 
 class Switchover:
-    """`start(now_us)` once, then `handle(now_us, event)`: both give actions. `table`: the one in the file, of
-    no account where `records` have one. `wall_ms(now_us)`: Unix time in milliseconds."""
+    """The state machine of the switchover. Call `start(now_us)` once, then `handle(now_us, event)`; both
+    return actions.
+
+    `records` are those on disk, by kind and key. `table` is the one from the configuration file; it is used
+    only if `records` has none. `wall_ms(now_us)` returns Unix time in milliseconds.
+    """
 
     def __init__(
         self,
         settings: SwitchoverSettings,
-        me: v.MemberId,
-        life: v.Incarnation,
+        local_member: values.MemberId,
+        incarnation: values.Incarnation,
         records: Mapping[tuple[str, str], Any],
         table: Table,
-        council: ConsensusView | None = None,
+        consensus: ConsensusView | None = None,
         wall_ms: Callable[[int], int] = lambda now_us: now_us // 1_000,
     ) -> None:
-        self.settings, self.me, self.life = settings, me, life
-        self.council = council or NoConsensus()
+        self.settings, self.local_member, self.incarnation = settings, local_member, incarnation
+        self.consensus = consensus or NoConsensus()
         self.records: Mapping[tuple[str, str], Any] | None = records
-        kept = records.get(("force", ""))
-        self.book = OwnershipRegistry(me, first(table) if kept is None else read(kept))
-        self.out = ActionBuffer(settings.retry_us)
-        self.adoption = TableActivation(settings, self.book, self.out, life, kept is None)
-        self.moves = DestinationMoves(self.book, self.out, life, wall_ms, settings.keep_us)
-        self.learning = ReleaseLearning(self.book, self.out, life, wall_ms, settings.keep_us)
-        self.inquiry = InForceInquiry(settings, me, life)
-        self.holder = LeaseHolder(settings)
-        self.asking = InForceQueries(
-            settings, self.book, self.out, self.adoption, self.learning, self.inquiry, self.council
+        force_row = records.get(("force", ""))
+        self.book = OwnershipRegistry(
+            local_member, initial_ledger(table) if force_row is None else read(force_row)
+        )
+        self.actions = ActionBuffer(settings.retry_us)
+        self.activation = TableActivation(settings, self.book, self.actions, incarnation, force_row is None)
+        self.moves = DestinationMoves(
+            self.book, self.actions, incarnation, wall_ms, settings.gossip_retention_us
+        )
+        self.release_learning = ReleaseLearning(
+            self.book, self.actions, incarnation, wall_ms, settings.gossip_retention_us
+        )
+        self.inquiry = InForceInquiry(settings, local_member, incarnation)
+        self.lease_holder = LeaseHolder(settings)
+        self.queries = InForceQueries(
+            settings,
+            self.book,
+            self.actions,
+            self.activation,
+            self.release_learning,
+            self.inquiry,
+            self.consensus,
         )
-        self.leasing = LeaseCoordination(
-            settings, self.book, self.out, life, self.holder, self.council, records
+        self.leases = LeaseCoordination(
+            settings, self.book, self.actions, incarnation, self.lease_holder, self.consensus, records
+        )
+        self.suspension = ServingSuspension(
+            settings, self.book, self.actions, self.inquiry, self.lease_holder
         )
-        self.holds = ServingSuspension(settings, self.book, self.out, self.inquiry, self.holder)
 
-    # What others ask
+    # Queries by the host
 
-    def may_call(self, now_us: int, dest: int, lasting_us: int = 0) -> bool:
-        """Just before a call is written: whether it may be, if it ends within `lasting_us` at the latest."""
-        served = dest in self.moves.served and not self.holds.closed(dest)
-        return served and self.holder.is_valid(now_us + lasting_us)
+    def may_call(self, now_us: int, dest: int, max_duration_us: int = 0) -> bool:
+        """Whether a call to the destination may be written now if it ends within `max_duration_us`."""
+        is_served = dest in self.moves.served and not self.suspension.covers(dest)
+        return is_served and self.lease_holder.is_valid(now_us + max_duration_us)
 
     def status(self, now_us: int) -> dict[str, Any]:
-        """For GET /federation."""
-        self.out.now_us = now_us
+        """The state of the switchover for GET /federation."""
+        self.actions.now_us = now_us
         return status(self)
 
     def objection(self, table: Table) -> FederationError | None:
-        """What stands against staging this table here; part of the host's answer to `Check`."""
-        return self.adoption.objection(table)
+        """Why this table must not be staged here, or None; part of the host's reply to CheckTable."""
+        return self.activation.objection(table)
 
     # Events
 
     def start(self, now_us: int) -> list[Any]:
-        """What is to be done at the start of the process."""
+        """Load the records on disk, start the inquiry and return the actions of the start."""
         assert self.records is not None
         records, self.records = self.records, None
-        self.out.now_us = self.book.since_us = now_us
-        self.learning.start(records)
-        self.leasing.start(records)
-        for table in self.council.known_since(self.book.ledger.number):
-            self.adoption.add(table)
-        self.inquiry.begin(now_us, self.asking.shared())
-        self.leasing.renew()
-        self._turn()
-        self.asking.advance()
-        self.asking.conclude()
-        self.holds.look()
-        self.out.do(TableInForce(self.book.table, None))
-        for dest in sorted(self.book.own):
-            self.moves.tell(dest)
-        self._settle_all()
-        return self._done()
+        self.actions.now_us = self.book.in_force_since_us = now_us
+        self.release_learning.start(records)
+        self.leases.start(records)
+        for table in self.consensus.known_since(self.book.ledger.number):
+            self.activation.add(table)
+        self.inquiry.begin(now_us, self.queries.has_other_sites())
+        self.leases.renew()
+        self._check_progress()
+        self.queries.advance()
+        self.queries.conclude()
+        self.suspension.update()
+        self.actions.do(TableInForce(self.book.table, None))
+        for dest in sorted(self.book.own_releases):
+            self.moves.announce(dest)
+        self._reconcile_all()
+        return self._take_actions()
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
+        """Process one event and return the actions that follow from it. Starts the machine if nothing has
+        yet."""
         if self.records is not None:
             return self.start(now_us) + (
                 [] if isinstance(event, ServingPaused) else self.handle(now_us, event)
             )
-        self.out.now_us = now_us
+        self.actions.now_us = now_us
         match event:
-            case v.TimerDue(token) if token.startswith(PREFIX):
-                self._due(event, token.removeprefix(PREFIX))
-            case v.MessageReceived(member, message):
-                self._message(member, message)
+            case values.TimerDue(token) if token.startswith(TOKEN_PREFIX):
+                self._on_timer(event, token.removeprefix(TOKEN_PREFIX))
+            case values.MessageReceived(member, message):
+                self._on_message(member, message)
             case TableAgreed(table):
-                self.adoption.add(table)
-                self.asking.advance()
-            case v.GossipReceived(rumour):
-                if self.learning.heard(rumour) is not None:
-                    self._stood(rumour.owner)
+                self.activation.add(table)
+                self.queries.advance()
+            case values.GossipReceived(entry):
+                if self.release_learning.on_gossip(entry) is not None:
+                    self._on_standing(entry.owner)
             case DestinationReleased(release):
-                self.moves.released(release)
+                self.moves.on_released(release)
             case MemberDecommissioned(member, number):
-                self.learning.off(member, min(number, self.book.ledger.number), mine=True)
-            case ServingPaused() | v.PauseDetected():
-                self.holder.invalidate()
-                self.inquiry.begin(now_us, self.asking.shared())
-                self.leasing.renew()
-                self._turn()
-            case v.IncarnationRaised(life):
-                self._raised(life)
-            case v.LinkUp(member):
-                if self.inquiry.asking and member in self.inquiry.unanswered(self.book.table):
-                    self.asking.ask([member])
-            case v.WriteFailed(kind, _):
-                self._unwritten(kind)
-        self.asking.conclude()
-        self.holds.look()
-        return self._done()
-
-    def _raised(self, life: v.Incarnation) -> None:
-        """What is said bears this life: an earlier one, which a folder does not know, may have said more."""
-        if life == self.life:
+                self.release_learning.decommission(
+                    member, min(number, self.book.ledger.number), is_declared_here=True
+                )
+            case ServingPaused() | values.PauseDetected():
+                self.lease_holder.invalidate()
+                self.inquiry.begin(now_us, self.queries.has_other_sites())
+                self.leases.renew()
+                self._check_progress()
+            case values.IncarnationRaised(incarnation):
+                self._on_incarnation_raised(incarnation)
+            case values.LinkUp(member):
+                if self.inquiry.is_active and member in self.inquiry.silent_voters(self.book.table):
+                    self.queries.send_query([member])
+            case values.WriteFailed(kind, _):
+                self._on_write_failed(kind)
+        self.queries.conclude()
+        self.suspension.update()
+        return self._take_actions()
+
+    def _on_incarnation_raised(self, incarnation: values.Incarnation) -> None:
+        """Announce everything again under the new incarnation.
+
+        State restored from an older copy may not know what an earlier incarnation has announced.
+        """
+        if incarnation == self.incarnation:
             return
-        self.life = self.moves.life = self.learning.life = self.adoption.life = life
-        self.adoption.announce(again=True)
-        for dest in self.book.own:
-            self.moves.tell(dest)
-        for member in self.learning.said:
-            self.learning.tell_off(member)
-
-    def _due(self, event: v.TimerDue, what: str) -> None:
-        record = self.out.due(event)
+        self.incarnation = self.moves.incarnation = self.release_learning.incarnation = (
+            self.activation.incarnation
+        ) = incarnation
+        self.activation.announce(again=True)
+        for dest in self.book.own_releases:
+            self.moves.announce(dest)
+        for member in self.release_learning.decommissioned_here:
+            self.release_learning.announce_decommissioned(member)
+
+    def _on_timer(self, event: values.TimerDue, name: str) -> None:
+        record = self.actions.on_timer(event)
         if record is not None:
-            self._written(record)
-        elif what == "turn":
-            self._turn()
-        elif what == "lease":
-            self.leasing.renew()
-        elif what == "ready":
-            self.leasing.record_span()
-
-    def _written(self, record: v.Persist) -> None:
+            self._on_record_written(record)
+        elif name == "turn":
+            self._check_progress()
+        elif name == "lease":
+            self.leases.renew()
+        elif name == "ready":
+            self.leases.record_span()
+
+    def _on_record_written(self, record: values.Persist) -> None:
         match record.kind:
             case "force":
-                self._in_force()
+                self._on_table_in_force()
             case "heard":
-                fact = of_row(record.value)
-                self.book.learn(fact)
-                self._settle([fact.release.dest])
+                release_record = record_from_row(record.value)
+                self.book.add_record(release_record)
+                self._reconcile([release_record.release.dest])
             case "release":
-                self.moves.written(of_row(record.value))
+                self.moves.on_release_written(record_from_row(record.value))
             case "off":
-                self.leasing.on_member_decommissioned(self.learning.off_written(record.value))
-                self._settle_all()
+                self.leases.on_member_decommissioned(
+                    self.release_learning.on_decommission_written(record.value)
+                )
+                self._reconcile_all()
             case "vouch":
-                self.leasing.on_confirmation_written(record.value)
-                self._ends()
-
-    def _unwritten(self, kind: str) -> None:
-        """All that stood behind it was not done, and it is not known what that was."""
-        self.out.again()
-        self.out.do(self.holds.gate)
-        self.adoption.announce(again=True)
-        for dest in self.book.own:
-            self.moves.tell(dest)
-        for member in self.learning.said:
-            self.learning.tell_off(member)
-        self.out.timer(self.out.now_us + self.settings.turn_us, "turn")
-        self.leasing.rearm()
+                self.leases.on_confirmation_written(record.value)
+                self._record_lease_ends()
+
+    def _on_write_failed(self, kind: str) -> None:
+        """Retry after a failed write. All actions behind it were dropped, and which these were is unknown."""
+        self.actions.schedule_rewrites()
+        self.actions.do(self.suspension.current)
+        self.activation.announce(again=True)
+        for dest in self.book.own_releases:
+            self.moves.announce(dest)
+        for member in self.release_learning.decommissioned_here:
+            self.release_learning.announce_decommissioned(member)
+        self.actions.timer(self.actions.now_us + self.settings.check_interval_us, "turn")
+        self.leases.rearm()
         if kind == "force":
-            what = f"the disk did not take the table after {self.book.ledger.number}; it is tried again"
-            self.out.do(v.LogLine(what, NotInForce(what)))
+            text = f"failed to write the table after {self.book.ledger.number}; retrying"
+            self.actions.do(values.LogLine(text, NotInForce(text)))
 
     # Tables
 
-    def _in_force(self) -> None:
-        before, skipped = self.adoption.written()
+    def _on_table_in_force(self) -> None:
+        previous, skipped_tables = self.activation.on_written()
         ledger = self.book.ledger
-        if ledger.table.proposal_id != before.proposal_id:
-            self.out.do(TableInForce(ledger.table, before))
-        if ledger.table.voters != before.voters:
-            self.holder.invalidate()
-        if skipped:
-            self.moves.let_go(self.moves.served)
+        if ledger.table.proposal_id != previous.proposal_id:
+            self.actions.do(TableInForce(ledger.table, previous))
+        if ledger.table.voters != previous.voters:
+            self.lease_holder.invalidate()
+        if skipped_tables:
+            self.moves.relinquish(self.moves.served)
         for member in ledger.table.decommissioned:
-            self.leasing.on_member_decommissioned(member)
-        self.learning.forget()
-        self.leasing.forget()
-        self._forget_releases()
-        self._settle_all(before)
-        self.adoption.announce()
-        if self.inquiry.asking and ledger.table.proposal_id != before.proposal_id:
-            self.inquiry.round(self.out.now_us)
-        if not self.holder.is_valid(self.out.now_us):
-            self.leasing.renew()
-        self._turn()
-        self.asking.advance()
-
-    def _settle_all(self, before: Table | None = None) -> None:
+            self.leases.on_member_decommissioned(member)
+        self.release_learning.remove_expired()
+        self.leases.forget()
+        self._retract_known_releases()
+        self._reconcile_all(previous)
+        self.activation.announce()
+        if self.inquiry.is_active and ledger.table.proposal_id != previous.proposal_id:
+            self.inquiry.restart(self.actions.now_us)
+        if not self.lease_holder.is_valid(self.actions.now_us):
+            self.leases.renew()
+        self._check_progress()
+        self.queries.advance()
+
+    def _reconcile_all(self, previous: Table | None = None) -> None:
         ledger = self.book.ledger
         dests = set(ledger.table.owners) | set(ledger.debts) | self.moves.served
-        self._settle(dests | set(before.owners if before else ()))
+        self._reconcile(dests | set(previous.owners if previous else ()))
 
-    def _settle(self, dests: Any) -> None:
-        if not self.adoption.fresh or not self.asking.shared():
-            self.moves.settle(dests)
+    def _reconcile(self, dests: Any) -> None:
+        if not self.activation.has_no_record or not self.queries.has_other_sites():
+            self.moves.reconcile(dests)
 
-    def _stood(self, member: v.MemberId) -> None:
-        """A member told what it has in force."""
+    def _on_standing(self, member: values.MemberId) -> None:
+        """A member announced its table in force."""
         number = self.book.standings[member].number
-        self.leasing.on_serving_span(member, self.book.standings[member].lease_us)
-        if number > self.book.ledger.number and member in everyone(self.book.table):
-            self.inquiry.newest = max(number, self.inquiry.newest)
-            self.asking.behind()
-        self._forget_releases()
+        self.leases.on_serving_span(member, self.book.standings[member].lease_us)
+        if number > self.book.ledger.number and member in active_members(self.book.table):
+            self.inquiry.newest_number = max(number, self.inquiry.newest_number)
+            self.queries.on_newer_table()
+        self._retract_known_releases()
 
-    def _forget_releases(self) -> None:
-        for dest in self.book.released_for_good(self.out.now_us) if self.book.own else ():
-            self.moves.forget(dest)
+    def _retract_known_releases(self) -> None:
+        for dest in self.book.releases_known_to_all(self.actions.now_us) if self.book.own_releases else ():
+            self.moves.retract(dest)
 
-    # What is in force elsewhere
+    # Messages
 
-    def _message(self, member: v.MemberId, message: Any) -> None:
-        self.inquiry.heard(member, self.out.now_us, self.book.table)
+    def _on_message(self, member: values.MemberId, message: Any) -> None:
+        self.inquiry.on_heard(member, self.actions.now_us, self.book.table)
         match message:
-            case q.InForceQuery(number=number):
-                if self.council.may_vote():
-                    self.out.do(v.SendMessage(member, self.asking.answer(message)))
+            case messages.InForceQuery(number=number):
+                if self.consensus.may_vote():
+                    self.actions.do(values.SendMessage(member, self.queries.reply_to(message)))
                 if number > self.book.ledger.number:
-                    self.asking.behind()
-            case q.InForceReply():
-                self.asking.told(member, message)
-            case q.LeaseReply(number=number):
-                self.leasing.on_renewal_reply(member, message)
+                    self.queries.on_newer_table()
+            case messages.InForceReply():
+                self.queries.on_reply(member, message)
+            case messages.LeaseReply(number=number):
+                self.leases.on_renewal_reply(member, message)
                 if number > self.book.ledger.number:
-                    self.asking.behind()
-            case q.LeaseRequest():
-                self.leasing.on_renewal_request(member, message)
-            case q.LeaseEndRequest():
-                self.leasing.on_end_request(member, message)
-            case q.LeaseEndConfirmation():
-                self.leasing.on_ends_confirmed(member, message)
-                self._ends()
-
-    # Time
-
-    def _turn(self) -> None:
-        """Ask, ask again and report for as long as something is missing."""
-        now_us = self.out.now_us
-        if self.inquiry.asking and now_us >= self.inquiry.next_us:
-            self.inquiry.sent(now_us)
-            self.asking.ask(self.inquiry.unanswered(self.book.table) + self.book.ahead()[:AHEAD_MOST])
-        missing = next(self.book.all_missing(), None) is not None
-        if missing:
-            self.leasing.request_ends()
-            self._ends()
-            self.asking.catch_up()
+                    self.queries.on_newer_table()
+            case messages.LeaseRequest():
+                self.leases.on_renewal_request(member, message)
+            case messages.LeaseEndRequest():
+                self.leases.on_end_request(member, message)
+            case messages.LeaseEndConfirmation():
+                self.leases.on_ends_confirmed(member, message)
+                self._record_lease_ends()
+
+    # Timers
+
+    def _check_progress(self) -> None:
+        """Repeat queries and reports for as long as releases or replies are missing."""
+        now_us = self.actions.now_us
+        if self.inquiry.is_active and now_us >= self.inquiry.next_query_us:
+            self.inquiry.on_sent(now_us)
+            self.queries.send_query(
+                self.inquiry.silent_voters(self.book.table)
+                + self.book.non_voters_ahead()[:MAX_NON_VOTERS_QUERIED]
+            )
+        has_missing = next(self.book.all_missing_releases(), None) is not None
+        if has_missing:
+            self.leases.request_ends()
+            self._record_lease_ends()
+            self.queries.catch_up()
         else:
-            self.adoption.tidy()
-        self.adoption.announce()
-        self.holds.report()
-        if missing or self.inquiry.asking or self.holds.gate.is_suspended:
-            self.out.timer(now_us + self.settings.turn_us, "turn")
-        elif self.book.own or self.book.facts:
-            self.out.timer(now_us + self.settings.catch_up_us, "turn")
-        if not missing:
-            self.learning.forget()
-            self._forget_releases()
-
-    def _ends(self) -> None:
-        for release in self.leasing.stand_in_releases():
-            self.learning.release(release, "lease")
-
-    def _done(self) -> list[Any]:
-        return self.out.taken()
+            self.activation.write_without_outstanding()
+        self.activation.announce()
+        self.suspension.report()
+        if has_missing or self.inquiry.is_active or self.suspension.current.is_suspended:
+            self.actions.timer(now_us + self.settings.check_interval_us, "turn")
+        elif self.book.own_releases or self.book.release_records:
+            self.actions.timer(now_us + self.settings.catch_up_interval_us, "turn")
+        if not has_missing:
+            self.release_learning.remove_expired()
+            self._retract_known_releases()
+
+    def _record_lease_ends(self) -> None:
+        for release in self.leases.stand_in_releases():
+            self.release_learning.add_release(release, "lease")
+
+    def _take_actions(self) -> list[Any]:
+        return self.actions.take()
--- a/tests/federation_switch/switch_world.py
+++ b/tests/federation_switch/switch_world.py
@@ -1,5 +1,7 @@
-"""Switch machines on a virtual network with failing disks, drifting clocks and a fake agreement; each call
-that their model hosts make is noted, and judged from outside."""
+"""Switchover state machines on a simulated network with failing disks, drifting clocks and a fake agreement.
+
+Each call that their model hosts make is recorded, and the invariants are checked from outside.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,7 @@
 
 from madderbeam.federation import values as fv
 from madderbeam.federation.switchover import messages
-from madderbeam.federation.switchover.release_records import of_row
+from madderbeam.federation.switchover.release_records import record_from_row
 from madderbeam.federation.switchover.settings import SwitchoverSettings
 from madderbeam.federation.switchover.switchover import Switchover
 from madderbeam.federation.values import MemberRow, ProposalId, Release, RemainingSpan, Table
@@ -21,15 +23,16 @@
 from madderbeam.membership.values import Incarnation, MemberId
 
 MS, SECOND = 1_000, 1_000_000
-CALL_US = 150 * MS  # a call's longest time
+CALL_US = 150 * MS  # maximum duration of a call
 
 
-class Broken(AssertionError):
-    """Something that must hold does not."""
+class InvariantViolated(AssertionError):
+    """A property that must hold does not."""
 
 
 def table(number: int, sites: dict[str, str], owners: dict[int, str], off: str = "") -> Table:
-    """`sites`: names of members by site, one that begins with - does not vote; `off`: SITE/NAME ..."""
+    """A table. `sites`: the names of the members by site, with a leading - for a non-voter; `off`:
+    SITE/NAME ..."""
     rows = {
         s: tuple(MemberRow(n.lstrip("-"), (f"{s}.{n}", 1), not n.startswith("-")) for n in names.split())
         for s, names in sites.items()
@@ -50,22 +53,22 @@
 
 
 class Node:
-    """A member: its folder, clock, process and model host."""
+    """A member with its disk, clock, process and model host."""
 
-    def __init__(self, world: World, me: MemberId, ppm: int) -> None:
-        self.world, self.me, self.ppm = world, me, ppm
+    def __init__(self, world: World, member_id: MemberId, ppm: int) -> None:
+        self.world, self.member_id, self.ppm = world, member_id, ppm
         self.skew_us = world.rng.randrange(10**9, 10**10)
         self.disk: dict[tuple[str, str], Any] = {}
         self.starts = 0
         self.alive = self.paused = False
-        self.epoch = 0  # of the process: what is meant for an earlier one is dropped
-        self.later: list[Callable[[], None]] = []
-        self.accepted: dict[ProposalId, Table] = {}  # durable, the agreement's
-        self.agreed: dict[int, Table] = {}  # likewise
+        self.epoch = 0  # of the process; actions for an earlier one are dropped
+        self.deferred: list[Callable[[], None]] = []
+        self.accepted: dict[ProposalId, Table] = {}  # proposals accepted as a voter; survives a restart
+        self.agreed: dict[int, Table] = {}  # by number; survives a restart
         self.in_force: list[int] = []
-        self.notes: list[mv.LogLine] = []
+        self.log_lines: list[mv.LogLine] = []
 
-    # Council
+    # ConsensusView
 
     def pending(self) -> list[tuple[ProposalId, Table | None]]:
         return [(p, t) for p, t in self.accepted.items() if p.number not in self.agreed]
@@ -82,36 +85,38 @@
         return self.skew_us + self.world.now_us + self.world.now_us * self.ppm // 1_000_000
 
     def wall_ms(self, now_us: int) -> int:
-        return self.world.now_us // 1_000 + self.world.wall_steps.get(self.me, 0)
+        return self.world.now_us // 1_000 + self.world.wall_steps.get(self.member_id, 0)
 
     def start(self) -> None:
         self.epoch += 1
         self.starts += 1
-        self.alive, self.paused, self.later = True, False, []
-        self.began: dict[int, tuple[Release, ...]] = {}
-        self.letting: dict[int, int] = {}
-        self.told: dict[int, Release] = {}  # by the host, and not on disk yet
-        self.waits: dict[int, int] = {}  # until, by true time
-        self.drains: tuple[RemainingSpan, ...] = ()  # likewise
-        self.cold = False
+        self.alive, self.paused, self.deferred = True, False, []
+        self.serving: dict[int, tuple[Release, ...]] = {}
+        self.relinquishing: dict[int, int] = {}
+        self.unwritten_releases: dict[int, Release] = {}  # reported by the host, not on disk yet
+        self.wait_until_us: dict[int, int] = {}  # by destination, in world time
+        self.draining_until: tuple[RemainingSpan, ...] = ()  # ends in world time
+        self.is_cold = False
         self.timers: dict[str, int] = {}
-        self.rumours: dict[tuple[MemberId, str], mv.GossipEntry] = {}
-        self.gate = fv.SuspendServing(True, "")
+        self.gossip_entries: dict[tuple[MemberId, str], mv.GossipEntry] = {}
+        self.suspension = fv.SuspendServing(True, "")
         self.in_force = []
         disk = msgpack.unpackb(msgpack.packb(list(self.disk.items())), use_list=True)
         records = {tuple(key): value for key, value in disk}
-        life = Incarnation(self.starts, self.world.rng.getrandbits(60))
-        w = self.world
-        self.switch = w.make(w.settings, self.me, life, records, w.tables[0], self, self.wall_ms)
-        self.carry(self.switch.start(self.now_us()))
+        incarnation = Incarnation(self.starts, self.world.rng.getrandbits(60))
+        world = self.world
+        self.switch = world.make(
+            world.settings, self.member_id, incarnation, records, world.tables[0], self, self.wall_ms
+        )
+        self.perform(self.switch.start(self.now_us()))
         if self.agreed:
-            self.give(fv.TableAgreed(self.agreed[max(self.agreed)]))
-        w.after(w.rng.randrange(50 * MS), self.mine(self.gossip))
-        w.after(w.rng.randrange(50 * MS), self.mine(self.work))
-        for other in w.nodes.values():
-            if other is not self and other.alive and not w.cut(self, other):
-                self.give(mv.LinkUp(other.me))
-                w.after(MS, other.mine(lambda o=other: o.give(mv.LinkUp(self.me))))
+            self.deliver(fv.TableAgreed(self.agreed[max(self.agreed)]))
+        world.after(world.rng.randrange(50 * MS), self.if_running(self.gossip))
+        world.after(world.rng.randrange(50 * MS), self.if_running(self.make_calls))
+        for other in world.nodes.values():
+            if other is not self and other.alive and not world.is_cut(self, other):
+                self.deliver(mv.LinkUp(other.member_id))
+                world.after(MS, other.if_running(lambda o=other: o.deliver(mv.LinkUp(self.member_id))))
 
     def kill(self) -> None:
         self.alive = False
@@ -123,70 +128,76 @@
     def pause(self) -> None:
         self.paused = True
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.paused = False
-        self.give(mv.PauseDetected(1 * SECOND))
-        later, self.later = self.later, []
+        self.deliver(mv.PauseDetected(1 * SECOND))
+        later, self.deferred = self.deferred, []
         for action in later:
             action()
 
-    def mine(self, action: Callable[[], None]) -> Callable[[], None]:
-        """Only for the process that runs now, and not while it is paused."""
+    def if_running(self, action: Callable[[], None]) -> Callable[[], None]:
+        """The action, performed only by the process that runs now; deferred while it is paused."""
         epoch = self.epoch
 
         def run() -> None:
             if self.epoch != epoch or not self.alive:
                 return
             if self.paused:
-                self.later.append(run)
+                self.deferred.append(run)
             else:
                 action()
 
         return run
 
-    def give(self, event: Any) -> None:
+    def deliver(self, event: Any) -> None:
         if self.alive and not self.paused:
-            self.carry(self.switch.handle(self.now_us(), event))
+            self.perform(self.switch.handle(self.now_us(), event))
 
-    def carry(self, actions: list[Any]) -> None:
-        w, rng = self.world, self.world.rng
+    def perform(self, actions: list[Any]) -> None:
+        world, rng = self.world, self.world.rng
         if not self.alive:
             return
         for action in actions:
-            if w.crash_part and rng.random() < w.crash_part:
-                w.crash(self)
+            if world.crash_probability and rng.random() < world.crash_probability:
+                world.crash(self)
                 return
             match action:
                 case mv.Persist(kind, key, value):
-                    w.records += 1
-                    if w.records == w.fail_at or (w.fail_part and rng.random() < w.fail_part):
-                        w.after(MS, self.mine(lambda k=kind, y=key: self.give(mv.WriteFailed(k, y))))
+                    world.records += 1
+                    if world.records == world.fail_at or (
+                        world.write_failure_probability and rng.random() < world.write_failure_probability
+                    ):
+                        world.after(
+                            MS, self.if_running(lambda k=kind, y=key: self.deliver(mv.WriteFailed(k, y)))
+                        )
                         return
                     self._keep(kind, key, value)
                 case mv.SetTimer(at_us, token):
                     self._timer(at_us, token)
                 case mv.SendMessage(to, message):
-                    w.send(self, to, message)
+                    world.send(self, to, message)
                 case mv.Disseminate(key, version, body, keep_us):
                     if len(body) > mv.MAX_ENTRY_BODY_BYTES:
-                        raise Broken("a rumour that is too long")
-                    self.rumours[self.me, key] = mv.GossipEntry(self.me, key, version, body, keep_us)
+                        raise InvariantViolated("gossip entry too long")
+                    self.gossip_entries[self.member_id, key] = mv.GossipEntry(
+                        self.member_id, key, version, body, keep_us
+                    )
                 case mv.LogLine():
-                    self.notes.append(action)
+                    self.log_lines.append(action)
                 case fv.SuspendServing():
-                    self.gate = action
+                    self.suspension = action
                 case fv.TableInForce(new, before):
                     self._in_force(new, before)
                 case fv.BeginServing(dest, releases):
                     self._begin(dest, releases)
                 case fv.Relinquish(dest, number):
-                    self.began.pop(dest, None)
-                    self.letting[dest] = number
-                    self.let_go()
+                    self.serving.pop(dest, None)
+                    self.relinquishing[dest] = number
+                    self.release_idle()
                 case fv.FinishProposal(proposal):
-                    w.after(rng.randrange(300 * MS), lambda p=proposal: w.finish(self, p))
+                    world.after(rng.randrange(300 * MS), lambda p=proposal: world.finish(self, p))
                 case _:
-                    raise Broken(f"an action that no host knows: {action}")
+                    raise InvariantViolated(f"unknown action: {action}")
 
     def _keep(self, kind: str, key: str, value: Any) -> None:
         if value is None:
@@ -194,10 +205,10 @@
             return
         self.disk[kind, key] = msgpack.unpackb(msgpack.packb(value))
         if kind == "release":
-            lies = of_row(value)
-            if self.told.pop(lies.release.dest, None) is not None:
-                for wait in lies.left(self.now_us()).retry_waits:
-                    self.world.bind(lies.release, wait)
+            record = record_from_row(value)
+            if self.unwritten_releases.pop(record.release.dest, None) is not None:
+                for wait in record.remaining(self.now_us()).retry_waits:
+                    self.world.bind_wait(record.release, wait)
 
     def _timer(self, at_us: int, token: str) -> None:
         self.timers[token] = at_us
@@ -205,113 +216,121 @@
         def due() -> None:
             if self.timers.get(token) == at_us:
                 del self.timers[token]
-                self.give(mv.TimerDue(token))
+                self.deliver(mv.TimerDue(token))
 
-        self.world.after(max(1, at_us - self.now_us()), self.mine(due))
+        self.world.after(max(1, at_us - self.now_us()), self.if_running(due))
 
     def _in_force(self, new: Table, before: Table | None) -> None:
         if new.number not in self.world.chosen:
-            raise Broken(f"{self.me} has table {new.number} in force, which is not agreed")
+            raise InvariantViolated(f"{self.member_id} has table {new.number} in force, which is not agreed")
         if self.in_force and (before is None or new.number <= self.in_force[-1]):
-            raise Broken(f"{self.me} had {self.in_force} in force, now {new.number}")
+            raise InvariantViolated(f"{self.member_id} had {self.in_force} in force, now {new.number}")
         self.in_force.append(new.number)
 
     def _begin(self, dest: int, releases: tuple[Release, ...]) -> None:
-        if dest in self.began or dest in self.letting:
-            raise Broken(f"{self.me} begins at {dest} twice, or while it lets go")
-        self.began[dest] = releases
+        if dest in self.serving or dest in self.relinquishing:
+            raise InvariantViolated(
+                f"{self.member_id} begins to serve {dest} twice, or while it relinquishes it"
+            )
+        self.serving[dest] = releases
         left = max((w.remaining_us for r in releases for w in r.retry_waits), default=0)
         until_us = self.world.now_us + left + left // 1_000 + MS
-        self.waits[dest] = max(self.waits.get(dest, 0), until_us if left else 0)
+        self.wait_until_us[dest] = max(self.wait_until_us.get(dest, 0), until_us if left else 0)
 
     # Model host
 
-    def work(self) -> None:
-        w, rng = self.world, self.world.rng
-        w.after(rng.randrange(5 * MS, 60 * MS), self.mine(self.work))
-        if not self.began:
+    def make_calls(self) -> None:
+        world, rng = self.world, self.world.rng
+        world.after(rng.randrange(5 * MS, 60 * MS), self.if_running(self.make_calls))
+        if not self.serving:
             return
-        dest = rng.choice(sorted(self.began))
-        out = any(c.node is self and c.dest == dest and c.end_us > w.now_us for c in w.calls)
-        if out or not self.switch.may_call(self.now_us(), dest, CALL_US):
+        dest = rng.choice(sorted(self.serving))
+        has_call = any(c.node is self and c.dest == dest and c.end_us > world.now_us for c in world.calls)
+        if has_call or not self.switch.may_call(self.now_us(), dest, CALL_US):
             return
-        if self.gate.is_suspended and (self.gate.destinations is None or dest in self.gate.destinations):
-            raise Broken(f"{self.me} may call at {dest} and was told to hold")
-        if self.waits.get(dest, 0) > w.now_us:
+        if self.suspension.is_suspended and (
+            self.suspension.destinations is None or dest in self.suspension.destinations
+        ):
+            raise InvariantViolated(f"{self.member_id} may call {dest} although serving is suspended")
+        if self.wait_until_us.get(dest, 0) > world.now_us:
             return
-        call = Call(self, dest, w.now_us, w.now_us + rng.randrange(MS, CALL_US))
-        w.called(call)
-        w.after(call.end_us - w.now_us, self.mine(lambda: self._answered(call)))
+        call = Call(self, dest, world.now_us, world.now_us + rng.randrange(MS, CALL_US))
+        world.record_call(call)
+        world.after(call.end_us - world.now_us, self.if_running(lambda: self._on_reply(call)))
 
-    def _answered(self, call: Call) -> None:
+    def _on_reply(self, call: Call) -> None:
         rng = self.world.rng
-        if rng.random() < self.world.wait_part:
-            self.waits[call.dest] = self.world.now_us + rng.randrange(100 * MS, 3 * SECOND)
-        self.let_go()
+        if rng.random() < self.world.wait_probability:
+            self.wait_until_us[call.dest] = self.world.now_us + rng.randrange(100 * MS, 3 * SECOND)
+        self.release_idle()
 
-    def let_go(self) -> None:
+    def release_idle(self) -> None:
         now_us = self.world.now_us
-        for dest, number in list(self.letting.items()):
+        for dest, number in list(self.relinquishing.items()):
             if any(c.node is self and c.dest == dest and c.end_us > now_us for c in self.world.calls):
                 continue
-            del self.letting[dest]
-            left = self.waits.get(dest, 0) - now_us
-            waits = (RemainingSpan("", left),) if left > 0 else ()
-            drains = tuple(replace(d, remaining_us=d.remaining_us - now_us) for d in self.drains)
-            release = self.told[dest] = Release(dest, self.me, number, waits, drains, self.cold)
-            self.world.after(MS, self.mine(lambda r=release: self.give(fv.DestinationReleased(r))))
+            del self.relinquishing[dest]
+            remaining_us = self.wait_until_us.get(dest, 0) - now_us
+            waits = (RemainingSpan("", remaining_us),) if remaining_us > 0 else ()
+            draining = tuple(replace(d, remaining_us=d.remaining_us - now_us) for d in self.draining_until)
+            release = self.unwritten_releases[dest] = Release(
+                dest, self.member_id, number, waits, draining, self.is_cold
+            )
+            self.world.after(MS, self.if_running(lambda r=release: self.deliver(fv.DestinationReleased(r))))
 
     def gossip(self) -> None:
-        w, rng = self.world, self.world.rng
-        w.after(rng.randrange(50 * MS, 200 * MS), self.mine(self.gossip))
-        others = [n for n in w.nodes.values() if n is not self and n.alive and not w.cut(self, n)]
-        if others and rng.random() >= w.loss:
-            other, rumours = rng.choice(others), list(self.rumours.values())
-            w.after(rng.randrange(MS, 50 * MS), other.mine(lambda: other.hear(rumours)))
-
-    def hear(self, rumours: list[mv.GossipEntry]) -> None:
+        world, rng = self.world, self.world.rng
+        world.after(rng.randrange(50 * MS, 200 * MS), self.if_running(self.gossip))
+        others = [n for n in world.nodes.values() if n is not self and n.alive and not world.is_cut(self, n)]
+        if others and rng.random() >= world.loss:
+            other, rumours = rng.choice(others), list(self.gossip_entries.values())
+            world.after(rng.randrange(MS, 50 * MS), other.if_running(lambda: other.receive_gossip(rumours)))
+
+    def receive_gossip(self, rumours: list[mv.GossipEntry]) -> None:
         for rumour in rumours:
-            known = self.rumours.get((rumour.owner, rumour.key))
-            if rumour.owner != self.me and (known is None or known.version < rumour.version):
-                self.rumours[rumour.owner, rumour.key] = rumour
-                self.give(mv.GossipReceived(rumour))
+            known = self.gossip_entries.get((rumour.owner, rumour.key))
+            if rumour.owner != self.member_id and (known is None or known.version < rumour.version):
+                self.gossip_entries[rumour.owner, rumour.key] = rumour
+                self.deliver(mv.GossipReceived(rumour))
 
 
 @dataclass
 class World:
-    """All of it. `crash_part`, `fail_part`: of actions, and of records, that fail."""
+    """The simulated world. `crash_probability` is per action, `write_failure_probability` per record."""
 
     seed: int
-    first: Table
+    first_table: Table
     settings: SwitchoverSettings = field(default_factory=SwitchoverSettings)
-    crash_part: float = 0.0
-    fail_part: float = 0.0
+    crash_probability: float = 0.0
+    write_failure_probability: float = 0.0
     loss: float = 0.0
-    wait_part: float = 0.1
-    heed_waits: bool = True
+    wait_probability: float = 0.1
+    check_waits: bool = True
     make: Callable[..., Switchover] = Switchover
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         self.now_us, self._count = 0, 0
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.tables = [self.first]
-        self.chosen = {self.first.number: self.first}
+        self.tables = [self.first_table]
+        self.chosen = {self.first_table.number: self.first_table}
         self.calls: list[Call] = []
         self.log: list[Call] = []
-        self.bound: list[tuple[int, str, int]] = []  # destination, whose wait, until
-        self.cuts: set[frozenset[MemberId]] = set()
+        self.binding_waits: list[tuple[int, str, int]] = []  # destination, releasing site, end
+        self.cut_links: set[frozenset[MemberId]] = set()
         self.wall_steps: dict[MemberId, int] = {}
-        self.slow: dict[tuple[MemberId, MemberId], int] = {}  # added to the way from one to another
-        self.one_way: set[tuple[MemberId, MemberId]] = set()  # cut from one to another alone
-        self.unaware: set[MemberId] = set()  # agreement does not reach them
-        self.fail_at = 0  # the record that fails, counted from 1
+        self.slow: dict[tuple[MemberId, MemberId], int] = {}  # extra latency by sender and receiver
+        self.one_way: set[tuple[MemberId, MemberId]] = (
+            set()
+        )  # links cut in the direction from sender to receiver
+        self.unaware: set[MemberId] = set()  # members that do not learn agreed tables
+        self.fail_at = 0  # index from 1 of the record whose write fails; 0: none
         self.records = 0
-        self.called_off: set[MemberId] = set()
+        self.decommissioned_ids: set[MemberId] = set()
         self.nodes: dict[MemberId, Node] = {}
         self.frames = 0
-        for site in sorted(self.first.sites):
-            for member in self.first.members(site):
+        for site in sorted(self.first_table.sites):
+            for member in self.first_table.members(site):
                 self.add(member)
 
     def add(self, member: MemberId) -> Node:
@@ -331,7 +350,8 @@
         heapq.heappush(self._heap, (self.now_us + max(1, span_us), self._count, action))
 
     def run(self, span_us: int, until: Callable[[], bool] | None = None) -> bool:
-        """True as soon as `until` holds; time stands at the end of the span else."""
+        """Advance the time. Returns True as soon as `until` holds, else the time ends at the end of the
+        span."""
         end_us = self.now_us + span_us
         while self._heap and self._heap[0][0] <= end_us:
             self.now_us, _, action = heapq.heappop(self._heap)
@@ -343,39 +363,40 @@
 
     # Network
 
-    def cut(self, a: Node, b: Node) -> bool:
-        return frozenset((a.me, b.me)) in self.cuts
+    def is_cut(self, a: Node, b: Node) -> bool:
+        return frozenset((a.member_id, b.member_id)) in self.cut_links
 
     def split(self, *names: str) -> None:
-        """These on one side, all others on the other."""
+        """Cut the links between these members and all others."""
         side = set(ids(*names))
-        self.cuts = {frozenset((a, b)) for a in side for b in set(self.nodes) - side}
+        self.cut_links = {frozenset((a, b)) for a in side for b in set(self.nodes) - side}
 
     def send(self, node: Node, to: MemberId, message: Any) -> None:
         row = msgpack.packb(messages.to_row(message))
         other = self.nodes.get(to)
         self.frames += 1
-        if (node.me, to) in self.one_way:
+        if (node.member_id, to) in self.one_way:
             return
-        if other is None or not other.alive or self.cut(node, other) or self.rng.random() < self.loss:
+        if other is None or not other.alive or self.is_cut(node, other) or self.rng.random() < self.loss:
             return
 
         def arrive() -> None:
-            if not self.cut(node, other):
-                other.give(mv.MessageReceived(node.me, messages.from_row(msgpack.unpackb(row))))
+            if not self.is_cut(node, other):
+                other.deliver(mv.MessageReceived(node.member_id, messages.from_row(msgpack.unpackb(row))))
 
-        slow_us = self.slow.get((node.me, to), 0)
-        self.after(slow_us + self.rng.randrange(MS, 40 * MS), other.mine(arrive))
+        slow_us = self.slow.get((node.member_id, to), 0)
+        self.after(slow_us + self.rng.randrange(MS, 40 * MS), other.if_running(arrive))
 
     def crash(self, node: Node) -> None:
-        """And back soon after."""
+        """Kill the process and restart it soon after."""
         node.kill()
         self.after(self.rng.randrange(10 * MS, 2 * SECOND), lambda: None if node.alive else node.start())
 
     # Agreement
 
     def agree(self, new: Table, voters: list[MemberId] | None = None, delays: bool = True) -> None:
-        """Chosen now: a majority of voters has accepted; the others hear of it at different times."""
+        """Make the table agreed now: a majority of voters accepts it, and the members learn it at
+        different times."""
         voters = self.quorum() if voters is None else voters
         self.chosen[new.number] = new
         self.tables.append(new)
@@ -390,20 +411,21 @@
             self.after(span_us, lambda n=node: self.learn(n, new))
 
     def learn(self, node: Node, new: Table) -> None:
-        """It reaches those that are there and not cut off from all that know it; others ask later."""
+        """Deliver the agreed table to the member if it is running and can reach one that knows it; others
+        query later."""
         sources = [n for n in self.nodes.values() if (n.alive and new.proposal_id in n.accepted) or n is node]
         reached = new.proposal_id in node.accepted
-        reached = reached or any(not self.cut(node, n) for n in sources if n is not node)
-        if node.alive and not node.paused and reached and node.me not in self.unaware:
+        reached = reached or any(not self.is_cut(node, n) for n in sources if n is not node)
+        if node.alive and not node.paused and reached and node.member_id not in self.unaware:
             node.agreed[new.number] = new
-            node.give(fv.TableAgreed(new))
+            node.deliver(fv.TableAgreed(new))
 
     def quorum(self) -> list[MemberId]:
-        """Some majority of the voters that is up and together; none if there is none."""
+        """A random majority of the voters that run and can reach each other; empty if there is none."""
         latest = self.tables[-1]
         up = [self.nodes[m] for m in latest.voters if self.nodes[m].alive and not self.nodes[m].paused]
         for node in self.rng.sample(up, len(up)):
-            side = [n.me for n in up if not self.cut(node, n)]
+            side = [n.member_id for n in up if not self.is_cut(node, n)]
             if len(side) > len(latest.voters) // 2:
                 return self.rng.sample(side, len(latest.voters) // 2 + 1)
         return []
@@ -422,44 +444,48 @@
             for other in self.nodes.values():
                 other.accepted.pop(proposal, None)
 
-    # Judged from outside
+    # Checks
 
-    def called(self, call: Call) -> None:
+    def record_call(self, call: Call) -> None:
         now_us = self.now_us
         self.calls = [c for c in self.calls if c.end_us > now_us]
         for other in self.calls:
-            if other.dest == call.dest and other.node.me.site != call.node.me.site:
-                raise Broken(f"F1: {call.node.me} and {other.node.me} both call at {call.dest}")
-        for dest, site, until_us in self.bound if self.heed_waits else ():
-            if dest == call.dest and site != call.node.me.site and now_us < until_us:
+            if other.dest == call.dest and other.node.member_id.site != call.node.member_id.site:
+                raise InvariantViolated(
+                    f"F1: {call.node.member_id} and {other.node.member_id} both call {call.dest}"
+                )
+        for dest, site, until_us in self.binding_waits if self.check_waits else ():
+            if dest == call.dest and site != call.node.member_id.site and now_us < until_us:
                 early_us = until_us - now_us
-                raise Broken(f"F3: {call.node.me} calls at {dest} {early_us} us before its wait ends")
+                raise InvariantViolated(
+                    f"F3: {call.node.member_id} calls {dest} {early_us} us before its wait ends"
+                )
         self.calls.append(call)
         self.log.append(call)
 
-    def bind(self, release: Release, wait: RemainingSpan) -> None:
+    def bind_wait(self, release: Release, wait: RemainingSpan) -> None:
         """A wait that was written into a release binds every other site."""
-        self.bound = [b for b in self.bound if b[2] > self.now_us]
-        self.bound.append((release.dest, release.member.site, self.now_us + wait.remaining_us))
+        self.binding_waits = [b for b in self.binding_waits if b[2] > self.now_us]
+        self.binding_waits.append((release.dest, release.member.site, self.now_us + wait.remaining_us))
 
     def served(self) -> bool:
-        """All members have the latest table, and serve what it gives them and nothing else."""
+        """Whether all members have the latest table in force and serve exactly what it gives them."""
         latest = self.tables[-1]
         for node in self.nodes.values():
             if not node.alive:
                 continue
-            named = node.me in latest.members(node.me.site)
-            mine = {d for d, s in latest.owners.items() if s == node.me.site and named}
-            if node.switch.book.ledger.number != latest.number or set(node.began) != mine:
+            named = node.member_id in latest.members(node.member_id.site)
+            mine = {d for d, s in latest.owners.items() if s == node.member_id.site and named}
+            if node.switch.book.ledger.number != latest.number or set(node.serving) != mine:
                 return False
-            if mine and node.switch.holds.gate.is_suspended:
+            if mine and node.switch.suspension.current.is_suspended:
                 return False
         return True
 
     def settled(self) -> bool:
-        """And nobody keeps what nobody needs."""
+        """Whether, besides, no member keeps a record that is no longer needed."""
         books = [n.switch.book for n in self.nodes.values() if n.alive]
-        return self.served() and not any(b.own or b.facts or b.ledger.debts for b in books)
+        return self.served() and not any(b.own_releases or b.release_records or b.ledger.debts for b in books)
 
     def next_table(self, owners: dict[int, str], **changes: Any) -> Table:
         latest = self.tables[-1]
--- a/tests/federation_switch/test_handed.py
+++ b/tests/federation_switch/test_handed.py
@@ -1,4 +1,4 @@
-"""Releases as they lie, debts over several tables, rows of the messages."""
+"""Release records, outstanding releases over several tables, and rows of the messages."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
     return Release(7, A1, 2, waits, drains, cold)
 
 
-def test_a_span_is_less_by_the_time_it_has_lain():
-    lies = release_records.ReleaseRecord(
+def test_spans_shrink_by_the_time_since_the_record():
+    record = release_records.ReleaseRecord(
         release(RemainingSpan("x", 5 * SECOND), RemainingSpan("y", SECOND)), 100, 0
     )
-    assert lies.left(100 + 2 * SECOND).retry_waits == (RemainingSpan("x", 3 * SECOND),)
-    assert lies.binds(100 + 4 * SECOND) and not lies.binds(100 + 5 * SECOND)
+    assert record.remaining(100 + 2 * SECOND).retry_waits == (RemainingSpan("x", 3 * SECOND),)
+    assert record.has_spans_left(100 + 4 * SECOND) and not record.has_spans_left(100 + 5 * SECOND)
 
 
 @pytest.mark.parametrize(
@@ -50,20 +50,20 @@
     [(2, 2, 3), (2, 3_600, 3), (-50, 2, 5), (2, -3_600, 5), (1, 2, 4), (9, 9, 0)],
     ids=["both", "wall stepped ahead", "machine started anew", "wall stepped back", "lesser", "over"],
 )
-def test_across_a_restart_no_clock_alone_shortens_a_wait(mono_s, wall_s, left_s):
+def test_across_a_restart_the_lesser_elapsed_time_of_both_clocks_counts(mono_s, wall_s, left_s):
     row = release_records.ReleaseRecord(release(RemainingSpan("", 5 * SECOND)), 100 * SECOND, 7_000).row()
-    now = release_records.revived(row, (100 + mono_s) * SECOND, 7_000 + wall_s * 1_000)
+    now = release_records.restored(row, (100 + mono_s) * SECOND, 7_000 + wall_s * 1_000)
     assert now.release.retry_waits == ((RemainingSpan("", left_s * SECOND),) if left_s else ())
 
 
-def test_what_does_not_fit_a_rumour_waits_as_a_whole_as_long_as_the_longest():
+def test_spans_too_many_for_a_gossip_entry_become_one_wait_of_the_longest():
     waits = tuple(RemainingSpan(f"endpoint-{i}", i * SECOND) for i in range(1, 100))
-    packed = release_records.body(release(*waits, drains=(RemainingSpan("z", 300 * SECOND),)))
-    assert len(packed) <= MAX_ENTRY_BODY_BYTES
-    assert release_records.of_body(packed).retry_waits == (RemainingSpan("", 99 * SECOND),)
-    assert release_records.of_body(packed).draining == (RemainingSpan("z", 300 * SECOND),)
+    body = release_records.gossip_body(release(*waits, drains=(RemainingSpan("z", 300 * SECOND),)))
+    assert len(body) <= MAX_ENTRY_BODY_BYTES
+    assert release_records.release_from_gossip(body).retry_waits == (RemainingSpan("", 99 * SECOND),)
+    assert release_records.release_from_gossip(body).draining == (RemainingSpan("z", 300 * SECOND),)
     few = release(RemainingSpan("x", 5), cold=True)
-    assert release_records.of_body(release_records.body(few)) == few
+    assert release_records.release_from_gossip(release_records.gossip_body(few)) == few
 
 
 def test_merging_keeps_the_longest_span_of_each_endpoint():
@@ -77,37 +77,39 @@
     return False
 
 
-def test_debts_over_a_chain_of_tables():
-    book = ledger.first(table(1, {7: "a", 8: "b"}))
-    book = ledger.after(book, table(2, {7: "b", 8: "b"}), unpaid, 0)
-    assert book.debts == {7: {A1: 2, A2: 2}}
-    book = ledger.after(book, table(3, {7: "a", 8: "b"}), unpaid, 0)
-    assert book.debts == {7: {A1: 2, A2: 2, B1: 3}}
-    book = ledger.after(book, table(4, {7: "c", 8: "b"}), lambda d, m, n: m == B1, 0)
-    assert book.debts == {7: {A1: 4, A2: 4}}
-    book = ledger.after(book, table(5, {7: "c", 8: "b"}, frozenset({A1}), a="m2", b="m1", c="m1"), unpaid, 0)
-    assert book.debts == {7: {A2: 4}}
-    again = ledger.read(book.row())
-    assert again == replace(book, history=again.history) and len(again.history) == 5
+def test_outstanding_releases_over_a_chain_of_tables():
+    current = ledger.initial_ledger(table(1, {7: "a", 8: "b"}))
+    current = ledger.next_ledger(current, table(2, {7: "b", 8: "b"}), unpaid, 0)
+    assert current.debts == {7: {A1: 2, A2: 2}}
+    current = ledger.next_ledger(current, table(3, {7: "a", 8: "b"}), unpaid, 0)
+    assert current.debts == {7: {A1: 2, A2: 2, B1: 3}}
+    current = ledger.next_ledger(current, table(4, {7: "c", 8: "b"}), lambda d, m, n: m == B1, 0)
+    assert current.debts == {7: {A1: 4, A2: 4}}
+    current = ledger.next_ledger(
+        current, table(5, {7: "c", 8: "b"}, frozenset({A1}), a="m2", b="m1", c="m1"), unpaid, 0
+    )
+    assert current.debts == {7: {A2: 4}}
+    again = ledger.read(current.row())
+    assert again == replace(current, history=again.history) and len(again.history) == 5
 
 
-def test_a_member_that_is_left_out_owes_all_of_its_sites_destinations():
-    book = ledger.first(table(1, {7: "a"}))
-    book = ledger.after(book, table(2, {7: "a"}, a="m2", b="m1"), unpaid, 0)
-    assert book.debts == {7: {A1: 2}}
+def test_an_omitted_member_must_release_all_destinations_of_its_site():
+    current = ledger.initial_ledger(table(1, {7: "a"}))
+    current = ledger.next_ledger(current, table(2, {7: "a"}, a="m2", b="m1"), unpaid, 0)
+    assert current.debts == {7: {A1: 2}}
 
 
-def test_a_destination_without_an_owner_before_is_owed_by_nobody():
-    book = ledger.after(ledger.first(table(1, {})), table(2, {7: "a"}), unpaid, 0)
-    assert book.debts == {}
+def test_a_destination_without_a_previous_owner_needs_no_release():
+    current = ledger.next_ledger(ledger.initial_ledger(table(1, {})), table(2, {7: "a"}), unpaid, 0)
+    assert current.debts == {}
 
 
-def test_councils_are_kept_as_long_as_a_member_may_lease_by_them():
-    book = ledger.first(table(1, {}))
-    book = ledger.after(book, table(2, {}, a="m1", b="m1"), unpaid, 1)
-    assert [n for n, _ in book.councils] == [1, 2]
-    book = ledger.after(book, table(3, {}, a="m1", b="m1"), unpaid, 2)
-    assert [n for n, _ in book.councils] == [2]
+def test_voter_sets_are_kept_as_long_as_a_member_may_hold_leases_of_them():
+    current = ledger.initial_ledger(table(1, {}))
+    current = ledger.next_ledger(current, table(2, {}, a="m1", b="m1"), unpaid, 1)
+    assert [n for n, _ in current.councils] == [1, 2]
+    current = ledger.next_ledger(current, table(3, {}, a="m1", b="m1"), unpaid, 2)
+    assert [n for n, _ in current.councils] == [2]
 
 
 T2 = table(2, {7: "b"})
@@ -120,7 +122,7 @@
         2,
         False,
         (T2,),
-        ledger.first(T2),
+        ledger.initial_ledger(T2),
         (
             PendingProposal(ProposalId(3, "ab"), None),
             PendingProposal(ProposalId(4, "cd"), frozenset({7}), frozenset({A1})),
@@ -138,14 +140,14 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_a_message_comes_back_from_its_row(message):
+def test_a_message_survives_encoding_and_decoding(message):
     assert messages.from_row(messages.to_row(message)) == message
 
 
-def test_spoilt_rows_are_told_by_their_field_and_nothing_else():
+def test_malformed_rows_raise_nothing_but_an_error_with_the_field():
     rng = random.Random(7)
-    strange = [None, -1, 2**70, "x" * 2_000, b"x", [], [[]], {}, True, 1.5, list(range(200))]
-    told = 0
+    malformed = [None, -1, 2**70, "x" * 2_000, b"x", [], [[]], {}, True, 1.5, list(range(200))]
+    rejected = 0
     for _ in range(4_000):
         row = messages.to_row(rng.choice(MESSAGES))
         spot = row
@@ -155,11 +157,11 @@
             if isinstance(inner, list) and inner and rng.random() < 0.7:
                 spot = inner
                 continue
-            spot[i] = rng.choice(strange)
+            spot[i] = rng.choice(malformed)
             break
         try:
             messages.from_row(row)
         except ValueError as error:
-            told += 1
+            rejected += 1
             assert "allowed" in str(error)
-    assert told > 2_000
+    assert rejected > 2_000
