--- a/madderbeam/federation/leases/coordination.py
+++ b/madderbeam/federation/leases/coordination.py
@@ -49,21 +49,21 @@
         """The start of the process; `records` are those on disk."""
         previous_span_us = records.get(("lease", ""), 0)
         self.grantor.start(self.actions.now_us, previous_span_us)
-        if previous_span_us != self.settings.lease_over_us:
-            self.actions.timer(self.grantor.confirms_from_us, "ready")
-            if previous_span_us < self.settings.lease_over_us:
+        if previous_span_us != self.settings.lease_expiry_us:
+            self.actions.set_timer(self.grantor.confirms_from_us, "ready")
+            if previous_span_us < self.settings.lease_expiry_us:
                 self.record_span()
-        for member in (*self.registry.table.decommissioned, *self.registry.words):
+        for member in (*self.registry.table.decommissioned, *self.registry.decommissioned_up_to):
             self.on_member_decommissioned(member)
 
     def record_span(self) -> None:
         """Leases by the earlier settings have ended: record the current span."""
-        self.actions.write("lease", "", self.settings.lease_over_us)
+        self.actions.write("lease", "", self.settings.lease_expiry_us)
 
     def rearm(self) -> None:
         """A failed write may have dropped the timer: set it again."""
         if self.settings.lease_us:
-            self.actions.timer(self.actions.now_us + self.settings.lease_us // RENEWALS, "lease")
+            self.actions.set_timer(self.actions.now_us + self.settings.lease_us // RENEWALS, "lease")
 
     # The lease of this member
 
@@ -76,19 +76,19 @@
         self.holder.on_request_sent(now_us, self.request_id)
         message = LeaseRequest(self.request_id, self.registry.ledger.number, self.settings.lease_us)
         for voter in self.registry.table.voters:
-            if voter == self.registry.me:
+            if voter == self.registry.local_member:
                 reply = self.grantor.renew(now_us, voter, message, self.registry, self.consensus.may_vote())
                 self.on_renewal_reply(voter, reply)
             else:
-                self.actions.do(SendMessage(voter, message))
-        self.actions.timer(now_us + self.settings.lease_us // RENEWALS, "lease")
+                self.actions.add(SendMessage(voter, message))
+        self.actions.set_timer(now_us + self.settings.lease_us // RENEWALS, "lease")
 
     def on_renewal_reply(self, member: MemberId, message: LeaseReply) -> None:
         """A voter's reply to a request for renewal."""
         previous_until_us = self.holder.valid_until_us
         self.holder.on_reply(member, message, self.registry.table.voters)
         if self.holder.valid_until_us > previous_until_us:
-            self.actions.timer(self.holder.valid_until_us, "until")
+            self.actions.set_timer(self.holder.valid_until_us, "until")
 
     # This member as a voter
 
@@ -104,7 +104,7 @@
         reply = self.grantor.renew(
             self.actions.now_us, member, message, self.registry, self.consensus.may_vote()
         )
-        self.actions.do(SendMessage(member, reply))
+        self.actions.add(SendMessage(member, reply))
         if reply.granted:
             self.on_serving_span(member, message.lease_us)
 
@@ -117,14 +117,14 @@
                 self.actions.now_us, member, self.consensus.may_vote()
             ):
                 continue
-            is_on_disk = not self.actions.writes.busy("vouch", str(member))
+            is_on_disk = not self.actions.writes.is_pending("vouch", str(member))
             if is_on_disk and self.grantor.min_renewal_table.get(member, 0) >= number:
                 confirmed.append((member, number))
             elif self.grantor.bar_renewal(member, number):
                 if len(self.pending_requesters.setdefault(member, set())) < MAX_MEMBERS:
                     self.pending_requesters[member].add(requester)
                 row = [member.site, member.name, self.grantor.min_renewal_table[member]]
-                if self.actions.writes.value("vouch", str(member)) != row:
+                if self.actions.writes.pending_value("vouch", str(member)) != row:
                     self.actions.write("vouch", str(member), row)
         if confirmed:
             self._send_confirmation(requester, tuple(confirmed))
@@ -137,10 +137,10 @@
             self._send_confirmation(requester, ((member, number),))
 
     def _send_confirmation(self, requester: MemberId, members: tuple[tuple[MemberId, int], ...]) -> None:
-        if requester == self.registry.me:
+        if requester == self.registry.local_member:
             self.on_ends_confirmed(requester, LeaseEndConfirmation(members))
         else:
-            self.actions.do(SendMessage(requester, LeaseEndConfirmation(members)))
+            self.actions.add(SendMessage(requester, LeaseEndConfirmation(members)))
 
     # Waiting for the ends of other members' leases
 
@@ -149,10 +149,10 @@
         if not self.settings.lease_us:
             return
         for voter, message in self.end_tracker.requests(self.registry).items():
-            if voter == self.registry.me:
+            if voter == self.registry.local_member:
                 self.on_end_request(voter, message)
             else:
-                self.actions.do(SendMessage(voter, message))
+                self.actions.add(SendMessage(voter, message))
 
     def on_ends_confirmed(self, voter: MemberId, message: LeaseEndConfirmation) -> None:
         """A voter confirms the ends of leases."""
@@ -163,7 +163,7 @@
         """Stand-ins for the releases of members whose leases have ended, since they can serve no longer."""
         if not self.settings.lease_us:
             return
-        for dest, member, number in list(self.registry.gains_missing()):
+        for dest, member, number in list(self.registry.missing_for_own_destinations()):
             if self.end_tracker.has_ended(self.actions.now_us, member, number, self.registry):
                 yield Release(dest, member, number)
 
@@ -174,7 +174,7 @@
     def forget(self) -> None:
         """Remove what is stored about members that are no longer concerned."""
         for kind, member in self.grantor.forget(self.actions.now_us, self.registry):
-            self.actions.forget(kind, str(member))
+            self.actions.remove_record(kind, str(member))
         self.pending_requesters = {
             m: requesters
             for m, requesters in self.pending_requesters.items()
--- a/madderbeam/federation/leases/lease.py
+++ b/madderbeam/federation/leases/lease.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from madderbeam.federation.switchover.ledger import named
+from madderbeam.federation.switchover.ledger import is_active_member
 from madderbeam.federation.switchover.messages import LeaseEndRequest, LeaseReply, LeaseRequest
 from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
 from madderbeam.federation.switchover.settings import SwitchoverSettings
@@ -47,9 +47,9 @@
 
     def on_reply(self, member: MemberId, message: LeaseReply, voters: tuple[MemberId, ...]) -> None:
         """A voter's reply; a majority of grants for one request extends the lease."""
-        if not message.granted or message.ask not in self._open_requests:
+        if not message.granted or message.request_id not in self._open_requests:
             return
-        requested_us, granted_by = self._open_requests[message.ask]
+        requested_us, granted_by = self._open_requests[message.request_id]
         granted_by.add(member)
         if is_majority(voters, granted_by):
             self.valid_until_us = max(self.valid_until_us, requested_us + self.settings.lease_us)
@@ -83,7 +83,7 @@
 
     def start(self, now_us: int, previous_span_us: int) -> None:
         """`previous_span_us`: the longest span of a lease by the earlier settings; it may still be valid."""
-        self.confirms_from_us = now_us + max(self.settings.lease_over_us, previous_span_us)
+        self.confirms_from_us = now_us + max(self.settings.lease_expiry_us, previous_span_us)
 
     def renew(
         self,
@@ -99,7 +99,10 @@
             reason = "this member takes no part in votes"
         elif message.lease_us > self.settings.lease_us:
             reason = f"lease_us is {message.lease_us}; allowed: at most {self.settings.lease_us}"
-        elif not named(registry.table, member) or registry.words.get(member, 0) >= registry.table.number:
+        elif (
+            not is_active_member(registry.table, member)
+            or registry.decommissioned_up_to.get(member, 0) >= registry.table.number
+        ):
             reason = f"table {registry.table.number} does not name it"
         elif message.number < self.min_renewal_table.get(member, 0):
             reason = (
@@ -107,7 +110,7 @@
             )
         else:
             self.last_renewed_us[member] = now_us
-        return LeaseReply(message.ask, not reason, registry.table.number, reason)
+        return LeaseReply(message.request_id, not reason, registry.table.number, reason)
 
     def can_confirm_end(self, now_us: int, member: MemberId, may_vote: bool) -> bool:
         """Whether the end of a member's lease can be confirmed.
@@ -116,7 +119,7 @@
         """
         serves_by_leases = 0 < self.lease_spans_us.get(member, 0) <= self.settings.lease_us
         last_us = self.last_renewed_us.get(member)
-        has_expired = last_us is None or now_us >= last_us + self.settings.lease_over_us
+        has_expired = last_us is None or now_us >= last_us + self.settings.lease_expiry_us
         return may_vote and serves_by_leases and has_expired and now_us >= self.confirms_from_us
 
     def bar_renewal(self, member: MemberId, number: int) -> bool:
@@ -132,7 +135,7 @@
         A confirmation binds until the member has that table in force, even if no table lists it for a while;
         a renewal counts until its lease has expired.
         """
-        owing = {member for outstanding in registry.ledger.debts.values() for member in outstanding}
+        owing = {member for outstanding in registry.ledger.outstanding.values() for member in outstanding}
         standings = registry.standings
         removed = [
             ("vouch", member)
@@ -142,15 +145,15 @@
         removed += [
             ("leased", member)
             for member in self.lease_spans_us
-            if not named(registry.table, member) and member not in owing
+            if not is_active_member(registry.table, member) and member not in owing
         ]
         for kind, member in removed:
             del (self.min_renewal_table if kind == "vouch" else self.lease_spans_us)[member]
-        expired_us = now_us - self.settings.lease_over_us
+        expired_us = now_us - self.settings.lease_expiry_us
         self.last_renewed_us = {
             member: renewed_us
             for member, renewed_us in self.last_renewed_us.items()
-            if renewed_us > expired_us or named(registry.table, member)
+            if renewed_us > expired_us or is_active_member(registry.table, member)
         }
         return removed
 
@@ -166,7 +169,7 @@
     def requests(self, registry: OwnershipRegistry) -> dict[MemberId, LeaseEndRequest]:
         """The request to send to each voter."""
         outstanding: dict[MemberId, int] = {}
-        for _, member, number in registry.gains_missing():
+        for _, member, number in registry.missing_for_own_destinations():
             outstanding[member] = max(number, outstanding.get(member, 0))
         members_by_voter: dict[MemberId, list[tuple[MemberId, int]]] = {}
         for member, number in sorted(outstanding.items())[:MAX_MEMBERS]:
@@ -179,7 +182,7 @@
         self, voter: MemberId, member: MemberId, number: int, registry: OwnershipRegistry
     ) -> None:
         """A voter confirms that the member's lease by a table below `number` has ended."""
-        if any(member in outstanding for outstanding in registry.ledger.debts.values()):
+        if any(member in outstanding for outstanding in registry.ledger.outstanding.values()):
             confirmations = self.confirmations.setdefault(member, {})
             confirmations[voter] = max(number, confirmations.get(voter, 0))
 
@@ -188,7 +191,7 @@
         confirmations = self.confirmations.get(member, {})
         confirmed_by = {v for v, n in confirmations.items() if n >= number}
         confirmed_by |= {
-            v for v, off_us in self.off_since_us.items() if now_us >= off_us + self.settings.lease_over_us
+            v for v, off_us in self.off_since_us.items() if now_us >= off_us + self.settings.lease_expiry_us
         }
         return all(is_majority(voters, confirmed_by) for voters in self._voter_sets(member, registry))
 
@@ -198,17 +201,17 @@
 
     def forget(self, registry: OwnershipRegistry) -> None:
         """Remove what is stored about members that owe no release and about former voters."""
-        owing = {member for outstanding in registry.ledger.debts.values() for member in outstanding}
+        owing = {member for outstanding in registry.ledger.outstanding.values() for member in outstanding}
         self.confirmations = {
             m: confirmations for m, confirmations in self.confirmations.items() if m in owing
         }
-        all_voters = {v for _, voters in registry.ledger.councils for v in voters}
+        all_voters = {v for _, voters in registry.ledger.voter_sets for v in voters}
         self.off_since_us = {m: off_us for m, off_us in self.off_since_us.items() if m in all_voters}
 
     def _voter_sets(self, member: MemberId, registry: OwnershipRegistry) -> list[tuple[MemberId, ...]]:
         """The voters of each table that the member may have in force."""
         standing = registry.standings.get(member)
         lowest = standing.number if standing is not None else 0
-        voter_sets = registry.ledger.councils
+        voter_sets = registry.ledger.voter_sets
         first_numbers = [first for first, _ in voter_sets[1:]]
         return [v for (_, v), end in zip(voter_sets, [*first_numbers, 2**62], strict=True) if end > lowest]
--- a/madderbeam/federation/switchover/activation.py
+++ b/madderbeam/federation/switchover/activation.py
@@ -56,7 +56,7 @@
         current = self.registry.table
         if table.number == current.number and table.digest != current.digest:
             text = f"table {current.number} has digest {current.digest} here, but {table.digest} was agreed"
-            self.actions.do(LogLine(text, TablesDiffer(text)))
+            self.actions.add(LogLine(text, TablesDiffer(text)))
         if table.number > current.number and len(self.agreed) < MAX_AGREED_TABLES:
             self.agreed.setdefault(table.number, table)
 
@@ -89,7 +89,7 @@
 
     def write_without_outstanding(self) -> None:
         """Write the ledger again without its outstanding releases, once all have been made."""
-        if self.registry.ledger.debts and self.candidate is None and not self.has_no_record:
+        if self.registry.ledger.outstanding and self.candidate is None and not self.has_no_record:
             self.write(replace(self.registry.ledger, debts={}), False)
 
     def on_written(self) -> tuple[Table, bool]:
@@ -113,14 +113,14 @@
         if standing != self._announced or again:
             self._announced = standing
             version = gossip_version(standing.number, self.incarnation, int(is_settled))
-            self.actions.do(
+            self.actions.add(
                 Disseminate("force", version, standing_body(standing), self.settings.gossip_retention_us)
             )
 
     def objection(self, table: Table) -> FederationError | None:
         """Why this table must not be staged here, or None."""
         ledger, max_outstanding = self.registry.ledger, MAX_OUTSTANDING_RELEASES // 2
-        if len(ledger.councils) >= MAX_VOTER_SETS and table.voters != ledger.table.voters:
+        if len(ledger.voter_sets) >= MAX_VOTER_SETS and table.voters != ledger.table.voters:
             return TableRefused(f"members may lease by {MAX_VOTER_SETS} sets of voters still", "sites")
         if table.number == ledger.number + 1 and count_outstanding_after(ledger, table) > max_outstanding:
             return TableRefused(f"more than {max_outstanding} releases would be due at once", "owners")
--- a/madderbeam/federation/switchover/inquiry.py
+++ b/madderbeam/federation/switchover/inquiry.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from madderbeam.federation.leases.lease import is_majority
-from madderbeam.federation.switchover.ledger import named
+from madderbeam.federation.switchover.ledger import is_active_member
 from madderbeam.federation.switchover.messages import (
     MAX_PENDING_PROPOSALS,
     InForceQuery,
@@ -74,7 +74,7 @@
             PendingProposal(
                 proposal,
                 moved_destinations,
-                frozenset(member for member in members if not named(proposed, member)),
+                frozenset(member for member in members if not is_active_member(proposed, member)),
             )
         )
     return tuple(proposals)
@@ -96,7 +96,7 @@
         self.suspends_all = False
         self.suspended_destinations: frozenset[int] = frozenset()
         self.since_us = 0
-        self.answers: dict[MemberId, InForceReply] = {}
+        self.replies: dict[MemberId, InForceReply] = {}
         self.newest_number = 0  # of the agreed tables that replies have named
         self.last_heard_us: dict[MemberId, int] = {}
         self.request_id = incarnation.start << 24
@@ -115,7 +115,7 @@
         """Use a new request number and query all voters at once; replies to earlier requests no longer
         count."""
         self.request_id += 1
-        self.answers = {}
+        self.replies = {}
         self.next_query_us, self._retry_us = now_us, self.settings.query_retry_us
 
     def on_heard(self, member: MemberId, now_us: int, table: Table) -> None:
@@ -137,34 +137,34 @@
 
     def silent_voters(self, table: Table) -> list[MemberId]:
         """The voters of the table that have not replied."""
-        return [voter for voter in table.voters if voter not in self.answers]
+        return [voter for voter in table.voters if voter not in self.replies]
 
     def on_reply(self, member: MemberId, reply: InForceReply, table: Table) -> None:
         """Record a reply. A voter that knows a newer table is asked again until that table is in force
         here."""
-        if self.is_active and reply.ask == self.request_id and member in table.voters:
+        if self.is_active and reply.request_id == self.request_id and member in table.voters:
             self.newest_number = max(self.newest_number, reply.number)
             if reply.number <= table.number:
-                self.answers[member] = reply
+                self.replies[member] = reply
 
-    def told(self, table: Table) -> bool:
+    def has_majority(self, table: Table) -> bool:
         """Whether a majority of the voters has replied without knowing a newer table (a voter outside it
         may know one)."""
-        return is_majority(table.voters, self.answers)
+        return is_majority(table.voters, self.replies)
 
     def members_with_other_table(self, registry: OwnershipRegistry) -> list[MemberId]:
         """Members that have another table under the number that is in force here."""
         in_force = (registry.table.number, registry.table.digest)
         return [
             member
-            for member, reply in self.answers.items()
+            for member, reply in self.replies.items()
             if reply.number == in_force[0] and reply.digest != in_force[1]
         ]
 
     def proposals(self) -> list[PendingProposal]:
         """The pending proposals that any of the replies names, each once."""
         found: dict[ProposalId, PendingProposal] = {}
-        for reply in self.answers.values():
+        for reply in self.replies.values():
             for pending in reply.pending:
                 if pending.proposal not in found or found[pending.proposal].moved_destinations is None:
                     found[pending.proposal] = pending
--- a/madderbeam/federation/switchover/ledger.py
+++ b/madderbeam/federation/switchover/ledger.py
@@ -45,8 +45,8 @@
 
     table: Table
     history: tuple[Table, ...]
-    debts: Outstanding
-    councils: tuple[tuple[int, tuple[MemberId, ...]], ...]
+    outstanding: Outstanding
+    voter_sets: tuple[tuple[int, tuple[MemberId, ...]], ...]
 
     @property
     def number(self) -> int:
@@ -55,23 +55,23 @@
 
     def gives_to(self, member: MemberId, dest: int) -> bool:
         """Whether the table in force gives the destination to this member."""
-        return self.table.owners.get(dest) == member.site and named(self.table, member)
+        return self.table.owners.get(dest) == member.site and is_active_member(self.table, member)
 
     def row(self) -> Row:
         """The ledger as it is stored and sent to a member that has no records."""
         outstanding = [
             [dest, member.site, member.name, number]
-            for dest, numbers in self.debts.items()
+            for dest, numbers in self.outstanding.items()
             for member, number in numbers.items()
         ]
         voter_sets = [
             [first_number, [[member.site, member.name] for member in voters]]
-            for first_number, voters in self.councils
+            for first_number, voters in self.voter_sets
         ]
         return [[table.document() for table in self.history], outstanding, voter_sets]
 
 
-def named(table: Table, member: MemberId) -> bool:
+def is_active_member(table: Table, member: MemberId) -> bool:
     """Whether the table lists the member and does not mark it decommissioned."""
     return member in table.members(member.site) and member not in table.decommissioned
 
@@ -107,12 +107,14 @@
         owed_dest: {
             owing: number for owing, number in numbers.items() if not is_released(owed_dest, owing, number)
         }
-        for owed_dest, numbers in ledger.debts.items()
+        for owed_dest, numbers in ledger.outstanding.items()
     }
     for dest, site in previous.owners.items():
         stays_at_site = table.owners.get(dest) == site
         for member in previous.members(site):
-            if member not in previous.decommissioned and not (stays_at_site and named(table, member)):
+            if member not in previous.decommissioned and not (
+                stays_at_site and is_active_member(table, member)
+            ):
                 outstanding.setdefault(dest, {})[member] = table.number
     if table.decommissioned:
         outstanding = {
@@ -121,7 +123,7 @@
             }
             for owed_dest, numbers in outstanding.items()
         }
-    voter_sets = ledger.councils
+    voter_sets = ledger.voter_sets
     if table.voters != previous.voters:
         voter_sets = (*voter_sets, (table.number, table.voters))
     while len(voter_sets) > 1 and voter_sets[1][0] <= oldest_number:
@@ -137,10 +139,12 @@
 
 def count_outstanding_after(ledger: Ledger, table: Table) -> int:
     """The largest possible number of outstanding releases once `table` is in force."""
-    return sum(map(len, next_ledger(ledger, table, lambda dest, member, number: False, 0).debts.values()))
+    return sum(
+        map(len, next_ledger(ledger, table, lambda dest, member, number: False, 0).outstanding.values())
+    )
 
 
-def read(row: Any) -> Ledger:
+def read_ledger(row: Any) -> Ledger:
     """The ledger of a row. Raises ValueError with the name of the field."""
     if not isinstance(row, (list, tuple)) or len(row) != 3:
         raise ValueError("ledger: allowed: a list of three")
--- a/madderbeam/federation/switchover/messages.py
+++ b/madderbeam/federation/switchover/messages.py
@@ -9,7 +9,7 @@
 from madderbeam.federation.switchover.ledger import (
     MAX_OUTSTANDING_RELEASES,
     Ledger,
-    read,
+    read_ledger,
     read_outstanding,
     read_tables,
 )
@@ -52,7 +52,7 @@
     """Requests the tables after `number` from a voter. `has_no_record`: the sender has no table on disk
     and needs the whole ledger."""
 
-    ask: int
+    request_id: int
     number: int
     has_no_record: bool = False
 
@@ -70,7 +70,7 @@
     holds. `releases`: those with spans that have not ended.
     """
 
-    ask: int
+    request_id: int
     number: int
     digest: str
     in_force_number: int
@@ -88,7 +88,7 @@
 class LeaseRequest:
     """Requests a lease of `lease_us` from now on for a member that has table `number` in force."""
 
-    ask: int
+    request_id: int
     number: int
     lease_us: int
 
@@ -97,7 +97,7 @@
 class LeaseReply:
     """A voter's reply: `reason` why it does not renew, `number` of the table that it has in force."""
 
-    ask: int
+    request_id: int
     granted: bool
     number: int
     reason: str = ""
@@ -137,7 +137,7 @@
 
 
 def _query_fields(message: InForceQuery) -> Row:
-    return [message.ask, message.number, message.has_no_record]
+    return [message.request_id, message.number, message.has_no_record]
 
 
 def _read_query(request_id: Any, table_number: Any, has_no_record: Any) -> InForceQuery:
@@ -150,7 +150,7 @@
 
 def _reply_fields(message: InForceReply) -> Row:
     return [
-        message.ask,
+        message.request_id,
         message.number,
         message.digest,
         message.in_force_number,
@@ -180,7 +180,7 @@
         read_number(in_force_number, "in_force", MAX_TABLE_NUMBER),
         read_flag(has_no_record, "fresh"),
         read_tables(tables),
-        None if ledger is None else read(ledger),
+        None if ledger is None else read_ledger(ledger),
         tuple(_read_proposal(item) for item in read_list(pending, "pending", MAX_PENDING_PROPOSALS)),
         tuple(
             (dest, member, number)
@@ -224,7 +224,7 @@
 
 
 def _lease_request_fields(message: LeaseRequest) -> Row:
-    return [message.ask, message.number, message.lease_us]
+    return [message.request_id, message.number, message.lease_us]
 
 
 def _read_lease_request(request_id: Any, table_number: Any, lease_us: Any) -> LeaseRequest:
@@ -236,7 +236,7 @@
 
 
 def _lease_reply_fields(message: LeaseReply) -> Row:
-    return [message.ask, message.granted, message.number, message.reason]
+    return [message.request_id, message.granted, message.number, message.reason]
 
 
 def _read_lease_reply(request_id: Any, granted: Any, table_number: Any, reason: Any) -> LeaseReply:
--- a/madderbeam/federation/switchover/moves.py
+++ b/madderbeam/federation/switchover/moves.py
@@ -56,10 +56,10 @@
         """The host has no call in flight at the destination any more. The release is written before it is
         announced."""
         dest = release.dest
-        if dest not in self.relinquishing or self.actions.writes.busy("release", str(dest)):
+        if dest not in self.relinquishing or self.actions.writes.is_pending("release", str(dest)):
             return
         table_number = max(self.relinquishing[dest], self.registry.table_owed_by(dest))
-        self._write(replace(release, member=self.registry.me, table_number=table_number))
+        self._write(replace(release, member=self.registry.local_member, table_number=table_number))
 
     def on_release_written(self, record: ReleaseRecord) -> None:
         """A release of this member is on disk."""
@@ -72,7 +72,7 @@
     def announce(self, dest: int) -> None:
         """Disseminate this member's release of the destination, with the spans that remain now."""
         release = self.registry.own_releases[dest].remaining(self.actions.now_us)
-        self.actions.do(
+        self.actions.add(
             Disseminate(
                 f"release/{dest}",
                 gossip_version(release.table_number, self.incarnation, 0),
@@ -84,28 +84,31 @@
     def retract(self, dest: int) -> None:
         """Every member knows the release: remove it and its gossip entry."""
         number = self.registry.own_releases.pop(dest).release.table_number
-        self.actions.do(Disseminate(f"release/{dest}", gossip_version(number, self.incarnation, 1), b""))
-        self.actions.forget("release", str(dest))
+        self.actions.add(Disseminate(f"release/{dest}", gossip_version(number, self.incarnation, 1), b""))
+        self.actions.remove_record("release", str(dest))
 
     def _reconcile(self, dest: int) -> None:
         registry = self.registry
-        required_number, is_owner = registry.table_owed_by(dest), registry.ledger.gives_to(registry.me, dest)
+        required_number, is_owner = (
+            registry.table_owed_by(dest),
+            registry.ledger.gives_to(registry.local_member, dest),
+        )
         if dest in self.served:
             if required_number or not is_owner:
                 self._relinquish(dest)
         elif dest in self.relinquishing:
             self.relinquishing[dest] = max(self.relinquishing[dest], required_number)
         elif required_number:
-            if not self.actions.writes.busy("release", str(dest)):
+            if not self.actions.writes.is_pending("release", str(dest)):
                 self._write(registry.release_of_unserved(dest, required_number, self.actions.now_us))
-        elif is_owner and not registry.missing(dest):
+        elif is_owner and not registry.missing_releases(dest):
             self.served.add(dest)
-            self.actions.do(BeginServing(dest, registry.inherited_releases(dest, self.actions.now_us)))
+            self.actions.add(BeginServing(dest, registry.inherited_releases(dest, self.actions.now_us)))
 
     def _relinquish(self, dest: int) -> None:
         self.served.discard(dest)
         self.relinquishing[dest] = self.registry.table_owed_by(dest) or self.registry.ledger.number
-        self.actions.do(Relinquish(dest, self.relinquishing[dest]))
+        self.actions.add(Relinquish(dest, self.relinquishing[dest]))
 
     def _write(self, release: Release) -> None:
         now_us = self.actions.now_us
--- a/madderbeam/federation/switchover/ownership_registry.py
+++ b/madderbeam/federation/switchover/ownership_registry.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from madderbeam.federation.switchover.ledger import Ledger, active_members, named, next_ledger
+from madderbeam.federation.switchover.ledger import Ledger, active_members, is_active_member, next_ledger
 from madderbeam.federation.switchover.release_records import ReleaseRecord, merged
 from madderbeam.federation.values import Release, Table
 from madderbeam.membership.values import MemberId
@@ -40,12 +40,12 @@
     """
 
     def __init__(self, local_member: MemberId, ledger: Ledger) -> None:
-        self.me, self.ledger = local_member, ledger
+        self.local_member, self.ledger = local_member, ledger
         self.release_records: dict[int, dict[MemberId, ReleaseRecord]] = {}
         self.record_count = 0  # in release_records
         self.in_force_since_us = 0  # when the table came in force, or this process started
         self.own_releases: dict[int, ReleaseRecord] = {}
-        self.words: dict[MemberId, int] = {}
+        self.decommissioned_up_to: dict[MemberId, int] = {}
         self.standings: dict[MemberId, MemberStanding] = {}
 
     @property
@@ -57,42 +57,45 @@
     def is_left_out(self) -> bool:
         """Whether this member has no part in the table in force, or an operator declared it
         decommissioned."""
-        return not named(self.table, self.me) or self.words.get(self.me, 0) >= self.table.number
+        return (
+            not is_active_member(self.table, self.local_member)
+            or self.decommissioned_up_to.get(self.local_member, 0) >= self.table.number
+        )
 
     def is_released(self, dest: int, member: MemberId, number: int) -> bool:
         """Whether the member is known to have no call in flight at the destination by tables before this
         number."""
         record = (
             self.own_releases.get(dest)
-            if member == self.me
+            if member == self.local_member
             else self.release_records.get(dest, {}).get(member)
         )
         has_released = record is not None and record.release.table_number >= number
-        return has_released or self.words.get(member, 0) >= number
+        return has_released or self.decommissioned_up_to.get(member, 0) >= number
 
-    def missing(self, dest: int) -> dict[MemberId, int]:
+    def missing_releases(self, dest: int) -> dict[MemberId, int]:
         """Members of other sites that have yet to release the destination, each with the table that
         requires it."""
-        outstanding = self.ledger.debts.get(dest, {})
+        outstanding = self.ledger.outstanding.get(dest, {})
         return {
             member: number
             for member, number in outstanding.items()
-            if member.site != self.me.site and not self.is_released(dest, member, number)
+            if member.site != self.local_member.site and not self.is_released(dest, member, number)
         }
 
     def all_missing_releases(self) -> Iterator[tuple[int, MemberId, int]]:
         """Every outstanding release, of any site, that is not known to have been made."""
-        for dest, outstanding in self.ledger.debts.items():
+        for dest, outstanding in self.ledger.outstanding.items():
             for member, number in outstanding.items():
                 if not self.is_released(dest, member, number):
                     yield dest, member, number
 
-    def gains_missing(self) -> Iterator[tuple[int, MemberId, int]]:
+    def missing_for_own_destinations(self) -> Iterator[tuple[int, MemberId, int]]:
         """The missing releases that keep this member from serving a destination that the table gives to
         it."""
-        for dest in self.ledger.debts:
-            if self.ledger.gives_to(self.me, dest):
-                for member, number in self.missing(dest).items():
+        for dest in self.ledger.outstanding:
+            if self.ledger.gives_to(self.local_member, dest):
+                for member, number in self.missing_releases(dest).items():
                     yield dest, member, number
 
     def table_owed_by(self, dest: int) -> int:
@@ -100,7 +103,7 @@
 
         An operator's declaration does not count: a member that runs can release the destination itself.
         """
-        number = self.ledger.debts.get(dest, {}).get(self.me, 0)
+        number = self.ledger.outstanding.get(dest, {}).get(self.local_member, 0)
         own = self.own_releases.get(dest)
         return number if own is None or own.release.table_number < number else 0
 
@@ -108,11 +111,11 @@
         """Whether a release is new and is needed, now or by a table that is not in force here yet."""
         dest, member, number = release.dest, release.member, release.table_number
         known = self.release_records.get(dest, {}).get(member)
-        if member == self.me or (known is not None and known.release.table_number >= number):
+        if member == self.local_member or (known is not None and known.release.table_number >= number):
             return False
         if number > self.ledger.number:
             return self.record_count < MAX_RELEASE_RECORDS
-        required_number = self.ledger.debts.get(dest, {}).get(member)
+        required_number = self.ledger.outstanding.get(dest, {}).get(member)
         return required_number is not None and number >= required_number
 
     def add_record(self, record: ReleaseRecord) -> None:
@@ -136,7 +139,7 @@
 
     def inherited_releases(self, dest: int, now_us: int) -> tuple[Release, ...]:
         """The releases that a new owner of the destination must observe, with the spans that remain now."""
-        outstanding = self.ledger.debts.get(dest, {})
+        outstanding = self.ledger.outstanding.get(dest, {})
         releases = []
         for member, record in sorted(self.release_records.get(dest, {}).items()):
             if member in outstanding or record.has_spans_left(now_us):
@@ -149,7 +152,7 @@
     def release_of_unserved(self, dest: int, number: int, now_us: int) -> Release:
         """This member's release of a destination that it never began to serve; it passes on what it
         inherited."""
-        return merged(Release(dest, self.me, number), self.inherited_releases(dest, now_us))
+        return merged(Release(dest, self.local_member, number), self.inherited_releases(dest, now_us))
 
     def next_ledger(self, table: Table) -> Ledger:
         """The ledger once `table` is in force."""
@@ -158,9 +161,9 @@
     def oldest_number_in_force(self) -> int:
         """The lowest number in force at any member that may serve, as far as is known (0: unknown)."""
         members = set(active_members(self.table)) | {
-            member for outstanding in self.ledger.debts.values() for member in outstanding
+            member for outstanding in self.ledger.outstanding.values() for member in outstanding
         }
-        members -= {self.me}
+        members -= {self.local_member}
         numbers = [self.standings[member].number if member in self.standings else 0 for member in members]
         return min([*numbers, self.ledger.number])
 
@@ -189,7 +192,7 @@
         return [
             (dest, member)
             for dest, records in self.release_records.items()
-            if dest not in self.ledger.debts
+            if dest not in self.ledger.outstanding
             for member, record in records.items()
             if record.release.table_number <= self.ledger.number and not record.has_spans_left(now_us)
         ]
@@ -200,7 +203,7 @@
         others = [
             member
             for member in active_members(self.table)
-            if member != self.me and self.words.get(member, 0) < number
+            if member != self.local_member and self.decommissioned_up_to.get(member, 0) < number
         ]
         standings = [self.standings.get(member) for member in others]
         return min(
@@ -218,6 +221,6 @@
             dest
             for dest, own in self.own_releases.items()
             if own.release.table_number <= settled_number
-            and self.me not in self.ledger.debts.get(dest, {})
+            and self.local_member not in self.ledger.outstanding.get(dest, {})
             and not own.has_spans_left(now_us)
         ]
--- a/madderbeam/federation/switchover/pending_writes.py
+++ b/madderbeam/federation/switchover/pending_writes.py
@@ -25,11 +25,11 @@
         self.latest_ids: dict[tuple[str, str], int] = {}
         self._last_id = 0
 
-    def busy(self, kind: str, key: str) -> bool:
+    def is_pending(self, kind: str, key: str) -> bool:
         """Whether a record of this kind and key is being written."""
         return (kind, key) in self.latest_ids
 
-    def value(self, kind: str, key: str) -> Any:
+    def pending_value(self, kind: str, key: str) -> Any:
         """The value that is being written, or None."""
         record = self.records.get(self.latest_ids.get((kind, key), 0))
         return None if record is None else record.value
@@ -84,11 +84,11 @@
         self._actions, self._records, self._removals = [], [], []
         return actions
 
-    def do(self, action: Any) -> None:
+    def add(self, action: Any) -> None:
         """Append an action that does not write a record."""
         self._actions.append(action)
 
-    def timer(self, at_us: int, name: str) -> None:
+    def set_timer(self, at_us: int, name: str) -> None:
         """Set a timer of the switchover."""
         self._actions.append(SetTimer(at_us, TOKEN_PREFIX + name))
 
@@ -96,7 +96,7 @@
         """Write a record; `on_timer` returns it once it is on disk."""
         self._records += self.writes.write(self.now_us, kind, key, value)
 
-    def forget(self, kind: str, key: str) -> None:
+    def remove_record(self, kind: str, key: str) -> None:
         """Remove a record. Nothing depends on it: if the removal is lost, the next start repeats it."""
         self._removals.append(Persist(kind, key, None))
 
--- a/madderbeam/federation/switchover/queries.py
+++ b/madderbeam/federation/switchover/queries.py
@@ -33,7 +33,7 @@
     ) -> None:
         self.settings, self.local_member, self.registry, self.actions = (
             settings,
-            registry.me,
+            registry.local_member,
             registry,
             actions,
         )
@@ -55,7 +55,7 @@
         if not self.inquiry.is_active:
             self.inquiry.begin(self.actions.now_us, False)
             self.inquiry.next_query_us = self.actions.now_us + self.settings.query_retry_us
-            self.actions.timer(self.inquiry.next_query_us, "turn")
+            self.actions.set_timer(self.inquiry.next_query_us, "turn")
 
     def advance(self) -> None:
         """Write the next agreed table, or query for it if it is not known."""
@@ -96,21 +96,21 @@
                 if self.consensus.may_vote():
                     self.on_reply(self.local_member, self.reply_to(query))
             else:
-                self.actions.do(values.SendMessage(member, query))
+                self.actions.add(values.SendMessage(member, query))
 
     def conclude(self) -> None:
         """End the inquiry once a majority has replied and no table is being written or pending."""
         inquiry, table = self.inquiry, self.registry.table
-        if not inquiry.is_active or self.activation.candidate is not None or not inquiry.told(table):
+        if not inquiry.is_active or self.activation.candidate is not None or not inquiry.has_majority(table):
             return
         disagreeing = inquiry.members_with_other_table(self.registry)
         if disagreeing:
             for member in disagreeing:
-                del inquiry.answers[member]
+                del inquiry.replies[member]
             text = (
                 f"{', '.join(map(str, disagreeing))} have a different table {table.number} from the one here"
             )
-            self.actions.do(values.LogLine(text, TablesDiffer(text)))
+            self.actions.add(values.LogLine(text, TablesDiffer(text)))
             return
         if self.activation.has_no_record:
             self.activation.write(self.registry.ledger, False)
@@ -125,7 +125,7 @@
                 inquiry.finish()
                 return
         for pending in proposals:
-            self.actions.do(FinishProposal(pending.proposal))
+            self.actions.add(FinishProposal(pending.proposal))
         # Repeats until the newer table is in force or no proposal is pending.
         inquiry.restart(self.actions.now_us)
         inquiry.next_query_us += self.settings.query_retry_us
@@ -140,7 +140,7 @@
         owing = {owing_member for _, owing_member, _ in self.registry.all_missing_releases()}
         for member in sorted(owing | set(self.registry.table.voters)):
             if member != self.local_member:
-                self.actions.do(
+                self.actions.add(
                     values.SendMessage(
                         member, messages.InForceQuery(CATCH_UP_REQUEST_ID, self.registry.ledger.number)
                     )
--- a/madderbeam/federation/switchover/release_learning.py
+++ b/madderbeam/federation/switchover/release_learning.py
@@ -65,7 +65,7 @@
     def add_release(self, release: Release, source: str) -> None:
         """Write a member's release, or what counts as one, if it is needed; `source` is one of SOURCES."""
         key = f"{release.dest}/{release.member}"
-        pending_row = self.actions.writes.value("heard", key)
+        pending_row = self.actions.writes.pending_value("heard", key)
         if not self.registry.needs(release):
             return
         if (
@@ -98,7 +98,7 @@
             elif entry.key == "force":
                 return self._read_standing(entry)
         except ValueError as error:
-            self.actions.do(LogLine(f"gossip entry {entry.key} from {entry.owner} is malformed: {error}"))
+            self.actions.add(LogLine(f"gossip entry {entry.key} from {entry.owner} is malformed: {error}"))
         return None
 
     def decommission(self, member: MemberId, number: int, is_declared_here: bool) -> None:
@@ -114,24 +114,24 @@
         }
         known_members |= {
             known_member
-            for outstanding in self.registry.ledger.debts.values()
+            for outstanding in self.registry.ledger.outstanding.values()
             for known_member in outstanding
         }
         value = [[member.site, member.name], number, is_declared_here]
-        pending_value = self.actions.writes.value("off", str(member))
+        pending_value = self.actions.writes.pending_value("off", str(member))
         if is_declared_here and member not in known_members:
-            self.actions.do(
+            self.actions.add(
                 LogLine(f"cannot decommission {member}: no table since {self._oldest_number()} lists it")
             )
             return
-        is_new = number > self.registry.words.get(member, 0) or (
+        is_new = number > self.registry.decommissioned_up_to.get(member, 0) or (
             is_declared_here and member not in self.decommissioned_here
         )
         if (
             is_new
             and member in known_members
             and pending_value != value
-            and len(self.registry.words) < MAX_MEMBERS
+            and len(self.registry.decommissioned_up_to) < MAX_MEMBERS
         ):
             self.actions.write("off", str(member), value)
 
@@ -139,7 +139,9 @@
         """A declaration is on disk. Returns its member."""
         row, number, is_declared_here = value
         member = read_member(row, "off")
-        self.registry.words[member] = max(number, self.registry.words.get(member, 0))
+        self.registry.decommissioned_up_to[member] = max(
+            number, self.registry.decommissioned_up_to.get(member, 0)
+        )
         if is_declared_here:
             self.decommissioned_here[member] = number
             self.announce_decommissioned(member)
@@ -149,7 +151,7 @@
         """Disseminate the declaration that the member is gone."""
         number = self.decommissioned_here[member]
         body = json.dumps([[member.site, member.name], number], separators=(",", ":")).encode()
-        self.actions.do(
+        self.actions.add(
             Disseminate(
                 _decommissioned_key(member), gossip_version(number, self.incarnation, 0), body, self.keep_us
             )
@@ -159,14 +161,14 @@
         """Remove releases and declarations that no table needs any more."""
         for dest, member in self.registry.expired_records(self.actions.now_us):
             self.registry.remove_record(dest, member)
-            self.actions.forget("heard", f"{dest}/{member}")
-        settled_number = self.registry.settled_number() if self.registry.words else 0
-        for member, number in list(self.registry.words.items()):
+            self.actions.remove_record("heard", f"{dest}/{member}")
+        settled_number = self.registry.settled_number() if self.registry.decommissioned_up_to else 0
+        for member, number in list(self.registry.decommissioned_up_to.items()):
             if number < min(self.registry.ledger.number, settled_number):
-                del self.registry.words[member]
-                self.actions.forget("off", str(member))
+                del self.registry.decommissioned_up_to[member]
+                self.actions.remove_record("off", str(member))
                 if self.decommissioned_here.pop(member, None) is not None:
-                    self.actions.do(
+                    self.actions.add(
                         Disseminate(
                             _decommissioned_key(member), gossip_version(number, self.incarnation, 1), b""
                         )
--- a/madderbeam/federation/switchover/replies.py
+++ b/madderbeam/federation/switchover/replies.py
@@ -38,7 +38,7 @@
         if release.retry_waits or release.draining or release.is_cold
     ]
     return InForceReply(
-        query.ask,
+        query.request_id,
         newest.number,
         newest.digest,
         ledger.number,
@@ -50,7 +50,7 @@
         not has_no_record
         and len(with_constraints) <= MAX_RELEASES_PER_REPLY
         and len(missing) <= MAX_OUTSTANDING_RELEASES,
-        tuple(sorted(registry.words.items())),
+        tuple(sorted(registry.decommissioned_up_to.items())),
         tuple(with_constraints[:MAX_RELEASES_PER_REPLY]),
     )
 
@@ -65,7 +65,7 @@
     missing_there = {(dest, member) for dest, member, _ in reply.outstanding}
     named = {(named_release.dest, named_release.member): named_release for named_release in reply.releases}
     for dest, member, number in list(registry.all_missing_releases()):
-        if (dest, member) in missing_there or member == registry.me:
+        if (dest, member) in missing_there or member == registry.local_member:
             continue
         release = named.get((dest, member))
         yield (
--- a/madderbeam/federation/switchover/settings.py
+++ b/madderbeam/federation/switchover/settings.py
@@ -31,6 +31,6 @@
             raise ValueError(f"lease_us is {self.lease_us}; allowed: 0, or 100000 or more")
 
     @property
-    def lease_over_us(self) -> int:
+    def lease_expiry_us(self) -> int:
         """The time on a voter's clock after which a lease that it renewed has ended on the holder's clock."""
         return self.lease_us + -(-self.lease_us * self.drift_ppm // 1_000_000)
--- a/madderbeam/federation/switchover/suspension.py
+++ b/madderbeam/federation/switchover/suspension.py
@@ -40,7 +40,7 @@
             self.current.destinations,
         ) or desired.reason != self.current.reason:
             self.current = desired
-            self.actions.do(desired)
+            self.actions.add(desired)
 
     def covers(self, dest: int) -> bool:
         """Whether serving of the destination is suspended."""
@@ -54,7 +54,7 @@
             last_us = self._reported_us.get(error.code)
             if last_us is None or now_us - last_us >= self.settings.report_interval_us:
                 self._reported_us[error.code] = now_us
-                self.actions.do(LogLine(error.what, error))
+                self.actions.add(LogLine(error.what, error))
 
     def errors(self) -> list[FederationError]:
         """The errors that have kept this member from serving its site's destinations for the report
@@ -62,7 +62,9 @@
         errors: list[FederationError] = []
         number = self.registry.table.number
         if self.registry.is_left_out:
-            errors.append(LeftOut(f"table {number} does not name {self.registry.me}, or it was called off"))
+            errors.append(
+                LeftOut(f"table {number} does not name {self.registry.local_member}, or it was called off")
+            )
         if (
             self.inquiry.is_active
             and self._is_reportable(self.inquiry.since_us)
@@ -83,7 +85,7 @@
         self.no_lease_since_us = 0 if has_lease else self.no_lease_since_us or now_us
         if self.registry.is_left_out:
             return SuspendServing(
-                True, LeftOut(f"table {table.number} does not name {self.registry.me}").line()
+                True, LeftOut(f"table {table.number} does not name {self.registry.local_member}").line()
             )
         if self.inquiry.suspends_all:
             text = f"asks the voters of table {table.number} what is in force"
@@ -115,7 +117,7 @@
         voters = [
             (voter, last_heard_us.get(voter, 0))
             for voter in self.registry.table.voters
-            if voter != self.registry.me
+            if voter != self.registry.local_member
         ]
         silent = [
             (voter, heard_us)
@@ -130,7 +132,7 @@
     def _missing_releases(self) -> list[FederationError]:
         """The missing releases by member, once the table has been in force for the report interval."""
         owing: dict[MemberId, list[int]] = {}
-        for dest, member, _ in self.registry.gains_missing():
+        for dest, member, _ in self.registry.missing_for_own_destinations():
             owing.setdefault(member, []).append(dest)
         since_us = self.registry.in_force_since_us
         if not owing or not self._is_reportable(since_us):
--- a/madderbeam/federation/switchover/switchover.py
+++ b/madderbeam/federation/switchover/switchover.py
@@ -15,7 +15,7 @@
 from madderbeam.federation.switchover import messages
 from madderbeam.federation.switchover.activation import TableActivation
 from madderbeam.federation.switchover.inquiry import ConsensusView, InForceInquiry, NoConsensus
-from madderbeam.federation.switchover.ledger import active_members, initial_ledger, read
+from madderbeam.federation.switchover.ledger import active_members, initial_ledger, read_ledger
 from madderbeam.federation.switchover.moves import DestinationMoves
 from madderbeam.federation.switchover.ownership_registry import OwnershipRegistry
 from madderbeam.federation.switchover.pending_writes import TOKEN_PREFIX, ActionBuffer
@@ -60,22 +60,24 @@
         self.consensus = consensus or NoConsensus()
         self.records: Mapping[tuple[str, str], Any] | None = records
         force_row = records.get(("force", ""))
-        self.book = OwnershipRegistry(
-            local_member, initial_ledger(table) if force_row is None else read(force_row)
+        self.registry = OwnershipRegistry(
+            local_member, initial_ledger(table) if force_row is None else read_ledger(force_row)
         )
         self.actions = ActionBuffer(settings.retry_us)
-        self.activation = TableActivation(settings, self.book, self.actions, incarnation, force_row is None)
+        self.activation = TableActivation(
+            settings, self.registry, self.actions, incarnation, force_row is None
+        )
         self.moves = DestinationMoves(
-            self.book, self.actions, incarnation, wall_ms, settings.gossip_retention_us
+            self.registry, self.actions, incarnation, wall_ms, settings.gossip_retention_us
         )
         self.release_learning = ReleaseLearning(
-            self.book, self.actions, incarnation, wall_ms, settings.gossip_retention_us
+            self.registry, self.actions, incarnation, wall_ms, settings.gossip_retention_us
         )
         self.inquiry = InForceInquiry(settings, local_member, incarnation)
         self.lease_holder = LeaseHolder(settings)
         self.queries = InForceQueries(
             settings,
-            self.book,
+            self.registry,
             self.actions,
             self.activation,
             self.release_learning,
@@ -83,10 +85,10 @@
             self.consensus,
         )
         self.leases = LeaseCoordination(
-            settings, self.book, self.actions, incarnation, self.lease_holder, self.consensus, records
+            settings, self.registry, self.actions, incarnation, self.lease_holder, self.consensus, records
         )
         self.suspension = ServingSuspension(
-            settings, self.book, self.actions, self.inquiry, self.lease_holder
+            settings, self.registry, self.actions, self.inquiry, self.lease_holder
         )
 
     # Queries by the host
@@ -111,10 +113,10 @@
         """Load the records on disk, start the inquiry and return the actions of the start."""
         assert self.records is not None
         records, self.records = self.records, None
-        self.actions.now_us = self.book.in_force_since_us = now_us
+        self.actions.now_us = self.registry.in_force_since_us = now_us
         self.release_learning.start(records)
         self.leases.start(records)
-        for table in self.consensus.known_since(self.book.ledger.number):
+        for table in self.consensus.known_since(self.registry.ledger.number):
             self.activation.add(table)
         self.inquiry.begin(now_us, self.queries.has_other_sites())
         self.leases.renew()
@@ -122,8 +124,8 @@
         self.queries.advance()
         self.queries.conclude()
         self.suspension.update()
-        self.actions.do(TableInForce(self.book.table, None))
-        for dest in sorted(self.book.own_releases):
+        self.actions.add(TableInForce(self.registry.table, None))
+        for dest in sorted(self.registry.own_releases):
             self.moves.announce(dest)
         self._reconcile_all()
         return self._take_actions()
@@ -151,7 +153,7 @@
                 self.moves.on_released(release)
             case MemberDecommissioned(member, number):
                 self.release_learning.decommission(
-                    member, min(number, self.book.ledger.number), is_declared_here=True
+                    member, min(number, self.registry.ledger.number), is_declared_here=True
                 )
             case ServingPaused() | values.PauseDetected():
                 self.lease_holder.invalidate()
@@ -161,7 +163,7 @@
             case values.IncarnationRaised(incarnation):
                 self._on_incarnation_raised(incarnation)
             case values.LinkUp(member):
-                if self.inquiry.is_active and member in self.inquiry.silent_voters(self.book.table):
+                if self.inquiry.is_active and member in self.inquiry.silent_voters(self.registry.table):
                     self.queries.send_query([member])
             case values.WriteFailed(kind, _):
                 self._on_write_failed(kind)
@@ -180,7 +182,7 @@
             self.activation.incarnation
         ) = incarnation
         self.activation.announce(again=True)
-        for dest in self.book.own_releases:
+        for dest in self.registry.own_releases:
             self.moves.announce(dest)
         for member in self.release_learning.decommissioned_here:
             self.release_learning.announce_decommissioned(member)
@@ -202,7 +204,7 @@
                 self._on_table_in_force()
             case "heard":
                 release_record = record_from_row(record.value)
-                self.book.add_record(release_record)
+                self.registry.add_record(release_record)
                 self._reconcile([release_record.release.dest])
             case "release":
                 self.moves.on_release_written(record_from_row(record.value))
@@ -218,25 +220,25 @@
     def _on_write_failed(self, kind: str) -> None:
         """Retry after a failed write. All actions behind it were dropped, and which these were is unknown."""
         self.actions.schedule_rewrites()
-        self.actions.do(self.suspension.current)
+        self.actions.add(self.suspension.current)
         self.activation.announce(again=True)
-        for dest in self.book.own_releases:
+        for dest in self.registry.own_releases:
             self.moves.announce(dest)
         for member in self.release_learning.decommissioned_here:
             self.release_learning.announce_decommissioned(member)
-        self.actions.timer(self.actions.now_us + self.settings.check_interval_us, "turn")
+        self.actions.set_timer(self.actions.now_us + self.settings.check_interval_us, "turn")
         self.leases.rearm()
         if kind == "force":
-            text = f"failed to write the table after {self.book.ledger.number}; retrying"
-            self.actions.do(values.LogLine(text, NotInForce(text)))
+            text = f"failed to write the table after {self.registry.ledger.number}; retrying"
+            self.actions.add(values.LogLine(text, NotInForce(text)))
 
     # Tables
 
     def _on_table_in_force(self) -> None:
         previous, skipped_tables = self.activation.on_written()
-        ledger = self.book.ledger
+        ledger = self.registry.ledger
         if ledger.table.proposal_id != previous.proposal_id:
-            self.actions.do(TableInForce(ledger.table, previous))
+            self.actions.add(TableInForce(ledger.table, previous))
         if ledger.table.voters != previous.voters:
             self.lease_holder.invalidate()
         if skipped_tables:
@@ -256,8 +258,8 @@
         self.queries.advance()
 
     def _reconcile_all(self, previous: Table | None = None) -> None:
-        ledger = self.book.ledger
-        dests = set(ledger.table.owners) | set(ledger.debts) | self.moves.served
+        ledger = self.registry.ledger
+        dests = set(ledger.table.owners) | set(ledger.outstanding) | self.moves.served
         self._reconcile(dests | set(previous.owners if previous else ()))
 
     def _reconcile(self, dests: Any) -> None:
@@ -266,32 +268,34 @@
 
     def _on_standing(self, member: values.MemberId) -> None:
         """A member announced its table in force."""
-        number = self.book.standings[member].number
-        self.leases.on_serving_span(member, self.book.standings[member].lease_us)
-        if number > self.book.ledger.number and member in active_members(self.book.table):
+        number = self.registry.standings[member].number
+        self.leases.on_serving_span(member, self.registry.standings[member].lease_us)
+        if number > self.registry.ledger.number and member in active_members(self.registry.table):
             self.inquiry.newest_number = max(number, self.inquiry.newest_number)
             self.queries.on_newer_table()
         self._retract_known_releases()
 
     def _retract_known_releases(self) -> None:
-        for dest in self.book.releases_known_to_all(self.actions.now_us) if self.book.own_releases else ():
+        for dest in (
+            self.registry.releases_known_to_all(self.actions.now_us) if self.registry.own_releases else ()
+        ):
             self.moves.retract(dest)
 
     # Messages
 
     def _on_message(self, member: values.MemberId, message: Any) -> None:
-        self.inquiry.on_heard(member, self.actions.now_us, self.book.table)
+        self.inquiry.on_heard(member, self.actions.now_us, self.registry.table)
         match message:
             case messages.InForceQuery(number=number):
                 if self.consensus.may_vote():
-                    self.actions.do(values.SendMessage(member, self.queries.reply_to(message)))
-                if number > self.book.ledger.number:
+                    self.actions.add(values.SendMessage(member, self.queries.reply_to(message)))
+                if number > self.registry.ledger.number:
                     self.queries.on_newer_table()
             case messages.InForceReply():
                 self.queries.on_reply(member, message)
             case messages.LeaseReply(number=number):
                 self.leases.on_renewal_reply(member, message)
-                if number > self.book.ledger.number:
+                if number > self.registry.ledger.number:
                     self.queries.on_newer_table()
             case messages.LeaseRequest():
                 self.leases.on_renewal_request(member, message)
@@ -309,10 +313,10 @@
         if self.inquiry.is_active and now_us >= self.inquiry.next_query_us:
             self.inquiry.on_sent(now_us)
             self.queries.send_query(
-                self.inquiry.silent_voters(self.book.table)
-                + self.book.non_voters_ahead()[:MAX_NON_VOTERS_QUERIED]
+                self.inquiry.silent_voters(self.registry.table)
+                + self.registry.non_voters_ahead()[:MAX_NON_VOTERS_QUERIED]
             )
-        has_missing = next(self.book.all_missing_releases(), None) is not None
+        has_missing = next(self.registry.all_missing_releases(), None) is not None
         if has_missing:
             self.leases.request_ends()
             self._record_lease_ends()
@@ -322,9 +326,9 @@
         self.activation.announce()
         self.suspension.report()
         if has_missing or self.inquiry.is_active or self.suspension.current.is_suspended:
-            self.actions.timer(now_us + self.settings.check_interval_us, "turn")
-        elif self.book.own_releases or self.book.release_records:
-            self.actions.timer(now_us + self.settings.catch_up_interval_us, "turn")
+            self.actions.set_timer(now_us + self.settings.check_interval_us, "turn")
+        elif self.registry.own_releases or self.registry.release_records:
+            self.actions.set_timer(now_us + self.settings.catch_up_interval_us, "turn")
         if not has_missing:
             self.release_learning.remove_expired()
             self._retract_known_releases()
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -140,7 +140,7 @@
     def _known(self) -> Table:
         """The table that was in force here last; the file's counts only where none ever was."""
         row = self.kept.map.get(("force", ""))
-        return self.config.table if row is None else ledger.read(row).table
+        return self.config.table if row is None else ledger.read_ledger(row).table
 
     def _run(self, machine: Any) -> Runner:
         return Runner(self.host.loop, self.host.clock, machine, self.kept, self.act)
@@ -515,7 +515,7 @@
         )
         self.host.schedule(0, self.publications.sweep)
         if self.shared is not None:
-            before = [t for t in self.switch.book.ledger.history if t.number < action.table.number]
+            before = [t for t in self.switch.registry.ledger.history if t.number < action.table.number]
             self.shared.table(action.table, tuple(t.members(self.me.site) for t in before))
         if self.started:
             self._want()
--- a/tests/federation_switch/switch_schedules.py
+++ b/tests/federation_switch/switch_schedules.py
@@ -98,7 +98,7 @@
     if running and not has_call and (not node.alive or node.paused):
         w.decommissioned_ids.add(node.member_id)
         declaring = rng.choice(running)
-        declaring.deliver(fv.MemberDecommissioned(node.member_id, declaring.switch.book.ledger.number))
+        declaring.deliver(fv.MemberDecommissioned(node.member_id, declaring.switch.registry.ledger.number))
 
 
 def heal(w: World) -> None:
--- a/tests/federation_switch/switch_world.py
+++ b/tests/federation_switch/switch_world.py
@@ -476,7 +476,7 @@
                 continue
             named = node.member_id in latest.members(node.member_id.site)
             mine = {d for d, s in latest.owners.items() if s == node.member_id.site and named}
-            if node.switch.book.ledger.number != latest.number or set(node.serving) != mine:
+            if node.switch.registry.ledger.number != latest.number or set(node.serving) != mine:
                 return False
             if mine and node.switch.suspension.current.is_suspended:
                 return False
@@ -484,8 +484,10 @@
 
     def settled(self) -> bool:
         """Whether, besides, no member keeps a record that is no longer needed."""
-        books = [n.switch.book for n in self.nodes.values() if n.alive]
-        return self.served() and not any(b.own_releases or b.release_records or b.ledger.debts for b in books)
+        books = [n.switch.registry for n in self.nodes.values() if n.alive]
+        return self.served() and not any(
+            b.own_releases or b.release_records or b.ledger.outstanding for b in books
+        )
 
     def next_table(self, owners: dict[int, str], **changes: Any) -> Table:
         latest = self.tables[-1]
--- a/tests/federation_switch/test_handed.py
+++ b/tests/federation_switch/test_handed.py
@@ -80,36 +80,36 @@
 def test_outstanding_releases_over_a_chain_of_tables():
     current = ledger.initial_ledger(table(1, {7: "a", 8: "b"}))
     current = ledger.next_ledger(current, table(2, {7: "b", 8: "b"}), unpaid, 0)
-    assert current.debts == {7: {A1: 2, A2: 2}}
+    assert current.outstanding == {7: {A1: 2, A2: 2}}
     current = ledger.next_ledger(current, table(3, {7: "a", 8: "b"}), unpaid, 0)
-    assert current.debts == {7: {A1: 2, A2: 2, B1: 3}}
+    assert current.outstanding == {7: {A1: 2, A2: 2, B1: 3}}
     current = ledger.next_ledger(current, table(4, {7: "c", 8: "b"}), lambda d, m, n: m == B1, 0)
-    assert current.debts == {7: {A1: 4, A2: 4}}
+    assert current.outstanding == {7: {A1: 4, A2: 4}}
     current = ledger.next_ledger(
         current, table(5, {7: "c", 8: "b"}, frozenset({A1}), a="m2", b="m1", c="m1"), unpaid, 0
     )
-    assert current.debts == {7: {A2: 4}}
-    again = ledger.read(current.row())
+    assert current.outstanding == {7: {A2: 4}}
+    again = ledger.read_ledger(current.row())
     assert again == replace(current, history=again.history) and len(again.history) == 5
 
 
 def test_an_omitted_member_must_release_all_destinations_of_its_site():
     current = ledger.initial_ledger(table(1, {7: "a"}))
     current = ledger.next_ledger(current, table(2, {7: "a"}, a="m2", b="m1"), unpaid, 0)
-    assert current.debts == {7: {A1: 2}}
+    assert current.outstanding == {7: {A1: 2}}
 
 
 def test_a_destination_without_a_previous_owner_needs_no_release():
     current = ledger.next_ledger(ledger.initial_ledger(table(1, {})), table(2, {7: "a"}), unpaid, 0)
-    assert current.debts == {}
+    assert current.outstanding == {}
 
 
 def test_voter_sets_are_kept_as_long_as_a_member_may_hold_leases_of_them():
     current = ledger.initial_ledger(table(1, {}))
     current = ledger.next_ledger(current, table(2, {}, a="m1", b="m1"), unpaid, 1)
-    assert [n for n, _ in current.councils] == [1, 2]
+    assert [n for n, _ in current.voter_sets] == [1, 2]
     current = ledger.next_ledger(current, table(3, {}, a="m1", b="m1"), unpaid, 2)
-    assert [n for n, _ in current.councils] == [2]
+    assert [n for n, _ in current.voter_sets] == [2]
 
 
 T2 = table(2, {7: "b"})
--- a/tests/federation_switch/test_model.py
+++ b/tests/federation_switch/test_model.py
@@ -223,10 +223,10 @@
             message = event.message if isinstance(event, mv.MessageReceived) else None
             if isinstance(message, (InForceQuery, LeaseRequest)):
                 newest_id = request_ids.get(event.member, (0, 0))[isinstance(message, LeaseRequest)]
-                event = replace(event, message=replace(message, ask=newest_id - message.ask))
+                event = replace(event, message=replace(message, ask=newest_id - message.request_id))
             elif isinstance(message, (InForceReply, LeaseReply)):
                 newest_id = request_ids.get(to, (0, 0))[isinstance(message, LeaseReply)]
-                event = replace(event, message=replace(message, ask=newest_id - message.ask))
+                event = replace(event, message=replace(message, ask=newest_id - message.request_id))
             if isinstance(message, InForceReply):
                 numbers = [t.number for t in message.tables]
                 event = (event.member, replace(event.message, tables=(), ledger=None), numbers)
@@ -274,12 +274,12 @@
         switchover.inquiry.newest_number,
         switchover.inquiry.next_query_us,
     )
-    answers = sorted((str(m), a.number, a.pending) for m, a in switchover.inquiry.answers.items())
+    answers = sorted((str(m), a.number, a.pending) for m, a in switchover.inquiry.replies.items())
     ownership = (
-        switchover.book.ledger.number,
-        switchover.book.ledger.debts,
-        sorted(switchover.book.release_records.items()),
-        switchover.book.standings,
+        switchover.registry.ledger.number,
+        switchover.registry.ledger.outstanding,
+        sorted(switchover.registry.release_records.items()),
+        switchover.registry.standings,
     )
     lease_state = (
         switchover.leases.grantor.last_renewed_us,
--- a/tests/federation_switch/test_switch.py
+++ b/tests/federation_switch/test_switch.py
@@ -65,7 +65,7 @@
     serving = w["b/m1"].serving
     w.agree(w.next_table({**w.tables[-1].owners, 9: "b"}))
     assert w.run(5 * SECOND, lambda: 9 in w["b/m1"].serving)
-    assert w["b/m1"].serving is serving and not w["a/m2"].switch.book.ledger.debts
+    assert w["b/m1"].serving is serving and not w["a/m2"].switch.registry.ledger.outstanding
 
 
 def test_a_member_that_joins_a_site_serves_its_destinations():
@@ -178,7 +178,7 @@
     w.learn(w["b/m1"], new)
     w.cut_links = {frozenset(ids("a/m1", "b/m1")), frozenset(ids("c/m1", "b/m1"))}
     assert w.run(
-        SECOND, lambda: w["a/m2"].switch.book.ledger.number == 1 and 7 not in w["b/m1"].relinquishing
+        SECOND, lambda: w["a/m2"].switch.registry.ledger.number == 1 and 7 not in w["b/m1"].relinquishing
     )
     w["a/m2"].kill()
     w["a/m2"].start()
@@ -334,12 +334,12 @@
     w.split("c/m1")
     start_call(w, "a/m2", 5 * SECOND)
     w.agree(moved(w, "b"), ids("a/m1", "a/m2", "b/m1"), delays=False)
-    assert w.run(5 * SECOND, lambda: A1 in w["b/m1"].switch.book.release_records.get(7, {}))
+    assert w.run(5 * SECOND, lambda: A1 in w["b/m1"].switch.registry.release_records.get(7, {}))
     w["a/m1"].kill()
     for node in w.nodes.values():
         node.gossip_entries = {k: r for k, r in node.gossip_entries.items() if r.owner != A1}
         if node.member_id != B1:
-            node.switch.book.release_records.pop(7, None)
+            node.switch.registry.release_records.pop(7, None)
     w["b/m1"].deliver(fv.MemberDecommissioned(A1, 2))
     w.agree(moved(w, "c"), ids("a/m2", "b/m1") + [A1], delays=False)
     w.run(SECOND)
@@ -409,7 +409,7 @@
     w["b/m1"].disk, w["b/m1"].agreed = {}, {}
     w["b/m1"].start()
     w.run(5 * SECOND)
-    assert 7 not in w["b/m1"].serving and w["b/m1"].switch.book.ledger.number == 2
+    assert 7 not in w["b/m1"].serving and w["b/m1"].switch.registry.ledger.number == 2
     assert w.run(30 * SECOND, w.settled)
 
 
@@ -452,10 +452,10 @@
     assert w.run(30 * SECOND, w.settled)
     w.run(10 * SECOND)
     for node in w.nodes.values():
-        registry = node.switch.book
+        registry = node.switch.registry
         assert (
             len(registry.ledger.history) == 8
-            and len(registry.ledger.councils) == 1
+            and len(registry.ledger.voter_sets) == 1
             and not registry.release_records
         )
         assert set(node.disk) <= {("force", ""), ("lease", "")} and not node.switch.actions.writes.records
