--- a/madderbeam/federation/switchover/activation.py
+++ b/madderbeam/federation/switchover/activation.py
@@ -90,7 +90,7 @@
     def write_without_outstanding(self) -> None:
         """Write the ledger again without its outstanding releases, once all have been made."""
         if self.registry.ledger.outstanding and self.candidate is None and not self.has_no_record:
-            self.write(replace(self.registry.ledger, debts={}), False)
+            self.write(replace(self.registry.ledger, outstanding={}), False)
 
     def on_written(self) -> tuple[Table, bool]:
         """The candidate is on disk and comes in force. Returns the previous table, and whether tables were
--- a/madderbeam/federation/switchover/ownership_registry.py
+++ b/madderbeam/federation/switchover/ownership_registry.py
@@ -172,7 +172,7 @@
         outstanding: dict[int, dict[MemberId, int]] = {}
         for dest, member, number in self.all_missing_releases():
             outstanding.setdefault(dest, {})[member] = number
-        return replace(self.ledger, debts=outstanding)
+        return replace(self.ledger, outstanding=outstanding)
 
     def set_standing(self, member: MemberId, standing: MemberStanding) -> None:
         """Store a member's latest announcement; ignored for new members once MAX_STANDINGS are stored."""
--- a/madderbeam/federation/switchover/status.py
+++ b/madderbeam/federation/switchover/status.py
@@ -10,15 +10,15 @@
 def status(switch: Any) -> dict[str, Any]:
     """The state of a Switchover, which imports this module. Spans are in milliseconds as of the last
     event."""
-    registry, now_us, suspension = switch.book, switch.actions.now_us, switch.suspension.current
+    registry, now_us, suspension = switch.registry, switch.actions.now_us, switch.suspension.current
     suspended = None if suspension.destinations is None else sorted(suspension.destinations)
     since_ms = (now_us - registry.in_force_since_us) // 1_000
     moving: dict[str, Any] = {}
     not_shown = 0
-    for dest in sorted(registry.ledger.debts):
+    for dest in sorted(registry.ledger.outstanding):
         missing_members = sorted(
             member
-            for member, number in registry.ledger.debts[dest].items()
+            for member, number in registry.ledger.outstanding[dest].items()
             if not registry.is_released(dest, member, number)
         )
         if not missing_members and dest not in switch.moves.relinquishing:
@@ -44,7 +44,9 @@
             str(member): {"in_force": standing.number, "settled": standing.is_settled}
             for member, standing in sorted(registry.standings.items())
         },
-        "called_off": {str(member): number for member, number in sorted(registry.words.items())},
+        "called_off": {
+            str(member): number for member, number in sorted(registry.decommissioned_up_to.items())
+        },
         "errors": [error.line() for error in switch.suspension.errors()],
     }
 
--- a/tests/federation_switch/test_model.py
+++ b/tests/federation_switch/test_model.py
@@ -223,10 +223,10 @@
             message = event.message if isinstance(event, mv.MessageReceived) else None
             if isinstance(message, (InForceQuery, LeaseRequest)):
                 newest_id = request_ids.get(event.member, (0, 0))[isinstance(message, LeaseRequest)]
-                event = replace(event, message=replace(message, ask=newest_id - message.request_id))
+                event = replace(event, message=replace(message, request_id=newest_id - message.request_id))
             elif isinstance(message, (InForceReply, LeaseReply)):
                 newest_id = request_ids.get(to, (0, 0))[isinstance(message, LeaseReply)]
-                event = replace(event, message=replace(message, ask=newest_id - message.request_id))
+                event = replace(event, message=replace(message, request_id=newest_id - message.request_id))
             if isinstance(message, InForceReply):
                 numbers = [t.number for t in message.tables]
                 event = (event.member, replace(event.message, tables=(), ledger=None), numbers)
@@ -386,7 +386,7 @@
 
 
 def outstanding_forgotten(kept: Ledger, *rest: Any) -> Ledger:
-    return next_ledger(replace(kept, debts={}), *rest)
+    return next_ledger(replace(kept, outstanding={}), *rest)
 
 
 SCENARIOS = [
@@ -408,7 +408,12 @@
 @pytest.mark.parametrize(
     "plant, owners, lease_us, prepare",
     [
-        (lambda p: p.setattr(OwnershipRegistry, "missing", lambda self, dest: {}), "aba", 0, at_the_start),
+        (
+            lambda p: p.setattr(OwnershipRegistry, "missing_releases", lambda self, dest: {}),
+            "aba",
+            0,
+            at_the_start,
+        ),
         (
             lambda p: p.setattr(LeaseGrantor, "can_confirm_end", confirms_without_grant_history),
             "aba",
--- a/tests/federation_switch/test_switch_planted.py
+++ b/tests/federation_switch/test_switch_planted.py
@@ -33,7 +33,7 @@
 
 
 def release_is_assumed(patch):
-    patch.setattr(ownership_registry.OwnershipRegistry, "missing", lambda self, dest: {})
+    patch.setattr(ownership_registry.OwnershipRegistry, "missing_releases", lambda self, dest: {})
 
 
 def lease_runs_from_the_reply(patch):
@@ -80,20 +80,20 @@
     patch.setattr(
         ownership_registry.OwnershipRegistry,
         "release_of_unserved",
-        lambda self, dest, number, now_us: fv.Release(dest, self.me, number),
+        lambda self, dest, number, now_us: fv.Release(dest, self.local_member, number),
     )
 
 
 def outstanding_releases_of_earlier_tables_are_dropped(patch):
     def after(book_, table, paid, oldest):
-        return original(replace(book_, debts={}), table, paid, oldest)
+        return original(replace(book_, outstanding={}), table, paid, oldest)
 
     original = ledger.next_ledger
     patch.setattr(ownership_registry, "next_ledger", after)
 
 
 def serving_resumes_after_one_reply(patch):
-    patch.setattr(inquiry.InForceInquiry, "told", lambda self, table: bool(self.answers))
+    patch.setattr(inquiry.InForceInquiry, "has_majority", lambda self, table: bool(self.replies))
 
 
 def serving_continues_after_a_pause(patch):
@@ -116,7 +116,7 @@
 def released_while_relinquishing(patch):
     def relinquish(self, dest):
         original(self, dest)
-        self._write(fv.Release(dest, self.registry.me, self.relinquishing[dest]))
+        self._write(fv.Release(dest, self.registry.local_member, self.relinquishing[dest]))
 
     original = moves.DestinationMoves._relinquish
     patch.setattr(moves.DestinationMoves, "_relinquish", relinquish)
@@ -143,7 +143,7 @@
 
 
 def clock_drift_is_ignored(patch):
-    patch.setattr(SwitchoverSettings, "lease_over_us", property(lambda self: self.lease_us))
+    patch.setattr(SwitchoverSettings, "lease_expiry_us", property(lambda self: self.lease_us))
 
 
 def only_the_wall_clock_is_used(patch):
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -85,7 +85,7 @@
 
 @bug(3, "F1")
 def a_release_is_assumed(patch):
-    patch.setattr(OwnershipRegistry, "missing", lambda self, dest: {})
+    patch.setattr(OwnershipRegistry, "missing_releases", lambda self, dest: {})
 
 
 @bug(8, "F1")
@@ -125,7 +125,7 @@
 
 @bug(0, "F6")
 def a_hold_is_lifted_by_a_minority(patch):
-    patch.setattr(InForceInquiry, "told", lambda self, table: bool(self.answers))
+    patch.setattr(InForceInquiry, "has_majority", lambda self, table: bool(self.replies))
 
 
 @bug(6, "F6")
