--- a/madderbeam/federation/switchover/activation.py
+++ b/madderbeam/federation/switchover/activation.py
@@ -52,7 +52,8 @@
 
     def add(self, table: Table) -> None:
         """Add an agreed table; one that is known or older changes nothing. Logs an error if the table in
-        force here has the same number and another content."""
+        force here has the same number and another content.
+        """
         current = self.registry.table
         if table.number == current.number and table.digest != current.digest:
             text = f"table {current.number} has digest {current.digest} here, but {table.digest} was agreed"
@@ -94,7 +95,8 @@
 
     def on_written(self) -> tuple[Table, bool]:
         """The candidate is on disk and comes in force. Returns the previous table, and whether tables were
-        skipped."""
+        skipped.
+        """
         assert self.candidate is not None
         previous, (ledger, skipped_tables) = self.registry.table, self.candidate
         self.registry.ledger, self.candidate, self.has_no_record = ledger, None, False
@@ -105,7 +107,8 @@
 
     def announce(self, again: bool = False) -> None:
         """Disseminate the table in force and whether a release is missing; `again`: even if nothing has
-        changed."""
+        changed.
+        """
         if self.has_no_record:
             return
         is_settled = next(self.registry.all_missing_releases(), None) is None
--- a/madderbeam/federation/switchover/consensus_view.py
+++ b/madderbeam/federation/switchover/consensus_view.py
@@ -24,7 +24,8 @@
 
     def may_vote(self) -> bool:
         """Whether this member's replies count; a non-voter's do unless its state is known to be an older
-        copy."""
+        copy.
+        """
         agreement = self.agreement
         if agreement.local_member in agreement.base.voters:
             return agreement.may_vote
--- a/madderbeam/federation/switchover/inquiry.py
+++ b/madderbeam/federation/switchover/inquiry.py
@@ -45,7 +45,7 @@
     """A view without agreement: nothing is ever pending."""
 
     def pending(self) -> Sequence[tuple[ProposalId, Table | None]]:
-        """None."""
+        """No proposals."""
         return ()
 
     def may_vote(self) -> bool:
@@ -53,7 +53,7 @@
         return True
 
     def known_since(self, number: int) -> Sequence[Table]:
-        """None."""
+        """No tables."""
         return ()
 
 
@@ -113,7 +113,8 @@
 
     def restart(self, now_us: int) -> None:
         """Use a new request number and query all voters at once; replies to earlier requests no longer
-        count."""
+        count.
+        """
         self.request_id += 1
         self.replies = {}
         self.next_query_us, self._retry_us = now_us, self.settings.query_retry_us
@@ -141,7 +142,8 @@
 
     def on_reply(self, member: MemberId, reply: InForceReply, table: Table) -> None:
         """Record a reply. A voter that knows a newer table is asked again until that table is in force
-        here."""
+        here.
+        """
         if self.is_active and reply.request_id == self.request_id and member in table.voters:
             self.newest_number = max(self.newest_number, reply.number)
             if reply.number <= table.number:
@@ -149,7 +151,8 @@
 
     def has_majority(self, table: Table) -> bool:
         """Whether a majority of the voters has replied without knowing a newer table (a voter outside it
-        may know one)."""
+        may know one).
+        """
         return is_majority(table.voters, self.replies)
 
     def members_with_other_table(self, registry: OwnershipRegistry) -> list[MemberId]:
@@ -189,5 +192,6 @@
 
     def silent_since(self, table: Table) -> list[tuple[MemberId, int]]:
         """The voters that have not replied, each with the time of its last message (0: none in this
-        process)."""
+        process).
+        """
         return [(voter, self.last_heard_us.get(voter, 0)) for voter in self.silent_voters(table)]
--- a/madderbeam/federation/switchover/ledger.py
+++ b/madderbeam/federation/switchover/ledger.py
@@ -28,7 +28,7 @@
 from madderbeam.membership.values import MemberId, Row
 
 MAX_HISTORY_TABLES = 8  # stored tables, including the one in force
-MAX_OUTSTANDING_RELEASES = 100_000  # pairs of destination and member; half of it stops staging
+MAX_OUTSTANDING_RELEASES = 100_000  # pairs of destination and member; staging stops at half of it
 MAX_VOTER_SETS = 64  # at this number no table with other voters is staged
 
 Outstanding = Mapping[int, Mapping[MemberId, int]]
@@ -38,9 +38,9 @@
 class Ledger:
     """The record of the tables in force.
 
-    `history`: the last tables, including `table`, which is in force. `debts`: by destination and member, the
-    number of the table that requires the release. `councils`: the sets of voters, each with the number of the
-    first table that had it; leases are renewed by them.
+    `history`: the last tables, including `table`, which is in force. `outstanding`: by destination and
+    member, the number of the table that requires the release. `voter_sets`: the sets of voters, each with the
+    number of the first table that had it; leases are renewed by them.
     """
 
     table: Table
@@ -157,7 +157,8 @@
 
 def read_tables(rows: Any) -> tuple[Table, ...]:
     """The tables of a list of documents with consecutive numbers. Raises ValueError with the name of the
-    field."""
+    field.
+    """
     tables = []
     for document in read_list(rows, "tables", MAX_HISTORY_TABLES):
         try:
--- a/madderbeam/federation/switchover/messages.py
+++ b/madderbeam/federation/switchover/messages.py
@@ -30,7 +30,7 @@
 
 MAX_REQUEST_ID = 2**62
 MAX_PENDING_PROPOSALS = 16
-MAX_RELEASES_PER_REPLY = 10_000  # of one reply: those with spans that have not ended
+MAX_RELEASES_PER_REPLY = 10_000  # those that still constrain a new owner
 MAX_LEASE_US = 3_600 * 1_000_000
 MAX_REASON_CHARACTERS = 400
 
@@ -50,7 +50,8 @@
 @dataclass(frozen=True)
 class InForceQuery:
     """Requests the tables after `number` from a voter. `has_no_record`: the sender has no table on disk
-    and needs the whole ledger."""
+    and needs the whole ledger.
+    """
 
     request_id: int
     number: int
@@ -65,9 +66,9 @@
     force. `has_no_record`: it has only the table of its configuration file. `tables`: consecutive tables
     after the number of the query, at most eight; a further query returns the next ones. `ledger`: the ledger
     before `tables`, if these do not reach back to the number of the query or the whole ledger was asked for.
-    `debts`: the releases that the table in force still misses; if `is_complete`, all others have been made.
-    `decommissioned`: members that an operator declared gone, with the number of the table up to which this
-    holds. `releases`: those with spans that have not ended.
+    `outstanding`: the releases that the table in force still misses; if `is_complete`, all others have been
+    made. `decommissioned`: members that an operator declared gone, with the number of the table up to which
+    this holds. `releases`: those that still constrain a new owner.
     """
 
     request_id: int
@@ -106,7 +107,8 @@
 @dataclass(frozen=True)
 class LeaseEndRequest:
     """Requests a voter's confirmation that these members hold no lease by a table below the number next to
-    each."""
+    each.
+    """
 
     members: tuple[tuple[MemberId, int], ...]
 
@@ -114,7 +116,8 @@
 @dataclass(frozen=True)
 class LeaseEndConfirmation:
     """A voter's confirmation, which it has on disk: no lease that it renewed for these members can still
-    run, and it renews none by a table below the number next to each."""
+    run, and it renews none by a table below the number next to each.
+    """
 
     members: tuple[tuple[MemberId, int], ...]
 
--- a/madderbeam/federation/switchover/moves.py
+++ b/madderbeam/federation/switchover/moves.py
@@ -48,13 +48,15 @@
 
     def relinquish(self, dests: Iterable[int]) -> None:
         """Relinquish the destinations whatever the table says, because a skipped table may have moved
-        them."""
+        them.
+        """
         for dest in sorted(dests):
             self._relinquish(dest)
 
     def on_released(self, release: Release) -> None:
         """The host has no call in flight at the destination any more. The release is written before it is
-        announced."""
+        announced.
+        """
         dest = release.dest
         if dest not in self.relinquishing or self.actions.writes.is_pending("release", str(dest)):
             return
--- a/madderbeam/federation/switchover/ownership_registry.py
+++ b/madderbeam/federation/switchover/ownership_registry.py
@@ -35,8 +35,8 @@
     """The registry of one member.
 
     `release_records`: releases of other members by destination and member, all on disk here; `own_releases`:
-    this member's, on disk as well; `words`: the table number up to which an operator declared a member
-    decommissioned.
+    this member's, on disk as well; `decommissioned_up_to`: the table number up to which an operator declared
+    a member decommissioned.
     """
 
     def __init__(self, local_member: MemberId, ledger: Ledger) -> None:
@@ -56,7 +56,8 @@
     @property
     def is_left_out(self) -> bool:
         """Whether this member has no part in the table in force, or an operator declared it
-        decommissioned."""
+        decommissioned.
+        """
         return (
             not is_active_member(self.table, self.local_member)
             or self.decommissioned_up_to.get(self.local_member, 0) >= self.table.number
@@ -64,7 +65,8 @@
 
     def is_released(self, dest: int, member: MemberId, number: int) -> bool:
         """Whether the member is known to have no call in flight at the destination by tables before this
-        number."""
+        number.
+        """
         record = (
             self.own_releases.get(dest)
             if member == self.local_member
@@ -75,7 +77,8 @@
 
     def missing_releases(self, dest: int) -> dict[MemberId, int]:
         """Members of other sites that have yet to release the destination, each with the table that
-        requires it."""
+        requires it.
+        """
         outstanding = self.ledger.outstanding.get(dest, {})
         return {
             member: number
@@ -92,7 +95,8 @@
 
     def missing_for_own_destinations(self) -> Iterator[tuple[int, MemberId, int]]:
         """The missing releases that keep this member from serving a destination that the table gives to
-        it."""
+        it.
+        """
         for dest in self.ledger.outstanding:
             if self.ledger.gives_to(self.local_member, dest):
                 for member, number in self.missing_releases(dest).items():
@@ -151,7 +155,8 @@
 
     def release_of_unserved(self, dest: int, number: int, now_us: int) -> Release:
         """This member's release of a destination that it never began to serve; it passes on what it
-        inherited."""
+        inherited.
+        """
         return merged(Release(dest, self.local_member, number), self.inherited_releases(dest, now_us))
 
     def next_ledger(self, table: Table) -> Ledger:
--- a/madderbeam/federation/switchover/pending_writes.py
+++ b/madderbeam/federation/switchover/pending_writes.py
@@ -17,7 +17,8 @@
 
 class PendingWrites:
     """Records whose write is not confirmed, at most one for each kind and key: a later one replaces the
-    earlier."""
+    earlier.
+    """
 
     def __init__(self, retry_us: int) -> None:
         self.retry_us = retry_us
@@ -55,7 +56,8 @@
 
     def schedule_rewrites(self, now_us: int) -> list[Any]:
         """The actions that write all unconfirmed records again later: which of them the failed write
-        dropped is unknown."""
+        dropped is unknown.
+        """
         return [
             SetTimer(now_us + self.retry_us, f"{TOKEN_PREFIX}again/{write_id}") for write_id in self.records
         ]
--- a/madderbeam/federation/switchover/queries.py
+++ b/madderbeam/federation/switchover/queries.py
@@ -51,7 +51,8 @@
 
     def on_newer_table(self) -> None:
         """A newer table is in force somewhere. It is queried for unless the agreement part delivers it
-        first."""
+        first.
+        """
         if not self.inquiry.is_active:
             self.inquiry.begin(self.actions.now_us, False)
             self.inquiry.next_query_us = self.actions.now_us + self.settings.query_retry_us
@@ -132,7 +133,8 @@
 
     def catch_up(self) -> None:
         """Query the voters and the members whose releases are missing, in case gossip did not deliver
-        them."""
+        them.
+        """
         now_us = self.actions.now_us
         if now_us - self._last_catch_up_us < self.settings.catch_up_interval_us:
             return
--- a/madderbeam/federation/switchover/release_learning.py
+++ b/madderbeam/federation/switchover/release_learning.py
@@ -32,7 +32,8 @@
 
 class ReleaseLearning:
     """Fills the registry from gossip entries, replies and operators. `wall_ms(now_us)` returns Unix time
-    in ms."""
+    in ms.
+    """
 
     def __init__(
         self,
--- a/madderbeam/federation/switchover/release_records.py
+++ b/madderbeam/federation/switchover/release_records.py
@@ -60,7 +60,8 @@
 
 def restored(row: Row, now_us: int, wall_ms: int) -> ReleaseRecord:
     """The record of a row written before a restart, shortened by the time that has passed for certain.
-    Raises ValueError."""
+    Raises ValueError.
+    """
     source, inner_row, recorded_at_us, recorded_wall_ms = row
     elapsed_us = max(0, min(now_us - recorded_at_us, (wall_ms - recorded_wall_ms) * 1_000))
     return ReleaseRecord(shortened(release_from_row(inner_row), elapsed_us), now_us, wall_ms, source)
@@ -147,7 +148,8 @@
 
 def read_text(value: Any, field: str, max_characters: int = MAX_NAME_CHARS) -> str:
     """The value if it is a string of at most `max_characters`. Raises ValueError with the name of the
-    field."""
+    field.
+    """
     if not isinstance(value, str) or len(value) > max_characters:
         raise ValueError(f"{field}: allowed: text of at most {max_characters} characters")
     return value
--- a/madderbeam/federation/switchover/status.py
+++ b/madderbeam/federation/switchover/status.py
@@ -7,10 +7,15 @@
 MAX_DESTINATIONS_SHOWN = 1_000
 
 
-def status(switch: Any) -> dict[str, Any]:
+def status(switchover: Any) -> dict[str, Any]:
     """The state of a Switchover, which imports this module. Spans are in milliseconds as of the last
-    event."""
-    registry, now_us, suspension = switch.registry, switch.actions.now_us, switch.suspension.current
+    event.
+    """
+    registry, now_us, suspension = (
+        switchover.registry,
+        switchover.actions.now_us,
+        switchover.suspension.current,
+    )
     suspended = None if suspension.destinations is None else sorted(suspension.destinations)
     since_ms = (now_us - registry.in_force_since_us) // 1_000
     moving: dict[str, Any] = {}
@@ -21,7 +26,7 @@
             for member, number in registry.ledger.outstanding[dest].items()
             if not registry.is_released(dest, member, number)
         )
-        if not missing_members and dest not in switch.moves.relinquishing:
+        if not missing_members and dest not in switchover.moves.relinquishing:
             continue
         if len(moving) >= MAX_DESTINATIONS_SHOWN:
             not_shown += 1
@@ -33,12 +38,12 @@
         }
     return {
         "in_force": {"number": registry.ledger.number, "digest": registry.table.digest, "for_ms": since_ms},
-        "agreed_not_in_force": sorted(switch.activation.agreed),
+        "agreed_not_in_force": sorted(switchover.activation.agreed),
         "moving": moving,
         "moving_not_shown": not_shown,
-        "served": len(switch.moves.served),
-        "letting_go": sorted(switch.moves.relinquishing),
-        "lease": _lease(switch),
+        "served": len(switchover.moves.served),
+        "letting_go": sorted(switchover.moves.relinquishing),
+        "lease": _lease(switchover),
         "hold": {"on": suspension.is_suspended, "why": suspension.reason, "destinations": suspended},
         "others": {
             str(member): {"in_force": standing.number, "settled": standing.is_settled}
@@ -47,12 +52,12 @@
         "called_off": {
             str(member): number for member, number in sorted(registry.decommissioned_up_to.items())
         },
-        "errors": [error.line() for error in switch.suspension.errors()],
+        "errors": [error.line() for error in switchover.suspension.errors()],
     }
 
 
-def _lease(switch: Any) -> dict[str, Any] | None:
-    if not switch.settings.lease_us:
+def _lease(switchover: Any) -> dict[str, Any] | None:
+    if not switchover.settings.lease_us:
         return None
-    remaining_us = switch.lease_holder.valid_until_us - switch.actions.now_us
-    return {"lease_ms": switch.settings.lease_us // 1_000, "left_ms": max(0, remaining_us // 1_000)}
+    remaining_us = switchover.lease_holder.valid_until_us - switchover.actions.now_us
+    return {"lease_ms": switchover.settings.lease_us // 1_000, "left_ms": max(0, remaining_us // 1_000)}
--- a/madderbeam/federation/switchover/suspension.py
+++ b/madderbeam/federation/switchover/suspension.py
@@ -16,7 +16,8 @@
 
 class ServingSuspension:
     """Keeps the host's suspension up to date. `current` is the last one sent: of nothing, some
-    destinations or all."""
+    destinations or all.
+    """
 
     def __init__(
         self,
@@ -58,7 +59,8 @@
 
     def errors(self) -> list[FederationError]:
         """The errors that have kept this member from serving its site's destinations for the report
-        interval."""
+        interval.
+        """
         errors: list[FederationError] = []
         number = self.registry.table.number
         if self.registry.is_left_out:
@@ -70,13 +72,13 @@
             and self._is_reportable(self.inquiry.since_us)
             and self.inquiry.suspends_all
         ):
-            errors.append(self._no_word())
+            errors.append(self._in_force_unknown_error())
         if (
             not self.lease_holder.is_valid(self.actions.now_us)
             and self.no_lease_since_us
             and self._is_reportable(self.no_lease_since_us)
         ):
-            errors.append(self._lease_lost())
+            errors.append(self._lease_lost_error())
         return errors + self._missing_releases()
 
     def _desired_state(self) -> SuspendServing:
@@ -90,11 +92,12 @@
         if self.inquiry.suspends_all:
             text = f"asks the voters of table {table.number} what is in force"
             is_reportable = self._is_reportable(self.inquiry.since_us)
-            return SuspendServing(True, self._no_word().line() if is_reportable else text)
+            return SuspendServing(True, self._in_force_unknown_error().line() if is_reportable else text)
         if not has_lease:
             is_reportable = self._is_reportable(self.no_lease_since_us)
             return SuspendServing(
-                True, self._lease_lost().line() if is_reportable else "waits for its lease to be renewed"
+                True,
+                self._lease_lost_error().line() if is_reportable else "waits for its lease to be renewed",
             )
         if self.inquiry.suspended_destinations:
             reason = f"a table after {table.number} is pending that would move them"
@@ -104,7 +107,7 @@
     def _is_reportable(self, since_us: int) -> bool:
         return self.actions.now_us - since_us >= self.settings.report_interval_us
 
-    def _no_word(self) -> NoWord:
+    def _in_force_unknown_error(self) -> NoWord:
         silent = self.inquiry.silent_since(self.registry.table)
         return NoWord(
             f"the voters of table {self.registry.table.number} were asked "
@@ -112,7 +115,7 @@
             f"and no majority has told what is in force: {self._silent_text(silent)}"
         )
 
-    def _lease_lost(self) -> LeaseLost:
+    def _lease_lost_error(self) -> LeaseLost:
         last_heard_us = self.inquiry.last_heard_us
         voters = [
             (voter, last_heard_us.get(voter, 0))
--- a/madderbeam/federation/switchover/switchover.py
+++ b/madderbeam/federation/switchover/switchover.py
@@ -132,7 +132,8 @@
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
         """Process one event and return the actions that follow from it. Starts the machine if nothing has
-        yet."""
+        yet.
+        """
         if self.records is not None:
             return self.start(now_us) + (
                 [] if isinstance(event, ServingPaused) else self.handle(now_us, event)
--- a/tests/federation_switch/switch_schedules.py
+++ b/tests/federation_switch/switch_schedules.py
@@ -1,5 +1,6 @@
 """Random schedules from a seed: tables, kills, pauses, cut links and decommissioned members, with
-failures."""
+failures.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +15,19 @@
 from madderbeam.membership.values import MemberId
 
 STEPS = 14
-STEPS_DRAWN = ("table", "table", "table", "kill", "start", "pause", "go on", "cut", "heal", "rumoured", "off")
+STEPS_DRAWN = (
+    "table",
+    "table",
+    "table",
+    "kill",
+    "start",
+    "pause",
+    "resume",
+    "cut",
+    "heal",
+    "proposal",
+    "off",
+)
 SITES = ("a", "b", "c")
 
 
@@ -57,13 +70,13 @@
         node.start()
     elif what == "pause" and node.alive and not node.paused:
         node.pause()
-    elif what == "go on" and node.alive and node.paused:
+    elif what == "resume" and node.alive and node.paused:
         node.resume()
     elif what == "cut":
         w.split(*(str(m) for m in rng.sample(sorted(w.nodes), rng.randrange(1, len(w.nodes)))))
     elif what == "heal":
         w.cut_links = set()
-    elif what == "rumoured" and node.member_id in w.tables[-1].voters:
+    elif what == "proposal" and node.member_id in w.tables[-1].voters:
         pending = drawn(w, rng)
         if pending.proposal_id != w.tables[-1].proposal_id:
             node.accepted[pending.proposal_id] = pending
--- a/tests/federation_switch/switch_world.py
+++ b/tests/federation_switch/switch_world.py
@@ -32,7 +32,8 @@
 
 def table(number: int, sites: dict[str, str], owners: dict[int, str], off: str = "") -> Table:
     """A table. `sites`: the names of the members by site, with a leading - for a non-voter; `off`:
-    SITE/NAME ..."""
+    SITE/NAME ...
+    """
     rows = {
         s: tuple(MemberRow(n.lstrip("-"), (f"{s}.{n}", 1), not n.startswith("-")) for n in names.split())
         for s, names in sites.items()
@@ -283,15 +284,15 @@
         world.after(rng.randrange(50 * MS, 200 * MS), self.if_running(self.gossip))
         others = [n for n in world.nodes.values() if n is not self and n.alive and not world.is_cut(self, n)]
         if others and rng.random() >= world.loss:
-            other, rumours = rng.choice(others), list(self.gossip_entries.values())
-            world.after(rng.randrange(MS, 50 * MS), other.if_running(lambda: other.receive_gossip(rumours)))
+            other, entries = rng.choice(others), list(self.gossip_entries.values())
+            world.after(rng.randrange(MS, 50 * MS), other.if_running(lambda: other.receive_gossip(entries)))
 
-    def receive_gossip(self, rumours: list[mv.GossipEntry]) -> None:
-        for rumour in rumours:
-            known = self.gossip_entries.get((rumour.owner, rumour.key))
-            if rumour.owner != self.member_id and (known is None or known.version < rumour.version):
-                self.gossip_entries[rumour.owner, rumour.key] = rumour
-                self.deliver(mv.GossipReceived(rumour))
+    def receive_gossip(self, entries: list[mv.GossipEntry]) -> None:
+        for entry in entries:
+            known = self.gossip_entries.get((entry.owner, entry.key))
+            if entry.owner != self.member_id and (known is None or known.version < entry.version):
+                self.gossip_entries[entry.owner, entry.key] = entry
+                self.deliver(mv.GossipReceived(entry))
 
 
 @dataclass
@@ -351,7 +352,8 @@
 
     def run(self, span_us: int, until: Callable[[], bool] | None = None) -> bool:
         """Advance the time. Returns True as soon as `until` holds, else the time ends at the end of the
-        span."""
+        span.
+        """
         end_us = self.now_us + span_us
         while self._heap and self._heap[0][0] <= end_us:
             self.now_us, _, action = heapq.heappop(self._heap)
@@ -396,7 +398,8 @@
 
     def agree(self, new: Table, voters: list[MemberId] | None = None, delays: bool = True) -> None:
         """Make the table agreed now: a majority of voters accepts it, and the members learn it at
-        different times."""
+        different times.
+        """
         voters = self.quorum() if voters is None else voters
         self.chosen[new.number] = new
         self.tables.append(new)
@@ -412,7 +415,8 @@
 
     def learn(self, node: Node, new: Table) -> None:
         """Deliver the agreed table to the member if it is running and can reach one that knows it; others
-        query later."""
+        query later.
+        """
         sources = [n for n in self.nodes.values() if (n.alive and new.proposal_id in n.accepted) or n is node]
         reached = new.proposal_id in node.accepted
         reached = reached or any(not self.is_cut(node, n) for n in sources if n is not node)
--- a/tests/federation_switch/test_model.py
+++ b/tests/federation_switch/test_model.py
@@ -57,9 +57,9 @@
     return TABLES[key]
 
 
-def _remembered(told: fv.Table) -> tuple[int, str]:
-    key = (told.number, told.owners[7])
-    TABLES.setdefault(key, told)
+def _remembered(known: fv.Table) -> tuple[int, str]:
+    key = (known.number, known.owners[7])
+    TABLES.setdefault(key, known)
     return key
 
 
@@ -183,11 +183,11 @@
                         self.timers[member][token] = at_us
                 case mv.SendMessage(to, message):
                     self.send(to, mv.MessageReceived(member, message))
-                case mv.Disseminate(key, version, told, keep_us):
+                case mv.Disseminate(key, version, body, keep_us):
                     for other in MEMBERS:
                         if other != member:
                             self.send(
-                                other, mv.GossipReceived(mv.GossipEntry(member, key, version, told, keep_us))
+                                other, mv.GossipReceived(mv.GossipEntry(member, key, version, body, keep_us))
                             )
                 case fv.Relinquish(_, number):
                     self.in_flight_calls[member] = number
@@ -265,7 +265,8 @@
 
 def _shown(switchover: Switchover) -> Any:
     holder = [
-        (switchover.leases.request_id - ask, v) for ask, v in switchover.lease_holder._open_requests.items()
+        (switchover.leases.request_id - request_id, v)
+        for request_id, v in switchover.lease_holder._open_requests.items()
     ]
     inquiry = (
         switchover.inquiry.is_active,
@@ -347,12 +348,14 @@
     model.agreed(MEMBERS[2])
     model.flush(MEMBERS[0])
     model.tick()
-    late = [f for f in model.in_transit if isinstance(getattr(f[1], "message", None), LeaseRequest)]
+    late_requests = [f for f in model.in_transit if isinstance(getattr(f[1], "message", None), LeaseRequest)]
     model.flush(MEMBERS[0])
     model.in_transit = []
     model.tick()
-    asked = [f for f in model.in_transit if isinstance(getattr(f[1], "message", None), LeaseEndRequest)]
-    model.in_transit = [f for f in late if f[1].member == MEMBERS[0]] + asked
+    end_requests = [
+        f for f in model.in_transit if isinstance(getattr(f[1], "message", None), LeaseEndRequest)
+    ]
+    model.in_transit = [f for f in late_requests if f[1].member == MEMBERS[0]] + end_requests
 
 
 def explore(owners: str, lease_us: int, prepare: Callable[[Model], None], depth: int) -> tuple[int, int]:
@@ -406,7 +409,7 @@
 
 
 @pytest.mark.parametrize(
-    "plant, owners, lease_us, prepare",
+    "seed_fault, owners, lease_us, prepare",
     [
         (
             lambda p: p.setattr(OwnershipRegistry, "missing_releases", lambda self, dest: {}),
@@ -424,8 +427,8 @@
     ],
     ids=["release is assumed", "voter forgets its last grant", "earlier outstanding releases are dropped"],
 )
-def test_seeded_faults_are_found(monkeypatch, plant, owners, lease_us, prepare):
-    plant(monkeypatch)
+def test_seeded_faults_are_found(monkeypatch, seed_fault, owners, lease_us, prepare):
+    seed_fault(monkeypatch)
     with pytest.raises(Overlap):
         explore(owners, lease_us, prepare, DEPTH + 1)
 
--- a/tests/federation_switch/test_new_voters.py
+++ b/tests/federation_switch/test_new_voters.py
@@ -1,5 +1,6 @@
 """Voters that never granted a lease confirm its end too; none does for a member that serves without
-leases."""
+leases.
+"""
 
 import pytest
 from switch_world import SECOND, World, ids, table
@@ -29,7 +30,8 @@
 
 def passed_to_b(w, sites, limit_us=6 * LEASE_US):
     """Cut off a/m1 and agree on a table with these voters that moves 7 to b. Whether a member of b begins
-    to serve."""
+    to serve.
+    """
     w.split("a/m1")
     new = table(2, sites, {7: "b", 8: "b"})
     w.agree(new, ids("b/m1", "c/m1"), delays=False)
--- a/tests/federation_switch/test_switch.py
+++ b/tests/federation_switch/test_switch.py
@@ -76,7 +76,8 @@
 
 def test_after_the_old_owner_dies_the_new_one_waits_for_its_decommissioning():
     """Without leases a dead owner may have calls in flight, so only an operator's declaration replaces its
-    release."""
+    release.
+    """
     w = world()
     start_call(w, "a/m1", 30 * SECOND)
     w["a/m1"].kill()
@@ -84,8 +85,8 @@
     at_us = w.now_us
     w.run(60 * SECOND)
     assert "b/m1" not in calls(w, at_us)
-    told = [e for e in errors(w, "b/m1") if isinstance(e, ReleaseMissing)]
-    assert told and "a/m1 has not released 7" in told[0].what and "call it off" in told[0].advice
+    reported = [e for e in errors(w, "b/m1") if isinstance(e, ReleaseMissing)]
+    assert reported and "a/m1 has not released 7" in reported[0].what and "call it off" in reported[0].advice
     assert w["b/m1"].switch.status(w["b/m1"].now_us())["moving"]["7"]["not_released"] == ["a/m1"]
     w["c/m1"].deliver(fv.MemberDecommissioned(A1, 2))
     assert w.run(10 * SECOND, lambda: 7 in w["b/m1"].serving)
@@ -158,15 +159,16 @@
     at_us = w.now_us
     w.run(20 * SECOND)
     assert "a/m1" not in calls(w, at_us)
-    told = [e for e in errors(w, "a/m1") if isinstance(e, NoWord)]
-    assert told and "a/m2 (never heard)" in told[0].what and "c/m1" not in told[0].what
+    reported = [e for e in errors(w, "a/m1") if isinstance(e, NoWord)]
+    assert reported and "a/m2 (never heard)" in reported[0].what and "c/m1" not in reported[0].what
     w.cut_links = set()
     assert w.run(10 * SECOND, lambda: "LeftOut" in w["a/m1"].suspension.reason)
 
 
 def test_a_pending_proposal_is_finished_before_serving():
     """Table 2 is agreed. The members that a/m1 reaches don't know that, but voters among them have
-    accepted it."""
+    accepted it.
+    """
     w = world()
     w["a/m1"].kill()
     w.split("b/m1")
@@ -216,7 +218,8 @@
 
 def cut_off(w: World) -> int:
     """Cut off a/m1, which serves on by its lease, and move 7 to b. Returns when the last call of a/m1
-    ended."""
+    ended.
+    """
     w.split("a/m1")
     at_us = w.now_us
     w.agree(moved(w), ids("a/m2", "b/m1", "c/m1"), delays=False)
@@ -267,11 +270,11 @@
         w[name].start()
     w.run(SECOND)
     w.cut_links = {frozenset((A1, B1))}
-    asked: list[LeaseRequest] = []
+    inquiries: list[LeaseRequest] = []
     # It queries nobody, so it learns no newer table.
-    w["a/m1"].switch.inquiry.begin = lambda *a: asked.append(a)
+    w["a/m1"].switch.inquiry.begin = lambda *a: inquiries.append(a)
     w.run(5 * SECOND)
-    assert asked and not w["a/m1"].switch.lease_holder.is_valid(w["a/m1"].now_us())
+    assert inquiries and not w["a/m1"].switch.lease_holder.is_valid(w["a/m1"].now_us())
     del w["a/m1"].switch.inquiry.begin
     w.cut_links = set()
     assert w.run(20 * SECOND, w.settled)
@@ -328,7 +331,8 @@
 
 def test_a_wait_is_passed_on_by_an_owner_that_never_served():
     """c learns that a/m1 is decommissioned before its release arrives, and a/m2's release does not reach
-    b."""
+    b.
+    """
     w = world()
     w["a/m1"].wait_until_us[7] = until_us = w.now_us + 12 * SECOND
     w.split("c/m1")
@@ -469,8 +473,8 @@
     w["a/m0"].start()
     objection = w["a/m0"].switch.objection
     new = fv.Table(2, rows, dict.fromkeys(many, "b"))
-    told = objection(new)
-    assert told is not None and "owners" in told.what
+    error = objection(new)
+    assert error is not None and "owners" in error.what
     assert objection(replace(w.first_table, number=2)) is None
 
 
--- a/tests/federation_switch/test_switch_planted.py
+++ b/tests/federation_switch/test_switch_planted.py
@@ -59,9 +59,9 @@
 
 
 def confirmation_does_not_bind_the_voter(patch):
-    def renew(self, *asked):
+    def renew(self, *arguments):
         self.min_renewal_table.clear()
-        return original(self, *asked)
+        return original(self, *arguments)
 
     original = lease.LeaseGrantor.renew
     patch.setattr(lease.LeaseGrantor, "renew", renew)
@@ -138,8 +138,8 @@
 
 
 def pending_proposals_are_ignored(patch):
-    patch.setattr(inquiry, "pending_proposals", lambda council, table: ())
-    patch.setattr(replies, "pending_proposals", lambda council, table: ())
+    patch.setattr(inquiry, "pending_proposals", lambda consensus, table: ())
+    patch.setattr(replies, "pending_proposals", lambda consensus, table: ())
 
 
 def clock_drift_is_ignored(patch):
@@ -177,9 +177,9 @@
 }
 
 
-@pytest.mark.parametrize("plant", FAULTS, ids=lambda p: p.__name__)
-def test_a_seeded_fault_is_found(plant, monkeypatch):
-    FAULTS[plant]()
-    plant(monkeypatch)
+@pytest.mark.parametrize("seed_fault", FAULTS, ids=lambda p: p.__name__)
+def test_a_seeded_fault_is_found(seed_fault, monkeypatch):
+    FAULTS[seed_fault]()
+    seed_fault(monkeypatch)
     with pytest.raises(AssertionError):
-        FAULTS[plant]()
+        FAULTS[seed_fault]()
