--- a/madderbeam/host/federation/__init__.py
+++ b/madderbeam/host/federation/__init__.py
@@ -1,1 +1,1 @@
-"""The federation in the host: its machines joined with admission, journal, list and decision module."""
+"""The federation in the host: connects its state machines to admission, journal, endpoints and engine."""
--- a/madderbeam/host/federation/calls.py
+++ b/madderbeam/host/federation/calls.py
@@ -1,4 +1,4 @@
-"""The federation at the second address: who is there, what is in force, tables that are offered, words."""
+"""The federation's calls at the admin address: status, table proposals and operator statements."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from madderbeam.transport.control import Answer
 from madderbeam.transport.mesh.mesh import Mesh
 
-CALL_MOST = 1 << 20  # bytes of a call: a table of 10,000 destinations
-OUTCOMES = 16  # of tables offered here that are shown
+CALL_MOST = 1 << 20  # fits a table of 10,000 destinations
+OUTCOMES = 16  # most recent proposals whose outcome is reported
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class Member:
-    """What the calls look at and speak to. `table`: the one in force; `tell` takes the operator's words."""
+    """What the calls read and write: `table` returns the table in force, `tell` posts federation events."""
 
     host: Host
     disk: Disk
@@ -55,7 +55,7 @@
 
 
 class Calls:
-    """Answers them, and remembers what became of the tables that were offered here."""
+    """Serves the calls and remembers the outcomes of the tables proposed at this member."""
 
     def __init__(self, member: Member) -> None:
         self.member, self.me = member, member.config.id
@@ -70,7 +70,7 @@
         }
 
     def outcome(self, outcome: ProposalOutcome) -> None:
-        """What became of a table that was offered here."""
+        """Record the outcome of a table proposed at this member."""
         self.outcomes.pop(outcome.proposal, None)
         self.outcomes[outcome.proposal] = outcome
         if len(self.outcomes) > OUTCOMES:
@@ -78,7 +78,7 @@
         if outcome.is_agreed:
             log.info("federation: table %s is agreed", outcome.proposal)
         else:
-            log.error("federation: table %s is turned down: %s", outcome.proposal, _line(outcome.error))
+            log.error("federation: table %s was rejected: %s", outcome.proposal, _line(outcome.error))
 
     # Calls
 
@@ -86,30 +86,31 @@
         return Answer(200, json.dumps(self.state(), indent=1) + "\n")
 
     def state(self) -> dict[str, Any]:
-        """All that is known here; spans in milliseconds."""
-        here = self.member
-        now = here.host.clock()
-        sites = here.membership.sites()
+        """Return the document of GET /federation; durations are in milliseconds."""
+        member = self.member
+        now = member.host.clock()
+        sites = member.membership.sites()
         return {
-            "federation": here.config.name,
+            "federation": member.config.name,
             "member": str(self.me),
-            "start": here.membership.incarnation.start,
-            "members": [_member(view, now) for view in here.membership.views()],
+            "start": member.membership.incarnation.start,
+            "members": [_member(view, now) for view in member.membership.views()],
             "sites": {
-                name: {"live": list(map(str, s.live)), "none_for_ms": _ago(s.empty_since_us, now)}
-                for name, s in sites.items()
+                name: {"live": list(map(str, site.live)), "none_for_ms": _ago(site.empty_since_us, now)}
+                for name, site in sites.items()
             },
-            "health": here.membership.health,
-            "table": here.table().document(),
-            "agreement": here.agreement.status(now),
-            "switch": here.switch.status(now),
+            "health": member.membership.health,
+            "table": member.table().document(),
+            "agreement": member.agreement.status(now),
+            "switch": member.switch.status(now),
             "offered": {
-                str(p): "agreed" if o.is_agreed else _line(o.error) for p, o in self.outcomes.items()
+                str(proposal): "agreed" if outcome.is_agreed else _line(outcome.error)
+                for proposal, outcome in self.outcomes.items()
             },
-            "streams": _streams(here.streams.figures, now),
-            "custody": here.custodian.figures,
-            "mesh": here.mesh.metrics(),
-            **({"shared": here.shared.status(now)} if here.shared else {}),
+            "streams": _streams(member.streams.figures, now),
+            "custody": member.custodian.figures,
+            "mesh": member.mesh.metrics(),
+            **({"shared": member.shared.status(now)} if member.shared else {}),
         }
 
     def _offer(self, body: bytes) -> Answer:
@@ -140,29 +141,29 @@
             return Answer(400, 'the body must be a JSON object like {"member":"SITE/NAME"}\n')
         if member == self.me:
             return Answer(409, f"{member} is this member, and it works\n")
-        log.warning("federation: an operator says that %s is off", member)
+        log.warning("federation: an operator declared %s decommissioned", member)
         self.member.tell(MemberDecommissioned(member, self.member.table().number))
         return Answer(200, f"{member} counts as off by table {self.member.table().number}\n")
 
     def _trust(self, _: bytes) -> Answer:
-        log.warning("federation: an operator says that this member's folder may be trusted")
+        log.warning("federation: an operator declared this member's state folder trusted")
         self.member.tell(RollbackAccepted())
         return Answer(200, f"{self.me} takes part in votes again\n")
 
     # SIGHUP
 
     def offer_file(self) -> None:
-        """Offer the table in the file that the configuration names, if it is the next."""
+        """Propose the table of the configured file if its number is above that of the table in force."""
         path = self.member.config.table_file
         if not path:
             return
         try:
             table = tables.read_table(json.loads(self.member.disk.read(path)))
         except (OSError, ValueError, RecursionError) as error:
-            log.error("federation: %s: the table stays as it is: %s", path, error)
+            log.error("federation: %s: the table is unchanged: %s", path, error)
             return
         except FederationError as error:
-            log.error("federation: %s: the table stays as it is: %s", path, error.line())
+            log.error("federation: %s: the table is unchanged: %s", path, error.line())
             return
         if table.number > self.member.table().number:
             answer = self._offered(table)
@@ -170,8 +171,8 @@
 
 
 def _line(error: Exception | None) -> str:
-    line: Callable[[], str] | None = getattr(error, "line", None)
-    return line() if line is not None else str(error)
+    line_method: Callable[[], str] | None = getattr(error, "line", None)
+    return line_method() if line_method is not None else str(error)
 
 
 def _named(body: bytes) -> MemberId | None:
@@ -199,11 +200,11 @@
 
 
 def _streams(figures: dict[str, dict[str, Any]], now_us: int) -> dict[str, dict[str, Any]]:
-    """As the machine has them, with spans in place of times."""
+    """Replace the points in time of the machine's metrics by durations."""
     return {
         site: {
             "away_for_ms": _ago(row["away_since_us"], now_us),
-            **{k: v for k, v in row.items() if k != "away_since_us"},
+            **{name: value for name, value in row.items() if name != "away_since_us"},
         }
         for site, row in figures.items()
     }
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -1,4 +1,4 @@
-"""The federation's room: mesh, membership, streams, custody and table, joined with the turn."""
+"""The federation component: connects mesh, membership, streams, custody and table to the host."""
 
 from __future__ import annotations
 
@@ -83,17 +83,20 @@
 from madderbeam.transport.mesh.events import MeshSettings
 from madderbeam.transport.mesh.mesh import Mesh
 
-# Channels: membership, relay, agreement on the table, switch-over, leases on limits.
+# Mesh channels: membership, relay, consensus on the table, switchover, leases on limits.
 M, R, T, S, L = "m", "r", "t", "s", "l"
-LINKS = 256  # that are kept up; to more members they are made when there is something to say
+LINKS = 256  # permanent links; links to further members are opened on demand
 log = logging.getLogger(__name__)
 
 
 class FederationComponent(Component):
-    """One member. Its machines run from `open` on; what they keep lies beside the journal's folder."""
+    """One member of the federation.
+
+    Its state machines run from `open` on and store their state in a folder beside the journal's.
+    """
 
     def __init__(self, host: Host, ports: Ports, config: Config) -> None:
-        """OSError if its folder can't be used."""
+        """Create the state machines. OSError if the state folder can't be used."""
         self.host, self.config = host, config
         sync = bool(host.config.sidecar and host.config.sidecar.sync)
         self.kept = Kept(ports.disk, host.config.state.rstrip("/") + "-federation", sync)
@@ -113,7 +116,8 @@
             rng=self.chance,
             settings=MeshSettings(drift_ppm=config.lease_drift_ppm),
         )
-        self.subscribed: dict[str, set[int]] | None = None  # not told yet; that there are none is told, too
+        # None: not posted yet; an empty set is posted too
+        self.subscribed: dict[str, set[int]] | None = None
         self.started = False
         self._membership()
         self._table()
@@ -138,7 +142,7 @@
         self._actions: dict[type, Callable[[Any], None]] = self._acts()
 
     def _known(self) -> Table:
-        """The table that was in force here last; the file's counts only where none ever was."""
+        """Return the last table in force here, or the configured one if none ever was."""
         row = self.kept.map.get(("force", ""))
         return self.config.table if row is None else ledger.read_ledger(row).table
 
@@ -146,35 +150,39 @@
         return Runner(self.host.loop, self.host.clock, machine, self.kept, self.act)
 
     def _wall_ms(self, now_us: int) -> int:
-        """Wall time of a monotonic one, as the journal has it: it does not step while the process lives."""
+        """Convert monotonic to wall time by the journal's clock, which does not step in a running process."""
         wall = self.host.journal.wall
         return int((wall() - (self.host.clock() - now_us) / 1e6) * 1e3)
 
-    # The parts
+    # State machines
 
     def _membership(self) -> None:
-        c, t = self.config, self.config.times
+        config, times = self.config, self.config.times
         settings = MembershipSettings(
-            probe_period_us=t.probe_period_ms * 1000,
-            probe_timeout_us=t.probe_timeout_ms * 1000,
-            indirect_probes=t.indirect_probes,
-            suspicion_alpha=t.suspicion_alpha,
-            suspicion_beta=t.suspicion_beta,
-            exchange_period_us=t.exchange_period_ms * 1000,
+            probe_period_us=times.probe_period_ms * 1000,
+            probe_timeout_us=times.probe_timeout_ms * 1000,
+            indirect_probes=times.indirect_probes,
+            suspicion_alpha=times.suspicion_alpha,
+            suspicion_beta=times.suspicion_beta,
+            exchange_period_us=times.exchange_period_ms * 1000,
         )
-        seeds = tuple(c.via.get(member, address) for member, address in c.seeds)
+        seeds = tuple(config.via.get(member, address) for member, address in config.seeds)
         self.membership = Membership(
-            settings, self.me, self.life, c.listen, seeds, c.via, self.chance, self.kept.map
+            settings, self.me, self.life, config.listen, seeds, config.via, self.chance, self.kept.map
         )
         self.members = self._run(self.membership)
 
     def _table(self) -> None:
-        c = self.config
-        agreed = AgreementSettings(vote_timeout_us=c.agree_within_ms * 1000)
-        self.agreement = Agreement(agreed, self.me, self.life, self.chance, self.kept.map, self.table)
-        switched = SwitchoverSettings(lease_us=(c.lease_ms or 0) * 1000, drift_ppm=c.lease_drift_ppm)
+        config = self.config
+        agreement_settings = AgreementSettings(vote_timeout_us=config.agree_within_ms * 1000)
+        self.agreement = Agreement(
+            agreement_settings, self.me, self.life, self.chance, self.kept.map, self.table
+        )
+        switchover_settings = SwitchoverSettings(
+            lease_us=(config.lease_ms or 0) * 1000, drift_ppm=config.lease_drift_ppm
+        )
         self.switch = Switchover(
-            switched,
+            switchover_settings,
             self.me,
             self.life,
             self.kept.map,
@@ -189,22 +197,26 @@
             self.me,
             self._may_call,
             self._released,
-            lambda m: self.publications.passed_on(m),
-            c.lease_ms is not None,
+            lambda message: self.publications.passed_on(message),
+            config.lease_ms is not None,
         )
 
     def _may_call(self, dest: int) -> bool:
-        """Asked just before each call: also the first after a pause, before any timer has told of it."""
+        """Whether a call may start; evaluated before each, so that a pause counts before a timer is due."""
         now = self.host.clock()
         return self.switch.may_call(now, dest) and not self.membership.was_paused(now)
 
     def _relay(self) -> None:
-        c = self.config
+        config = self.config
         self.subscriptions = Subscriptions(self.me, self.life)
         self.tables = Tables(self.me.site, self.subscriptions.subscribers)
-        backlog = Backlog(c.backlog_messages, c.backlog_bytes, away_again_us=c.wait_told_ms * 1000)
+        backlog = Backlog(
+            config.backlog_messages, config.backlog_bytes, away_again_us=config.wait_told_ms * 1000
+        )
         windows = [
-            k.key_window_us for k in self.host.settings.classes if k.idempotency is Idempotency.WITH_KEY
+            message_class.key_window_us
+            for message_class in self.host.settings.classes
+            if message_class.idempotency is Idempotency.WITH_KEY
         ]
         settings = StreamSettings(room=backlog, keyed_window_us=min(windows, default=0))
         self.streams = Streams(settings, self.me, self.life, self._wall_ms, self.kept.map)
@@ -220,7 +232,7 @@
             self.custodian,
             self.relay.tell,
             self.origin.tell,
-            lambda m: self.publications.come_home(m),
+            lambda message: self.publications.come_home(message),
             self.kept,
         )
         self.publications = Publications(
@@ -232,13 +244,13 @@
             lambda: self.table,
             self.origin.tell,
             self.custody.local,
-            c.wait_told_ms * 1000,
+            config.wait_told_ms * 1000,
             self.custody.deliveries.__contains__,
             self.custody.settling.__contains__,
         )
 
     def _shared(self) -> None:
-        """What the couriers of this site share, if they do."""
+        """Create the machines of findings and leases if the couriers of this site share them."""
         self.shared: Shared | None = None
         self.news: Runner | None = None
         if not self.config.share:
@@ -251,7 +263,7 @@
             self.life,
             self.chance,
             self.kept.map,
-            lambda r: self.shared.more.in_use(r) if self.shared is not None else 0.0,
+            lambda resource: self.shared.more.in_use(resource) if self.shared is not None else 0.0,
         )
         self.news, self.leases = self._run(partners), self._run(leases)
         self.shared = Shared(
@@ -260,16 +272,17 @@
 
     @property
     def runners(self) -> tuple[Runner, ...]:
+        """The runners of all state machines."""
         shared = (self.news, self.leases) if self.news is not None else ()
         return self.members, self.federation, self.topics, self.origin, self.relay, *shared
 
-    # As a room
+    # Component interface
 
     def open(self) -> None:
-        """The journal is restored: begin. OSError if the mesh's address can't be had."""
+        """Start the member; the journal is restored. OSError if the mesh can't listen on its address."""
         port = self.mesh.listen()
         log.info(
-            "federation %s: start %d of %s, others come at port %d",
+            "federation %s: start %d of %s, listening on port %d",
             self.config.name,
             self.life.start,
             self.me,
@@ -289,13 +302,13 @@
         self._want()
 
     def listed(self) -> None:
-        """The partner list may have other subscriptions."""
+        """Post the topic subscriptions of the partner list if they changed."""
         topics: dict[str, set[int]] = {}
-        for number, named in self.host.registry.subscribed_topics.items():
+        for number, subscribed in self.host.registry.subscribed_topics.items():
             if entry := self.host.registry.entries.get(number):
-                for topic in named:
+                for topic in subscribed:
                     topics.setdefault(topic, set()).add(entry.destination)
-        # Also where there is none: others wait for this site's word after their start.
+        # An empty set is posted too: after their start other sites wait for this site's subscriptions.
         if self.started and (topics != self.subscribed or not self.subscriptions.version):
             self.subscribed = topics
             self.topics.tell(Subscribed(topics, self.subscriptions.version + 1))
@@ -303,13 +316,16 @@
             self.shared.listed()
 
     def reload_files(self) -> None:
+        """Propose the configured table file if it is newer."""
         self.calls.offer_file()
 
     def begin_shutdown(self) -> None:
+        """Announce the shutdown to the other members."""
         for runner in (self.relay, self.members, *((self.leases,) if self.news is not None else ())):
             runner.tell(SetDraining(True))
 
     def close(self) -> None:
+        """Leave the federation, and close all runners, the mesh and the state file."""
         if self.started:
             if self.shared is not None:
                 self.leases.tell(Leave())
@@ -322,6 +338,7 @@
         self.kept.close()
 
     def metrics(self) -> dict[str, int]:
+        """Return the metrics of federation and mesh by name."""
         custody = {f"federation.{name}": count for name, count in self.custodian.figures.items()}
         mesh = {f"mesh.{name}": count for name, count in sorted(self.mesh.metrics().items())}
         return {
@@ -334,12 +351,13 @@
             **mesh,
         }
 
-    # What is heard
+    # Mesh events
 
     def _heard(self, channel: str, event: Any) -> None:
-        """From the mesh. What can't be read is counted, and does nothing."""
+        """Pass a mesh event to its state machine; invalid rows are only counted."""
         if self.membership.was_paused(self.host.clock()):
-            self.members.tell(TimerDue(""))  # a pause counts before what came meanwhile
+            # handle a pause before the messages that arrived during it
+            self.members.tell(TimerDue(""))
         if isinstance(event, (LinkUp, LinkDown)):
             for runner in (self.federation, self.origin, self.relay):
                 runner.tell(event)
@@ -348,9 +366,9 @@
             self.federation.tell(RollbackDetected(event.seen, self.life))
             return
         try:
-            told = READ[channel, type(event)](event)
-            if isinstance(told, MessageReceived):
-                told = replace(told, earliest_sent_us=self._said(event))
+            decoded = READ[channel, type(event)](event)
+            if isinstance(decoded, MessageReceived):
+                decoded = replace(decoded, earliest_sent_us=self._said(event))
         except ValueError as error:
             self.mesh.count_invalid_row(f"channel {channel}: {error}")
             return
@@ -358,20 +376,23 @@
             self.mesh.count_invalid_row(f"channel {channel}: {type(event).__name__}")
             return
         if channel == M:
-            self.members.tell(told)
+            self.members.tell(decoded)
             if self.shared is not None and isinstance(event, heard.ExchangeReplied):
                 self.shared.warm()
         elif channel == L:
             if self.news is not None:
-                self.leases.tell(told)
+                self.leases.tell(decoded)
         elif channel == R:
-            origin = isinstance(told.message, (streams.Ack, streams.Nak, streams.Ends))
-            (self.origin if origin else self.relay).tell(told)
+            is_for_origin = isinstance(decoded.message, (streams.Ack, streams.Nak, streams.Ends))
+            (self.origin if is_for_origin else self.relay).tell(decoded)
         else:
-            self.federation.tell(told)
+            self.federation.tell(decoded)
 
     def _said(self, event: MessageReceived) -> int | None:
-        """By the host's clock, read first: a pause between the two makes it earlier."""
+        """Return `earliest_sent_us` on the host's clock.
+
+        That clock is read first: a pause between the two readings makes the result earlier, not later.
+        """
         now_us = self.host.clock()
         return (
             None
@@ -379,17 +400,21 @@
             else now_us + event.earliest_sent_us - self.mesh.context.now_us()
         )
 
-    # What is to be done
+    # Actions
 
     def act(self, action: Any) -> None:
-        """One action of any of the machines."""
+        """Perform one action of any state machine."""
         self._actions[type(action)](action)
 
     def _acts(self) -> dict[type, Callable[[Any], None]]:
         return {
-            SendDatagram: lambda a: self.mesh.send_datagram(a.address, M, gossip.to_row(a.message)),
-            StartStateExchange: lambda a: self.mesh.exchange(a.address, gossip.to_row(a.message)),
-            StateReply: lambda a: self.mesh.reply(a.reply_id, gossip.to_row(a.message)),
+            SendDatagram: lambda action: self.mesh.send_datagram(
+                action.address, M, gossip.to_row(action.message)
+            ),
+            StartStateExchange: lambda action: self.mesh.exchange(
+                action.address, gossip.to_row(action.message)
+            ),
+            StateReply: lambda action: self.mesh.reply(action.reply_id, gossip.to_row(action.message)),
             MemberChanged: self._member_changed,
             GossipReceived: self._rumour,
             Disseminate: self.members.tell,
@@ -444,18 +469,19 @@
 
     def _resumed(self, action: PauseDetected) -> None:
         log.warning(
-            "federation: this process was paused for %.1f s: it asks what is in force", action.paused_us / 1e6
+            "federation: this process was paused for %.1f s; querying which table is in force",
+            action.paused_us / 1e6,
         )
         self.federation.tell(ServingPaused())
         if self.news is not None:
             self.leases.tell(action)
-        self.serving.refresh()  # what was hidden as the pause was noticed
+        self.serving.refresh()  # lists destinations that the pause check had hidden
 
     def _life_raised(self, action: IncarnationRaised) -> None:
-        """All that others hear from here on is of this life."""
+        """Use a raised incarnation in everything that is sent from now on."""
         if action.incarnation != self.life:
             self.life = action.incarnation
-            log.warning("federation: %s goes on as start %d", self.me, self.life.start)
+            log.warning("federation: %s continues as start %d", self.me, self.life.start)
             self.mesh.set_incarnation(self.life)
             shared = (self.news,) if self.news is not None else ()
             for runner in (self.federation, self.topics, *shared):
@@ -475,33 +501,36 @@
             channel, row = L, lent.to_row(message)
         else:
             channel, row = S, messages.to_row(message)
-        said_us = None
-        if isinstance(message, streams.Entry):  # its time left is what it was as the machine said it
+        sent_at_us = None
+        if isinstance(message, streams.Entry):
+            # the remaining time is as of when the machine returned the entry
             now_us = self.mesh.context.now_us()
-            said_us = now_us + self.origin.now_us - self.host.clock()
-        if not self.mesh.send(action.member, channel, row, said_us):
+            sent_at_us = now_us + self.origin.now_us - self.host.clock()
+        if not self.mesh.send(action.member, channel, row, sent_at_us):
             self._reach(action.member)
 
     def _reach(self, member: MemberId) -> None:
-        """Have a link there, by this courier's own file first, else by what was gossiped or the table has."""
+        """Open a link to the member: at the configured address, else the gossiped one, else the table's."""
         if member == self.me or (len(self.mesh.links) >= LINKS and member not in self.mesh.links):
             return
         view = self.membership.view(member)
         rows = self.table.sites.get(member.site, ())
-        known = next((row.address for row in rows if row.name == member.name), None)
-        address = self.config.via.get(member) or (view.address if view else known) or known
+        table_address = next((row.address for row in rows if row.name == member.name), None)
+        address = self.config.via.get(member) or (view.address if view else table_address) or table_address
         if address is not None:
             self.mesh.open_link(member, address)
 
     def _want(self) -> None:
-        """Links to all that the table names, and to no others."""
-        named = {m for site in self.table.sites for m in self.table.members(site)} - self.table.decommissioned
-        for member in [m for m in self.mesh.links if m not in named]:
+        """Open links to all members in the table and close all others."""
+        wanted = {
+            m for site in self.table.sites for m in self.table.members(site)
+        } - self.table.decommissioned
+        for member in [m for m in self.mesh.links if m not in wanted]:
             self.mesh.close_link(member)
-        for member in sorted(named):
+        for member in sorted(wanted):
             self._reach(member)
 
-    # The table
+    # Table
 
     def _in_force(self, action: TableInForce) -> None:
         self.table = action.table
@@ -515,15 +544,17 @@
         )
         self.host.schedule(0, self.publications.sweep)
         if self.shared is not None:
-            before = [t for t in self.switch.registry.ledger.history if t.number < action.table.number]
-            self.shared.table(action.table, tuple(t.members(self.me.site) for t in before))
+            earlier = [
+                table for table in self.switch.registry.ledger.history if table.number < action.table.number
+            ]
+            self.shared.table(action.table, tuple(table.members(self.me.site) for table in earlier))
         if self.started:
             self._want()
 
     def _check(self, action: CheckTable) -> None:
         error = self.switch.objection(action.table)
-        why = error.line() if error else self.serving.why_not(action.table, self.me.site)
-        self.federation.tell(TableChecked(action.table.proposal_id, why))
+        objection = error.line() if error else self.serving.why_not(action.table, self.me.site)
+        self.federation.tell(TableChecked(action.table.proposal_id, objection))
 
     def _hold(self, action: SuspendServing) -> None:
         self.serving.keep(action)
@@ -554,18 +585,18 @@
 
 
 def join(host: Host, ports: Ports) -> None:
-    """A member of the federation that the configuration has."""
+    """Create the component of the configured federation and register it with the host."""
     assert host.config.federation is not None
-    room = FederationComponent(host, ports, host.config.federation)
-    ended = host.completions.on_completed
-
-    def over(number: int) -> None:
-        ended(number)
-        room.publications.over(number)
-
-    host.completions.on_completed = over
-    host.completions.listeners.append(room.custody.ended)
-    host.admission.interceptors.append(room.publications.door)
-    host.restore_handlers.append(room.publications.claims)
-    host.list_listeners.append(room.listed)
-    host.components.append(room)
+    component = FederationComponent(host, ports, host.config.federation)
+    previous = host.completions.on_completed
+
+    def on_completed(number: int) -> None:
+        previous(number)
+        component.publications.over(number)
+
+    host.completions.on_completed = on_completed
+    host.completions.listeners.append(component.custody.ended)
+    host.admission.interceptors.append(component.publications.door)
+    host.restore_handlers.append(component.publications.claims)
+    host.list_listeners.append(component.listed)
+    host.components.append(component)
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -1,9 +1,10 @@
-"""Custody at a relay: entries become deliveries by way of admission, whose ends go back to the origin.
+"""Custody at a relay: submits the deliveries of stream entries and reports their outcomes to the custodian.
 
-Each delivery is a message of this courier's like any other: gates, decision module, journal. Its id says
-which publication it is of; its end is told to the custodian in place of a client's feed. What is held here
-already is not handed in again: another copy of it, or a client's own message that has come home. That a
-client waits for it as well is written down first, so that after a restart its end is told to both.
+Each delivery is a normal message of this courier: it passes admission checks, journal and engine. Its id is
+derived from the publication; its outcome goes to the custodian instead of a client. A message that is pending
+here already is not submitted again: it is another copy, or a client's own message that was forwarded and came
+back. In the second case a record says that a client waits as well, so that after a restart both get the
+outcome.
 """
 
 from __future__ import annotations
@@ -35,28 +36,29 @@
 )
 from madderbeam.transport.clients import BadRequest, Put
 
-CREDIT_S = 0.2  # how often the room that is left is looked at, and told if it is another
-QUIET = 25  # looks in a row that find it the same, and ample, until they are
-REST_S = 1.6  # apart; each entry that comes has it looked at
-SPARE = 16  # messages for which room is kept beside relayed ones
-HOME = "home"  # the kind of record of a message that a client of this courier waits for as well
-HOME_US = 100_000  # until a message that has come home is looked at again, where it is not served yet
-AGAIN_S = 0.05  # a delivery that admission has no room for is handed in again after this at the earliest
+CREDIT_S = 0.2  # interval of credit updates
+QUIET = 25  # consecutive checks with the same, ample credit before the longer interval applies
+REST_S = 1.6  # interval after that; each entry that arrives also updates the credit
+SPARE = 16  # capacity withheld from the credit for messages that are not relayed
+HOME = "home"  # kind of the record that a client of this courier also waits for a relayed message
+HOME_US = 100_000  # retry delay of a returned message whose destination is not served yet
+AGAIN_S = 0.05  # minimum delay before a rejected delivery is submitted again
 log = logging.getLogger(__name__)
 
 
 @dataclass
 class Expansion:
-    """An entry whose deliveries are being handed in."""
+    """A stream entry whose deliveries are being submitted."""
 
     publication: Publication
-    open: set[int]  # not answered yet
+    open: set[int]  # destinations without a reply
     taken: set[int] = field(default_factory=set)
-    busy: dict[int, int] = field(default_factory=dict)  # refused for now: when to come again, us
+    # rejected for now: Retry-After in microseconds
+    busy: dict[int, int] = field(default_factory=dict)
 
 
 class Hand:
-    """The answer to one delivery that is handed in."""
+    """Receives the reply to one submitted delivery."""
 
     wanted = True
 
@@ -64,12 +66,15 @@
         self.custody, self.work, self.dest = custody, work, dest
 
     def taken(self) -> None:
+        """The delivery is journaled."""
         self._answered(lambda: self.work.taken.add(self.dest))
 
     def busy(self, wait_us: int) -> None:
+        """The delivery is rejected for now; `wait_us` is the Retry-After in microseconds."""
         self._answered(lambda: self.work.busy.update({self.dest: wait_us}))
 
     def failed(self, why: str = "failed") -> None:
+        """The delivery is rejected for good."""
         self._answered(lambda: self.custody.turned_down(self.work, self.dest, why))
 
     def _answered(self, note: Callable[[], None]) -> None:
@@ -80,7 +85,10 @@
 
 
 class Custody:
-    """`tell` hands events to the custodian, `streams` to the origin's machine of this same courier."""
+    """Connects the custodian to admission and to outcomes.
+
+    `tell` posts events to the custodian, `streams` posts them to the stream machine of this courier.
+    """
 
     def __init__(
         self,
@@ -93,17 +101,20 @@
         come_home: Callable[[PendingMessage], bool],
         kept: Kept,
     ) -> None:
-        """`come_home`: a message of this courier's own is to be served here; False if it can't be now."""
+        """`come_home` takes back a forwarded message of this courier; False if it is not served here now."""
         self.kept = kept
         self.host, self.me, self.custodian, self.tell, self.streams = host, me, custodian, tell, streams
         self.come_home = come_home
-        # By id: publications and subscriber. The same delivery may come by two ways, under two names.
+        # Message id -> (publication name, destination); one delivery may arrive by two paths, with two names.
         self.deliveries: dict[str, set[tuple[str, int]]] = {}
-        self.clients: set[str] = set()  # ids of those that a client of this courier waits for as well
-        self.unsettled: dict[tuple[str, int], PendingMessage] = {}  # ended, and that is not kept yet
-        self.settling: set[int] = set()  # their numbers
-        self.stream, self.seq = life.start << 32 | 1, 0  # of what this courier hands to itself
-        self.own: dict[int, Publication] = {}  # by sequence number
+        # ids of deliveries that a client of this courier also waits for
+        self.clients: set[str] = set()
+        # completed; the outcome is not stored yet
+        self.unsettled: dict[tuple[str, int], PendingMessage] = {}
+        self.settling: set[int] = set()  # message numbers of `unsettled`
+        # stream of entries that this courier sends itself
+        self.stream, self.seq = life.start << 32 | 1, 0
+        self.own: dict[int, Publication] = {}  # sequence number -> publication
         self.told, self.same = Credit(-1, -1), 0
         self.closed = False
         for name, dests, single in custodian.open_records:
@@ -114,63 +125,71 @@
         self._unmark([ident for ident in marked if ident not in self.deliveries])
 
     def open(self) -> None:
-        """The journal is restored: say what it still holds of what was in custody."""
+        """Report which deliveries in custody are still pending; the journal is restored."""
         self.tell(LinkUp(self.me))
         for name, dests, single in self.custodian.open_records:
-            held = [d for d in dests if held_id(name, d, single) in self.host.journal.numbers_by_id]
-            for dest in set(dests) - set(held):
+            pending = [
+                candidate
+                for candidate in dests
+                if held_id(name, candidate, single) in self.host.journal.numbers_by_id
+            ]
+            for dest in set(dests) - set(pending):
                 self._not_owed(held_id(name, dest, single), name, dest)
-            self.tell(Resting(name, tuple(held)))
+            self.tell(Resting(name, tuple(pending)))
         self._credit()
 
     def _owed(self, ident: str, name: str, dest: int) -> None:
         self.deliveries.setdefault(ident, set()).add((name, dest))
 
     def _not_owed(self, ident: str, name: str, dest: int) -> None:
-        owed = self.deliveries.get(ident, set())
-        owed.discard((name, dest))
-        if not owed:
+        remaining = self.deliveries.get(ident, set())
+        remaining.discard((name, dest))
+        if not remaining:
             self.deliveries.pop(ident, None)
             if ident in self.clients:
                 self.clients.discard(ident)
                 self._unmark([ident])
 
     def _mark(self, ident: str) -> bool:
-        """A client of this courier waits for it as well; False if that can't be written down."""
+        """Record that a client of this courier waits for the message; False if the write fails."""
         try:
             self.kept.write([(HOME, ident, True)])
         except OSError as error:
-            log.error("federation: that a client waits for %s is not kept: %s", ident, error)
+            log.error("federation: recording that a client waits for %s failed: %s", ident, error)
             return False
         return True
 
     def _unmark(self, idents: list[str]) -> None:
-        """What stays on a disk that takes no more goes with the next start."""
+        """Remove the records; after a failed write the next start removes them."""
         if idents:
             with contextlib.suppress(OSError):
                 self.kept.write((HOME, ident, None) for ident in idents)
 
     def _credit(self) -> None:
-        """A look now and then: each wakes the process, so that there are few where nothing happens."""
+        """Update the credit periodically, less often while idle, since each check wakes the process."""
         if not self.closed:
             self._look_at_room()
             self.host.schedule(CREDIT_S if self.same < QUIET else REST_S, self._credit)
 
     def _look_at_room(self) -> None:
-        """How much more can be taken on."""
+        """Post the free capacity to the custodian if it changed."""
         host, journal = self.host, self.host.journal
-        room = max(0, host.settings.max_pending - journal.open_count - len(host.admission.arrived) - SPARE)
-        left = max(0, (journal.limit_bytes - journal.files.used_bytes - journal.needed_bytes) // 2)
-        now = Credit(room, left)
-        self.same = self.same + 1 if now == self.told and room > SPARE and left > BODY_MOST else 0
-        if now != self.told:
-            self.told = now
-            self.tell(now)
+        free_messages = max(
+            0, host.settings.max_pending - journal.open_count - len(host.admission.arrived) - SPARE
+        )
+        free_bytes = max(0, (journal.limit_bytes - journal.files.used_bytes - journal.needed_bytes) // 2)
+        credit = Credit(free_messages, free_bytes)
+        self.same = (
+            self.same + 1 if credit == self.told and free_messages > SPARE and free_bytes > BODY_MOST else 0
+        )
+        if credit != self.told:
+            self.told = credit
+            self.tell(credit)
 
-    # Entries
+    # Stream entries
 
     def expand(self, action: Expand) -> None:
-        """Hand the deliveries in; each is answered once the journal has it, or at once."""
+        """Submit the deliveries of an entry; each gets its reply once it is journaled, or at once."""
         if self.same >= QUIET:
             self._look_at_room()
         work = Expansion(action.publication, set(action.dests))
@@ -179,29 +198,28 @@
         self.look(work)
 
     def _hand_in(self, work: Expansion, dest: int) -> None:
-        p, journal = work.publication, self.host.journal
-        ident = delivery_id(p, dest)
-        if (
-            ident in journal.completed_ids and ident not in journal.numbers_by_id
-        ):  # it has ended, and that was told
+        publication, journal = work.publication, self.host.journal
+        ident = delivery_id(publication, dest)
+        if ident in journal.completed_ids and ident not in journal.numbers_by_id:
+            # completed, and its outcome was reported
             work.open.discard(dest)
             return
-        held = journal.pending.get(journal.numbers_by_id.get(ident, 0))
-        if held is not None and ident not in self.deliveries:
-            self._held_already(work, dest, held)
+        pending = journal.pending.get(journal.numbers_by_id.get(ident, 0))
+        if pending is not None and ident not in self.deliveries:
+            self._held_already(work, dest, pending)
             return
-        life_ms = max(0, (p.until_us - self.host.clock()) // 1000)
-        self._owed(ident, p.name, dest)
+        left_ms = max(0, (publication.until_us - self.host.clock()) // 1000)
+        self._owed(ident, publication.name, dest)
         put = Put(
             ident,
-            int(p.order) if p.order.isdigit() else 0,
-            p.cls,
-            p.tenant or None,
-            life_ms,
+            int(publication.order) if publication.order.isdigit() else 0,
+            publication.cls,
+            publication.tenant or None,
+            left_ms,
             dest,
-            delivery_key(p, dest),
+            delivery_key(publication, dest),
             False,
-            p.body,
+            publication.body,
             relayed=True,
         )
         try:
@@ -210,33 +228,39 @@
             work.open.discard(dest)
             self.turned_down(work, dest, str(error))
 
-    def _held_already(self, work: Expansion, dest: int, m: PendingMessage) -> None:
-        """A client handed it in at this courier: its end is the client's, and is told to who sent it, too.
-        A second message would wait for the first, and that for the second."""
-        if m.status:
+    def _held_already(self, work: Expansion, dest: int, message: PendingMessage) -> None:
+        """Join a delivery to a pending message with its id that a client submitted at this courier.
+
+        The outcome goes to the client and to the sender. A second message would wait for the first one, which
+        in turn waits for the second.
+        """
+        if message.status:
             work.open.discard(dest)
-            ran = Result.FAILED if m.possibly_executed_at else Result.REFUSED
-            self.tell(Ended(work.publication.name, dest, ran))
+            result = Result.FAILED if message.possibly_executed_at else Result.REFUSED
+            self.tell(Ended(work.publication.name, dest, result))
             return
-        if not self._mark(m.id) or not self.come_home(m):
-            self._unmark([m.id])
+        if not self._mark(message.id) or not self.come_home(message):
+            self._unmark([message.id])
             work.open.discard(dest)
             work.busy[dest] = HOME_US
             return
-        if not m.is_relayed:  # else it is a delivery whose record the disk did not take before a restart
-            self.clients.add(m.id)
-        self._owed(m.id, work.publication.name, dest)
+        if not message.is_relayed:
+            # a relayed one is a delivery whose record was not written before a restart
+            self.clients.add(message.id)
+        self._owed(message.id, work.publication.name, dest)
         work.open.discard(dest)
         work.taken.add(dest)
 
     def turned_down(self, work: Expansion, dest: int, why: str) -> None:
-        """It will never be taken here."""
+        """Reject a delivery for good and report that to the custodian."""
         self._not_owed(delivery_id(work.publication, dest), work.publication.name, dest)
-        log.warning("federation: %s to %d is turned down: %s", work.publication.name, dest, why)
+        log.warning(
+            "federation: delivery of %s to destination %d rejected: %s", work.publication.name, dest, why
+        )
         self.tell(Ended(work.publication.name, dest, Result.REFUSED))
 
     def look(self, work: Expansion) -> None:
-        """Once all are answered: custody is here, or nothing was taken."""
+        """Once all deliveries have replies, accept custody, decline it or schedule a retry."""
         if work.open:
             return
         name = work.publication.name
@@ -249,14 +273,14 @@
                 self._not_owed(delivery_id(work.publication, dest), name, dest)
             self.tell(NotTaken(name, after_us, f"{self.me} has no room for it now"))
             return
-        # Some are in the journal, and may run: the rest follows them, for as long as there is time.
-        busy, work.busy = work.busy, {}
+        # Some deliveries are journaled and may execute, so the others are retried until the deadline.
+        rejected, work.busy = work.busy, {}
         if self.host.clock() + after_us >= work.publication.until_us:
-            for dest in busy:
+            for dest in rejected:
                 self.turned_down(work, dest, "its time is up")
             self.tell(Taken(name, tuple(sorted(work.taken))))
             return
-        work.open = set(busy)
+        work.open = set(rejected)
         self.host.schedule(max(AGAIN_S, after_us / 1e6), lambda: self._again(work))
 
     def _again(self, work: Expansion) -> None:
@@ -264,46 +288,47 @@
             self._hand_in(work, dest)
         self.look(work)
 
-    # Ends
+    # Outcomes
 
     def ended(self, m: PendingMessage, status: str) -> bool:
-        """Teller of ends: whether it is a delivery in custody here."""
-        found = self.deliveries.get(m.id)
-        if found is None:
-            if m.is_relayed:  # its record is gone, or was never written: nobody can be told
+        """A `CompletionListener`: report the outcome of a delivery; False if a client gets it too."""
+        parts = self.deliveries.get(m.id)
+        if parts is None:
+            if m.is_relayed:  # without a custody record nobody waits for the outcome
                 self.host.completions.outcomes_stored([m.number])
             return m.is_relayed
         if not status:
             result = Result.DELIVERED
         else:
             result = Result.REFUSED if status == "deferred" or not m.possibly_executed_at else Result.FAILED
-        told_here = m.id in self.clients
+        client_waits = m.id in self.clients
         self.settling.add(m.number)
-        for name, dest in sorted(found):
+        for name, dest in sorted(parts):
             self.unsettled[name, dest] = m
             self.tell(Ended(name, dest, result))
-            if self.custodian.kept.get(name) is None:  # nobody waits for it any more
+            if self.custodian.kept.get(name) is None:
+                # the custodian has no record: nothing to store
                 self.settled(Settled(name, (dest,)))
-        return not told_here
+        return not client_waits
 
     def settled(self, action: Settled) -> None:
-        """Their ends are kept: nothing more is owed here once that holds by all ways."""
-        over = []
+        """Release deliveries whose outcomes are stored for all publications that they belong to."""
+        numbers = []
         for dest in action.dests:
-            if m := self.unsettled.pop((action.name, dest), None):
-                told_here = m.id in self.clients
-                self._not_owed(m.id, action.name, dest)
-                if m.id not in self.deliveries:
-                    self.settling.discard(m.number)
-                if not told_here and m.id not in self.deliveries:
-                    over.append(m.number)
-        if over:
-            self.host.completions.outcomes_stored(over)
-
-    # What this courier hands to itself
+            if message := self.unsettled.pop((action.name, dest), None):
+                client_waits = message.id in self.clients
+                self._not_owed(message.id, action.name, dest)
+                if message.id not in self.deliveries:
+                    self.settling.discard(message.number)
+                if not client_waits and message.id not in self.deliveries:
+                    numbers.append(message.number)
+        if numbers:
+            self.host.completions.outcomes_stored(numbers)
+
+    # Entries of this courier for itself
 
     def local(self, publication: Publication) -> None:
-        """The own site's part of a publication of this courier's."""
+        """Deliver this courier's own publication to the subscribers of its site."""
         self.seq += 1
         self.own[self.seq] = publication
         now_us = self.host.clock()
@@ -311,7 +336,7 @@
         self.tell(MessageReceived(self.me, Entry(self.stream, self.seq, publication, left_us), now_us))
 
     def to_self(self, message: Any) -> None:
-        """A word of the custodian's for its own courier."""
+        """Handle a message of the custodian that is addressed to this courier."""
         if isinstance(message, Nak):
             publication = self.own.pop(message.seq, None)
             if publication is not None and self.host.clock() + message.after_us < publication.until_us:
@@ -322,8 +347,9 @@
                     self.streams(LocalEnded(row.name, row.delivered, row.ends))
             self.tell(MessageReceived(self.me, EndsAck(message.number)))
         elif (seq := getattr(message, "seq", None)) is not None:
-            for done in [n for n in self.own if n <= seq]:
-                del self.own[done]
+            for acknowledged in [number for number in self.own if number <= seq]:
+                del self.own[acknowledged]
 
     def close(self) -> None:
+        """Stop the periodic checks."""
         self.closed = True
--- a/madderbeam/host/federation/kept.py
+++ b/madderbeam/host/federation/kept.py
@@ -1,4 +1,4 @@
-"""What the federation's machines must not forget: a map on disk, written before what depends on it."""
+"""A durable map for the state of state machines, kept as an append-only file of records."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from madderbeam.journal.records import FRAME, MAX_RECORD_BYTES, frame, parse
 from madderbeam.ports import Disk, File
 
-LEAST = 1 << 16  # bytes under which the file is not written anew
-GROWN = 4  # it is once it has this many times the bytes of what still counts
-LIMIT = 1 << 25  # bytes of the file: a record that would pass it is not taken
+LEAST = 1 << 16  # smaller files are not compacted
+GROWN = 4  # compacts at this ratio of file size to live bytes
+LIMIT = 1 << 25  # writes that would exceed this file size fail
 log = logging.getLogger(__name__)
 
 
 class Kept:
-    """(kind, key) -> value, all values msgpack's. A row of records, the last one of a key counts; what was
-    written outlasts SIGKILL, with `sync` also a loss of power.
+    """Maps (kind, key) to a value that msgpack can encode; the last record of a key counts.
 
-    A tail that a kill tore is cut off: nothing that stood behind it was carried out. Any other damage makes
-    `damaged` true: what was said may have been forgotten, so that its owner must not vote.
+    Written records survive SIGKILL, and with `sync` also a power failure. A tail torn by a kill is truncated:
+    no action that depends on the torn record was performed. Any other damage sets `damaged`: promises made to
+    other members may be lost, so the owner of the map must not vote.
     """
 
     def __init__(self, disk: Disk, folder: str, sync: bool = False) -> None:
-        """OSError if the folder can't be used."""
+        """Create the folder if necessary and read the file. OSError if the folder can't be used."""
         self.disk, self.path, self.sync = disk, f"{folder}/kept", sync
         self.map: dict[tuple[str, str], Any] = {}
         self.damaged = False
@@ -49,12 +49,13 @@
             self.damaged = not _torn(data[end:])
             log.log(
                 logging.ERROR if self.damaged else logging.WARNING,
-                "%s: %d bytes at its end are %s",
+                "%s: the last %d bytes are %s",
                 self.path,
                 len(data) - end,
-                "damaged" if self.damaged else "torn, cut off",
+                "damaged" if self.damaged else "a torn record; truncated",
             )
-            if self.damaged:  # to be looked at; the map goes on in a file of its own
+            if self.damaged:
+                # the damaged file is set aside for inspection; a new one is begun
                 file.close()
                 self.disk.rename(self.path, self.path + ".damaged")
                 file = self.disk.open(self.path, empty=True)
@@ -73,7 +74,7 @@
                 self.map[kind, key] = value
 
     def write(self, rows: Iterable[tuple[str, str, Any]]) -> None:
-        """Keep these, all or none; a value of None forgets its key. OSError if the disk takes them not."""
+        """Write all rows or none; a value of None removes its key. OSError if the write fails."""
         records: list[list[Any]] = [["keep", kind, key, value] for kind, key, value in rows]
         data = b"".join(map(frame, records))
         if self.size + len(data) > LIMIT:
@@ -101,24 +102,25 @@
         return len(self._rows()) if self.size > LEAST else self.size
 
     def _anew(self) -> None:
-        """Write only what still counts. A disk that does not take it leaves the file as it was."""
+        """Rewrite the file with the live records only; on a disk error the file stays as it is."""
         data = self._rows()
         self.live = len(data)
         try:
             atomic_file.replace(self.disk, self.path, data)
             file = self.disk.open(self.path)
         except OSError as error:
-            log.error("%s is not made smaller: %s", self.path, error)
+            log.error("%s: compaction failed: %s", self.path, error)
             return
         self.file.close()
         self.file, self.size = file, len(data)
 
     def close(self) -> None:
+        """Close the file."""
         self.file.close()
 
 
 def _torn(rest: bytes) -> bool:
-    """Whether this may be the beginning of a record that was being written."""
+    """Whether `rest` may be the beginning of a record whose write was interrupted."""
     if len(rest) < FRAME.size:
         return True
     size, _ = FRAME.unpack_from(rest)
--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -1,8 +1,9 @@
-"""Leases on connection places and on quotas' nodes, joined with calls, pools and the gate.
+"""Leases on connection limits and quotas, connected to calls, endpoint pools and quota admission.
 
-Gets what the list limits (`max_conns`) and the quotas' tree; tells the leases what is needed and in use.
-A connection is opened only within the lease on its destination, looked at then; what is over it when it falls
-is closed while idle, and a call that is out goes on. Quotas' limits are scaled by the leases on their nodes.
+Posts the connection limits of the endpoint list (`max_conns`) and the nodes of the quota tree to the lease
+machine, with what is needed and in use. A connection is opened only within the current lease on its
+destination. When a lease shrinks, surplus idle connections are closed; calls in flight continue. Quota limits
+are scaled by the leases on their nodes.
 """
 
 from __future__ import annotations
@@ -19,35 +20,43 @@
 from madderbeam.shared.rate_meter import RateMeter
 from madderbeam.shared.values import Limit, Need, SetAllowance
 
-PLACES_MOST = 512  # destinations whose places are shared
-ONE = 1 << 20  # a whole limit, as the tree counts its parts
-LARGEST_S = 10.0  # so long one message that was refused for its size counts as a need
-SPARE = 1.1  # of what comes to a quota's node is asked for
+PLACES_MOST = 512  # destinations whose connection limits are shared
+ONE = 1 << 20  # the whole limit in the units of the quota tree's fractions
+LARGEST_S = 10.0  # a message rejected for its size counts as demand for this long
+SPARE = 1.1  # ratio of requested to measured demand of a quota node
 log = logging.getLogger(__name__)
 
 
 class Limits:
-    """`lease` takes events for the machine of leases. Is `Places` for the calls."""
+    """Applies leases on connection limits and quotas. Is the `Places` of the calls.
+
+    `lease` posts events to the lease machine.
+    """
 
     def __init__(self, host: Host, leases: Leases, lease: Callable[[Any], None]) -> None:
         self.host, self.leases, self.lease = host, leases, lease
         self.members = 1
         self.longest_s = max(c.deadline_us for c in host.settings.classes) / 1e6
-        self.places: dict[int, dict[int, int]] = {}  # max_conns, by destination and endpoint
-        self.dests: dict[int, int] = {}  # by endpoint
-        self.parts: dict[int, tuple[int, dict[int, int]]] = {}  # by destination: its lease, dealt out
-        self.told: dict[int, int] = {}  # endpoint: what its pool was told
+        # destination -> endpoint -> max_conns
+        self.places: dict[int, dict[int, int]] = {}
+        self.dests: dict[int, int] = {}  # endpoint -> destination
+        self.parts: dict[
+            int, tuple[int, dict[int, int]]
+        ] = {}  # destination -> lease, connections per endpoint
+        self.told: dict[int, int] = {}  # endpoint -> limit last applied to its pool
         self.limits: dict[str, Limit] = {}
-        self.full = False  # that more are limited than are shared was told
+        self.full = False  # that some limits are not shared was logged
         self.gate: Any = None
         if host.config.quota is not None:
-            from madderbeam.host.quota import QuotaComponent  # loaded already where there are quotas
+            # already imported where quotas are configured
+            from madderbeam.host.quota import QuotaComponent
 
             self.gate = next(g.gate for g in host.admission.checks if isinstance(g, QuotaComponent))
             if self.gate.leased.unleased_count:
                 self._many(f"{self.gate.leased.unleased_count} quotas have equal parts")
-        self.meters: dict[str, tuple[RateMeter, RateMeter]] = {}  # by quota's node: messages, bytes
-        self.largest: dict[str, tuple[int, float]] = {}  # bytes, and for how many seconds they count still
+        # quota node -> messages, bytes
+        self.meters: dict[str, tuple[RateMeter, RateMeter]] = {}
+        self.largest: dict[str, tuple[int, float]] = {}  # bytes, remaining seconds
         host.calls.places = self
 
     def _many(self, what: str) -> None:
@@ -55,10 +64,10 @@
             self.full = True
             log.warning("federation: %s", LimitsMany(what).line())
 
-    # What is limited
+    # Limits
 
     def table(self, members: int) -> None:
-        """Another table is in force."""
+        """Adjust all limits to the number of members of this site."""
         self.members = members
         self.listed()
         if self.gate is not None:
@@ -67,20 +76,20 @@
                 self._limit(Limit(f"quota/{name}", members / couriers, 1 / couriers))
 
     def listed(self) -> None:
-        """The list, or what stands beside it, may have changed."""
+        """Read the connection limits again: the endpoint list or the routing may have changed."""
         router = self.host.routing.router
         self.places, self.dests = {}, {}
-        for dest, endpoint, most in router.places() if router is not None else ():
+        for dest, endpoint, max_connections in router.places() if router is not None else ():
             if dest not in self.places and len(self.places) >= PLACES_MOST:
                 self._many(f"only {PLACES_MOST} partners' places are shared")
                 continue
-            self.places.setdefault(dest, {})[endpoint] = most
+            self.places.setdefault(dest, {})[endpoint] = max_connections
             self.dests[endpoint] = dest
-        for dest, limited in self.places.items():
-            each = float(sum(limited.values()))
+        for dest, limits in self.places.items():
+            per_member = float(sum(limits.values()))
             lasts_us = int(self.longest_s * 1e6)
-            self._limit(Limit(f"places/{dest}", each * self.members, each, True, lasts_us))
-        self.told.clear()  # pools may be new
+            self._limit(Limit(f"places/{dest}", per_member * self.members, per_member, True, lasts_us))
+        self.told.clear()  # the pools may be new objects
         self.parts.clear()
         for endpoint in self.dests:
             self.most(endpoint)
@@ -90,54 +99,62 @@
             self.limits[limit.resource] = limit
             self.lease(limit)
 
-    # Places
+    # Connection limits
 
     def most(self, endpoint: int) -> int | None:
-        """So many connections may be open there now. Looked at before each call: a lease that has ended is
-        not used. What another endpoint has beyond its part, since the lease fell, none opens."""
+        """Return how many connections may be open to the endpoint; None without a limit.
+
+        Evaluated before each call, so that an expired lease is not used. Connections that other endpoints
+        have beyond their share, after the lease shrank, reduce the result.
+        """
         dest = self.dests.get(endpoint)
         if dest is None:
             return None
-        now, calls = self.host.clock(), self.host.calls
-        lease = int(self.leases.amount(f"places/{dest}", now))
+        now_us, calls = self.host.clock(), self.host.calls
+        lease = int(self.leases.amount(f"places/{dest}", now_us))
         if dest not in self.parts or self.parts[dest][0] != lease:
             self.parts[dest] = lease, self._dealt(dest, lease)
-        beside = sum(calls.connections(n) for n in self.places[dest] if n != endpoint)
-        most = min(self.parts[dest][1][endpoint], max(0, lease - beside))
-        self._tell(dest, endpoint, most, now)
-        return most
+        at_other_endpoints = sum(calls.connections(n) for n in self.places[dest] if n != endpoint)
+        max_connections = min(self.parts[dest][1][endpoint], max(0, lease - at_other_endpoints))
+        self._tell(dest, endpoint, max_connections, now_us)
+        return max_connections
 
     def _dealt(self, dest: int, lease: int) -> dict[int, int]:
-        """The lease among the endpoints, as their max_conns are; where one is left it goes to another at each
-        courier."""
-        limited = self.places[dest]
-        order = sorted(limited)
+        """Divide the lease among the endpoints in proportion to max_conns.
+
+        The remainder of the rounding goes to a different endpoint at each courier.
+        """
+        limits = self.places[dest]
+        order = sorted(limits)
         first = self.host.settings.courier_index % len(order)
-        whole = sum(limited.values())
-        parts = rounded({n: lease * limited[n] / whole for n in order[first:] + order[:first]})
-        return {n: int(part) for n, part in parts.items()}
+        total = sum(limits.values())
+        parts = rounded(
+            {endpoint: lease * limits[endpoint] / total for endpoint in order[first:] + order[:first]}
+        )
+        return {endpoint: int(part) for endpoint, part in parts.items()}
 
-    def _tell(self, dest: int, endpoint: int, most: int, now: int) -> None:
+    def _tell(self, dest: int, endpoint: int, max_connections: int, now_us: int) -> None:
         before = self.told.get(endpoint)
-        if most == before:
+        if max_connections == before:
             return
-        self.told[endpoint] = most
+        self.told[endpoint] = max_connections
         if (router := self.host.routing.router) is not None:
-            router.allow(dest, endpoint, most, now)
+            router.allow(dest, endpoint, max_connections, now_us)
         entry = self.host.registry.entries.get(endpoint)
-        if entry is not None and (before is None or most > before):
-            self.host.post_list_update(ListUpdateKind.DELTA, [entry])  # what waits may go now
+        if entry is not None and (before is None or max_connections > before):
+            # The engine may dispatch queued messages now.
+            self.host.post_list_update(ListUpdateKind.DELTA, [entry])
 
     def in_use(self, resource: str) -> float:
-        """Connections open by this resource, or about to be."""
+        """Return the connections that are open or opening under this resource."""
         kind, _, dest = resource.partition("/")
-        limited = self.places.get(int(dest), {}) if kind == "places" else {}
-        return float(sum(map(self.host.calls.connections, limited)))
+        limits = self.places.get(int(dest), {}) if kind == "places" else {}
+        return float(sum(map(self.host.calls.connections, limits)))
 
     # Leases
 
     def allot(self, action: SetAllowance) -> None:
-        """What this courier may use of a limit."""
+        """Apply a changed allowance to quota admission or to the connections of a destination."""
         kind, _, name = action.resource.partition("/")
         if kind == "quota" and self.gate is not None:
             self.gate.set_lease(name, action.amount, action.until_us, action.fallback, self.host.clock())
@@ -146,50 +163,59 @@
                 self.host.calls.trim(endpoint)
 
     def look(self, span_s: float) -> None:
-        """What is needed; and idle connections over a lease that has ended are closed."""
+        """Post what is needed, and close idle connections beyond the leases; `span_s` since the last call."""
         calls = self.host.calls
-        for dest, limited in self.places.items():
-            for endpoint in limited:
+        for dest, limits in self.places.items():
+            for endpoint in limits:
                 calls.trim(endpoint)
-            found = self.host.courier.state.destinations.get(dest)
-            waiting = len(found.queue) if found is not None else 0
-            self.lease(Need(f"places/{dest}", sum(calls.busy[n] for n in limited) + waiting))
+            destination = self.host.courier.state.destinations.get(dest)
+            queued = len(destination.queue) if destination is not None else 0
+            self.lease(
+                Need(
+                    f"places/{dest}",
+                    sum(calls.busy[limited_endpoint] for limited_endpoint in limits) + queued,
+                )
+            )
         if self.gate is not None:
             self._quotas(span_s)
 
     def _quotas(self, span_s: float) -> None:
         self.gate.expire_leases(self.host.clock())
-        asked = self.gate.take_demand()
-        for name, lot in self.gate.leased.nodes.items():
-            if name not in asked and name not in self.meters:
+        demand = self.gate.take_demand()
+        for name, node in self.gate.leased.nodes.items():
+            if name not in demand and name not in self.meters:
                 continue
-            messages, size, largest = asked.get(name, (0, 0, 0))
-            counts, sizes = self.meters.setdefault(name, (RateMeter(), RateMeter()))
-            sizes.units_per_arrival = max(1.0, size / messages) if messages else sizes.units_per_arrival
-            counts.record_arrivals(messages, span_s)
-            sizes.record_arrivals(size, span_s)
-            known, left_s = self.largest.get(name, (0, 0.0))
-            if largest >= known or left_s <= 0:
-                known, left_s = largest, LARGEST_S
-            self.largest[name] = (known, left_s - span_s)
-            part = self.gate.leased.needed_fraction(
-                lot, counts.needed_rate() * SPARE, sizes.needed_rate() * SPARE, known
+            messages, total_bytes, largest = demand.get(name, (0, 0, 0))
+            message_meter, byte_meter = self.meters.setdefault(name, (RateMeter(), RateMeter()))
+            byte_meter.units_per_arrival = (
+                max(1.0, total_bytes / messages) if messages else byte_meter.units_per_arrival
+            )
+            message_meter.record_arrivals(messages, span_s)
+            byte_meter.record_arrivals(total_bytes, span_s)
+            largest_known, left_s = self.largest.get(name, (0, 0.0))
+            if largest >= largest_known or left_s <= 0:
+                largest_known, left_s = largest, LARGEST_S
+            self.largest[name] = (largest_known, left_s - span_s)
+            fraction = self.gate.leased.needed_fraction(
+                node, message_meter.needed_rate() * SPARE, byte_meter.needed_rate() * SPARE, largest_known
             )
-            self.lease(Need(f"quota/{name}", part))
+            self.lease(Need(f"quota/{name}", fraction))
 
-    # The second address
+    # Admin address
 
     def status(self) -> dict[str, Any]:
-        """For GET /federation: of places how many connections are open and how many may be, of quotas this
-        courier's parts."""
+        """Return for GET /federation the open and permitted connections and the leased quota fractions."""
         calls, names = self.host.calls, self.host.registry.names
-        found: dict[str, Any] = {}
+        status: dict[str, Any] = {}
         if self.places:
-            found["places"] = {
-                dest: {names.get(n, ""): [calls.connections(n), self.told.get(n, 0)] for n in limited}
-                for dest, limited in self.places.items()
+            status["places"] = {
+                dest: {
+                    names.get(endpoint, ""): [calls.connections(endpoint), self.told.get(endpoint, 0)]
+                    for endpoint in limits
+                }
+                for dest, limits in self.places.items()
             }
         if self.gate is not None:
-            lots = self.gate.leased.nodes.items()
-            found["quota"] = {name: round(lot.fraction / ONE, 6) for name, lot in lots}
-        return found
+            nodes = self.gate.leased.nodes.items()
+            status["quota"] = {name: round(node.fraction / ONE, 6) for name, node in nodes}
+        return status
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -1,7 +1,7 @@
-"""Publications at their origin: taken on at the door like any message, told one end, passed on between.
+"""Publications at their origin: accepted like any message, forwarded to sites, completed with one outcome.
 
-A publication lies in the journal as one message, whose destination is TOPIC and whose body is an envelope. A
-message for a destination of another site lies there as it came.
+A publication is journaled as one message, whose destination is TOPIC and whose body is an envelope. A message
+for a destination of another site is journaled unchanged.
 """
 
 from __future__ import annotations
@@ -38,14 +38,17 @@
 from madderbeam.transport.clients import Put
 from madderbeam.transport.reply_handle import ReplyHandle
 
-SOON_US = 100_000  # the least time to come again where a destination changes hands
-TOPIC = -2  # the destination of a publication, as the journal has it
+SOON_US = 100_000  # minimum Retry-After while a destination changes its owner
+TOPIC = -2  # destination of a publication in the journal
 log = logging.getLogger(__name__)
 
 
 class Publications:
-    """Door of admission for what other sites serve. `table` gives the one in force, `local` takes the own
-    site's part of a publication, `streams` is told through `tell`."""
+    """Intercepts messages for other sites at admission and follows them to their completion.
+
+    `table` returns the table in force; `local` delivers a publication to the subscribers of the own site;
+    `tell` posts events to `streams`.
+    """
 
     def __init__(
         self,
@@ -61,23 +64,27 @@
         in_custody: Callable[[str], bool] = lambda ident: False,
         settling: Callable[[int], bool] = lambda number: False,
     ) -> None:
-        """`in_custody`: whether the message of this id is a delivery of another courier's publication;
-        `settling`: whether that of this number has ended and is held until its end is kept."""
+        """`in_custody`: whether the message with this id is a delivery of another courier's publication;
+        `settling`: whether the message with this number is completed and its outcome not stored yet."""
         self.in_custody, self.settling = in_custody, settling
         self.host, self.me, self.serving, self.streams = host, me, serving, streams
         self.subscriptions, self.table, self.tell, self.local = subscriptions, table, tell, local
-        self.wait_us = wait_us  # told where a destination changes hands
-        self.numbers: dict[str, int] = {}  # by publication, of its message in the journal
-        self.names: dict[int, str] = {}  # the other way round
-        self.never_ran: set[str] = set()  # those that may be handed in again
+        # maximum Retry-After while a destination changes its owner
+        self.wait_us = wait_us
+        # publication name -> message number in the journal
+        self.numbers: dict[str, int] = {}
+        self.names: dict[int, str] = {}  # message number -> publication name
+        # names of publications that a client may submit again
+        self.never_ran: set[str] = set()
         self.restored: list[PendingMessage] = []
-        self.sent = streams.sent.sites()  # of unsafe ones, before this start
+        # name -> site of non-idempotent messages forwarded before this start
+        self.sent = streams.sent.sites()
         self.taken = self.refused = 0
 
-    # The door
+    # Admission
 
     def door(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> bool:
-        """Whether the message is for others; then it is answered here."""
+        """A `MessageInterceptor`: take over messages for topics and for destinations of other sites."""
         if put.topic:
             self._topic(put, m, reply)
             return True
@@ -96,70 +103,80 @@
             self._take(m, self._single(m), (owner,), reply)
         return True
 
-    def _topic(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> None:
+    def _topic(self, put: Put, message: PendingMessage, reply: ReplyHandle) -> None:
         if self.serving.hold.is_suspended and self.serving.hold.destinations is None:
-            self._busy(m, reply, self._settling_us())
+            self._busy(message, reply, self._settling_us())
             return
         table = self.table()
-        publication = replace(self._single(m), topic=put.topic, dest=-1, table=table.number)
-        own = expand(publication, self.me.site, table.owners, self.subscriptions.subscribers)
+        publication = replace(self._single(message), topic=put.topic, dest=-1, table=table.number)
+        local_subscribers = expand(publication, self.me.site, table.owners, self.subscriptions.subscribers)
         sites = tuple(s for s in self.subscriptions.sites(put.topic) if s in table.sites)
-        sites += self.subscriptions.unheard(table.sites)  # just after a start: whoever has none says so
-        if own:
+        # Just after a start some subscriptions are unknown; sites without subscribers decline the entry.
+        sites += self.subscriptions.unheard(table.sites)
+        if local_subscribers:
             sites = (self.me.site, *sites)
         if not sites:
-            self.host.metrics.count_completion(ABORTED, m.class_index)
+            self.host.metrics.count_completion(ABORTED, message.class_index)
             reply.failed("topic: nobody has subscribed to it")
             return
-        envelope = msgpack.packb([put.topic, table.number, list(sites), m.body])
-        self._take(replace(m, dest=TOPIC, body=envelope), publication, sites, reply)
+        envelope = msgpack.packb([put.topic, table.number, list(sites), message.body])
+        self._take(replace(message, dest=TOPIC, body=envelope), publication, sites, reply)
 
     def _take(
-        self, m: PendingMessage, publication: Publication, sites: tuple[str, ...], reply: ReplyHandle
+        self, message: PendingMessage, publication: Publication, sites: tuple[str, ...], reply: ReplyHandle
     ) -> None:
         try:
-            after = self.streams.refusal(sites, len(publication.body))
+            retry_after_us = self.streams.refusal(sites, len(publication.body))
         except FederationError as error:
-            self.host.metrics.count_completion(ABORTED, m.class_index)
+            self.host.metrics.count_completion(ABORTED, message.class_index)
             reply.failed(error.line())
             return
-        if after is not None:
-            self._busy(m, reply, after)
+        if retry_after_us is not None:
+            self._busy(message, reply, retry_after_us)
             return
-        self.host.admission.accept(m, [reply], lambda: self._publish(m, publication, sites))
+        self.host.admission.accept(message, [reply], lambda: self._publish(message, publication, sites))
 
     def _settling_us(self) -> int:
-        """When to come again to what is not served yet: as long as the change of hands has taken so far, so
-        that none waits more than twice what it had to."""
-        taken_us = self.host.clock() - self.serving.changed_us
-        return min(self.wait_us, max(SOON_US, taken_us))
+        """Return the Retry-After for a destination whose owner changes: the duration of the change so far.
+
+        No client then waits more than twice as long as necessary.
+        """
+        elapsed_us = self.host.clock() - self.serving.changed_us
+        return min(self.wait_us, max(SOON_US, elapsed_us))
 
     def _busy(self, m: PendingMessage, reply: ReplyHandle, after_us: int) -> None:
         self.refused += 1
         self.host.metrics.count_completion(DECLINED, m.class_index)
         reply.busy(after_us)
 
-    # On its way
+    # Forwarding
+
+    def _single(self, message: PendingMessage) -> Publication:
+        """Return the message as a publication for one destination.
 
-    def _single(self, m: PendingMessage) -> Publication:
-        """The message as an entry of one. What is in custody here has an id of its own on its further way: it
-        may go back to where it came from, which knows its id as that of its own message."""
-        s = self.host.settings
-        cls = s.classes[m.class_index]
-        tenant = s.tenants[m.tenant].name if m.tenant < len(s.tenants) else ""
-        until_us = self.host.journal.wall.monotonic_us_at(m.deadline_s)
-        ident = derived_id(f"{self.me}:{m.id}", m.dest) if m.is_relayed or self.in_custody(m.id) else m.id
+        A message in custody here gets a derived id when it is forwarded: it may return to its origin, where
+        its own id is that of the origin's message.
+        """
+        settings = self.host.settings
+        message_class = settings.classes[message.class_index]
+        tenant = settings.tenants[message.tenant].name if message.tenant < len(settings.tenants) else ""
+        until_us = self.host.journal.wall.monotonic_us_at(message.deadline_s)
+        ident = (
+            derived_id(f"{self.me}:{message.id}", message.dest)
+            if message.is_relayed or self.in_custody(message.id)
+            else message.id
+        )
         return Publication(
             ident,
             self.me,
             "",
-            m.dest,
-            cls.name,
-            Effect(cls.idempotency.value),
+            message.dest,
+            message_class.name,
+            Effect(message_class.idempotency.value),
             tenant,
-            m.key,
-            str(m.order_key) if m.order_key else "",
-            m.body,
+            message.key,
+            str(message.order_key) if message.order_key else "",
+            message.body,
             until_us,
             self.table().number,
         )
@@ -171,100 +188,122 @@
         if self.me.site in sites:
             self.local(publication)
 
-    def passed_on(self, m: PendingMessage) -> None:
-        """A message that was taken on for a destination which another site serves from now on."""
-        if m.number in self.names or self.settling(m.number):
+    def passed_on(self, message: PendingMessage) -> None:
+        """Forward an accepted message whose destination another site now serves."""
+        if message.number in self.names or self.settling(message.number):
             return
-        owner = self.table().owners.get(m.dest)
-        self.host.post_event(MessageWithdrawn(m.number))
-        if owner is None or not self._may_go(m):
-            self.host.completions.complete(m, "undeliverable" if m.possibly_executed_at else "deferred", 0)
+        owner = self.table().owners.get(message.dest)
+        self.host.post_event(MessageWithdrawn(message.number))
+        if owner is None or not self._may_go(message):
+            self.host.completions.complete(
+                message, "undeliverable" if message.possibly_executed_at else "deferred", 0
+            )
         elif owner != self.me.site:
-            self._publish(m, self._single(m), (owner,))
+            self._publish(message, self._single(message), (owner,))
 
-    def _may_go(self, m: PendingMessage) -> bool:
-        """Another site may make attempts of it: it never ran, or does no harm twice."""
-        cls, ran = self.host.settings.classes[m.class_index], m.possibly_executed_at
-        if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
+    def _may_go(self, message: PendingMessage) -> bool:
+        """Whether another site may attempt it: it was never executed, or a second execution is harmless."""
+        message_class, executed_at = (
+            self.host.settings.classes[message.class_index],
+            message.possibly_executed_at,
+        )
+        if not executed_at or message_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        # The other site does not know when the first attempt was: the window has to outlast the message.
-        return cls.idempotency is Idempotency.WITH_KEY and ran + cls.key_window_us / 1e6 >= m.deadline_s
+        # The other site does not know when the first attempt was: the key window must outlast the message.
+        return (
+            message_class.idempotency is Idempotency.WITH_KEY
+            and executed_at + message_class.key_window_us / 1e6 >= message.deadline_s
+        )
 
-    def come_home(self, m: PendingMessage) -> bool:
-        """A message of this courier's own is to be served by this site: it goes to the decision module if it
-        was on its way to another. False: it is not served here now."""
-        if m.number not in self.names:
+    def come_home(self, message: PendingMessage) -> bool:
+        """Withdraw a forwarded message that this site serves now, and pass it to the engine.
+
+        Returns False if its destination is not served here at present.
+        """
+        if message.number not in self.names:
             return True
-        if not self.serving.serves(m.dest):
+        if not self.serving.serves(message.dest):
             return False
-        name = self.names[m.number]
+        name = self.names[message.number]
         self._forget(name)
         self.tell(Withdrawn(name))
-        self.host.post_event(self.host.admission.arrival_event(m))
+        self.host.post_event(self.host.admission.arrival_event(message))
         return True
 
-    # Over a restart
+    # Restart
 
-    def claims(self, m: PendingMessage) -> bool:
-        """Whether a message that is restored is a publication, or may be at another site already."""
-        home = self.in_custody(m.id) and not m.is_relayed  # it has come back since
-        claimed = m.dest == TOPIC or (
-            not m.possibly_executed_at and not home and self._single(m).name in self.sent
+    def claims(self, message: PendingMessage) -> bool:
+        """A restore handler: whether a message is a publication or may be at another site already."""
+        is_taken_back = self.in_custody(message.id) and not message.is_relayed
+        is_forwarded = message.dest == TOPIC or (
+            not message.possibly_executed_at and not is_taken_back and self._single(message).name in self.sent
         )
-        if claimed:
-            self.restored.append(m)
-        return claimed
+        if is_forwarded:
+            self.restored.append(message)
+        return is_forwarded
 
     def resume(self) -> None:
-        """All machines have started: go on with what is open."""
+        """Publish the restored messages again; all state machines have started."""
         restored, self.restored = self.restored, []
-        for m in restored:
-            if m.dest != TOPIC:
-                publication = self._single(m)
-                self._publish(m, publication, (self.sent[publication.name],))
+        for message in restored:
+            if message.dest != TOPIC:
+                publication = self._single(message)
+                self._publish(message, publication, (self.sent[publication.name],))
                 continue
             try:
-                topic, table, sites, body = msgpack.unpackb(m.body)
+                topic, table, sites, body = msgpack.unpackb(message.body)
             except (ValueError, TypeError, msgpack.UnpackException) as error:
-                log.error("a publication that can't be read ends: %s: %s", m.id, error)
-                self.host.completions.complete(m, "undeliverable", 0)
+                log.error(
+                    "federation: publication %s is undeliverable, its envelope is invalid: %s",
+                    message.id,
+                    error,
+                )
+                self.host.completions.complete(message, "undeliverable", 0)
                 continue
-            publication = replace(self._single(replace(m, body=body)), topic=topic, dest=-1, table=table)
-            self._publish(m, publication, tuple(sites))
+            publication = replace(
+                self._single(replace(message, body=body)), topic=topic, dest=-1, table=table
+            )
+            self._publish(message, publication, tuple(sites))
         self.sent.clear()
 
     def sweep(self) -> None:
-        """What was restored for destinations of other sites goes there."""
-        owners, mine = self.table().owners, self.me.site
-        held = self.host.journal.pending.values()
-        elsewhere = {m.dest for m in held if not m.status and m.dest >= 0 and owners.get(m.dest) != mine}
+        """Forward pending messages whose destinations other sites serve."""
+        owners, own_site = self.table().owners, self.me.site
+        pending = self.host.journal.pending.values()
+        elsewhere = {
+            message.dest
+            for message in pending
+            if not message.status and message.dest >= 0 and owners.get(message.dest) != own_site
+        }
         for dest in elsewhere - self.serving.leaving.keys():
             self.serving.hand_over(dest)
 
-    # Ends
+    # Outcomes
 
     def site_ended(self, action: SiteEnded) -> None:
-        """A site's part is over."""
+        """Note whether a site rejected its part without any attempt."""
         results = {end.result for end in action.ends}
         if not action.delivered and results == {Result.REFUSED} and not action.why:
             self.never_ran.add(action.name)
 
     def ended(self, action: PublicationEnded) -> None:
-        """One end, as of any message."""
-        harmless = action.name in self.never_ran
-        m = self._forget(action.name)
-        if m is None or m.status:
+        """Complete the message of a publication that ended at all sites."""
+        not_executed = action.name in self.never_ran
+        message = self._forget(action.name)
+        if message is None or message.status:
             return
         if action.delivered:
-            self.host.metrics.count_completion(SUCCEEDED, m.class_index)
-            self.host.completions.complete_without_notice(m, delivered=True)
+            self.host.metrics.count_completion(SUCCEEDED, message.class_index)
+            self.host.completions.complete_without_notice(message, delivered=True)
             return
-        log.warning("federation: %s was not delivered to all: %s", action.name, action.what)
-        single = m.dest != TOPIC
-        self.host.completions.complete(m, "deferred" if single and harmless else "undeliverable", 0)
+        log.warning("federation: %s was not delivered to all subscribers: %s", action.name, action.what)
+        is_single = message.dest != TOPIC
+        self.host.completions.complete(
+            message, "deferred" if is_single and not_executed else "undeliverable", 0
+        )
 
     def over(self, number: int) -> None:
-        """A message has ended otherwise: its time was up, or it was handed in anew."""
+        """Withdraw the publication of a message that completed by its deadline or a second submission."""
         if (name := self.names.get(number)) is not None:
             self._forget(name)
             self.tell(Withdrawn(name))
--- a/madderbeam/host/federation/runner.py
+++ b/madderbeam/host/federation/runner.py
@@ -1,4 +1,4 @@
-"""Runs one pure machine: events in, its actions out in their order, each word behind its record."""
+"""Runs one state machine: passes it events and performs its actions in order, records first."""
 
 from __future__ import annotations
 
@@ -15,16 +15,19 @@
 
 
 class Machine(Protocol):
-    """A decision module of the federation."""
+    """A state machine without input or output of its own."""
 
-    def handle(self, now_us: int, event: Any) -> list[Any]: ...
+    def handle(self, now_us: int, event: Any) -> list[Any]:
+        """Return the actions that follow from the event, in the order to perform them."""
+        ...
 
 
 class Runner:
-    """`act` carries out what is not a record, a timer or a line for the log.
+    """Queues events for a state machine and performs the actions that it returns.
 
-    What stands behind a record is carried out once the disk has it. If the disk does not take it the rest of
-    the list is dropped, and the machine is told which records are not written.
+    `act` performs every action that is not a record, a timer or a log line. Actions that follow a record are
+    performed only after the record is written. If the write fails, the remaining actions are dropped and the
+    machine gets a `WriteFailed` event for each record.
     """
 
     def __init__(
@@ -36,23 +39,24 @@
         act: Callable[[Any], None],
         name: str = "federation",
     ) -> None:
-        """`clock`: the monotonic one, in microseconds. `name`: whose machine it is, for the log."""
+        """`clock` returns monotonic time in microseconds; `name` is the prefix of log lines."""
         self.loop, self.clock, self.machine, self.kept, self.act = loop, clock, machine, kept, act
         self.name = name
         self.events: deque[Any] = deque()
         self.timers: dict[str, asyncio.TimerHandle] = {}
         self.busy = self.closed = False
-        self.unwritten = 0  # records that the disk did not take
-        self.now_us = clock()  # when the event came whose actions are carried out
+        self.unwritten = 0  # records whose write failed
+        # when the event arrived whose actions are being performed
+        self.now_us = clock()
 
     def tell(self, event: Any) -> None:
-        """Hand an event in; from within an action it comes next, behind those that wait."""
+        """Handle the event now, or after the queued ones if called while actions are performed."""
         self.events.append(event)
         if not self.busy:
             self.run([])
 
     def run(self, actions: Iterable[Any]) -> None:
-        """Carry out actions, then take the events that wait."""
+        """Perform the actions, then handle the queued events."""
         if self.closed:
             return
         self.busy = True
@@ -63,8 +67,8 @@
                 try:
                     self.now_us = self.clock()
                     actions = self.machine.handle(self.now_us, event)
-                except Exception:  # one event must not end the process
-                    log.exception("%s failed on %s", type(self.machine).__name__, type(event).__name__)
+                except Exception:  # a failure on one event must not end the process
+                    log.exception("%s failed to handle %s", type(self.machine).__name__, type(event).__name__)
                     continue
                 self._carry_out(actions)
         finally:
@@ -82,17 +86,17 @@
             try:
                 self._one(action)
             except Exception:
-                log.exception("%s failed", type(action).__name__)
+                log.exception("action %s failed", type(action).__name__)
         if rows:
             self._written(rows)
 
     def _written(self, rows: list[Persist]) -> bool:
         try:
-            self.kept.write((r.kind, r.key, r.value) for r in rows)
+            self.kept.write((row.kind, row.key, row.value) for row in rows)
         except OSError as error:
-            log.error("%s: %d records are not kept: %s", self.name, len(rows), error)
+            log.error("%s: writing %d records failed: %s", self.name, len(rows), error)
             self.unwritten += len(rows)
-            self.events.extendleft(WriteFailed(r.kind, r.key) for r in reversed(rows))
+            self.events.extendleft(WriteFailed(row.kind, row.key) for row in reversed(rows))
             return False
         return True
 
@@ -112,13 +116,14 @@
         self.tell(TimerDue(token))
 
     def close(self) -> None:
+        """Cancel all timers; later events are ignored."""
         self.closed = True
         for timer in self.timers.values():
             timer.cancel()
 
 
 def note(action: LogLine, name: str = "federation") -> None:
-    """A line for the log; what an operator can do something about is an error."""
+    """Write a log line: at level error if it carries an error with advice to the operator, else info."""
     line = getattr(action.error, "line", None)
     if line is not None:
         log.error("%s: %s: %s", name, action.text, line()) if action.text else log.error("%s", line())
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -1,9 +1,8 @@
-"""Which destinations this courier serves: what it begins at, lets go of and holds, as the decision module
-sees it.
+"""Applies the federation's decisions on which destinations this courier serves.
 
-Gets Begin, Relinquish and Hold from the federation's machine. What is not served stands in the list as
-draining: the decision module sends nothing there, and keeps what it has learnt. A destination is released
-once no call is out there and the messages for it have gone to where it is served.
+Performs BeginServing, Relinquish and SuspendServing. A destination that is not served is listed as draining:
+the engine sends nothing there and keeps its statistics. A destination is released once no call to it is in
+flight; its pending messages are then forwarded to the site that serves it.
 """
 
 from __future__ import annotations
@@ -26,16 +25,19 @@
 from madderbeam.membership.values import MemberId
 from madderbeam.policy.events import EndpointEntry, EndpointState, ListUpdateKind
 
-LOOK_S = 0.02  # calls out at what is let go of are looked at so often
-QUIET = 2  # looks in a row that find none: the turn that hears their ends lies between
-DRAIN_US = 3_600_000_000  # a drain is passed on for so long: by then the new owner's own list tells of it
+LOOK_S = 0.02  # interval of the checks for calls in flight to relinquished destinations
+QUIET = 2  # consecutive checks without a call: the cycle that handles their outcomes lies between
+DRAIN_US = 3_600_000_000  # the new owner's own endpoint list shows the drain within this time
 log = logging.getLogger(__name__)
 
 
 class Serving:
-    """`told` takes what the federation's machine is told; `passed_on` gets a message that another site
-    serves from now on; `may_call` is asked just before each call. `leased`: a hold ends calls that are out,
-    since the right to make them ends by itself; else they last until they are released."""
+    """Keeps the set of served destinations and shows it to the engine in the endpoint list.
+
+    `may_call` is evaluated just before each call; `told` reports releases to the federation's machine;
+    `passed_on` forwards a message to the site that serves its destination. With `leased`, a suspension aborts
+    calls in flight, because the right to make them ends with the lease; without it they run to their end.
+    """
 
     def __init__(
         self,
@@ -50,92 +52,100 @@
         self.leased = leased
         self.hold = SuspendServing(True, "has not started")
         self.begun: set[int] = set()
-        self.leaving: dict[int, tuple[int, int]] = {}  # the table, and looks that found no call out
+        # table number, consecutive checks without a call
+        self.leaving: dict[int, tuple[int, int]] = {}
         self.looking = False
-        self.before_call: Callable[[int], bool] | None = None  # what couriers of a site share may hold back
-        self.changed_us = host.clock()  # when a table came in force, or a hold began or ended
+        self.before_call: Callable[[int], bool] | None = (
+            None  # set where couriers of a site share findings and limits
+        )
+        # last change of the table in force or of the suspension
+        self.changed_us = host.clock()
         host.registry.is_served = self.serves
 
-    # What others ask
+    # Queries
 
     def serves(self, dest: int) -> bool:
-        """A call may be begun there now."""
+        """Whether a call to the destination may start now."""
         return self.owns(dest) and (self.before_call is None or self.before_call(dest))
 
     def owns(self, dest: int) -> bool:
-        """Messages for it are this courier's to deliver."""
+        """Whether this courier delivers the messages for the destination."""
         return dest in self.begun and not (self.hold.is_suspended and self.held(dest)) and self.may_call(dest)
 
     def held(self, dest: int) -> bool:
-        """It may be served here, but it is not known yet."""
+        """Whether serving of the destination is suspended until the table in force is known."""
         return self.hold.is_suspended and (self.hold.destinations is None or dest in self.hold.destinations)
 
     def why_not(self, table: Table, site: str) -> str:
-        """What stands against serving by this table: "" or the first thing, with its place."""
+        """Return why this site can't serve the table, with the path of the first fault; "" if it can."""
         for dest, owner in sorted(table.owners.items()):
             if owner == site and dest not in self.host.registry.dests:
                 return f"owners.{dest}: this site's partner list has no endpoint of it"
         return ""
 
-    # What the machine has decided
+    # Decisions of the federation
 
     def begin(self, action: BeginServing) -> None:
-        """Served from now on, with what its old owners passed on."""
-        dest, listing = action.dest, self.host.registry
+        """Start to serve a destination, with the waits, drains and slow start in its releases."""
+        dest, registry = action.dest, self.host.registry
         self.leaving.pop(dest, None)
         if dest in self.begun:
             return
         self.begun.add(dest)
         now = self.host.clock()
-        closed: dict[int, EndpointEntry] = {}
+        waiting: dict[int, EndpointEntry] = {}
         for release in action.releases:
             for wait in release.retry_waits:
-                uid = wait.uid if wait.uid in listing.uids else ""
-                for entry in listing.adopt_retry_after(dest, uid, now + wait.remaining_us):
-                    before = closed.get(entry.endpoint, entry)
+                uid = wait.uid if wait.uid in registry.uids else ""
+                for entry in registry.adopt_retry_after(dest, uid, now + wait.remaining_us):
+                    before = waiting.get(entry.endpoint, entry)
                     until = max(before.retry_after_until_us, entry.retry_after_until_us)
-                    closed[entry.endpoint] = replace(entry, retry_after_until_us=until)
-            listing.relayed_drains.update(dict.fromkeys(w.uid for w in release.draining))
+                    waiting[entry.endpoint] = replace(entry, retry_after_until_us=until)
+            registry.relayed_drains.update(dict.fromkeys(w.uid for w in release.draining))
         cold = any(release.is_cold for release in action.releases)
-        entries = [closed.get(e.endpoint, e) for e in self._entries(dest)]
+        entries = [waiting.get(e.endpoint, e) for e in self._entries(dest)]
         self._show([replace(e, recovering=cold or e.recovering) for e in entries])
         if action.releases:
             log.info(
-                "federation: destination %d is served here from now on: %d waits, %s",
+                "federation: destination %d is served here: %d waits, %s",
                 dest,
                 sum(len(r.retry_waits) for r in action.releases),
                 "cold" if cold else "warm",
             )
 
     def relinquish(self, action: Relinquish) -> None:
-        """Begin no call there, and say when none is out."""
+        """Start no more calls to the destination, and report its release when none is in flight."""
         self.begun.discard(action.dest)
         self.leaving[action.dest] = (action.table_number, 0)
-        log.info("federation: destination %d is let go of, by table %d", action.dest, action.table_number)
+        log.info("federation: destination %d is relinquished by table %d", action.dest, action.table_number)
         self._hide([action.dest])
         self._look_again()
 
-    def keep(self, hold: SuspendServing) -> None:
-        """Another hold takes the place of the one before."""
-        before, self.hold = self.hold, hold
-        if before.is_suspended is not hold.is_suspended:
+    def keep(self, suspension: SuspendServing) -> None:
+        """Replace the current suspension."""
+        before, self.hold = self.hold, suspension
+        if before.is_suspended is not suspension.is_suspended:
             self.changed_us = self.host.clock()
-        if hold.is_suspended and hold.reason != before.reason:
-            log.warning("federation: held: %s", hold.reason)
-        elif before.is_suspended and not hold.is_suspended:
+        if suspension.is_suspended and suspension.reason != before.reason:
+            log.warning("federation: serving suspended: %s", suspension.reason)
+        elif before.is_suspended and not suspension.is_suspended:
             log.info("federation: served again")
-        if hold.is_suspended:
-            shut = self.begun if hold.destinations is None else self.begun & hold.destinations
-            self._hide(sorted(shut))
-            for call in [c for c in self.host.calls.out if self.leased and self._dest(c.endpoint) in shut]:
-                call.drop()  # it must not outlast the right to make it
+        if suspension.is_suspended:
+            suspended = (
+                self.begun if suspension.destinations is None else self.begun & suspension.destinations
+            )
+            self._hide(sorted(suspended))
+            for call in [
+                c for c in self.host.calls.out if self.leased and self._dest(c.endpoint) in suspended
+            ]:
+                call.drop()  # a call must not outlast the lease
         self._show([e for dest in sorted(self.begun) for e in self._entries(dest)])
 
     def refresh(self) -> None:
-        """A lease has ended or begun: the list as it is now."""
+        """Post the whole list to the engine: a lease ended or began."""
         self._show(self.host.registry.entries.values())
 
-    # Letting go
+    # Release
 
     def _hide(self, dests: list[int]) -> None:
         entries = [e for dest in dests for e in self._entries(dest)]
@@ -150,18 +160,18 @@
 
     def _look(self) -> None:
         self.looking = False
-        out = {self._dest(call.endpoint) for call in self.host.calls.out}
-        out |= {
-            m.dest
-            for c in self.host.calls.out
-            for item in c.items
-            if (m := self.host.journal.pending.get(item.number))
+        destinations_in_flight = {self._dest(call.endpoint) for call in self.host.calls.out}
+        destinations_in_flight |= {
+            message.dest
+            for open_call in self.host.calls.out
+            for item in open_call.items
+            if (message := self.host.journal.pending.get(item.number))
         }
-        for dest, (table, quiet) in list(self.leaving.items()):
-            if dest in out:
+        for dest, (table, checks) in list(self.leaving.items()):
+            if dest in destinations_in_flight:
                 self.leaving[dest] = (table, 0)
-            elif quiet + 1 < QUIET:
-                self.leaving[dest] = (table, quiet + 1)
+            elif checks + 1 < QUIET:
+                self.leaving[dest] = (table, checks + 1)
             else:
                 del self.leaving[dest]
                 self.told(DestinationReleased(self._release(dest, table)))
@@ -170,29 +180,35 @@
             self._look_again()
 
     def _release(self, dest: int, table: int) -> Release:
-        listing, now = self.host.registry, self.host.clock()
+        registry, now = self.host.registry, self.host.clock()
         waits = tuple(
-            RemainingSpan(uid, until - now) for d, uid, until in listing.active_retry_after() if d == dest
+            RemainingSpan(uid, until - now)
+            for waiting_dest, uid, until in registry.active_retry_after()
+            if waiting_dest == dest
         )
         drains = tuple(
-            RemainingSpan(listing.names[e.endpoint], DRAIN_US)
+            RemainingSpan(registry.names[e.endpoint], DRAIN_US)
             for e in self._entries(dest)
             if e.state is EndpointState.DRAINING
         )
         return Release(dest, self.me, table, waits, drains, self._cold(dest))
 
     def _cold(self, dest: int) -> bool:
-        """Some endpoint is out, or came back lately."""
+        """Whether an endpoint has an open circuit or is in slow start."""
         found = self.host.courier.state.destinations.get(dest)
         endpoints = [ep for lane in found.scopes for ep in lane.endpoints.values()] if found else []
         return any(ep.circuit.is_open or ep.circuit.slow_start_since_us >= 0 for ep in endpoints)
 
     def hand_over(self, dest: int) -> None:
-        """All messages for a destination that another site serves go there."""
-        for m in [m for m in self.host.journal.pending.values() if m.dest == dest and not m.status]:
-            self.passed_on(m)
+        """Forward all pending messages of the destination to the site that serves it."""
+        for message in [
+            message
+            for message in self.host.journal.pending.values()
+            if message.dest == dest and not message.status
+        ]:
+            self.passed_on(message)
 
-    # The list
+    # Endpoint list
 
     def _entries(self, dest: int) -> list[EndpointEntry]:
         return [e for e in self.host.registry.entries.values() if e.destination == dest]
@@ -202,5 +218,5 @@
         return entry.destination if entry else -1
 
     def _show(self, entries: Iterable[EndpointEntry]) -> None:
-        if shown := list(entries):
-            self.host.post_list_update(ListUpdateKind.DELTA, shown)
+        if posted := list(entries):
+            self.host.post_list_update(ListUpdateKind.DELTA, posted)
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/shared.py
@@ -1,8 +1,8 @@
-"""What the couriers of one site share, joined with the turn: news of partners, and leases on their rates.
+"""What the couriers of one site share, connected to the host: findings about partners, leases on their rates.
 
-Gets what this courier learns from calls and its list, and what others tell; the decision module hears of it
-as entries of the list: closed for a wait, draining, cold, full, with another rate. It never loosens what it
-knows.
+Collects what this courier learns from calls and its endpoint list, and what other couriers report. The engine
+gets it as endpoint list entries: with a Retry-After, draining, in slow start, at a connection limit or with
+another rate. Such entries never loosen a restriction that the engine knows itself.
 """
 
 from __future__ import annotations
@@ -39,26 +39,30 @@
 )
 from madderbeam.transport.calls import Item, Outcome
 
-LOOK_S = 0.25  # what the decision module has found is looked at so often
-SOON_S = 0.005  # and so soon after a call there has failed
-OUT_US = 3_000_000  # an outage is told for so long, and again while there is something to try with
-IN_A_ROW = 3  # calls to any endpoints that failed with none answered since: it is out
-FULL_US = 2_000_000  # a full connection table is told for so long
-LIMIT_US = 5_000_000  # and the pace that a refusal led to
-TRIAL_GAP_US = 1_000_000  # longest ceiling of the gap between the trials of the one that tries for all
+LOOK_S = 0.25  # interval of the checks of the engine's state
+SOON_S = 0.005  # delay of the check after a failed call
+OUT_US = 3_000_000  # lifetime of an outage finding; renewed while messages for it are pending
+IN_A_ROW = 3  # consecutive failed calls to a destination that count as an outage
+FULL_US = 2_000_000  # lifetime of the finding that a connection table is full
+LIMIT_US = 5_000_000  # lifetime of a rate limit found from rejections
+TRIAL_GAP_US = 1_000_000  # maximum probe interval of the courier that probes for the site
+# Results that an outage causes.
 FAILING = (
     AttemptResult.RESET,
     AttemptResult.CONNECT_FAILED,
     AttemptResult.TIMEOUT,
-)  # as an outage would show
-WARM_S = 1.0  # after a start others are waited for so long at most, before the first call
-TOLD_S = 0.02  # the decision module has taken a turn by then
-CHANGED = 0.1  # of a rate: a lease that changes by less is not told to the decision module
+)
+WARM_S = 1.0  # after a start, calls wait at most this long for findings of other members
+TOLD_S = 0.02  # the engine has run a cycle within this time
+CHANGED = 0.1  # smaller relative increases of a leased rate are not posted to the engine
 log = logging.getLogger(__name__)
 
 
 class Shared:
-    """`news` and `leases` take events for the two machines."""
+    """Exchanges findings and leases between the host and the two state machines.
+
+    `news` posts events to the machine of findings, `lease` to that of leases.
+    """
 
     def __init__(
         self,
@@ -73,18 +77,26 @@
     ) -> None:
         self.host, self.me, self.serving = host, me, serving
         self.partners, self.leases, self.news, self.lease = partners, leases, news, lease
-        self.out: set[int] = set()  # destinations that are out, as this courier finds
-        self.failed: set[int] = set()  # destinations where a call failed, with none answered since
+        self.out: set[int] = set()  # destinations with an outage found by this courier
+        # destinations with a failed call and no later reply
+        self.failed: set[int] = set()
         self.answered_us: dict[int, int] = {}
         self.looking = False
-        self.held: set[int] = set()  # destinations that another tries for all, or that two doubt
-        self.full_us: dict[int, int] = {}  # when an endpoint's full table was told last
-        self.refused: set[int] = set()  # destinations that refused as full since these were last looked at
-        self.back_us: dict[int, int] = {}  # when another was answered by a destination that was out
-        self.drains: set[str] = set()  # endpoints whose drain was told
-        self.rates: dict[int, float] = {}  # what the decision module was told, by destination
-        self.until: dict[int, int] = {}  # how long that holds
-        self.stale: set[int] = set()  # whose lease has ended, which the decision module has not heard yet
+        # destinations that another member probes, or that two members suspect
+        self.held: set[int] = set()
+        # endpoint -> when its full connection table was last reported
+        self.full_us: dict[int, int] = {}
+        # destinations that rejected a call as overloaded since the last check
+        self.refused: set[int] = set()
+        # when another member found a destination recovered
+        self.back_us: dict[int, int] = {}
+        self.drains: set[str] = set()  # uids of endpoints whose drain was reported
+        # destination -> rate last posted to the engine
+        self.rates: dict[int, float] = {}
+        # destination -> end of the lease behind that rate
+        self.until: dict[int, int] = {}
+        # destinations whose expired lease the engine still uses
+        self.stale: set[int] = set()
         self.arrivals: dict[int, int] = {}
         self.meters: dict[int, RateMeter] = {}
         self.limits: dict[str, Limit] = {}
@@ -94,14 +106,14 @@
         self.warming = True
         host.registry.shared_rate, host.registry.add_shared_findings = self.rate, self.learnt
         serving.before_call = self.before_call
-        told, ended = host.calls.hooks.told_wait, host.calls.hooks.ended
+        previous_told_wait, previous_ended = host.calls.hooks.told_wait, host.calls.hooks.ended
 
         def told_wait(endpoint: int, wait_us: int) -> None:
-            told(endpoint, wait_us)
+            previous_told_wait(endpoint, wait_us)
             self._waits(endpoint, wait_us)
 
-        def over(item: Item, endpoint: int, outcome: Outcome, latency_us: int) -> None:
-            ended(item, endpoint, outcome, latency_us)
+        def on_call_ended(item: Item, endpoint: int, outcome: Outcome, latency_us: int) -> None:
+            previous_ended(item, endpoint, outcome, latency_us)
             if outcome.result is AttemptResult.OK:
                 self.answered(endpoint)
             elif outcome.result in FAILING:
@@ -109,21 +121,21 @@
             elif outcome.result is AttemptResult.OVERLOADED and (entry := self._entry(endpoint)) is not None:
                 self.refused.add(entry.destination)
 
-        host.calls.hooks.told_wait, host.calls.hooks.ended = told_wait, over
+        host.calls.hooks.told_wait, host.calls.hooks.ended = told_wait, on_call_ended
 
     def open(self) -> None:
-        """All has started. What others know is waited for, for a moment, before the first call."""
+        """Start the checks; calls wait a moment for the findings of other members."""
         self.host.schedule(WARM_S, self.warm)
         self._look()
 
     def warm(self) -> None:
-        """Others have told what they know, or nobody is there."""
+        """Permit calls: findings of another member have arrived, or the wait is over."""
         if self.warming:
             self.warming = False
             self.serving.refresh()
 
     def table(self, table: Table, earlier: tuple[tuple[MemberId, ...], ...] = ()) -> None:
-        """Another table is in force."""
+        """Apply the members of this site in the table in force; `earlier` are those of previous tables."""
         members = table.members(self.me.site)
         self.members = max(1, len(members))
         site = SiteMembers(members, earlier, is_first_table=table.number <= 1)
@@ -133,41 +145,42 @@
         self.lease(site)
 
     def close(self) -> None:
+        """Stop the periodic checks."""
         self.closed = True
 
     # Before a call
 
     def before_call(self, dest: int) -> bool:
-        """Just before it is written: nobody else tries for all, and the lease has not ended."""
+        """Whether a call may start: no other member probes the destination and its lease has not expired."""
         if self.warming or dest in self.held:
             return False
         if dest in self.until and self.host.clock() >= self.until[dest]:
-            # All that was chosen by it goes back, until the decision module goes by what there is without.
+            # Calls chosen under the expired lease are returned until the engine uses the unleased rate.
             self.stale.add(dest)
             self._rate(dest, self.leases.amount(f"rate/{dest}", self.host.clock()), 0)
             self.host.schedule(TOLD_S, lambda: self._told(dest))
         return dest not in self.stale
 
     def _told(self, dest: int) -> None:
-        """The decision module has heard that a lease has ended."""
+        """Permit calls again: the engine has handled the end of the lease."""
         self.stale.discard(dest)
         self._show(dest)
 
-    # What this courier learns
+    # Local findings
 
     def _entry(self, endpoint: int) -> EndpointEntry | None:
         return self.host.registry.entries.get(endpoint)
 
     def _waits(self, endpoint: int, wait_us: int) -> None:
         if (entry := self._entry(endpoint)) is not None:
-            apart = self.host.settings.kinds[
+            per_endpoint = self.host.settings.kinds[
                 min(entry.kind, len(self.host.settings.kinds) - 1)
             ].limits_per_endpoint
-            uid = self.host.registry.names[endpoint] if apart else ""
+            uid = self.host.registry.names[endpoint] if per_endpoint else ""
             self.news(LocalFinding(Finding(FindingKind.RETRY_AFTER, entry.destination, uid, wait_us)))
 
     def answered(self, endpoint: int) -> None:
-        """It answered: what was out is back, for all."""
+        """Note a reply of the endpoint, and report the recovery of a destination that was out."""
         if (entry := self._entry(endpoint)) is None:
             return
         dest, now = entry.destination, self.host.clock()
@@ -177,15 +190,15 @@
             self.news(CallAnswered(dest))
         if dest in self.out:
             self.out.discard(dest)
-            log.info("federation: destination %d answers again", dest)
-            tried = dest in self.partners.probing
+            log.info("federation: destination %d has recovered", dest)
+            was_probing = dest in self.partners.probing
             self.news(LocalFinding(Finding(FindingKind.RECOVERY, dest, "", self.host.settings.warm_up_us)))
             self.news(LocalFinding(Finding(FindingKind.OUTAGE, dest, "", 0)))
-            if tried:
+            if was_probing:
                 self._show(dest, cold=True)
 
     def _fails(self, endpoint: int, latency_us: int) -> None:
-        """A call failed: where none that was sent later has been answered, others should know at once."""
+        """Report a failed call, unless a call that started later has succeeded."""
         entry, now = self._entry(endpoint), self.host.clock()
         if entry is None or self.answered_us.get(entry.destination, -1) >= now - latency_us:
             return
@@ -196,18 +209,20 @@
             self.host.schedule(SOON_S, self._look_soon)
 
     def listed(self) -> None:
-        """The list has changed: drains that are new here."""
-        listing = self.host.registry
-        now = {
-            listing.names[e.endpoint]: e.destination
-            for e in listing.entries.values()
-            if e.state is EndpointState.DRAINING
+        """Report new drains of the endpoint list and update the limits."""
+        registry = self.host.registry
+        draining = {
+            registry.names[listed_entry.endpoint]: listed_entry.destination
+            for listed_entry in registry.entries.values()
+            if listed_entry.state is EndpointState.DRAINING
         }
-        for uid in now.keys() - self.drains:
+        for uid in draining.keys() - self.drains:
             self.news(
-                LocalFinding(Finding(FindingKind.DRAIN, now[uid], uid, self.host.settings.drain_grace_us))
+                LocalFinding(
+                    Finding(FindingKind.DRAIN, draining[uid], uid, self.host.settings.drain_grace_us)
+                )
             )
-        self.drains = set(now)
+        self.drains = set(draining)
         self._limits()
         self.more.listed()
 
@@ -218,58 +233,65 @@
                 self._find(number, dest)
 
     def _find(self, number: int, dest: Destination) -> None:
-        """Whether it is out, as the decision module has found."""
-        endpoints = [ep for lane in dest.scopes for ep in lane.endpoints.values()]
-        failing = all(
-            lane.failures_in_a_row >= IN_A_ROW and lane.failing_since_us >= 0 for lane in dest.scopes
+        """Report the begin or end of an outage, judged by the engine's state."""
+        endpoints = [endpoint for scope in dest.scopes for endpoint in scope.endpoints.values()]
+        is_failing = all(
+            scope.failures_in_a_row >= IN_A_ROW and scope.failing_since_us >= 0 for scope in dest.scopes
         )
-        trouble = all(ep.circuit.is_open for ep in endpoints) or (number in self.failed and failing)
-        known = self.host.clock() - self.back_us.get(number, 0) < LOOK_S * 1e6  # not found since
-        if endpoints and trouble and not known and (dest.queue or dest.in_flight):
+        is_out = all(endpoint.circuit.is_open for endpoint in endpoints) or (
+            number in self.failed and is_failing
+        )
+        # The engine's state may be from before the recovery.
+        recovered_lately = self.host.clock() - self.back_us.get(number, 0) < LOOK_S * 1e6
+        if endpoints and is_out and not recovered_lately and (dest.queue or dest.in_flight):
             self.out.add(number)
             self.news(LocalFinding(Finding(FindingKind.OUTAGE, number, "", OUT_US)))
-        elif number in self.out and not any(ep.circuit.is_open for ep in endpoints):
+        elif number in self.out and not any(endpoint.circuit.is_open for endpoint in endpoints):
             self.out.discard(number)
             self.news(LocalFinding(Finding(FindingKind.OUTAGE, number, "", 0)))
 
     def _find_bounds(self, number: int, dest: Destination) -> None:
-        """Connection tables that were full, and the pace that refusals led to, where no rate is listed."""
-        for lane in dest.scopes:
-            for ep in lane.endpoints.values():
-                uid = self.host.registry.names.get(ep.id)
+        """Report full connection tables, and paces that rejections led to where no rate is listed."""
+        for scope in dest.scopes:
+            for endpoint in scope.endpoints.values():
+                uid = self.host.registry.names.get(endpoint.id)
                 if (
-                    ep.connection_limit_at_us > self.full_us.get(ep.id, 0)
-                    and ep.connection_limit < math.inf
+                    endpoint.connection_limit_at_us > self.full_us.get(endpoint.id, 0)
+                    and endpoint.connection_limit < math.inf
                     and uid is not None
                 ):
-                    self.full_us[ep.id] = ep.connection_limit_at_us
-                    left_us = ep.connection_limit_at_us + FULL_US - self.host.clock()
+                    self.full_us[endpoint.id] = endpoint.connection_limit_at_us
+                    left_us = endpoint.connection_limit_at_us + FULL_US - self.host.clock()
                     self.news(LocalFinding(Finding(FindingKind.TABLE_FULL, number, uid, max(0, left_us))))
-            if lane.pace_per_s and not lane.listed_rate_per_s and number in self.refused:
+            if scope.pace_per_s and not scope.listed_rate_per_s and number in self.refused:
                 self.news(
-                    LocalFinding(Finding(FindingKind.RATE_LIMIT, number, "", LIMIT_US, lane.pace_per_s))
+                    LocalFinding(Finding(FindingKind.RATE_LIMIT, number, "", LIMIT_US, scope.pace_per_s))
                 )
 
     def _look(self) -> None:
-        """What the decision module has found since."""
+        """Check the engine's state for outages, limits and demand, periodically."""
         if self.closed:
             return
-        self.full_us = {n: at for n, at in self.full_us.items() if n in self.host.courier.state.endpoints}
+        self.full_us = {
+            endpoint: at_us
+            for endpoint, at_us in self.full_us.items()
+            if endpoint in self.host.courier.state.endpoints
+        }
         for number, dest in list(self.host.courier.state.destinations.items()):
             self._find(number, dest)
             self._find_bounds(number, dest)
             self.refused.discard(number)
             if f"rate/{number}" in self.limits:
-                came = dest.arrivals - self.arrivals.get(number, 0)
+                arrived = dest.arrivals - self.arrivals.get(number, 0)
                 self.arrivals[number] = dest.arrivals
                 meter = self.meters.setdefault(number, RateMeter())
-                meter.record_arrivals(came, LOOK_S)
+                meter.record_arrivals(arrived, LOOK_S)
                 self.lease(Need(f"rate/{number}", meter.needed_rate(len(dest.queue))))
         self.more.look(LOOK_S)
         self.host.schedule(LOOK_S, self._look)
 
     def _limits(self) -> None:
-        """Partners' rates, of all members together."""
+        """Post the listed rates of partners, which all members share, to the lease machine."""
         if not self.host.settings.rates_listed:
             return
         for entry in self.host.registry.entries.values():
@@ -279,39 +301,45 @@
                 self.limits[name] = limit
                 self.lease(limit)
 
-    # What others tell
+    # Findings of other members
 
     def heed(self, action: ApplyFinding) -> None:
-        """Hold back by it."""
-        news, listing = action.finding, self.host.registry
-        if news.kind is FindingKind.RETRY_AFTER:
-            uid = news.uid if news.uid in listing.uids else ""
-            entries = listing.adopt_retry_after(news.dest, uid, self.host.clock() + news.left_us)
+        """Apply a finding of another member, which restricts the calls of this courier."""
+        finding, registry = action.finding, self.host.registry
+        if finding.kind is FindingKind.RETRY_AFTER:
+            uid = finding.uid if finding.uid in registry.uids else ""
+            entries = registry.adopt_retry_after(finding.dest, uid, self.host.clock() + finding.left_us)
             self.host.post_list_update(ListUpdateKind.DELTA, entries)
-        elif news.kind is FindingKind.DRAIN and news.uid in listing.uids:
-            listing.relayed_drains[news.uid] = None
-            self._show(news.dest)
-        elif news.kind in (FindingKind.OUTAGE, FindingKind.SUSPICION):
-            if news.kind is FindingKind.OUTAGE:
+        elif finding.kind is FindingKind.DRAIN and finding.uid in registry.uids:
+            registry.relayed_drains[finding.uid] = None
+            self._show(finding.dest)
+        elif finding.kind in (FindingKind.OUTAGE, FindingKind.SUSPICION):
+            if finding.kind is FindingKind.OUTAGE:
                 log.info(
-                    "federation: destination %d is out, says %s: %s tries for all",
-                    news.dest,
+                    "federation: destination %d has an outage, reported by %s; %s probes it",
+                    finding.dest,
                     action.source,
-                    self.partners.prober(self.host.clock(), news.dest),
+                    self.partners.prober(self.host.clock(), finding.dest),
                 )
-            if news.dest not in self.held:
-                self.held.add(news.dest)
-                self._show(news.dest)
-        elif news.kind is FindingKind.RECOVERY:
-            self._is_back(news.dest)
-        elif news.kind is FindingKind.TABLE_FULL and news.uid in listing.uids:
-            until_us = self.host.clock() + min(news.left_us, FULL_US)
-            self._tell(news.dest, lambda e: replace(e, connect_not_before_us=until_us), news.uid)
-        elif news.kind is FindingKind.RATE_LIMIT and not any(e.rate_per_s for e in self._entries(news.dest)):
-            self._tell(news.dest, lambda e: replace(e, paced_per_s=news.value))
+            if finding.dest not in self.held:
+                self.held.add(finding.dest)
+                self._show(finding.dest)
+        elif finding.kind is FindingKind.RECOVERY:
+            self._is_back(finding.dest)
+        elif finding.kind is FindingKind.TABLE_FULL and finding.uid in registry.uids:
+            until_us = self.host.clock() + min(finding.left_us, FULL_US)
+            self._tell(
+                finding.dest,
+                lambda listed_entry: replace(listed_entry, connect_not_before_us=until_us),
+                finding.uid,
+            )
+        elif finding.kind is FindingKind.RATE_LIMIT and not any(
+            listed_entry.rate_per_s for listed_entry in self._entries(finding.dest)
+        ):
+            self._tell(finding.dest, lambda listed_entry: replace(listed_entry, paced_per_s=finding.value))
 
     def _is_back(self, dest: int) -> None:
-        """Another was answered there: what was found here before is void, and all begin cold."""
+        """Drop earlier findings about a destination that another member found recovered; use slow start."""
         self.failed.discard(dest)
         self.back_us[dest] = self.host.clock()
         if dest in self.out:
@@ -320,28 +348,32 @@
         self._show(dest, cold=True)
 
     def lapsed(self, action: FindingExpired) -> None:
-        """It holds no more."""
+        """Stop applying a finding that expired."""
         if action.kind in (FindingKind.OUTAGE, FindingKind.SUSPICION):
             self.held.discard(action.dest)
             self._show(action.dest, cold=action.kind is FindingKind.OUTAGE)
 
     def try_for(self, action: SetProbing) -> None:
-        """This courier tries for all, or does no longer."""
+        """Begin or end probing a destination on behalf of the site."""
         self._show(action.dest)
         log.info(
-            "federation: destination %d: this courier %s for all",
+            "federation: destination %d: this courier %s it",
             action.dest,
-            "tries" if action.enabled else "tries no longer",
+            "probes" if action.enabled else "stops probing",
         )
 
     # Leases
 
     def allot(self, action: SetAllowance) -> None:
-        """What this courier may use of a limit."""
+        """Apply a changed allowance of a rate, a connection limit or a quota."""
         kind, _, dest = action.resource.partition("/")
         if kind == "rate" and dest.isdecimal():
-            runs = self.host.clock() < action.until_us
-            self._rate(int(dest), action.amount if runs else action.fallback, action.until_us if runs else 0)
+            is_leased = self.host.clock() < action.until_us
+            self._rate(
+                int(dest),
+                action.amount if is_leased else action.fallback,
+                action.until_us if is_leased else 0,
+            )
         else:
             self.more.allot(action)
 
@@ -356,32 +388,36 @@
             self._show(dest)
 
     def rate(self, entry: EndpointEntry) -> float:
-        """What the list says of it, by the lease: a rate of all couriers of these settings together."""
+        """Return the rate to list for the entry, per second: the leased rate times the couriers."""
         amount = self.rates.get(entry.destination)
         return entry.rate_per_s if amount is None else max(1e-3, amount) * self.host.settings.courier_count
 
     def learnt(self, entry: EndpointEntry) -> EndpointEntry:
-        """What the list says of it, by who tries, and whether its rate is this courier's own."""
-        gap_us = TRIAL_GAP_US if entry.destination in self.partners.probing else 0
-        return replace(entry, max_probe_interval_us=gap_us, rate_is_leased=entry.destination in self.rates)
+        """Return the entry with the probe interval of the prober, and whether its rate is leased."""
+        interval_us = TRIAL_GAP_US if entry.destination in self.partners.probing else 0
+        return replace(
+            entry, max_probe_interval_us=interval_us, rate_is_leased=entry.destination in self.rates
+        )
 
     def _entries(self, dest: int) -> list[EndpointEntry]:
         return [e for e in self.host.registry.entries.values() if e.destination == dest]
 
     def _show(self, dest: int, cold: bool = False) -> None:
-        part = 1 / max(1, self.partners.board.live_member_count) if cold else 1.0
-        self._tell(dest, lambda e: replace(e, recovering=cold or e.recovering, slow_start_share=part))
+        slow_start_share = 1 / max(1, self.partners.board.live_member_count) if cold else 1.0
+        self._tell(
+            dest, lambda e: replace(e, recovering=cold or e.recovering, slow_start_share=slow_start_share)
+        )
 
     def _tell(self, dest: int, change: Callable[[EndpointEntry], EndpointEntry], uid: str = "") -> None:
-        """The decision module hears of the destination's entries, or of one."""
+        """Post the changed entries of the destination, or of one endpoint, to the engine."""
         names = self.host.registry.names
-        found = [e for e in self._entries(dest) if uid in ("", names[e.endpoint])]
-        self.host.post_list_update(ListUpdateKind.DELTA, list(map(change, found)))
+        entries = [e for e in self._entries(dest) if uid in ("", names[e.endpoint])]
+        self.host.post_list_update(ListUpdateKind.DELTA, list(map(change, entries)))
 
-    # The second address
+    # Admin address
 
     def status(self, now_us: int) -> dict[str, Any]:
-        """For GET /federation."""
+        """Return the section of GET /federation on findings and leases."""
         return {
             **self.partners.status(now_us),
             "held_back": sorted(self.held),
--- a/tests/federation/test_release_missing.py
+++ b/tests/federation/test_release_missing.py
@@ -39,7 +39,7 @@
     status, text = await macon.offer(table)
     assert status == 202, text
     await estate.until_in_force(2, LIMIT)
-    await savannah.until("destination 2 is let go of", LIMIT)
+    await savannah.until("destination 2 is relinquished", LIMIT)
     assert partner.calls[0].ended == float("inf")
     await savannah.kill()
     for kind in ("safe", "keyed", "unsafe"):
