--- a/madderbeam/host/federation/calls.py
+++ b/madderbeam/host/federation/calls.py
@@ -32,13 +32,13 @@
 from madderbeam.transport.mesh.mesh import Mesh
 
 CALL_MOST = 1 << 20  # fits a table of 10,000 destinations
-OUTCOMES = 16  # most recent proposals whose outcome is reported
+MAX_OUTCOMES = 16  # most recent proposals whose outcome is reported
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class Member:
-    """What the calls read and write: `table` returns the table in force, `tell` posts federation events."""
+    """What the calls use: `table` returns the table in force, `post_event` posts federation events."""
 
     host: Host
     disk: Disk
@@ -57,28 +57,28 @@
 class Calls:
     """Serves the calls and remembers the outcomes of the tables proposed at this member."""
 
-    def __init__(self, member: Member) -> None:
-        self.member, self.me = member, member.config.id
+    def __init__(self, context: Member) -> None:
+        self.member, self.me = context, context.config.id
         self.outcomes: dict[ProposalId, ProposalOutcome] = {}
-        service, control = member.host.admin_service, member.host.control
+        service, control = context.host.admin_service, context.host.control
         control.most = max(control.most, CALL_MOST)
         service.calls |= {
             "/federation": ("GET", self._show),
-            "/federation/table": ("POST", self._offer),
-            "/federation/off": ("POST", self._off),
-            "/federation/trust": ("POST", self._trust),
+            "/federation/table": ("POST", self._propose_table),
+            "/federation/off": ("POST", self._decommission_member),
+            "/federation/trust": ("POST", self._accept_rollback),
         }
 
     def outcome(self, outcome: ProposalOutcome) -> None:
         """Record the outcome of a table proposed at this member."""
         self.outcomes.pop(outcome.proposal, None)
         self.outcomes[outcome.proposal] = outcome
-        if len(self.outcomes) > OUTCOMES:
+        if len(self.outcomes) > MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
         if outcome.is_agreed:
             log.info("federation: table %s is agreed", outcome.proposal)
         else:
-            log.error("federation: table %s was rejected: %s", outcome.proposal, _line(outcome.error))
+            log.error("federation: table %s was rejected: %s", outcome.proposal, _error_text(outcome.error))
 
     # Calls
 
@@ -94,9 +94,12 @@
             "federation": member.config.name,
             "member": str(self.me),
             "start": member.membership.incarnation.start,
-            "members": [_member(view, now) for view in member.membership.views()],
+            "members": [_member_status(view, now) for view in member.membership.views()],
             "sites": {
-                name: {"live": list(map(str, site.live)), "none_for_ms": _ago(site.empty_since_us, now)}
+                name: {
+                    "live": list(map(str, site.live)),
+                    "none_for_ms": _elapsed_ms(site.empty_since_us, now),
+                }
                 for name, site in sites.items()
             },
             "health": member.membership.health,
@@ -104,16 +107,16 @@
             "agreement": member.agreement.status(now),
             "switch": member.switch.status(now),
             "offered": {
-                str(proposal): "agreed" if outcome.is_agreed else _line(outcome.error)
+                str(proposal): "agreed" if outcome.is_agreed else _error_text(outcome.error)
                 for proposal, outcome in self.outcomes.items()
             },
-            "streams": _streams(member.streams.figures, now),
+            "streams": _stream_status(member.streams.figures, now),
             "custody": member.custodian.figures,
             "mesh": member.mesh.metrics(),
             **({"shared": member.shared.status(now)} if member.shared else {}),
         }
 
-    def _offer(self, body: bytes) -> Answer:
+    def _propose_table(self, body: bytes) -> Answer:
         try:
             table = tables.read_table(json.loads(body))
         except (ValueError, RecursionError) as error:
@@ -133,10 +136,10 @@
             return Answer(202, f"{proposal} is offered; GET /federation tells what becomes of it\n")
         if outcome.is_agreed:
             return Answer(200, f"{proposal} is agreed\n")
-        return Answer(409, f"{_line(outcome.error)}\n")
+        return Answer(409, f"{_error_text(outcome.error)}\n")
 
-    def _off(self, body: bytes) -> Answer:
-        member = _named(body)
+    def _decommission_member(self, body: bytes) -> Answer:
+        member = _parse_member(body)
         if member is None:
             return Answer(400, 'the body must be a JSON object like {"member":"SITE/NAME"}\n')
         if member == self.me:
@@ -145,14 +148,14 @@
         self.member.tell(MemberDecommissioned(member, self.member.table().number))
         return Answer(200, f"{member} counts as off by table {self.member.table().number}\n")
 
-    def _trust(self, _: bytes) -> Answer:
+    def _accept_rollback(self, _: bytes) -> Answer:
         log.warning("federation: an operator declared this member's state folder trusted")
         self.member.tell(RollbackAccepted())
         return Answer(200, f"{self.me} takes part in votes again\n")
 
     # SIGHUP
 
-    def offer_file(self) -> None:
+    def propose_file(self) -> None:
         """Propose the table of the configured file if its number is above that of the table in force."""
         path = self.member.config.table_file
         if not path:
@@ -170,12 +173,12 @@
             log.info("federation: %s: %s", path, answer.text.strip())
 
 
-def _line(error: Exception | None) -> str:
+def _error_text(error: Exception | None) -> str:
     line_method: Callable[[], str] | None = getattr(error, "line", None)
     return line_method() if line_method is not None else str(error)
 
 
-def _named(body: bytes) -> MemberId | None:
+def _parse_member(body: bytes) -> MemberId | None:
     try:
         value = json.loads(body)
         site, slash, name = value["member"].partition("/")
@@ -184,26 +187,26 @@
     return MemberId(site, name) if slash and site and name else None
 
 
-def _ago(since_us: int | None, now_us: int) -> int | None:
+def _elapsed_ms(since_us: int | None, now_us: int) -> int | None:
     return None if since_us is None else (now_us - since_us) // 1000
 
 
-def _member(view: MemberView, now_us: int) -> dict[str, Any]:
+def _member_status(view: MemberView, now_us: int) -> dict[str, Any]:
     return {
         "member": str(view.id),
         "state": view.state.name.lower(),
         "start": view.incarnation.start,
         "address": "{}:{}".format(*view.address),
         "draining": view.draining,
-        "for_ms": _ago(view.since_us, now_us),
+        "for_ms": _elapsed_ms(view.since_us, now_us),
     }
 
 
-def _streams(figures: dict[str, dict[str, Any]], now_us: int) -> dict[str, dict[str, Any]]:
+def _stream_status(figures: dict[str, dict[str, Any]], now_us: int) -> dict[str, dict[str, Any]]:
     """Replace the points in time of the machine's metrics by durations."""
     return {
         site: {
-            "away_for_ms": _ago(row["away_since_us"], now_us),
+            "away_for_ms": _elapsed_ms(row["away_since_us"], now_us),
             **{name: value for name, value in row.items() if name != "away_since_us"},
         }
         for site, row in figures.items()
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -9,11 +9,12 @@
 from typing import Any
 
 from madderbeam.config.federation import Federation as Config
-from madderbeam.federation.consensus import messages as words
+from madderbeam.federation.consensus import messages as consensus_messages
 from madderbeam.federation.consensus.agreement import Agreement
 from madderbeam.federation.consensus.rounds import AgreementSettings
 from madderbeam.federation.federation import Federation
-from madderbeam.federation.switchover import ledger, messages
+from madderbeam.federation.switchover import ledger
+from madderbeam.federation.switchover import messages as switchover_messages
 from madderbeam.federation.switchover.consensus_view import AgreementView
 from madderbeam.federation.switchover.settings import SwitchoverSettings
 from madderbeam.federation.switchover.switchover import Switchover
@@ -67,25 +68,25 @@
 )
 from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
-from madderbeam.relay import messages as streams
+from madderbeam.relay import messages as relay_messages
 from madderbeam.relay.custody import Custodian, CustodySettings
 from madderbeam.relay.door import Room as Backlog
 from madderbeam.relay.grouping import Tables
 from madderbeam.relay.origin import Streams, StreamSettings
 from madderbeam.relay.subscriptions import Subscriptions
 from madderbeam.relay.values import Expand, PublicationEnded, Settled, SiteEnded, Subscribed
-from madderbeam.shared import lease_messages as lent
+from madderbeam.shared import lease_messages
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.leases import Leases
 from madderbeam.shared.partner_outages import PartnerOutages
 from madderbeam.shared.values import ApplyFinding, FindingExpired, SetAllowance, SetProbing
-from madderbeam.transport.mesh import events as heard
+from madderbeam.transport.mesh import events as mesh_events
 from madderbeam.transport.mesh.events import MeshSettings
 from madderbeam.transport.mesh.mesh import Mesh
 
 # Mesh channels: membership, relay, consensus on the table, switchover, leases on limits.
-M, R, T, S, L = "m", "r", "t", "s", "l"
-LINKS = 256  # permanent links; links to further members are opened on demand
+MEMBERSHIP, RELAY, CONSENSUS, S, LEASES = "m", "r", "t", "s", "l"
+MAX_PERMANENT_LINKS = 256  # permanent links; links to further members are opened on demand
 log = logging.getLogger(__name__)
 
 
@@ -111,18 +112,18 @@
             self.life,
             config.name,
             config.listen,
-            self._heard,
-            channels=(M, R, T, S, L),
+            self._on_mesh_event,
+            channels=(MEMBERSHIP, RELAY, CONSENSUS, S, LEASES),
             rng=self.chance,
             settings=MeshSettings(drift_ppm=config.lease_drift_ppm),
         )
         # None: not posted yet; an empty set is posted too
-        self.subscribed: dict[str, set[int]] | None = None
+        self.posted_subscriptions: dict[str, set[int]] | None = None
         self.started = False
-        self._membership()
-        self._table()
-        self._relay()
-        self._shared()
+        self._create_membership()
+        self._create_table_machines()
+        self._create_relay()
+        self._create_sharing()
         self.calls = Calls(
             Member(
                 host,
@@ -139,7 +140,7 @@
                 self.federation.tell,
             )
         )
-        self._actions: dict[type, Callable[[Any], None]] = self._acts()
+        self._handlers: dict[type, Callable[[Any], None]] = self._action_handlers()
 
     def _known(self) -> Table:
         """Return the last table in force here, or the configured one if none ever was."""
@@ -156,7 +157,7 @@
 
     # State machines
 
-    def _membership(self) -> None:
+    def _create_membership(self) -> None:
         config, times = self.config, self.config.times
         settings = MembershipSettings(
             probe_period_us=times.probe_period_ms * 1000,
@@ -172,7 +173,7 @@
         )
         self.members = self._run(self.membership)
 
-    def _table(self) -> None:
+    def _create_table_machines(self) -> None:
         config = self.config
         agreement_settings = AgreementSettings(vote_timeout_us=config.agree_within_ms * 1000)
         self.agreement = Agreement(
@@ -206,7 +207,7 @@
         now = self.host.clock()
         return self.switch.may_call(now, dest) and not self.membership.was_paused(now)
 
-    def _relay(self) -> None:
+    def _create_relay(self) -> None:
         config = self.config
         self.subscriptions = Subscriptions(self.me, self.life)
         self.tables = Tables(self.me.site, self.subscriptions.subscribers)
@@ -232,7 +233,7 @@
             self.custodian,
             self.relay.tell,
             self.origin.tell,
-            lambda message: self.publications.come_home(message),
+            lambda message: self.publications.take_back(message),
             self.kept,
         )
         self.publications = Publications(
@@ -249,7 +250,7 @@
             self.custody.settling.__contains__,
         )
 
-    def _shared(self) -> None:
+    def _create_sharing(self) -> None:
         """Create the machines of findings and leases if the couriers of this site share them."""
         self.shared: Shared | None = None
         self.news: Runner | None = None
@@ -299,7 +300,7 @@
         self.publications.resume()
         if self.shared is not None:
             self.shared.open()
-        self._want()
+        self._update_links()
 
     def listed(self) -> None:
         """Post the topic subscriptions of the partner list if they changed."""
@@ -309,15 +310,15 @@
                 for topic in subscribed:
                     topics.setdefault(topic, set()).add(entry.destination)
         # An empty set is posted too: after their start other sites wait for this site's subscriptions.
-        if self.started and (topics != self.subscribed or not self.subscriptions.version):
-            self.subscribed = topics
+        if self.started and (topics != self.posted_subscriptions or not self.subscriptions.version):
+            self.posted_subscriptions = topics
             self.topics.tell(Subscribed(topics, self.subscriptions.version + 1))
         if self.started and self.shared is not None:
             self.shared.listed()
 
     def reload_files(self) -> None:
         """Propose the configured table file if it is newer."""
-        self.calls.offer_file()
+        self.calls.propose_file()
 
     def begin_shutdown(self) -> None:
         """Announce the shutdown to the other members."""
@@ -353,7 +354,7 @@
 
     # Mesh events
 
-    def _heard(self, channel: str, event: Any) -> None:
+    def _on_mesh_event(self, channel: str, event: Any) -> None:
         """Pass a mesh event to its state machine; invalid rows are only counted."""
         if self.membership.was_paused(self.host.clock()):
             # handle a pause before the messages that arrived during it
@@ -362,33 +363,35 @@
             for runner in (self.federation, self.origin, self.relay):
                 runner.tell(event)
             return
-        if isinstance(event, heard.LaterIncarnationSeen):
+        if isinstance(event, mesh_events.LaterIncarnationSeen):
             self.federation.tell(RollbackDetected(event.seen, self.life))
             return
         try:
-            decoded = READ[channel, type(event)](event)
+            decoded = DECODERS[channel, type(event)](event)
             if isinstance(decoded, MessageReceived):
-                decoded = replace(decoded, earliest_sent_us=self._said(event))
+                decoded = replace(decoded, earliest_sent_us=self._sent_at_us(event))
         except ValueError as error:
             self.mesh.count_invalid_row(f"channel {channel}: {error}")
             return
         except KeyError:
             self.mesh.count_invalid_row(f"channel {channel}: {type(event).__name__}")
             return
-        if channel == M:
+        if channel == MEMBERSHIP:
             self.members.tell(decoded)
-            if self.shared is not None and isinstance(event, heard.ExchangeReplied):
+            if self.shared is not None and isinstance(event, mesh_events.ExchangeReplied):
                 self.shared.warm()
-        elif channel == L:
+        elif channel == LEASES:
             if self.news is not None:
                 self.leases.tell(decoded)
-        elif channel == R:
-            is_for_origin = isinstance(decoded.message, (streams.Ack, streams.Nak, streams.Ends))
+        elif channel == RELAY:
+            is_for_origin = isinstance(
+                decoded.message, (relay_messages.Ack, relay_messages.Nak, relay_messages.Ends)
+            )
             (self.origin if is_for_origin else self.relay).tell(decoded)
         else:
             self.federation.tell(decoded)
 
-    def _said(self, event: MessageReceived) -> int | None:
+    def _sent_at_us(self, event: MessageReceived) -> int | None:
         """Return `earliest_sent_us` on the host's clock.
 
         That clock is read first: a pause between the two readings makes the result earlier, not later.
@@ -404,38 +407,38 @@
 
     def act(self, action: Any) -> None:
         """Perform one action of any state machine."""
-        self._actions[type(action)](action)
+        self._handlers[type(action)](action)
 
-    def _acts(self) -> dict[type, Callable[[Any], None]]:
+    def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
         return {
             SendDatagram: lambda action: self.mesh.send_datagram(
-                action.address, M, gossip.to_row(action.message)
+                action.address, MEMBERSHIP, gossip.to_row(action.message)
             ),
             StartStateExchange: lambda action: self.mesh.exchange(
                 action.address, gossip.to_row(action.message)
             ),
             StateReply: lambda action: self.mesh.reply(action.reply_id, gossip.to_row(action.message)),
             MemberChanged: self._member_changed,
-            GossipReceived: self._rumour,
+            GossipReceived: self._gossip_received,
             Disseminate: self.members.tell,
-            IncarnationRaised: self._life_raised,
+            IncarnationRaised: self._incarnation_raised,
             PauseDetected: self._resumed,
             RollbackDetected: self.federation.tell,
-            SendMessage: self._to_link,
+            SendMessage: self._send_message,
             TableInForce: self._in_force,
-            CheckTable: self._check,
+            CheckTable: self._check_table,
             BeginServing: self.serving.begin,
             Relinquish: self.serving.relinquish,
             SuspendServing: self._hold,
-            ProposalOutcome: self._outcome,
+            ProposalOutcome: self._proposal_ended,
             Expand: self.custody.expand,
             Settled: self.custody.settled,
             SiteEnded: self.publications.site_ended,
             PublicationEnded: self.publications.ended,
-            **self._shared_acts(),
+            **self._sharing_handlers(),
         }
 
-    def _shared_acts(self) -> dict[type, Callable[[Any], None]]:
+    def _sharing_handlers(self) -> dict[type, Callable[[Any], None]]:
         if self.shared is None:
             return {}
         return {
@@ -459,9 +462,9 @@
         for runner in (self.federation, self.topics, self.origin, *shared):
             runner.tell(action)
         if view.state in (State.ALIVE, State.SUSPECT):
-            self._reach(view.id)
+            self._open_link(view.id)
 
-    def _rumour(self, action: GossipReceived) -> None:
+    def _gossip_received(self, action: GossipReceived) -> None:
         self.topics.tell(action)
         self.federation.tell(action)
         if self.news is not None:
@@ -477,7 +480,7 @@
             self.leases.tell(action)
         self.serving.refresh()  # lists destinations that the pause check had hidden
 
-    def _life_raised(self, action: IncarnationRaised) -> None:
+    def _incarnation_raised(self, action: IncarnationRaised) -> None:
         """Use a raised incarnation in everything that is sent from now on."""
         if action.incarnation != self.life:
             self.life = action.incarnation
@@ -487,31 +490,33 @@
             for runner in (self.federation, self.topics, *shared):
                 runner.tell(action)
 
-    def _to_link(self, action: SendMessage) -> None:
+    def _send_message(self, action: SendMessage) -> None:
         message = action.message
         kind = type(message).__module__
-        if kind == streams.__name__:
+        if kind == relay_messages.__name__:
             if action.member == self.me:
                 self.custody.to_self(message)
                 return
-            channel, row = R, streams.to_row(message)
-        elif kind == words.__name__:
-            channel, row = T, words.to_row(message)
-        elif kind == lent.__name__:
-            channel, row = L, lent.to_row(message)
+            channel, row = RELAY, relay_messages.to_row(message)
+        elif kind == consensus_messages.__name__:
+            channel, row = CONSENSUS, consensus_messages.to_row(message)
+        elif kind == lease_messages.__name__:
+            channel, row = LEASES, lease_messages.to_row(message)
         else:
-            channel, row = S, messages.to_row(message)
+            channel, row = S, switchover_messages.to_row(message)
         sent_at_us = None
-        if isinstance(message, streams.Entry):
+        if isinstance(message, relay_messages.Entry):
             # the remaining time is as of when the machine returned the entry
             now_us = self.mesh.context.now_us()
             sent_at_us = now_us + self.origin.now_us - self.host.clock()
         if not self.mesh.send(action.member, channel, row, sent_at_us):
-            self._reach(action.member)
+            self._open_link(action.member)
 
-    def _reach(self, member: MemberId) -> None:
+    def _open_link(self, member: MemberId) -> None:
         """Open a link to the member: at the configured address, else the gossiped one, else the table's."""
-        if member == self.me or (len(self.mesh.links) >= LINKS and member not in self.mesh.links):
+        if member == self.me or (
+            len(self.mesh.links) >= MAX_PERMANENT_LINKS and member not in self.mesh.links
+        ):
             return
         view = self.membership.view(member)
         rows = self.table.sites.get(member.site, ())
@@ -520,7 +525,7 @@
         if address is not None:
             self.mesh.open_link(member, address)
 
-    def _want(self) -> None:
+    def _update_links(self) -> None:
         """Open links to all members in the table and close all others."""
         wanted = {
             m for site in self.table.sites for m in self.table.members(site)
@@ -528,7 +533,7 @@
         for member in [m for m in self.mesh.links if m not in wanted]:
             self.mesh.close_link(member)
         for member in sorted(wanted):
-            self._reach(member)
+            self._open_link(member)
 
     # Table
 
@@ -542,16 +547,16 @@
             action.table.digest,
             f", after {action.previous.number}" if action.previous else "",
         )
-        self.host.schedule(0, self.publications.sweep)
+        self.host.schedule(0, self.publications.forward_unserved)
         if self.shared is not None:
             earlier = [
                 table for table in self.switch.registry.ledger.history if table.number < action.table.number
             ]
             self.shared.table(action.table, tuple(table.members(self.me.site) for table in earlier))
         if self.started:
-            self._want()
+            self._update_links()
 
-    def _check(self, action: CheckTable) -> None:
+    def _check_table(self, action: CheckTable) -> None:
         error = self.switch.objection(action.table)
         objection = error.line() if error else self.serving.why_not(action.table, self.me.site)
         self.federation.tell(TableChecked(action.table.proposal_id, objection))
@@ -559,28 +564,28 @@
     def _hold(self, action: SuspendServing) -> None:
         self.serving.keep(action)
         if not action.is_suspended:
-            self.host.schedule(0, self.publications.sweep)
+            self.host.schedule(0, self.publications.forward_unserved)
 
     def _released(self, released: DestinationReleased) -> None:
         self.federation.tell(released)
 
-    def _outcome(self, action: ProposalOutcome) -> None:
+    def _proposal_ended(self, action: ProposalOutcome) -> None:
         self.calls.outcome(action)
 
 
-def _came(event: heard.DatagramArrived) -> DatagramReceived:
+def _came(event: mesh_events.DatagramArrived) -> DatagramReceived:
     return DatagramReceived(gossip.from_row(event.row), event.source)
 
 
-READ: dict[tuple[str, type], Callable[[Any], Any]] = {
-    (M, heard.DatagramArrived): _came,
-    (M, heard.ExchangeRequested): lambda e: StateReceived(gossip.from_row(e.row), e.reply_id),
-    (M, heard.ExchangeReplied): lambda e: StateReceived(gossip.from_row(e.row)),
-    (M, heard.ExchangeAborted): lambda e: ExchangeFailed(e.address),
-    (R, MessageReceived): lambda e: MessageReceived(e.member, streams.from_row(e.message)),
-    (T, MessageReceived): lambda e: MessageReceived(e.member, words.from_row(e.message)),
-    (S, MessageReceived): lambda e: MessageReceived(e.member, messages.from_row(e.message)),
-    (L, MessageReceived): lambda e: MessageReceived(e.member, lent.from_row(e.message)),
+DECODERS: dict[tuple[str, type], Callable[[Any], Any]] = {
+    (MEMBERSHIP, mesh_events.DatagramArrived): _came,
+    (MEMBERSHIP, mesh_events.ExchangeRequested): lambda e: StateReceived(gossip.from_row(e.row), e.reply_id),
+    (MEMBERSHIP, mesh_events.ExchangeReplied): lambda e: StateReceived(gossip.from_row(e.row)),
+    (MEMBERSHIP, mesh_events.ExchangeAborted): lambda e: ExchangeFailed(e.address),
+    (RELAY, MessageReceived): lambda e: MessageReceived(e.member, relay_messages.from_row(e.message)),
+    (CONSENSUS, MessageReceived): lambda e: MessageReceived(e.member, consensus_messages.from_row(e.message)),
+    (S, MessageReceived): lambda e: MessageReceived(e.member, switchover_messages.from_row(e.message)),
+    (LEASES, MessageReceived): lambda e: MessageReceived(e.member, lease_messages.from_row(e.message)),
 }
 
 
@@ -597,6 +602,6 @@
     host.completions.on_completed = on_completed
     host.completions.listeners.append(component.custody.ended)
     host.admission.interceptors.append(component.publications.door)
-    host.restore_handlers.append(component.publications.claims)
+    host.restore_handlers.append(component.publications.claim_restored)
     host.list_listeners.append(component.listed)
     host.components.append(component)
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -36,13 +36,13 @@
 )
 from madderbeam.transport.clients import BadRequest, Put
 
-CREDIT_S = 0.2  # interval of credit updates
-QUIET = 25  # consecutive checks with the same, ample credit before the longer interval applies
-REST_S = 1.6  # interval after that; each entry that arrives also updates the credit
-SPARE = 16  # capacity withheld from the credit for messages that are not relayed
-HOME = "home"  # kind of the record that a client of this courier also waits for a relayed message
-HOME_US = 100_000  # retry delay of a returned message whose destination is not served yet
-AGAIN_S = 0.05  # minimum delay before a rejected delivery is submitted again
+CREDIT_CHECK_S = 0.2  # interval of credit updates
+IDLE_AFTER_CHECKS = 25  # consecutive checks with the same, ample credit before the longer interval applies
+IDLE_CREDIT_CHECK_S = 1.6  # interval after that; each entry that arrives also updates the credit
+RESERVED_MESSAGES = 16  # capacity withheld from the credit for messages that are not relayed
+CLIENT_WAITS = "home"  # kind of the record that a client of this courier also waits for a relayed message
+TAKE_BACK_RETRY_US = 100_000  # retry delay of a returned message whose destination is not served yet
+MIN_RESUBMIT_S = 0.05  # minimum delay before a rejected delivery is submitted again
 log = logging.getLogger(__name__)
 
 
@@ -62,8 +62,8 @@
 
     wanted = True
 
-    def __init__(self, custody: Custody, work: Expansion, dest: int) -> None:
-        self.custody, self.work, self.dest = custody, work, dest
+    def __init__(self, custody: Custody, expansion: Expansion, dest: int) -> None:
+        self.custody, self.work, self.dest = custody, expansion, dest
 
     def taken(self) -> None:
         """The delivery is journaled."""
@@ -75,36 +75,42 @@
 
     def failed(self, why: str = "failed") -> None:
         """The delivery is rejected for good."""
-        self._answered(lambda: self.custody.turned_down(self.work, self.dest, why))
+        self._answered(lambda: self.custody.reject_delivery(self.work, self.dest, why))
 
-    def _answered(self, note: Callable[[], None]) -> None:
+    def _answered(self, update: Callable[[], None]) -> None:
         if self.dest in self.work.open:
             self.work.open.discard(self.dest)
-            note()
+            update()
             self.custody.look(self.work)
 
 
 class Custody:
     """Connects the custodian to admission and to outcomes.
 
-    `tell` posts events to the custodian, `streams` posts them to the stream machine of this courier.
+    `post_event` posts to the custodian, `post_stream_event` to the stream machine of this courier.
     """
 
     def __init__(
         self,
         host: Host,
-        me: MemberId,
-        life: Incarnation,
+        member_id: MemberId,
+        incarnation: Incarnation,
         custodian: Custodian,
-        tell: Callable[[Any], None],
-        streams: Callable[[Any], None],
-        come_home: Callable[[PendingMessage], bool],
-        kept: Kept,
+        post_event: Callable[[Any], None],
+        post_stream_event: Callable[[Any], None],
+        take_back: Callable[[PendingMessage], bool],
+        store: Kept,
     ) -> None:
-        """`come_home` takes back a forwarded message of this courier; False if it is not served here now."""
-        self.kept = kept
-        self.host, self.me, self.custodian, self.tell, self.streams = host, me, custodian, tell, streams
-        self.come_home = come_home
+        """`take_back` takes back a forwarded message; it returns False if that is not served here now."""
+        self.kept = store
+        self.host, self.me, self.custodian, self.tell, self.streams = (
+            host,
+            member_id,
+            custodian,
+            post_event,
+            post_stream_event,
+        )
+        self.take_back = take_back
         # Message id -> (publication name, destination); one delivery may arrive by two paths, with two names.
         self.deliveries: dict[str, set[tuple[str, int]]] = {}
         # ids of deliveries that a client of this courier also waits for
@@ -113,16 +119,16 @@
         self.unsettled: dict[tuple[str, int], PendingMessage] = {}
         self.settling: set[int] = set()  # message numbers of `unsettled`
         # stream of entries that this courier sends itself
-        self.stream, self.seq = life.start << 32 | 1, 0
+        self.stream, self.seq = incarnation.start << 32 | 1, 0
         self.own: dict[int, Publication] = {}  # sequence number -> publication
         self.told, self.same = Credit(-1, -1), 0
         self.closed = False
         for name, dests, single in custodian.open_records:
             for dest in dests:
-                self._owed(held_id(name, dest, single), name, dest)
-        marked = [ident for kind, ident in kept.map if kind == HOME]
+                self._add_delivery(held_id(name, dest, single), name, dest)
+        marked = [ident for kind, ident in store.map if kind == CLIENT_WAITS]
         self.clients.update(ident for ident in marked if ident in self.deliveries)
-        self._unmark([ident for ident in marked if ident not in self.deliveries])
+        self._remove_client_records([ident for ident in marked if ident not in self.deliveries])
 
     def open(self) -> None:
         """Report which deliveries in custody are still pending; the journal is restored."""
@@ -134,53 +140,58 @@
                 if held_id(name, candidate, single) in self.host.journal.numbers_by_id
             ]
             for dest in set(dests) - set(pending):
-                self._not_owed(held_id(name, dest, single), name, dest)
+                self._remove_delivery(held_id(name, dest, single), name, dest)
             self.tell(Resting(name, tuple(pending)))
         self._credit()
 
-    def _owed(self, ident: str, name: str, dest: int) -> None:
+    def _add_delivery(self, ident: str, name: str, dest: int) -> None:
         self.deliveries.setdefault(ident, set()).add((name, dest))
 
-    def _not_owed(self, ident: str, name: str, dest: int) -> None:
+    def _remove_delivery(self, ident: str, name: str, dest: int) -> None:
         remaining = self.deliveries.get(ident, set())
         remaining.discard((name, dest))
         if not remaining:
             self.deliveries.pop(ident, None)
             if ident in self.clients:
                 self.clients.discard(ident)
-                self._unmark([ident])
+                self._remove_client_records([ident])
 
-    def _mark(self, ident: str) -> bool:
+    def _record_client(self, ident: str) -> bool:
         """Record that a client of this courier waits for the message; False if the write fails."""
         try:
-            self.kept.write([(HOME, ident, True)])
+            self.kept.write([(CLIENT_WAITS, ident, True)])
         except OSError as error:
             log.error("federation: recording that a client waits for %s failed: %s", ident, error)
             return False
         return True
 
-    def _unmark(self, idents: list[str]) -> None:
+    def _remove_client_records(self, idents: list[str]) -> None:
         """Remove the records; after a failed write the next start removes them."""
         if idents:
             with contextlib.suppress(OSError):
-                self.kept.write((HOME, ident, None) for ident in idents)
+                self.kept.write((CLIENT_WAITS, ident, None) for ident in idents)
 
     def _credit(self) -> None:
         """Update the credit periodically, less often while idle, since each check wakes the process."""
         if not self.closed:
-            self._look_at_room()
-            self.host.schedule(CREDIT_S if self.same < QUIET else REST_S, self._credit)
+            self._update_credit()
+            self.host.schedule(
+                CREDIT_CHECK_S if self.same < IDLE_AFTER_CHECKS else IDLE_CREDIT_CHECK_S, self._credit
+            )
 
-    def _look_at_room(self) -> None:
+    def _update_credit(self) -> None:
         """Post the free capacity to the custodian if it changed."""
         host, journal = self.host, self.host.journal
         free_messages = max(
-            0, host.settings.max_pending - journal.open_count - len(host.admission.arrived) - SPARE
+            0,
+            host.settings.max_pending - journal.open_count - len(host.admission.arrived) - RESERVED_MESSAGES,
         )
         free_bytes = max(0, (journal.limit_bytes - journal.files.used_bytes - journal.needed_bytes) // 2)
         credit = Credit(free_messages, free_bytes)
         self.same = (
-            self.same + 1 if credit == self.told and free_messages > SPARE and free_bytes > BODY_MOST else 0
+            self.same + 1
+            if credit == self.told and free_messages > RESERVED_MESSAGES and free_bytes > BODY_MOST
+            else 0
         )
         if credit != self.told:
             self.told = credit
@@ -190,26 +201,26 @@
 
     def expand(self, action: Expand) -> None:
         """Submit the deliveries of an entry; each gets its reply once it is journaled, or at once."""
-        if self.same >= QUIET:
-            self._look_at_room()
+        if self.same >= IDLE_AFTER_CHECKS:
+            self._update_credit()
         work = Expansion(action.publication, set(action.dests))
         for dest in action.dests:
-            self._hand_in(work, dest)
+            self._submit(work, dest)
         self.look(work)
 
-    def _hand_in(self, work: Expansion, dest: int) -> None:
-        publication, journal = work.publication, self.host.journal
+    def _submit(self, expansion: Expansion, dest: int) -> None:
+        publication, journal = expansion.publication, self.host.journal
         ident = delivery_id(publication, dest)
         if ident in journal.completed_ids and ident not in journal.numbers_by_id:
             # completed, and its outcome was reported
-            work.open.discard(dest)
+            expansion.open.discard(dest)
             return
         pending = journal.pending.get(journal.numbers_by_id.get(ident, 0))
         if pending is not None and ident not in self.deliveries:
-            self._held_already(work, dest, pending)
+            self._join_pending(expansion, dest, pending)
             return
         left_ms = max(0, (publication.until_us - self.host.clock()) // 1000)
-        self._owed(ident, publication.name, dest)
+        self._add_delivery(ident, publication.name, dest)
         put = Put(
             ident,
             int(publication.order) if publication.order.isdigit() else 0,
@@ -223,70 +234,73 @@
             relayed=True,
         )
         try:
-            self.host.admission.submit(put, Hand(self, work, dest))
+            self.host.admission.submit(put, Hand(self, expansion, dest))
         except BadRequest as error:
-            work.open.discard(dest)
-            self.turned_down(work, dest, str(error))
+            expansion.open.discard(dest)
+            self.reject_delivery(expansion, dest, str(error))
 
-    def _held_already(self, work: Expansion, dest: int, message: PendingMessage) -> None:
+    def _join_pending(self, expansion: Expansion, dest: int, message: PendingMessage) -> None:
         """Join a delivery to a pending message with its id that a client submitted at this courier.
 
         The outcome goes to the client and to the sender. A second message would wait for the first one, which
         in turn waits for the second.
         """
         if message.status:
-            work.open.discard(dest)
+            expansion.open.discard(dest)
             result = Result.FAILED if message.possibly_executed_at else Result.REFUSED
-            self.tell(Ended(work.publication.name, dest, result))
+            self.tell(Ended(expansion.publication.name, dest, result))
             return
-        if not self._mark(message.id) or not self.come_home(message):
-            self._unmark([message.id])
-            work.open.discard(dest)
-            work.busy[dest] = HOME_US
+        if not self._record_client(message.id) or not self.take_back(message):
+            self._remove_client_records([message.id])
+            expansion.open.discard(dest)
+            expansion.busy[dest] = TAKE_BACK_RETRY_US
             return
         if not message.is_relayed:
             # a relayed one is a delivery whose record was not written before a restart
             self.clients.add(message.id)
-        self._owed(message.id, work.publication.name, dest)
-        work.open.discard(dest)
-        work.taken.add(dest)
+        self._add_delivery(message.id, expansion.publication.name, dest)
+        expansion.open.discard(dest)
+        expansion.taken.add(dest)
 
-    def turned_down(self, work: Expansion, dest: int, why: str) -> None:
+    def reject_delivery(self, expansion: Expansion, dest: int, reason: str) -> None:
         """Reject a delivery for good and report that to the custodian."""
-        self._not_owed(delivery_id(work.publication, dest), work.publication.name, dest)
+        self._remove_delivery(delivery_id(expansion.publication, dest), expansion.publication.name, dest)
         log.warning(
-            "federation: delivery of %s to destination %d rejected: %s", work.publication.name, dest, why
+            "federation: delivery of %s to destination %d rejected: %s",
+            expansion.publication.name,
+            dest,
+            reason,
         )
-        self.tell(Ended(work.publication.name, dest, Result.REFUSED))
+        self.tell(Ended(expansion.publication.name, dest, Result.REFUSED))
 
-    def look(self, work: Expansion) -> None:
+    def look(self, expansion: Expansion) -> None:
         """Once all deliveries have replies, accept custody, decline it or schedule a retry."""
-        if work.open:
+        if expansion.open:
             return
-        name = work.publication.name
-        if not work.busy:
-            self.tell(Taken(name, tuple(sorted(work.taken))))
+        name = expansion.publication.name
+        if not expansion.busy:
+            self.tell(Taken(name, tuple(sorted(expansion.taken))))
             return
-        after_us = max(work.busy.values())
-        if not work.taken:
-            for dest in work.busy:
-                self._not_owed(delivery_id(work.publication, dest), name, dest)
+        after_us = max(expansion.busy.values())
+        if not expansion.taken:
+            for dest in expansion.busy:
+                self._remove_delivery(delivery_id(expansion.publication, dest), name, dest)
             self.tell(NotTaken(name, after_us, f"{self.me} has no room for it now"))
             return
         # Some deliveries are journaled and may execute, so the others are retried until the deadline.
-        rejected, work.busy = work.busy, {}
-        if self.host.clock() + after_us >= work.publication.until_us:
+        rejected, expansion.busy = expansion.busy, {}
+        if self.host.clock() + after_us >= expansion.publication.until_us:
             for dest in rejected:
-                self.turned_down(work, dest, "its time is up")
-            self.tell(Taken(name, tuple(sorted(work.taken))))
+                self.reject_delivery(expansion, dest, "its time is up")
+            self.tell(Taken(name, tuple(sorted(expansion.taken))))
             return
-        work.open = set(rejected)
-        self.host.schedule(max(AGAIN_S, after_us / 1e6), lambda: self._again(work))
+        expansion.open = set(rejected)
+        self.host.schedule(max(MIN_RESUBMIT_S, after_us / 1e6), lambda: self._resubmit(expansion))
 
-    def _again(self, work: Expansion) -> None:
-        for dest in sorted(work.open):
-            self._hand_in(work, dest)
-        self.look(work)
+    def _resubmit(self, expansion: Expansion) -> None:
+        for dest in sorted(expansion.open):
+            self._submit(expansion, dest)
+        self.look(expansion)
 
     # Outcomes
 
@@ -317,7 +331,7 @@
         for dest in action.dests:
             if message := self.unsettled.pop((action.name, dest), None):
                 client_waits = message.id in self.clients
-                self._not_owed(message.id, action.name, dest)
+                self._remove_delivery(message.id, action.name, dest)
                 if message.id not in self.deliveries:
                     self.settling.discard(message.number)
                 if not client_waits and message.id not in self.deliveries:
@@ -340,7 +354,9 @@
         if isinstance(message, Nak):
             publication = self.own.pop(message.seq, None)
             if publication is not None and self.host.clock() + message.after_us < publication.until_us:
-                self.host.schedule(max(AGAIN_S, message.after_us / 1e6), lambda: self.local(publication))
+                self.host.schedule(
+                    max(MIN_RESUBMIT_S, message.after_us / 1e6), lambda: self.local(publication)
+                )
         elif isinstance(message, Ends):
             for row in message.rows:
                 if not row.left:
--- a/madderbeam/host/federation/kept.py
+++ b/madderbeam/host/federation/kept.py
@@ -12,8 +12,8 @@
 from madderbeam.journal.records import FRAME, MAX_RECORD_BYTES, frame, parse
 from madderbeam.ports import Disk, File
 
-LEAST = 1 << 16  # smaller files are not compacted
-GROWN = 4  # compacts at this ratio of file size to live bytes
+MIN_COMPACTED_BYTES = 1 << 16  # smaller files are not compacted
+COMPACTION_RATIO = 4  # compacts at this ratio of file size to live bytes
 LIMIT = 1 << 25  # writes that would exceed this file size fail
 log = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
         if not disk.is_folder(folder):
             disk.make_folder(folder)
         self.file, self.size = self._open()
-        self.live = self._live()
+        self.live = self._count_live_bytes()
 
     def _open(self) -> tuple[File, int]:
         try:
@@ -46,7 +46,7 @@
             self._effect(record)
         file = self.disk.open(self.path)
         if end < len(data):
-            self.damaged = not _torn(data[end:])
+            self.damaged = not _is_torn(data[end:])
             log.log(
                 logging.ERROR if self.damaged else logging.WARNING,
                 "%s: the last %d bytes are %s",
@@ -59,7 +59,7 @@
                 file.close()
                 self.disk.rename(self.path, self.path + ".damaged")
                 file = self.disk.open(self.path, empty=True)
-                rows = self._rows()
+                rows = self._encoded_rows()
                 file.append(rows)
                 return file, len(rows)
             file.truncate(end)
@@ -78,7 +78,7 @@
         records: list[list[Any]] = [["keep", kind, key, value] for kind, key, value in rows]
         data = b"".join(map(frame, records))
         if self.size + len(data) > LIMIT:
-            self._anew()
+            self._compact()
         if self.size + len(data) > LIMIT:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         try:
@@ -92,18 +92,18 @@
         self.size += len(data)
         for record in records:
             self._effect(record)
-        if self.size > max(LEAST, GROWN * self.live):
-            self._anew()
+        if self.size > max(MIN_COMPACTED_BYTES, COMPACTION_RATIO * self.live):
+            self._compact()
 
-    def _rows(self) -> bytes:
+    def _encoded_rows(self) -> bytes:
         return b"".join(frame(["keep", kind, key, value]) for (kind, key), value in self.map.items())
 
-    def _live(self) -> int:
-        return len(self._rows()) if self.size > LEAST else self.size
+    def _count_live_bytes(self) -> int:
+        return len(self._encoded_rows()) if self.size > MIN_COMPACTED_BYTES else self.size
 
-    def _anew(self) -> None:
+    def _compact(self) -> None:
         """Rewrite the file with the live records only; on a disk error the file stays as it is."""
-        data = self._rows()
+        data = self._encoded_rows()
         self.live = len(data)
         try:
             atomic_file.replace(self.disk, self.path, data)
@@ -119,7 +119,7 @@
         self.file.close()
 
 
-def _torn(rest: bytes) -> bool:
+def _is_torn(rest: bytes) -> bool:
     """Whether `rest` may be the beginning of a record whose write was interrupted."""
     if len(rest) < FRAME.size:
         return True
--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -20,21 +20,21 @@
 from madderbeam.shared.rate_meter import RateMeter
 from madderbeam.shared.values import Limit, Need, SetAllowance
 
-PLACES_MOST = 512  # destinations whose connection limits are shared
-ONE = 1 << 20  # the whole limit in the units of the quota tree's fractions
-LARGEST_S = 10.0  # a message rejected for its size counts as demand for this long
-SPARE = 1.1  # ratio of requested to measured demand of a quota node
+MAX_SHARED_DESTINATIONS = 512  # destinations whose connection limits are shared
+WHOLE_LIMIT = 1 << 20  # the whole limit in the units of the quota tree's fractions
+LARGEST_MESSAGE_S = 10.0  # a message rejected for its size counts as demand for this long
+DEMAND_FACTOR = 1.1  # ratio of requested to measured demand of a quota node
 log = logging.getLogger(__name__)
 
 
-class Limits:
+class LimitLeases:
     """Applies leases on connection limits and quotas. Is the `Places` of the calls.
 
-    `lease` posts events to the lease machine.
+    `post_lease_event` posts events to the lease machine.
     """
 
-    def __init__(self, host: Host, leases: Leases, lease: Callable[[Any], None]) -> None:
-        self.host, self.leases, self.lease = host, leases, lease
+    def __init__(self, host: Host, leases: Leases, post_lease_event: Callable[[Any], None]) -> None:
+        self.host, self.leases, self.lease = host, leases, post_lease_event
         self.members = 1
         self.longest_s = max(c.deadline_us for c in host.settings.classes) / 1e6
         # destination -> endpoint -> max_conns
@@ -53,48 +53,48 @@
 
             self.gate = next(g.gate for g in host.admission.checks if isinstance(g, QuotaComponent))
             if self.gate.leased.unleased_count:
-                self._many(f"{self.gate.leased.unleased_count} quotas have equal parts")
+                self._log_excess(f"{self.gate.leased.unleased_count} quotas have equal parts")
         # quota node -> messages, bytes
         self.meters: dict[str, tuple[RateMeter, RateMeter]] = {}
-        self.largest: dict[str, tuple[int, float]] = {}  # bytes, remaining seconds
+        self.largest_messages: dict[str, tuple[int, float]] = {}  # bytes, remaining seconds
         host.calls.places = self
 
-    def _many(self, what: str) -> None:
+    def _log_excess(self, what: str) -> None:
         if not self.full:
             self.full = True
             log.warning("federation: %s", LimitsMany(what).line())
 
     # Limits
 
-    def table(self, members: int) -> None:
+    def table(self, member_count: int) -> None:
         """Adjust all limits to the number of members of this site."""
-        self.members = members
+        self.members = member_count
         self.listed()
         if self.gate is not None:
-            couriers = max(members, int((self.host.config.quota or {}).get("couriers", 1)))
+            couriers = max(member_count, int((self.host.config.quota or {}).get("couriers", 1)))
             for name in self.gate.leased.nodes:
-                self._limit(Limit(f"quota/{name}", members / couriers, 1 / couriers))
+                self._post_limit(Limit(f"quota/{name}", member_count / couriers, 1 / couriers))
 
     def listed(self) -> None:
         """Read the connection limits again: the endpoint list or the routing may have changed."""
         router = self.host.routing.router
         self.places, self.dests = {}, {}
         for dest, endpoint, max_connections in router.places() if router is not None else ():
-            if dest not in self.places and len(self.places) >= PLACES_MOST:
-                self._many(f"only {PLACES_MOST} partners' places are shared")
+            if dest not in self.places and len(self.places) >= MAX_SHARED_DESTINATIONS:
+                self._log_excess(f"only {MAX_SHARED_DESTINATIONS} partners' places are shared")
                 continue
             self.places.setdefault(dest, {})[endpoint] = max_connections
             self.dests[endpoint] = dest
         for dest, limits in self.places.items():
             per_member = float(sum(limits.values()))
             lasts_us = int(self.longest_s * 1e6)
-            self._limit(Limit(f"places/{dest}", per_member * self.members, per_member, True, lasts_us))
+            self._post_limit(Limit(f"places/{dest}", per_member * self.members, per_member, True, lasts_us))
         self.told.clear()  # the pools may be new objects
         self.parts.clear()
         for endpoint in self.dests:
             self.most(endpoint)
 
-    def _limit(self, limit: Limit) -> None:
+    def _post_limit(self, limit: Limit) -> None:
         if self.limits.get(limit.resource) != limit:
             self.limits[limit.resource] = limit
             self.lease(limit)
@@ -113,13 +113,13 @@
         now_us, calls = self.host.clock(), self.host.calls
         lease = int(self.leases.amount(f"places/{dest}", now_us))
         if dest not in self.parts or self.parts[dest][0] != lease:
-            self.parts[dest] = lease, self._dealt(dest, lease)
+            self.parts[dest] = lease, self._divide(dest, lease)
         at_other_endpoints = sum(calls.connections(n) for n in self.places[dest] if n != endpoint)
         max_connections = min(self.parts[dest][1][endpoint], max(0, lease - at_other_endpoints))
-        self._tell(dest, endpoint, max_connections, now_us)
+        self._apply_limit(dest, endpoint, max_connections, now_us)
         return max_connections
 
-    def _dealt(self, dest: int, lease: int) -> dict[int, int]:
+    def _divide(self, dest: int, lease: int) -> dict[int, int]:
         """Divide the lease among the endpoints in proportion to max_conns.
 
         The remainder of the rounding goes to a different endpoint at each courier.
@@ -133,7 +133,7 @@
         )
         return {endpoint: int(part) for endpoint, part in parts.items()}
 
-    def _tell(self, dest: int, endpoint: int, max_connections: int, now_us: int) -> None:
+    def _apply_limit(self, dest: int, endpoint: int, max_connections: int, now_us: int) -> None:
         before = self.told.get(endpoint)
         if max_connections == before:
             return
@@ -177,9 +177,9 @@
                 )
             )
         if self.gate is not None:
-            self._quotas(span_s)
+            self._update_quota_needs(span_s)
 
-    def _quotas(self, span_s: float) -> None:
+    def _update_quota_needs(self, span_s: float) -> None:
         self.gate.expire_leases(self.host.clock())
         demand = self.gate.take_demand()
         for name, node in self.gate.leased.nodes.items():
@@ -192,12 +192,15 @@
             )
             message_meter.record_arrivals(messages, span_s)
             byte_meter.record_arrivals(total_bytes, span_s)
-            largest_known, left_s = self.largest.get(name, (0, 0.0))
+            largest_known, left_s = self.largest_messages.get(name, (0, 0.0))
             if largest >= largest_known or left_s <= 0:
-                largest_known, left_s = largest, LARGEST_S
-            self.largest[name] = (largest_known, left_s - span_s)
+                largest_known, left_s = largest, LARGEST_MESSAGE_S
+            self.largest_messages[name] = (largest_known, left_s - span_s)
             fraction = self.gate.leased.needed_fraction(
-                node, message_meter.needed_rate() * SPARE, byte_meter.needed_rate() * SPARE, largest_known
+                node,
+                message_meter.needed_rate() * DEMAND_FACTOR,
+                byte_meter.needed_rate() * DEMAND_FACTOR,
+                largest_known,
             )
             self.lease(Need(f"quota/{name}", fraction))
 
@@ -217,5 +220,5 @@
             }
         if self.gate is not None:
             nodes = self.gate.leased.nodes.items()
-            status["quota"] = {name: round(node.fraction / ONE, 6) for name, node in nodes}
+            status["quota"] = {name: round(node.fraction / WHOLE_LIMIT, 6) for name, node in nodes}
         return status
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -38,39 +38,44 @@
 from madderbeam.transport.clients import Put
 from madderbeam.transport.reply_handle import ReplyHandle
 
-SOON_US = 100_000  # minimum Retry-After while a destination changes its owner
-TOPIC = -2  # destination of a publication in the journal
+MIN_RETRY_AFTER_US = 100_000  # minimum Retry-After while a destination changes its owner
+TOPIC_DEST = -2  # destination of a publication in the journal
 log = logging.getLogger(__name__)
 
 
 class Publications:
     """Intercepts messages for other sites at admission and follows them to their completion.
 
-    `table` returns the table in force; `local` delivers a publication to the subscribers of the own site;
-    `tell` posts events to `streams`.
+    `table` returns the table in force; `deliver_locally` delivers a publication to the subscribers of the own
+    site; `post_event` posts events to `streams`.
     """
 
     def __init__(
         self,
         host: Host,
-        me: MemberId,
+        member_id: MemberId,
         serving: Serving,
         streams: Streams,
         subscriptions: Subscriptions,
         table: Callable[[], Table],
-        tell: Callable[[Any], None],
-        local: Callable[[Publication], None],
-        wait_us: int,
+        post_event: Callable[[Any], None],
+        deliver_locally: Callable[[Publication], None],
+        max_retry_after_us: int,
         in_custody: Callable[[str], bool] = lambda ident: False,
         settling: Callable[[int], bool] = lambda number: False,
     ) -> None:
         """`in_custody`: whether the message with this id is a delivery of another courier's publication;
-        `settling`: whether the message with this number is completed and its outcome not stored yet."""
-        self.in_custody, self.settling = in_custody, settling
-        self.host, self.me, self.serving, self.streams = host, me, serving, streams
-        self.subscriptions, self.table, self.tell, self.local = subscriptions, table, tell, local
+        `is_settling`: whether the message with this number is completed and its outcome not stored yet."""
+        self.in_custody, self.is_settling = in_custody, settling
+        self.host, self.me, self.serving, self.streams = host, member_id, serving, streams
+        self.subscriptions, self.table, self.tell, self.local = (
+            subscriptions,
+            table,
+            post_event,
+            deliver_locally,
+        )
         # maximum Retry-After while a destination changes its owner
-        self.wait_us = wait_us
+        self.wait_us = max_retry_after_us
         # publication name -> message number in the journal
         self.numbers: dict[str, int] = {}
         self.names: dict[int, str] = {}  # message number -> publication name
@@ -86,29 +91,29 @@
     def door(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> bool:
         """A `MessageInterceptor`: take over messages for topics and for destinations of other sites."""
         if put.topic:
-            self._topic(put, m, reply)
+            self._intercept_publication(put, m, reply)
             return True
         table = self.table()
         owner = table.owners.get(put.dest)
         if owner == self.me.site:
             if self.serving.owns(put.dest):
                 return False
-            self._busy(m, reply, self._settling_us())
+            self._reject(m, reply, self._retry_after_us())
         elif owner is None:
             self.host.metrics.count_completion(ABORTED, m.class_index)
             reply.failed(f"dest: no site serves it by table {table.number}")
         elif self.serving.hold.is_suspended and self.serving.hold.destinations is None:
-            self._busy(m, reply, self._settling_us())
+            self._reject(m, reply, self._retry_after_us())
         else:
-            self._take(m, self._single(m), (owner,), reply)
+            self._accept(m, self._as_publication(m), (owner,), reply)
         return True
 
-    def _topic(self, put: Put, message: PendingMessage, reply: ReplyHandle) -> None:
+    def _intercept_publication(self, put: Put, message: PendingMessage, reply: ReplyHandle) -> None:
         if self.serving.hold.is_suspended and self.serving.hold.destinations is None:
-            self._busy(message, reply, self._settling_us())
+            self._reject(message, reply, self._retry_after_us())
             return
         table = self.table()
-        publication = replace(self._single(message), topic=put.topic, dest=-1, table=table.number)
+        publication = replace(self._as_publication(message), topic=put.topic, dest=-1, table=table.number)
         local_subscribers = expand(publication, self.me.site, table.owners, self.subscriptions.subscribers)
         sites = tuple(s for s in self.subscriptions.sites(put.topic) if s in table.sites)
         # Just after a start some subscriptions are unknown; sites without subscribers decline the entry.
@@ -120,9 +125,9 @@
             reply.failed("topic: nobody has subscribed to it")
             return
         envelope = msgpack.packb([put.topic, table.number, list(sites), message.body])
-        self._take(replace(message, dest=TOPIC, body=envelope), publication, sites, reply)
+        self._accept(replace(message, dest=TOPIC_DEST, body=envelope), publication, sites, reply)
 
-    def _take(
+    def _accept(
         self, message: PendingMessage, publication: Publication, sites: tuple[str, ...], reply: ReplyHandle
     ) -> None:
         try:
@@ -132,26 +137,26 @@
             reply.failed(error.line())
             return
         if retry_after_us is not None:
-            self._busy(message, reply, retry_after_us)
+            self._reject(message, reply, retry_after_us)
             return
         self.host.admission.accept(message, [reply], lambda: self._publish(message, publication, sites))
 
-    def _settling_us(self) -> int:
+    def _retry_after_us(self) -> int:
         """Return the Retry-After for a destination whose owner changes: the duration of the change so far.
 
         No client then waits more than twice as long as necessary.
         """
         elapsed_us = self.host.clock() - self.serving.changed_us
-        return min(self.wait_us, max(SOON_US, elapsed_us))
+        return min(self.wait_us, max(MIN_RETRY_AFTER_US, elapsed_us))
 
-    def _busy(self, m: PendingMessage, reply: ReplyHandle, after_us: int) -> None:
+    def _reject(self, message: PendingMessage, reply: ReplyHandle, retry_after_us: int) -> None:
         self.refused += 1
-        self.host.metrics.count_completion(DECLINED, m.class_index)
-        reply.busy(after_us)
+        self.host.metrics.count_completion(DECLINED, message.class_index)
+        reply.busy(retry_after_us)
 
     # Forwarding
 
-    def _single(self, message: PendingMessage) -> Publication:
+    def _as_publication(self, message: PendingMessage) -> Publication:
         """Return the message as a publication for one destination.
 
         A message in custody here gets a derived id when it is forwarded: it may return to its origin, where
@@ -181,27 +186,27 @@
             self.table().number,
         )
 
-    def _publish(self, m: PendingMessage, publication: Publication, sites: tuple[str, ...]) -> None:
+    def _publish(self, message: PendingMessage, publication: Publication, sites: tuple[str, ...]) -> None:
         self.taken += 1
-        self.numbers[publication.name], self.names[m.number] = m.number, publication.name
+        self.numbers[publication.name], self.names[message.number] = message.number, publication.name
         self.tell(Published(publication, sites))
         if self.me.site in sites:
             self.local(publication)
 
     def passed_on(self, message: PendingMessage) -> None:
         """Forward an accepted message whose destination another site now serves."""
-        if message.number in self.names or self.settling(message.number):
+        if message.number in self.names or self.is_settling(message.number):
             return
         owner = self.table().owners.get(message.dest)
         self.host.post_event(MessageWithdrawn(message.number))
-        if owner is None or not self._may_go(message):
+        if owner is None or not self._may_forward(message):
             self.host.completions.complete(
                 message, "undeliverable" if message.possibly_executed_at else "deferred", 0
             )
         elif owner != self.me.site:
-            self._publish(message, self._single(message), (owner,))
+            self._publish(message, self._as_publication(message), (owner,))
 
-    def _may_go(self, message: PendingMessage) -> bool:
+    def _may_forward(self, message: PendingMessage) -> bool:
         """Whether another site may attempt it: it was never executed, or a second execution is harmless."""
         message_class, executed_at = (
             self.host.settings.classes[message.class_index],
@@ -215,7 +220,7 @@
             and executed_at + message_class.key_window_us / 1e6 >= message.deadline_s
         )
 
-    def come_home(self, message: PendingMessage) -> bool:
+    def take_back(self, message: PendingMessage) -> bool:
         """Withdraw a forwarded message that this site serves now, and pass it to the engine.
 
         Returns False if its destination is not served here at present.
@@ -232,11 +237,13 @@
 
     # Restart
 
-    def claims(self, message: PendingMessage) -> bool:
+    def claim_restored(self, message: PendingMessage) -> bool:
         """A restore handler: whether a message is a publication or may be at another site already."""
         is_taken_back = self.in_custody(message.id) and not message.is_relayed
-        is_forwarded = message.dest == TOPIC or (
-            not message.possibly_executed_at and not is_taken_back and self._single(message).name in self.sent
+        is_forwarded = message.dest == TOPIC_DEST or (
+            not message.possibly_executed_at
+            and not is_taken_back
+            and self._as_publication(message).name in self.sent
         )
         if is_forwarded:
             self.restored.append(message)
@@ -246,8 +253,8 @@
         """Publish the restored messages again; all state machines have started."""
         restored, self.restored = self.restored, []
         for message in restored:
-            if message.dest != TOPIC:
-                publication = self._single(message)
+            if message.dest != TOPIC_DEST:
+                publication = self._as_publication(message)
                 self._publish(message, publication, (self.sent[publication.name],))
                 continue
             try:
@@ -261,12 +268,12 @@
                 self.host.completions.complete(message, "undeliverable", 0)
                 continue
             publication = replace(
-                self._single(replace(message, body=body)), topic=topic, dest=-1, table=table
+                self._as_publication(replace(message, body=body)), topic=topic, dest=-1, table=table
             )
             self._publish(message, publication, tuple(sites))
         self.sent.clear()
 
-    def sweep(self) -> None:
+    def forward_unserved(self) -> None:
         """Forward pending messages whose destinations other sites serve."""
         owners, own_site = self.table().owners, self.me.site
         pending = self.host.journal.pending.values()
@@ -297,7 +304,7 @@
             self.host.completions.complete_without_notice(message, delivered=True)
             return
         log.warning("federation: %s was not delivered to all subscribers: %s", action.name, action.what)
-        is_single = message.dest != TOPIC
+        is_single = message.dest != TOPIC_DEST
         self.host.completions.complete(
             message, "deferred" if is_single and not_executed else "undeliverable", 0
         )
--- a/madderbeam/host/federation/runner.py
+++ b/madderbeam/host/federation/runner.py
@@ -25,9 +25,9 @@
 class Runner:
     """Queues events for a state machine and performs the actions that it returns.
 
-    `act` performs every action that is not a record, a timer or a log line. Actions that follow a record are
-    performed only after the record is written. If the write fails, the remaining actions are dropped and the
-    machine gets a `WriteFailed` event for each record.
+    `perform` handles every action that is not a record, a timer or a log line. Actions that follow a record
+    are performed only after the record is written. If the write fails, the remaining actions are dropped and
+    the machine gets a `WriteFailed` event for each record.
     """
 
     def __init__(
@@ -35,12 +35,12 @@
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], int],
         machine: Machine,
-        kept: Kept,
-        act: Callable[[Any], None],
+        store: Kept,
+        perform: Callable[[Any], None],
         name: str = "federation",
     ) -> None:
         """`clock` returns monotonic time in microseconds; `name` is the prefix of log lines."""
-        self.loop, self.clock, self.machine, self.kept, self.act = loop, clock, machine, kept, act
+        self.loop, self.clock, self.machine, self.kept, self.act = loop, clock, machine, store, perform
         self.name = name
         self.events: deque[Any] = deque()
         self.timers: dict[str, asyncio.TimerHandle] = {}
@@ -61,7 +61,7 @@
             return
         self.busy = True
         try:
-            self._carry_out(actions)
+            self._perform(actions)
             while self.events and not self.closed:
                 event = self.events.popleft()
                 try:
@@ -70,11 +70,11 @@
                 except Exception:  # a failure on one event must not end the process
                     log.exception("%s failed to handle %s", type(self.machine).__name__, type(event).__name__)
                     continue
-                self._carry_out(actions)
+                self._perform(actions)
         finally:
             self.busy = False
 
-    def _carry_out(self, actions: Iterable[Any]) -> None:
+    def _perform(self, actions: Iterable[Any]) -> None:
         rows: list[Persist] = []
         for action in actions:
             if isinstance(action, Persist):
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -26,35 +26,44 @@
 from madderbeam.policy.events import EndpointEntry, EndpointState, ListUpdateKind
 
 LOOK_S = 0.02  # interval of the checks for calls in flight to relinquished destinations
-QUIET = 2  # consecutive checks without a call: the cycle that handles their outcomes lies between
-DRAIN_US = 3_600_000_000  # the new owner's own endpoint list shows the drain within this time
+CHECKS_WITHOUT_CALLS = (
+    2  # consecutive checks without a call: the cycle that handles their outcomes lies between
+)
+DRAIN_SPAN_US = 3_600_000_000  # the new owner's own endpoint list shows the drain within this time
 log = logging.getLogger(__name__)
 
 
 class Serving:
     """Keeps the set of served destinations and shows it to the engine in the endpoint list.
 
-    `may_call` is evaluated just before each call; `told` reports releases to the federation's machine;
-    `passed_on` forwards a message to the site that serves its destination. With `leased`, a suspension aborts
-    calls in flight, because the right to make them ends with the lease; without it they run to their end.
+    `may_call` is evaluated just before each call; `on_released` reports releases to the federation's machine;
+    `forward_message` sends a message to the site that serves its destination. With `has_lease`, a suspension
+    aborts calls in flight, because the right to make them ends with the lease; without it they run to their
+    end.
     """
 
     def __init__(
         self,
         host: Host,
-        me: MemberId,
+        member_id: MemberId,
         may_call: Callable[[int], bool],
-        told: Callable[[DestinationReleased], None],
-        passed_on: Callable[[PendingMessage], None],
-        leased: bool,
+        on_released: Callable[[DestinationReleased], None],
+        forward_message: Callable[[PendingMessage], None],
+        has_lease: bool,
     ) -> None:
-        self.host, self.me, self.may_call, self.told, self.passed_on = host, me, may_call, told, passed_on
-        self.leased = leased
+        self.host, self.me, self.may_call, self.told, self.passed_on = (
+            host,
+            member_id,
+            may_call,
+            on_released,
+            forward_message,
+        )
+        self.leased = has_lease
         self.hold = SuspendServing(True, "has not started")
         self.begun: set[int] = set()
         # table number, consecutive checks without a call
         self.leaving: dict[int, tuple[int, int]] = {}
-        self.looking = False
+        self.is_check_scheduled = False
         self.before_call: Callable[[int], bool] | None = (
             None  # set where couriers of a site share findings and limits
         )
@@ -119,7 +128,7 @@
         self.leaving[action.dest] = (action.table_number, 0)
         log.info("federation: destination %d is relinquished by table %d", action.dest, action.table_number)
         self._hide([action.dest])
-        self._look_again()
+        self._schedule_check()
 
     def keep(self, suspension: SuspendServing) -> None:
         """Replace the current suspension."""
@@ -136,7 +145,9 @@
             )
             self._hide(sorted(suspended))
             for call in [
-                c for c in self.host.calls.out if self.leased and self._dest(c.endpoint) in suspended
+                c
+                for c in self.host.calls.out
+                if self.leased and self._destination_of(c.endpoint) in suspended
             ]:
                 call.drop()  # a call must not outlast the lease
         self._show([e for dest in sorted(self.begun) for e in self._entries(dest)])
@@ -153,14 +164,14 @@
             self.host.calls.close_idle(entry.endpoint)
         self._show(entries)
 
-    def _look_again(self) -> None:
-        if not self.looking:
-            self.looking = True
+    def _schedule_check(self) -> None:
+        if not self.is_check_scheduled:
+            self.is_check_scheduled = True
             self.host.schedule(LOOK_S, self._look)
 
     def _look(self) -> None:
-        self.looking = False
-        destinations_in_flight = {self._dest(call.endpoint) for call in self.host.calls.out}
+        self.is_check_scheduled = False
+        destinations_in_flight = {self._destination_of(call.endpoint) for call in self.host.calls.out}
         destinations_in_flight |= {
             message.dest
             for open_call in self.host.calls.out
@@ -170,14 +181,14 @@
         for dest, (table, checks) in list(self.leaving.items()):
             if dest in destinations_in_flight:
                 self.leaving[dest] = (table, 0)
-            elif checks + 1 < QUIET:
+            elif checks + 1 < CHECKS_WITHOUT_CALLS:
                 self.leaving[dest] = (table, checks + 1)
             else:
                 del self.leaving[dest]
                 self.told(DestinationReleased(self._release(dest, table)))
                 self.hand_over(dest)
         if self.leaving:
-            self._look_again()
+            self._schedule_check()
 
     def _release(self, dest: int, table: int) -> Release:
         registry, now = self.host.registry, self.host.clock()
@@ -187,7 +198,7 @@
             if waiting_dest == dest
         )
         drains = tuple(
-            RemainingSpan(registry.names[e.endpoint], DRAIN_US)
+            RemainingSpan(registry.names[e.endpoint], DRAIN_SPAN_US)
             for e in self._entries(dest)
             if e.state is EndpointState.DRAINING
         )
@@ -213,7 +224,7 @@
     def _entries(self, dest: int) -> list[EndpointEntry]:
         return [e for e in self.host.registry.entries.values() if e.destination == dest]
 
-    def _dest(self, endpoint: int) -> int:
+    def _destination_of(self, endpoint: int) -> int:
         entry = self.host.registry.entries.get(endpoint)
         return entry.destination if entry else -1
 
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/shared.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from madderbeam.federation.values import Table
-from madderbeam.host.federation.limits import Limits
+from madderbeam.host.federation.limits import LimitLeases
 from madderbeam.host.federation.serving import Serving
 from madderbeam.host.host import Host
 from madderbeam.membership.values import Incarnation, MemberId
@@ -40,52 +40,52 @@
 from madderbeam.transport.calls import Item, Outcome
 
 LOOK_S = 0.25  # interval of the checks of the engine's state
-SOON_S = 0.005  # delay of the check after a failed call
-OUT_US = 3_000_000  # lifetime of an outage finding; renewed while messages for it are pending
-IN_A_ROW = 3  # consecutive failed calls to a destination that count as an outage
-FULL_US = 2_000_000  # lifetime of the finding that a connection table is full
-LIMIT_US = 5_000_000  # lifetime of a rate limit found from rejections
-TRIAL_GAP_US = 1_000_000  # maximum probe interval of the courier that probes for the site
+FAILURE_CHECK_S = 0.005  # delay of the check after a failed call
+OUTAGE_FINDING_US = 3_000_000  # lifetime of an outage finding; renewed while messages for it are pending
+OUTAGE_FAILURES = 3  # consecutive failed calls to a destination that count as an outage
+TABLE_FULL_FINDING_US = 2_000_000  # lifetime of the finding that a connection table is full
+RATE_FINDING_US = 5_000_000  # lifetime of a rate limit found from rejections
+MAX_PROBE_INTERVAL_US = 1_000_000  # maximum probe interval of the courier that probes for the site
 # Results that an outage causes.
-FAILING = (
+OUTAGE_RESULTS = (
     AttemptResult.RESET,
     AttemptResult.CONNECT_FAILED,
     AttemptResult.TIMEOUT,
 )
-WARM_S = 1.0  # after a start, calls wait at most this long for findings of other members
-TOLD_S = 0.02  # the engine has run a cycle within this time
-CHANGED = 0.1  # smaller relative increases of a leased rate are not posted to the engine
+MAX_START_WAIT_S = 1.0  # after a start, calls wait at most this long for findings of other members
+ENGINE_CYCLE_S = 0.02  # the engine has run a cycle within this time
+MIN_RATE_INCREASE = 0.1  # smaller relative increases of a leased rate are not posted to the engine
 log = logging.getLogger(__name__)
 
 
 class Shared:
     """Exchanges findings and leases between the host and the two state machines.
 
-    `news` posts events to the machine of findings, `lease` to that of leases.
+    `post_finding` posts events to the findings machine, `post_lease_event` to the lease machine.
     """
 
     def __init__(
         self,
         host: Host,
-        me: MemberId,
-        life: Incarnation,
+        member_id: MemberId,
+        incarnation: Incarnation,
         serving: Serving,
         partners: PartnerOutages,
         leases: Leases,
-        news: Callable[[Any], None],
-        lease: Callable[[Any], None],
+        post_finding: Callable[[Any], None],
+        post_lease_event: Callable[[Any], None],
     ) -> None:
-        self.host, self.me, self.serving = host, me, serving
-        self.partners, self.leases, self.news, self.lease = partners, leases, news, lease
+        self.host, self.me, self.serving = host, member_id, serving
+        self.partners, self.leases, self.news, self.lease = partners, leases, post_finding, post_lease_event
         self.out: set[int] = set()  # destinations with an outage found by this courier
         # destinations with a failed call and no later reply
         self.failed: set[int] = set()
         self.answered_us: dict[int, int] = {}
-        self.looking = False
+        self.is_check_scheduled = False
         # destinations that another member probes, or that two members suspect
         self.held: set[int] = set()
         # endpoint -> when its full connection table was last reported
-        self.full_us: dict[int, int] = {}
+        self.table_full_at_us: dict[int, int] = {}
         # destinations that rejected a call as overloaded since the last check
         self.refused: set[int] = set()
         # when another member found a destination recovered
@@ -101,7 +101,7 @@
         self.meters: dict[int, RateMeter] = {}
         self.limits: dict[str, Limit] = {}
         self.members = 1
-        self.more = Limits(host, leases, lease)
+        self.more = LimitLeases(host, leases, post_lease_event)
         self.closed = False
         self.warming = True
         host.registry.shared_rate, host.registry.add_shared_findings = self.rate, self.learnt
@@ -116,8 +116,8 @@
             previous_ended(item, endpoint, outcome, latency_us)
             if outcome.result is AttemptResult.OK:
                 self.answered(endpoint)
-            elif outcome.result in FAILING:
-                self._fails(endpoint, latency_us)
+            elif outcome.result in OUTAGE_RESULTS:
+                self._call_failed(endpoint, latency_us)
             elif outcome.result is AttemptResult.OVERLOADED and (entry := self._entry(endpoint)) is not None:
                 self.refused.add(entry.destination)
 
@@ -125,7 +125,7 @@
 
     def open(self) -> None:
         """Start the checks; calls wait a moment for the findings of other members."""
-        self.host.schedule(WARM_S, self.warm)
+        self.host.schedule(MAX_START_WAIT_S, self.warm)
         self._look()
 
     def warm(self) -> None:
@@ -140,7 +140,7 @@
         self.members = max(1, len(members))
         site = SiteMembers(members, earlier, is_first_table=table.number <= 1)
         self.news(site)
-        self._limits()
+        self._post_rate_limits()
         self.more.table(self.members)
         self.lease(site)
 
@@ -158,7 +158,7 @@
             # Calls chosen under the expired lease are returned until the engine uses the unleased rate.
             self.stale.add(dest)
             self._rate(dest, self.leases.amount(f"rate/{dest}", self.host.clock()), 0)
-            self.host.schedule(TOLD_S, lambda: self._told(dest))
+            self.host.schedule(ENGINE_CYCLE_S, lambda: self._told(dest))
         return dest not in self.stale
 
     def _told(self, dest: int) -> None:
@@ -197,16 +197,16 @@
             if was_probing:
                 self._show(dest, cold=True)
 
-    def _fails(self, endpoint: int, latency_us: int) -> None:
+    def _call_failed(self, endpoint: int, latency_us: int) -> None:
         """Report a failed call, unless a call that started later has succeeded."""
         entry, now = self._entry(endpoint), self.host.clock()
         if entry is None or self.answered_us.get(entry.destination, -1) >= now - latency_us:
             return
         self.failed.add(entry.destination)
         self.news(CallFailed(entry.destination))
-        if not self.looking:
-            self.looking = True
-            self.host.schedule(SOON_S, self._look_soon)
+        if not self.is_check_scheduled:
+            self.is_check_scheduled = True
+            self.host.schedule(FAILURE_CHECK_S, self._check_failed)
 
     def listed(self) -> None:
         """Report new drains of the endpoint list and update the limits."""
@@ -223,20 +223,21 @@
                 )
             )
         self.drains = set(draining)
-        self._limits()
+        self._post_rate_limits()
         self.more.listed()
 
-    def _look_soon(self) -> None:
-        self.looking = False
+    def _check_failed(self) -> None:
+        self.is_check_scheduled = False
         for number in sorted(self.failed):
             if not self.closed and (dest := self.host.courier.state.destinations.get(number)) is not None:
-                self._find(number, dest)
+                self._check_outage(number, dest)
 
-    def _find(self, number: int, dest: Destination) -> None:
+    def _check_outage(self, number: int, dest: Destination) -> None:
         """Report the begin or end of an outage, judged by the engine's state."""
         endpoints = [endpoint for scope in dest.scopes for endpoint in scope.endpoints.values()]
         is_failing = all(
-            scope.failures_in_a_row >= IN_A_ROW and scope.failing_since_us >= 0 for scope in dest.scopes
+            scope.failures_in_a_row >= OUTAGE_FAILURES and scope.failing_since_us >= 0
+            for scope in dest.scopes
         )
         is_out = all(endpoint.circuit.is_open for endpoint in endpoints) or (
             number in self.failed and is_failing
@@ -245,41 +246,43 @@
         recovered_lately = self.host.clock() - self.back_us.get(number, 0) < LOOK_S * 1e6
         if endpoints and is_out and not recovered_lately and (dest.queue or dest.in_flight):
             self.out.add(number)
-            self.news(LocalFinding(Finding(FindingKind.OUTAGE, number, "", OUT_US)))
+            self.news(LocalFinding(Finding(FindingKind.OUTAGE, number, "", OUTAGE_FINDING_US)))
         elif number in self.out and not any(endpoint.circuit.is_open for endpoint in endpoints):
             self.out.discard(number)
             self.news(LocalFinding(Finding(FindingKind.OUTAGE, number, "", 0)))
 
-    def _find_bounds(self, number: int, dest: Destination) -> None:
+    def _check_limits(self, number: int, dest: Destination) -> None:
         """Report full connection tables, and paces that rejections led to where no rate is listed."""
         for scope in dest.scopes:
             for endpoint in scope.endpoints.values():
                 uid = self.host.registry.names.get(endpoint.id)
                 if (
-                    endpoint.connection_limit_at_us > self.full_us.get(endpoint.id, 0)
+                    endpoint.connection_limit_at_us > self.table_full_at_us.get(endpoint.id, 0)
                     and endpoint.connection_limit < math.inf
                     and uid is not None
                 ):
-                    self.full_us[endpoint.id] = endpoint.connection_limit_at_us
-                    left_us = endpoint.connection_limit_at_us + FULL_US - self.host.clock()
+                    self.table_full_at_us[endpoint.id] = endpoint.connection_limit_at_us
+                    left_us = endpoint.connection_limit_at_us + TABLE_FULL_FINDING_US - self.host.clock()
                     self.news(LocalFinding(Finding(FindingKind.TABLE_FULL, number, uid, max(0, left_us))))
             if scope.pace_per_s and not scope.listed_rate_per_s and number in self.refused:
                 self.news(
-                    LocalFinding(Finding(FindingKind.RATE_LIMIT, number, "", LIMIT_US, scope.pace_per_s))
+                    LocalFinding(
+                        Finding(FindingKind.RATE_LIMIT, number, "", RATE_FINDING_US, scope.pace_per_s)
+                    )
                 )
 
     def _look(self) -> None:
         """Check the engine's state for outages, limits and demand, periodically."""
         if self.closed:
             return
-        self.full_us = {
+        self.table_full_at_us = {
             endpoint: at_us
-            for endpoint, at_us in self.full_us.items()
+            for endpoint, at_us in self.table_full_at_us.items()
             if endpoint in self.host.courier.state.endpoints
         }
         for number, dest in list(self.host.courier.state.destinations.items()):
-            self._find(number, dest)
-            self._find_bounds(number, dest)
+            self._check_outage(number, dest)
+            self._check_limits(number, dest)
             self.refused.discard(number)
             if f"rate/{number}" in self.limits:
                 arrived = dest.arrivals - self.arrivals.get(number, 0)
@@ -290,7 +293,7 @@
         self.more.look(LOOK_S)
         self.host.schedule(LOOK_S, self._look)
 
-    def _limits(self) -> None:
+    def _post_rate_limits(self) -> None:
         """Post the listed rates of partners, which all members share, to the lease machine."""
         if not self.host.settings.rates_listed:
             return
@@ -325,10 +328,10 @@
                 self.held.add(finding.dest)
                 self._show(finding.dest)
         elif finding.kind is FindingKind.RECOVERY:
-            self._is_back(finding.dest)
+            self._recovered_elsewhere(finding.dest)
         elif finding.kind is FindingKind.TABLE_FULL and finding.uid in registry.uids:
-            until_us = self.host.clock() + min(finding.left_us, FULL_US)
-            self._tell(
+            until_us = self.host.clock() + min(finding.left_us, TABLE_FULL_FINDING_US)
+            self._post_changed(
                 finding.dest,
                 lambda listed_entry: replace(listed_entry, connect_not_before_us=until_us),
                 finding.uid,
@@ -336,9 +339,11 @@
         elif finding.kind is FindingKind.RATE_LIMIT and not any(
             listed_entry.rate_per_s for listed_entry in self._entries(finding.dest)
         ):
-            self._tell(finding.dest, lambda listed_entry: replace(listed_entry, paced_per_s=finding.value))
+            self._post_changed(
+                finding.dest, lambda listed_entry: replace(listed_entry, paced_per_s=finding.value)
+            )
 
-    def _is_back(self, dest: int) -> None:
+    def _recovered_elsewhere(self, dest: int) -> None:
         """Drop earlier findings about a destination that another member found recovered; use slow start."""
         self.failed.discard(dest)
         self.back_us[dest] = self.host.clock()
@@ -383,7 +388,7 @@
             self.until[dest] = until_us
         else:
             self.until.pop(dest, None)
-        if before is None or amount < before or abs(amount - before) > CHANGED * before:
+        if before is None or amount < before or abs(amount - before) > MIN_RATE_INCREASE * before:
             self.rates[dest] = amount
             self._show(dest)
 
@@ -394,7 +399,7 @@
 
     def learnt(self, entry: EndpointEntry) -> EndpointEntry:
         """Return the entry with the probe interval of the prober, and whether its rate is leased."""
-        interval_us = TRIAL_GAP_US if entry.destination in self.partners.probing else 0
+        interval_us = MAX_PROBE_INTERVAL_US if entry.destination in self.partners.probing else 0
         return replace(
             entry, max_probe_interval_us=interval_us, rate_is_leased=entry.destination in self.rates
         )
@@ -404,11 +409,13 @@
 
     def _show(self, dest: int, cold: bool = False) -> None:
         slow_start_share = 1 / max(1, self.partners.board.live_member_count) if cold else 1.0
-        self._tell(
+        self._post_changed(
             dest, lambda e: replace(e, recovering=cold or e.recovering, slow_start_share=slow_start_share)
         )
 
-    def _tell(self, dest: int, change: Callable[[EndpointEntry], EndpointEntry], uid: str = "") -> None:
+    def _post_changed(
+        self, dest: int, change: Callable[[EndpointEntry], EndpointEntry], uid: str = ""
+    ) -> None:
         """Post the changed entries of the destination, or of one endpoint, to the engine."""
         names = self.host.registry.names
         entries = [e for e in self._entries(dest) if uid in ("", names[e.endpoint])]
