--- a/madderbeam/host/changes/component.py
+++ b/madderbeam/host/changes/component.py
@@ -48,10 +48,17 @@
         self.applying = Applying(host, ports)
         self.gathering = Gathering(host)
         self.file = FileSource(
-            ports.disk, host.config.sidecar.partners, self.machine, self.facts, self.runner.tell, self._later
+            ports.disk,
+            host.config.sidecar.partners,
+            self.machine,
+            self.facts,
+            self.runner.post_event,
+            self._later,
         )
         self.versions: dict[int, int] = {}  # messages that are open, by the version they were admitted under
-        self.calls = Calls(self.machine, self.facts, self.runner.tell, host.clock, self._open_by_version)
+        self.calls = Calls(
+            self.machine, self.facts, self.runner.post_event, host.clock, self._open_by_version
+        )
         self.applying.begin(self.machine.current)
 
     def facts(self) -> Any:
@@ -106,7 +113,7 @@
             "changes.on_trial": len(self.machine.trials),
             "changes.waiting": len(self.machine.staged),
             **{f"changes.{what}": ends[what] for what in ("kept", "undone", "refused")},
-            "changes.unwritten": self.runner.unwritten,
+            "changes.unwritten": self.runner.unwritten_records,
         }
 
     # Messages
@@ -131,7 +138,7 @@
         elif isinstance(action, Readmit):
             self.applying.readmit(action.uids, self.machine.current)
         elif isinstance(action, Look):
-            self.runner.tell(Seen(self.facts()))
+            self.runner.post_event(Seen(self.facts()))
         elif isinstance(action, Settled):
             self.gathering.count(bool(self.machine.trials))
 
@@ -142,7 +149,7 @@
             self.applying.apply(action)
         except Exception as error:  # never on a half: the version before is brought back
             log.exception("changes: version %d could not be brought into force", action.after.version)
-            self.runner.tell(Failed(action.after.version, repr(error)))
+            self.runner.post_event(Failed(action.after.version, repr(error)))
 
 
 def join(host: Host, ports: Ports) -> None:
--- a/madderbeam/host/changes/reading.py
+++ b/madderbeam/host/changes/reading.py
@@ -11,7 +11,7 @@
 from madderbeam.changes.records import Restored, restore
 from madderbeam.changes.values import DRAINING, Endpoint, Key, Snapshot, blank
 from madderbeam.config.platform import Config
-from madderbeam.host.federation.kept import Kept
+from madderbeam.host.federation.kept import DurableMap
 from madderbeam.policy.settings import DestinationKind, Idempotency, MessageClass, Settings, Tenant
 from madderbeam.ports import Ports
 
@@ -26,9 +26,9 @@
     return config.state.rstrip("/") + "-changes"
 
 
-def opened(config: Config, ports: Ports) -> Kept:
+def opened(config: Config, ports: Ports) -> DurableMap:
     """OSError if the folder can't be used."""
-    return Kept(ports.disk, folder(config), bool(config.sidecar and config.sidecar.sync))
+    return DurableMap(ports.disk, folder(config), bool(config.sidecar and config.sidecar.sync))
 
 
 # From a file to a snapshot
--- a/madderbeam/host/federation/calls.py
+++ b/madderbeam/host/federation/calls.py
@@ -21,7 +21,7 @@
     Table,
     TableProposed,
 )
-from madderbeam.host.federation.shared import Shared
+from madderbeam.host.federation.shared import SiteSharing
 from madderbeam.host.host import Host
 from madderbeam.membership.membership import Membership
 from madderbeam.membership.values import MemberId, MemberView
@@ -31,13 +31,13 @@
 from madderbeam.transport.control import Answer
 from madderbeam.transport.mesh.mesh import Mesh
 
-CALL_MOST = 1 << 20  # fits a table of 10,000 destinations
+MAX_CALL_BYTES = 1 << 20  # fits a table of 10,000 destinations
 MAX_OUTCOMES = 16  # most recent proposals whose outcome is reported
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
-class Member:
+class CallContext:
     """What the calls use: `table` returns the table in force, `post_event` posts federation events."""
 
     host: Host
@@ -45,31 +45,31 @@
     config: Federation
     membership: Membership
     agreement: Agreement
-    switch: Switchover
+    switchover: Switchover
     streams: Streams
     custodian: Custodian
     mesh: Mesh
-    shared: Shared | None
+    shared: SiteSharing | None
     table: Callable[[], Table]
-    tell: Callable[[Any], None]
+    post_event: Callable[[Any], None]
 
 
-class Calls:
+class AdminCalls:
     """Serves the calls and remembers the outcomes of the tables proposed at this member."""
 
-    def __init__(self, context: Member) -> None:
-        self.member, self.me = context, context.config.id
+    def __init__(self, context: CallContext) -> None:
+        self.context, self.member_id = context, context.config.id
         self.outcomes: dict[ProposalId, ProposalOutcome] = {}
         service, control = context.host.admin_service, context.host.control
-        control.most = max(control.most, CALL_MOST)
+        control.most = max(control.most, MAX_CALL_BYTES)
         service.calls |= {
-            "/federation": ("GET", self._show),
+            "/federation": ("GET", self._get_status),
             "/federation/table": ("POST", self._propose_table),
             "/federation/off": ("POST", self._decommission_member),
             "/federation/trust": ("POST", self._accept_rollback),
         }
 
-    def outcome(self, outcome: ProposalOutcome) -> None:
+    def record_outcome(self, outcome: ProposalOutcome) -> None:
         """Record the outcome of a table proposed at this member."""
         self.outcomes.pop(outcome.proposal, None)
         self.outcomes[outcome.proposal] = outcome
@@ -82,17 +82,17 @@
 
     # Calls
 
-    def _show(self, _: bytes) -> Answer:
-        return Answer(200, json.dumps(self.state(), indent=1) + "\n")
+    def _get_status(self, _: bytes) -> Answer:
+        return Answer(200, json.dumps(self.status(), indent=1) + "\n")
 
-    def state(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return the document of GET /federation; durations are in milliseconds."""
-        member = self.member
+        member = self.context
         now = member.host.clock()
         sites = member.membership.sites()
         return {
             "federation": member.config.name,
-            "member": str(self.me),
+            "member": str(self.member_id),
             "start": member.membership.incarnation.start,
             "members": [_member_status(view, now) for view in member.membership.views()],
             "sites": {
@@ -105,7 +105,7 @@
             "health": member.membership.health,
             "table": member.table().document(),
             "agreement": member.agreement.status(now),
-            "switch": member.switch.status(now),
+            "switch": member.switchover.status(now),
             "offered": {
                 str(proposal): "agreed" if outcome.is_agreed else _error_text(outcome.error)
                 for proposal, outcome in self.outcomes.items()
@@ -123,14 +123,14 @@
             return Answer(400, f"the body must be a table's JSON document: {error}\n")
         except FederationError as error:
             return Answer(400, error.line() + "\n")
-        return self._offered(table)
+        return self._propose(table)
 
-    def _offered(self, table: Table) -> Answer:
+    def _propose(self, table: Table) -> Answer:
         proposal = table.proposal_id
-        if table.proposal_id == self.member.table().proposal_id:
+        if table.proposal_id == self.context.table().proposal_id:
             return Answer(200, f"{proposal} is in force\n")
         self.outcomes.pop(proposal, None)
-        self.member.tell(TableProposed(table))
+        self.context.post_event(TableProposed(table))
         outcome = self.outcomes.get(proposal)
         if outcome is None:
             return Answer(202, f"{proposal} is offered; GET /federation tells what becomes of it\n")
@@ -142,34 +142,34 @@
         member = _parse_member(body)
         if member is None:
             return Answer(400, 'the body must be a JSON object like {"member":"SITE/NAME"}\n')
-        if member == self.me:
+        if member == self.member_id:
             return Answer(409, f"{member} is this member, and it works\n")
         log.warning("federation: an operator declared %s decommissioned", member)
-        self.member.tell(MemberDecommissioned(member, self.member.table().number))
-        return Answer(200, f"{member} counts as off by table {self.member.table().number}\n")
+        self.context.post_event(MemberDecommissioned(member, self.context.table().number))
+        return Answer(200, f"{member} counts as off by table {self.context.table().number}\n")
 
     def _accept_rollback(self, _: bytes) -> Answer:
         log.warning("federation: an operator declared this member's state folder trusted")
-        self.member.tell(RollbackAccepted())
-        return Answer(200, f"{self.me} takes part in votes again\n")
+        self.context.post_event(RollbackAccepted())
+        return Answer(200, f"{self.member_id} takes part in votes again\n")
 
     # SIGHUP
 
     def propose_file(self) -> None:
         """Propose the table of the configured file if its number is above that of the table in force."""
-        path = self.member.config.table_file
+        path = self.context.config.table_file
         if not path:
             return
         try:
-            table = tables.read_table(json.loads(self.member.disk.read(path)))
+            table = tables.read_table(json.loads(self.context.disk.read(path)))
         except (OSError, ValueError, RecursionError) as error:
             log.error("federation: %s: the table is unchanged: %s", path, error)
             return
         except FederationError as error:
             log.error("federation: %s: the table is unchanged: %s", path, error.line())
             return
-        if table.number > self.member.table().number:
-            answer = self._offered(table)
+        if table.number > self.context.table().number:
+            answer = self._propose(table)
             log.info("federation: %s: %s", path, answer.text.strip())
 
 
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -31,13 +31,13 @@
     TableInForce,
 )
 from madderbeam.host.components import Component
-from madderbeam.host.federation.calls import Calls, Member
+from madderbeam.host.federation.calls import AdminCalls, CallContext
 from madderbeam.host.federation.custody import Custody
-from madderbeam.host.federation.kept import Kept
+from madderbeam.host.federation.kept import DurableMap
 from madderbeam.host.federation.publications import Publications
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.federation.serving import Serving
-from madderbeam.host.federation.shared import Shared
+from madderbeam.host.federation.shared import SiteSharing
 from madderbeam.host.host import Host
 from madderbeam.membership import messages as gossip
 from madderbeam.membership.incarnations import next_incarnation
@@ -85,7 +85,7 @@
 from madderbeam.transport.mesh.mesh import Mesh
 
 # Mesh channels: membership, relay, consensus on the table, switchover, leases on limits.
-MEMBERSHIP, RELAY, CONSENSUS, S, LEASES = "m", "r", "t", "s", "l"
+MEMBERSHIP, RELAY, CONSENSUS, SWITCHOVER, LEASES = "m", "r", "t", "s", "l"
 MAX_PERMANENT_LINKS = 256  # permanent links; links to further members are opened on demand
 log = logging.getLogger(__name__)
 
@@ -100,55 +100,55 @@
         """Create the state machines. OSError if the state folder can't be used."""
         self.host, self.config = host, config
         sync = bool(host.config.sidecar and host.config.sidecar.sync)
-        self.kept = Kept(ports.disk, host.config.state.rstrip("/") + "-federation", sync)
-        self.chance = random.Random(f"federation {host.config.seed}")
-        self.me = config.id
-        self.life = next_incarnation(self.kept.map, self.chance.getrandbits(64))
-        self.table = self._known()
+        self.store = DurableMap(ports.disk, host.config.state.rstrip("/") + "-federation", sync)
+        self.rng = random.Random(f"federation {host.config.seed}")
+        self.member_id = config.id
+        self.incarnation = next_incarnation(self.store.map, self.rng.getrandbits(64))
+        self.table = self._last_table()
         self.mesh = Mesh(
             host.loop,
             ports.network,
-            self.me,
-            self.life,
+            self.member_id,
+            self.incarnation,
             config.name,
             config.listen,
             self._on_mesh_event,
-            channels=(MEMBERSHIP, RELAY, CONSENSUS, S, LEASES),
-            rng=self.chance,
+            channels=(MEMBERSHIP, RELAY, CONSENSUS, SWITCHOVER, LEASES),
+            rng=self.rng,
             settings=MeshSettings(drift_ppm=config.lease_drift_ppm),
         )
         # None: not posted yet; an empty set is posted too
         self.posted_subscriptions: dict[str, set[int]] | None = None
-        self.started = False
+        self.is_started = False
         self._create_membership()
         self._create_table_machines()
         self._create_relay()
         self._create_sharing()
-        self.calls = Calls(
-            Member(
+        self.admin_calls = AdminCalls(
+            CallContext(
                 host,
                 ports.disk,
                 config,
                 self.membership,
                 self.agreement,
-                self.switch,
+                self.switchover,
                 self.streams,
                 self.custodian,
                 self.mesh,
                 self.shared,
                 lambda: self.table,
-                self.federation.tell,
+                self.federation_runner.post_event,
             )
         )
         self._handlers: dict[type, Callable[[Any], None]] = self._action_handlers()
 
-    def _known(self) -> Table:
+    def _last_table(self) -> Table:
         """Return the last table in force here, or the configured one if none ever was."""
-        row = self.kept.map.get(("force", ""))
+        row = self.store.map.get(("force", ""))
         return self.config.table if row is None else ledger.read_ledger(row).table
 
-    def _run(self, machine: Any) -> Runner:
-        return Runner(self.host.loop, self.host.clock, machine, self.kept, self.act)
+    def _make_runner(self, machine: Any) -> Runner:
+        return Runner(self.host.loop, self.host.clock, machine, self.store, self.perform)
 
     def _wall_ms(self, now_us: int) -> int:
         """Convert monotonic to wall time by the journal's clock, which does not step in a running process."""
@@ -169,48 +169,55 @@
         )
         seeds = tuple(config.via.get(member, address) for member, address in config.seeds)
         self.membership = Membership(
-            settings, self.me, self.life, config.listen, seeds, config.via, self.chance, self.kept.map
+            settings,
+            self.member_id,
+            self.incarnation,
+            config.listen,
+            seeds,
+            config.via,
+            self.rng,
+            self.store.map,
         )
-        self.members = self._run(self.membership)
+        self.membership_runner = self._make_runner(self.membership)
 
     def _create_table_machines(self) -> None:
         config = self.config
         agreement_settings = AgreementSettings(vote_timeout_us=config.agree_within_ms * 1000)
         self.agreement = Agreement(
-            agreement_settings, self.me, self.life, self.chance, self.kept.map, self.table
+            agreement_settings, self.member_id, self.incarnation, self.rng, self.store.map, self.table
         )
         switchover_settings = SwitchoverSettings(
             lease_us=(config.lease_ms or 0) * 1000, drift_ppm=config.lease_drift_ppm
         )
-        self.switch = Switchover(
+        self.switchover = Switchover(
             switchover_settings,
-            self.me,
-            self.life,
-            self.kept.map,
+            self.member_id,
+            self.incarnation,
+            self.store.map,
             self.table,
             AgreementView(self.agreement),
             self._wall_ms,
         )
-        self.machine = Federation(self.agreement, self.switch)
-        self.federation = self._run(self.machine)
+        self.federation_machine = Federation(self.agreement, self.switchover)
+        self.federation_runner = self._make_runner(self.federation_machine)
         self.serving = Serving(
             self.host,
-            self.me,
+            self.member_id,
             self._may_call,
             self._released,
-            lambda message: self.publications.passed_on(message),
+            lambda message: self.publications.forward_message(message),
             config.lease_ms is not None,
         )
 
     def _may_call(self, dest: int) -> bool:
         """Whether a call may start; evaluated before each, so that a pause counts before a timer is due."""
         now = self.host.clock()
-        return self.switch.may_call(now, dest) and not self.membership.was_paused(now)
+        return self.switchover.may_call(now, dest) and not self.membership.was_paused(now)
 
     def _create_relay(self) -> None:
         config = self.config
-        self.subscriptions = Subscriptions(self.me, self.life)
-        self.tables = Tables(self.me.site, self.subscriptions.subscribers)
+        self.subscriptions = Subscriptions(self.member_id, self.incarnation)
+        self.tables = Tables(self.member_id.site, self.subscriptions.subscribers)
         backlog = Backlog(
             config.backlog_messages, config.backlog_bytes, away_again_us=config.wait_told_ms * 1000
         )
@@ -220,31 +227,39 @@
             if message_class.idempotency is Idempotency.WITH_KEY
         ]
         settings = StreamSettings(room=backlog, keyed_window_us=min(windows, default=0))
-        self.streams = Streams(settings, self.me, self.life, self._wall_ms, self.kept.map)
+        self.streams = Streams(settings, self.member_id, self.incarnation, self._wall_ms, self.store.map)
         self.custodian = Custodian(
-            CustodySettings(), self.me, self.life, self.tables.expand, self._wall_ms, self.kept.map
+            CustodySettings(),
+            self.member_id,
+            self.incarnation,
+            self.tables.expand,
+            self._wall_ms,
+            self.store.map,
         )
-        self.topics, self.origin = self._run(self.subscriptions), self._run(self.streams)
-        self.relay = self._run(self.custodian)
+        self.subscriptions_runner, self.streams_runner = (
+            self._make_runner(self.subscriptions),
+            self._make_runner(self.streams),
+        )
+        self.custodian_runner = self._make_runner(self.custodian)
         self.custody = Custody(
             self.host,
-            self.me,
-            self.life,
+            self.member_id,
+            self.incarnation,
             self.custodian,
-            self.relay.tell,
-            self.origin.tell,
+            self.custodian_runner.post_event,
+            self.streams_runner.post_event,
             lambda message: self.publications.take_back(message),
-            self.kept,
+            self.store,
         )
         self.publications = Publications(
             self.host,
-            self.me,
+            self.member_id,
             self.serving,
             self.streams,
             self.subscriptions,
             lambda: self.table,
-            self.origin.tell,
-            self.custody.local,
+            self.streams_runner.post_event,
+            self.custody.deliver_locally,
             config.wait_told_ms * 1000,
             self.custody.deliveries.__contains__,
             self.custody.settling.__contains__,
@@ -252,30 +267,44 @@
 
     def _create_sharing(self) -> None:
         """Create the machines of findings and leases if the couriers of this site share them."""
-        self.shared: Shared | None = None
-        self.news: Runner | None = None
+        self.shared: SiteSharing | None = None
+        self.findings_runner: Runner | None = None
         if not self.config.share:
             return
-        partners = PartnerOutages(self.me, self.life)
+        partners = PartnerOutages(self.member_id, self.incarnation)
         settings = LeaseSettings(drift_ppm=self.config.lease_drift_ppm)
         leases = Leases(
             settings,
-            self.me,
-            self.life,
-            self.chance,
-            self.kept.map,
-            lambda resource: self.shared.more.in_use(resource) if self.shared is not None else 0.0,
+            self.member_id,
+            self.incarnation,
+            self.rng,
+            self.store.map,
+            lambda resource: self.shared.limit_leases.in_use(resource) if self.shared is not None else 0.0,
         )
-        self.news, self.leases = self._run(partners), self._run(leases)
-        self.shared = Shared(
-            self.host, self.me, self.life, self.serving, partners, leases, self.news.tell, self.leases.tell
+        self.findings_runner, self.leases_runner = self._make_runner(partners), self._make_runner(leases)
+        self.shared = SiteSharing(
+            self.host,
+            self.member_id,
+            self.incarnation,
+            self.serving,
+            partners,
+            leases,
+            self.findings_runner.post_event,
+            self.leases_runner.post_event,
         )
 
     @property
     def runners(self) -> tuple[Runner, ...]:
         """The runners of all state machines."""
-        shared = (self.news, self.leases) if self.news is not None else ()
-        return self.members, self.federation, self.topics, self.origin, self.relay, *shared
+        shared = (self.findings_runner, self.leases_runner) if self.findings_runner is not None else ()
+        return (
+            self.membership_runner,
+            self.federation_runner,
+            self.subscriptions_runner,
+            self.streams_runner,
+            self.custodian_runner,
+            *shared,
+        )
 
     # Component interface
 
@@ -285,24 +314,24 @@
         log.info(
             "federation %s: start %d of %s, listening on port %d",
             self.config.name,
-            self.life.start,
-            self.me,
+            self.incarnation.start,
+            self.member_id,
             port,
         )
-        self.started = True
+        self.is_started = True
         now = self.host.clock()
-        if self.kept.damaged:
-            self.federation.tell(RollbackDetected(self.life, self.life))
-        self.federation.run(self.machine.start(now))
-        self.members.run(self.membership.start(now))
-        self.listed()
+        if self.store.damaged:
+            self.federation_runner.post_event(RollbackDetected(self.incarnation, self.incarnation))
+        self.federation_runner.run(self.federation_machine.start(now))
+        self.membership_runner.run(self.membership.start(now))
+        self.list_changed()
         self.custody.open()
-        self.publications.resume()
+        self.publications.resume_restored()
         if self.shared is not None:
             self.shared.open()
         self._update_links()
 
-    def listed(self) -> None:
+    def list_changed(self) -> None:
         """Post the topic subscriptions of the partner list if they changed."""
         topics: dict[str, set[int]] = {}
         for number, subscribed in self.host.registry.subscribed_topics.items():
@@ -310,33 +339,37 @@
                 for topic in subscribed:
                     topics.setdefault(topic, set()).add(entry.destination)
         # An empty set is posted too: after their start other sites wait for this site's subscriptions.
-        if self.started and (topics != self.posted_subscriptions or not self.subscriptions.version):
+        if self.is_started and (topics != self.posted_subscriptions or not self.subscriptions.version):
             self.posted_subscriptions = topics
-            self.topics.tell(Subscribed(topics, self.subscriptions.version + 1))
-        if self.started and self.shared is not None:
-            self.shared.listed()
+            self.subscriptions_runner.post_event(Subscribed(topics, self.subscriptions.version + 1))
+        if self.is_started and self.shared is not None:
+            self.shared.list_changed()
 
     def reload_files(self) -> None:
         """Propose the configured table file if it is newer."""
-        self.calls.propose_file()
+        self.admin_calls.propose_file()
 
     def begin_shutdown(self) -> None:
         """Announce the shutdown to the other members."""
-        for runner in (self.relay, self.members, *((self.leases,) if self.news is not None else ())):
-            runner.tell(SetDraining(True))
+        for runner in (
+            self.custodian_runner,
+            self.membership_runner,
+            *((self.leases_runner,) if self.findings_runner is not None else ()),
+        ):
+            runner.post_event(SetDraining(True))
 
     def close(self) -> None:
         """Leave the federation, and close all runners, the mesh and the state file."""
-        if self.started:
+        if self.is_started:
             if self.shared is not None:
-                self.leases.tell(Leave())
+                self.leases_runner.post_event(Leave())
                 self.shared.close()
-            self.members.tell(Leave())
+            self.membership_runner.post_event(Leave())
         for runner in self.runners:
             runner.close()
         self.custody.close()
         self.mesh.close()
-        self.kept.close()
+        self.store.close()
 
     def metrics(self) -> dict[str, int]:
         """Return the metrics of federation and mesh by name."""
@@ -345,9 +378,9 @@
         return {
             "federation.members": len(self.membership.alive()) + 1,
             "federation.table": self.table.number,
-            "federation.publications": self.publications.taken,
-            "federation.refused": self.publications.refused,
-            "federation.unwritten": sum(r.unwritten for r in self.runners),
+            "federation.publications": self.publications.accepted,
+            "federation.refused": self.publications.rejected,
+            "federation.unwritten": sum(r.unwritten_records for r in self.runners),
             **custody,
             **mesh,
         }
@@ -358,13 +391,13 @@
         """Pass a mesh event to its state machine; invalid rows are only counted."""
         if self.membership.was_paused(self.host.clock()):
             # handle a pause before the messages that arrived during it
-            self.members.tell(TimerDue(""))
+            self.membership_runner.post_event(TimerDue(""))
         if isinstance(event, (LinkUp, LinkDown)):
-            for runner in (self.federation, self.origin, self.relay):
-                runner.tell(event)
+            for runner in (self.federation_runner, self.streams_runner, self.custodian_runner):
+                runner.post_event(event)
             return
         if isinstance(event, mesh_events.LaterIncarnationSeen):
-            self.federation.tell(RollbackDetected(event.seen, self.life))
+            self.federation_runner.post_event(RollbackDetected(event.seen, self.incarnation))
             return
         try:
             decoded = DECODERS[channel, type(event)](event)
@@ -377,19 +410,19 @@
             self.mesh.count_invalid_row(f"channel {channel}: {type(event).__name__}")
             return
         if channel == MEMBERSHIP:
-            self.members.tell(decoded)
+            self.membership_runner.post_event(decoded)
             if self.shared is not None and isinstance(event, mesh_events.ExchangeReplied):
-                self.shared.warm()
+                self.shared.stop_waiting()
         elif channel == LEASES:
-            if self.news is not None:
-                self.leases.tell(decoded)
+            if self.findings_runner is not None:
+                self.leases_runner.post_event(decoded)
         elif channel == RELAY:
             is_for_origin = isinstance(
                 decoded.message, (relay_messages.Ack, relay_messages.Nak, relay_messages.Ends)
             )
-            (self.origin if is_for_origin else self.relay).tell(decoded)
+            (self.streams_runner if is_for_origin else self.custodian_runner).post_event(decoded)
         else:
-            self.federation.tell(decoded)
+            self.federation_runner.post_event(decoded)
 
     def _sent_at_us(self, event: MessageReceived) -> int | None:
         """Return `earliest_sent_us` on the host's clock.
@@ -405,7 +438,7 @@
 
     # Actions
 
-    def act(self, action: Any) -> None:
+    def perform(self, action: Any) -> None:
         """Perform one action of any state machine."""
         self._handlers[type(action)](action)
 
@@ -420,21 +453,21 @@
             StateReply: lambda action: self.mesh.reply(action.reply_id, gossip.to_row(action.message)),
             MemberChanged: self._member_changed,
             GossipReceived: self._gossip_received,
-            Disseminate: self.members.tell,
+            Disseminate: self.membership_runner.post_event,
             IncarnationRaised: self._incarnation_raised,
-            PauseDetected: self._resumed,
-            RollbackDetected: self.federation.tell,
+            PauseDetected: self._pause_detected,
+            RollbackDetected: self.federation_runner.post_event,
             SendMessage: self._send_message,
-            TableInForce: self._in_force,
+            TableInForce: self._table_in_force,
             CheckTable: self._check_table,
-            BeginServing: self.serving.begin,
+            BeginServing: self.serving.begin_serving,
             Relinquish: self.serving.relinquish,
-            SuspendServing: self._hold,
+            SuspendServing: self._serving_suspended,
             ProposalOutcome: self._proposal_ended,
             Expand: self.custody.expand,
-            Settled: self.custody.settled,
+            Settled: self.custody.outcomes_stored,
             SiteEnded: self.publications.site_ended,
-            PublicationEnded: self.publications.ended,
+            PublicationEnded: self.publications.publication_ended,
             **self._sharing_handlers(),
         }
 
@@ -442,10 +475,10 @@
         if self.shared is None:
             return {}
         return {
-            ApplyFinding: self.shared.heed,
-            FindingExpired: self.shared.lapsed,
-            SetProbing: self.shared.try_for,
-            SetAllowance: self.shared.allot,
+            ApplyFinding: self.shared.apply_finding,
+            FindingExpired: self.shared.finding_expired,
+            SetProbing: self.shared.set_probing,
+            SetAllowance: self.shared.apply_allowance,
         }
 
     def _member_changed(self, action: MemberChanged) -> None:
@@ -458,44 +491,44 @@
             ", draining" if view.draining else "",
         )
         self.mesh.record_incarnation(view.id, view.incarnation)
-        shared = (self.news, self.leases) if self.news is not None else ()
-        for runner in (self.federation, self.topics, self.origin, *shared):
-            runner.tell(action)
+        shared = (self.findings_runner, self.leases_runner) if self.findings_runner is not None else ()
+        for runner in (self.federation_runner, self.subscriptions_runner, self.streams_runner, *shared):
+            runner.post_event(action)
         if view.state in (State.ALIVE, State.SUSPECT):
             self._open_link(view.id)
 
     def _gossip_received(self, action: GossipReceived) -> None:
-        self.topics.tell(action)
-        self.federation.tell(action)
-        if self.news is not None:
-            self.news.tell(action)
+        self.subscriptions_runner.post_event(action)
+        self.federation_runner.post_event(action)
+        if self.findings_runner is not None:
+            self.findings_runner.post_event(action)
 
-    def _resumed(self, action: PauseDetected) -> None:
+    def _pause_detected(self, action: PauseDetected) -> None:
         log.warning(
             "federation: this process was paused for %.1f s; querying which table is in force",
             action.paused_us / 1e6,
         )
-        self.federation.tell(ServingPaused())
-        if self.news is not None:
-            self.leases.tell(action)
-        self.serving.refresh()  # lists destinations that the pause check had hidden
+        self.federation_runner.post_event(ServingPaused())
+        if self.findings_runner is not None:
+            self.leases_runner.post_event(action)
+        self.serving.repost_list()  # lists destinations that the pause check had hidden
 
     def _incarnation_raised(self, action: IncarnationRaised) -> None:
         """Use a raised incarnation in everything that is sent from now on."""
-        if action.incarnation != self.life:
-            self.life = action.incarnation
-            log.warning("federation: %s continues as start %d", self.me, self.life.start)
-            self.mesh.set_incarnation(self.life)
-            shared = (self.news,) if self.news is not None else ()
-            for runner in (self.federation, self.topics, *shared):
-                runner.tell(action)
+        if action.incarnation != self.incarnation:
+            self.incarnation = action.incarnation
+            log.warning("federation: %s continues as start %d", self.member_id, self.incarnation.start)
+            self.mesh.set_incarnation(self.incarnation)
+            shared = (self.findings_runner,) if self.findings_runner is not None else ()
+            for runner in (self.federation_runner, self.subscriptions_runner, *shared):
+                runner.post_event(action)
 
     def _send_message(self, action: SendMessage) -> None:
         message = action.message
         kind = type(message).__module__
         if kind == relay_messages.__name__:
-            if action.member == self.me:
-                self.custody.to_self(message)
+            if action.member == self.member_id:
+                self.custody.receive_own_message(message)
                 return
             channel, row = RELAY, relay_messages.to_row(message)
         elif kind == consensus_messages.__name__:
@@ -503,18 +536,18 @@
         elif kind == lease_messages.__name__:
             channel, row = LEASES, lease_messages.to_row(message)
         else:
-            channel, row = S, switchover_messages.to_row(message)
+            channel, row = SWITCHOVER, switchover_messages.to_row(message)
         sent_at_us = None
         if isinstance(message, relay_messages.Entry):
             # the remaining time is as of when the machine returned the entry
             now_us = self.mesh.context.now_us()
-            sent_at_us = now_us + self.origin.now_us - self.host.clock()
+            sent_at_us = now_us + self.streams_runner.now_us - self.host.clock()
         if not self.mesh.send(action.member, channel, row, sent_at_us):
             self._open_link(action.member)
 
     def _open_link(self, member: MemberId) -> None:
         """Open a link to the member: at the configured address, else the gossiped one, else the table's."""
-        if member == self.me or (
+        if member == self.member_id or (
             len(self.mesh.links) >= MAX_PERMANENT_LINKS and member not in self.mesh.links
         ):
             return
@@ -537,10 +570,10 @@
 
     # Table
 
-    def _in_force(self, action: TableInForce) -> None:
+    def _table_in_force(self, action: TableInForce) -> None:
         self.table = action.table
         self.tables.put(action.table.number, action.table.owners)
-        self.serving.changed_us = self.host.clock()
+        self.serving.changed_at_us = self.host.clock()
         log.info(
             "federation: table %d (%s) is in force here%s",
             action.table.number,
@@ -550,41 +583,47 @@
         self.host.schedule(0, self.publications.forward_unserved)
         if self.shared is not None:
             earlier = [
-                table for table in self.switch.registry.ledger.history if table.number < action.table.number
+                table
+                for table in self.switchover.registry.ledger.history
+                if table.number < action.table.number
             ]
-            self.shared.table(action.table, tuple(table.members(self.me.site) for table in earlier))
-        if self.started:
+            self.shared.apply_table(
+                action.table, tuple(table.members(self.member_id.site) for table in earlier)
+            )
+        if self.is_started:
             self._update_links()
 
     def _check_table(self, action: CheckTable) -> None:
-        error = self.switch.objection(action.table)
-        objection = error.line() if error else self.serving.why_not(action.table, self.me.site)
-        self.federation.tell(TableChecked(action.table.proposal_id, objection))
+        error = self.switchover.objection(action.table)
+        objection = error.line() if error else self.serving.objection(action.table, self.member_id.site)
+        self.federation_runner.post_event(TableChecked(action.table.proposal_id, objection))
 
-    def _hold(self, action: SuspendServing) -> None:
-        self.serving.keep(action)
+    def _serving_suspended(self, action: SuspendServing) -> None:
+        self.serving.set_suspension(action)
         if not action.is_suspended:
             self.host.schedule(0, self.publications.forward_unserved)
 
     def _released(self, released: DestinationReleased) -> None:
-        self.federation.tell(released)
+        self.federation_runner.post_event(released)
 
     def _proposal_ended(self, action: ProposalOutcome) -> None:
-        self.calls.outcome(action)
+        self.admin_calls.record_outcome(action)
 
 
-def _came(event: mesh_events.DatagramArrived) -> DatagramReceived:
+def _decode_datagram(event: mesh_events.DatagramArrived) -> DatagramReceived:
     return DatagramReceived(gossip.from_row(event.row), event.source)
 
 
 DECODERS: dict[tuple[str, type], Callable[[Any], Any]] = {
-    (MEMBERSHIP, mesh_events.DatagramArrived): _came,
+    (MEMBERSHIP, mesh_events.DatagramArrived): _decode_datagram,
     (MEMBERSHIP, mesh_events.ExchangeRequested): lambda e: StateReceived(gossip.from_row(e.row), e.reply_id),
     (MEMBERSHIP, mesh_events.ExchangeReplied): lambda e: StateReceived(gossip.from_row(e.row)),
     (MEMBERSHIP, mesh_events.ExchangeAborted): lambda e: ExchangeFailed(e.address),
     (RELAY, MessageReceived): lambda e: MessageReceived(e.member, relay_messages.from_row(e.message)),
     (CONSENSUS, MessageReceived): lambda e: MessageReceived(e.member, consensus_messages.from_row(e.message)),
-    (S, MessageReceived): lambda e: MessageReceived(e.member, switchover_messages.from_row(e.message)),
+    (SWITCHOVER, MessageReceived): lambda e: MessageReceived(
+        e.member, switchover_messages.from_row(e.message)
+    ),
     (LEASES, MessageReceived): lambda e: MessageReceived(e.member, lease_messages.from_row(e.message)),
 }
 
@@ -597,11 +636,11 @@
 
     def on_completed(number: int) -> None:
         previous(number)
-        component.publications.over(number)
+        component.publications.message_completed(number)
 
     host.completions.on_completed = on_completed
-    host.completions.listeners.append(component.custody.ended)
-    host.admission.interceptors.append(component.publications.door)
+    host.completions.listeners.append(component.custody.report_outcome)
+    host.admission.interceptors.append(component.publications.intercept)
     host.restore_handlers.append(component.publications.claim_restored)
-    host.list_listeners.append(component.listed)
+    host.list_listeners.append(component.list_changed)
     host.components.append(component)
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from madderbeam.host.federation.kept import Kept
+from madderbeam.host.federation.kept import DurableMap
 from madderbeam.host.host import Host
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.membership.values import Incarnation, LinkUp, MemberId, MessageReceived
@@ -51,37 +51,37 @@
     """A stream entry whose deliveries are being submitted."""
 
     publication: Publication
-    open: set[int]  # destinations without a reply
-    taken: set[int] = field(default_factory=set)
+    unanswered: set[int]  # destinations without a reply
+    accepted: set[int] = field(default_factory=set)
     # rejected for now: Retry-After in microseconds
-    busy: dict[int, int] = field(default_factory=dict)
+    retry_after_us: dict[int, int] = field(default_factory=dict)
 
 
-class Hand:
+class DeliveryReply:
     """Receives the reply to one submitted delivery."""
 
     wanted = True
 
     def __init__(self, custody: Custody, expansion: Expansion, dest: int) -> None:
-        self.custody, self.work, self.dest = custody, expansion, dest
+        self.custody, self.expansion, self.dest = custody, expansion, dest
 
     def taken(self) -> None:
         """The delivery is journaled."""
-        self._answered(lambda: self.work.taken.add(self.dest))
+        self._record(lambda: self.expansion.accepted.add(self.dest))
 
     def busy(self, wait_us: int) -> None:
         """The delivery is rejected for now; `wait_us` is the Retry-After in microseconds."""
-        self._answered(lambda: self.work.busy.update({self.dest: wait_us}))
+        self._record(lambda: self.expansion.retry_after_us.update({self.dest: wait_us}))
 
     def failed(self, why: str = "failed") -> None:
         """The delivery is rejected for good."""
-        self._answered(lambda: self.custody.reject_delivery(self.work, self.dest, why))
+        self._record(lambda: self.custody.reject_delivery(self.expansion, self.dest, why))
 
-    def _answered(self, update: Callable[[], None]) -> None:
-        if self.dest in self.work.open:
-            self.work.open.discard(self.dest)
+    def _record(self, update: Callable[[], None]) -> None:
+        if self.dest in self.expansion.unanswered:
+            self.expansion.unanswered.discard(self.dest)
             update()
-            self.custody.look(self.work)
+            self.custody.check_expansion(self.expansion)
 
 
 class Custody:
@@ -99,11 +99,11 @@
         post_event: Callable[[Any], None],
         post_stream_event: Callable[[Any], None],
         take_back: Callable[[PendingMessage], bool],
-        store: Kept,
+        store: DurableMap,
     ) -> None:
         """`take_back` takes back a forwarded message; it returns False if that is not served here now."""
-        self.kept = store
-        self.host, self.me, self.custodian, self.tell, self.streams = (
+        self.store = store
+        self.host, self.member_id, self.custodian, self.post_event, self.post_stream_event = (
             host,
             member_id,
             custodian,
@@ -114,25 +114,25 @@
         # Message id -> (publication name, destination); one delivery may arrive by two paths, with two names.
         self.deliveries: dict[str, set[tuple[str, int]]] = {}
         # ids of deliveries that a client of this courier also waits for
-        self.clients: set[str] = set()
+        self.awaited_by_client: set[str] = set()
         # completed; the outcome is not stored yet
         self.unsettled: dict[tuple[str, int], PendingMessage] = {}
         self.settling: set[int] = set()  # message numbers of `unsettled`
         # stream of entries that this courier sends itself
-        self.stream, self.seq = incarnation.start << 32 | 1, 0
-        self.own: dict[int, Publication] = {}  # sequence number -> publication
-        self.told, self.same = Credit(-1, -1), 0
+        self.stream_number, self.last_sequence = incarnation.start << 32 | 1, 0
+        self.own_publications: dict[int, Publication] = {}  # sequence number -> publication
+        self.posted_credit, self.unchanged_checks = Credit(-1, -1), 0
         self.closed = False
         for name, dests, single in custodian.open_records:
             for dest in dests:
                 self._add_delivery(held_id(name, dest, single), name, dest)
         marked = [ident for kind, ident in store.map if kind == CLIENT_WAITS]
-        self.clients.update(ident for ident in marked if ident in self.deliveries)
+        self.awaited_by_client.update(ident for ident in marked if ident in self.deliveries)
         self._remove_client_records([ident for ident in marked if ident not in self.deliveries])
 
     def open(self) -> None:
         """Report which deliveries in custody are still pending; the journal is restored."""
-        self.tell(LinkUp(self.me))
+        self.post_event(LinkUp(self.member_id))
         for name, dests, single in self.custodian.open_records:
             pending = [
                 candidate
@@ -141,8 +141,8 @@
             ]
             for dest in set(dests) - set(pending):
                 self._remove_delivery(held_id(name, dest, single), name, dest)
-            self.tell(Resting(name, tuple(pending)))
-        self._credit()
+            self.post_event(Resting(name, tuple(pending)))
+        self._check_credit()
 
     def _add_delivery(self, ident: str, name: str, dest: int) -> None:
         self.deliveries.setdefault(ident, set()).add((name, dest))
@@ -152,14 +152,14 @@
         remaining.discard((name, dest))
         if not remaining:
             self.deliveries.pop(ident, None)
-            if ident in self.clients:
-                self.clients.discard(ident)
+            if ident in self.awaited_by_client:
+                self.awaited_by_client.discard(ident)
                 self._remove_client_records([ident])
 
     def _record_client(self, ident: str) -> bool:
         """Record that a client of this courier waits for the message; False if the write fails."""
         try:
-            self.kept.write([(CLIENT_WAITS, ident, True)])
+            self.store.write([(CLIENT_WAITS, ident, True)])
         except OSError as error:
             log.error("federation: recording that a client waits for %s failed: %s", ident, error)
             return False
@@ -169,14 +169,15 @@
         """Remove the records; after a failed write the next start removes them."""
         if idents:
             with contextlib.suppress(OSError):
-                self.kept.write((CLIENT_WAITS, ident, None) for ident in idents)
+                self.store.write((CLIENT_WAITS, ident, None) for ident in idents)
 
-    def _credit(self) -> None:
+    def _check_credit(self) -> None:
         """Update the credit periodically, less often while idle, since each check wakes the process."""
         if not self.closed:
             self._update_credit()
             self.host.schedule(
-                CREDIT_CHECK_S if self.same < IDLE_AFTER_CHECKS else IDLE_CREDIT_CHECK_S, self._credit
+                CREDIT_CHECK_S if self.unchanged_checks < IDLE_AFTER_CHECKS else IDLE_CREDIT_CHECK_S,
+                self._check_credit,
             )
 
     def _update_credit(self) -> None:
@@ -188,32 +189,32 @@
         )
         free_bytes = max(0, (journal.limit_bytes - journal.files.used_bytes - journal.needed_bytes) // 2)
         credit = Credit(free_messages, free_bytes)
-        self.same = (
-            self.same + 1
-            if credit == self.told and free_messages > RESERVED_MESSAGES and free_bytes > BODY_MOST
+        self.unchanged_checks = (
+            self.unchanged_checks + 1
+            if credit == self.posted_credit and free_messages > RESERVED_MESSAGES and free_bytes > BODY_MOST
             else 0
         )
-        if credit != self.told:
-            self.told = credit
-            self.tell(credit)
+        if credit != self.posted_credit:
+            self.posted_credit = credit
+            self.post_event(credit)
 
     # Stream entries
 
     def expand(self, action: Expand) -> None:
         """Submit the deliveries of an entry; each gets its reply once it is journaled, or at once."""
-        if self.same >= IDLE_AFTER_CHECKS:
+        if self.unchanged_checks >= IDLE_AFTER_CHECKS:
             self._update_credit()
         work = Expansion(action.publication, set(action.dests))
         for dest in action.dests:
             self._submit(work, dest)
-        self.look(work)
+        self.check_expansion(work)
 
     def _submit(self, expansion: Expansion, dest: int) -> None:
         publication, journal = expansion.publication, self.host.journal
         ident = delivery_id(publication, dest)
         if ident in journal.completed_ids and ident not in journal.numbers_by_id:
             # completed, and its outcome was reported
-            expansion.open.discard(dest)
+            expansion.unanswered.discard(dest)
             return
         pending = journal.pending.get(journal.numbers_by_id.get(ident, 0))
         if pending is not None and ident not in self.deliveries:
@@ -234,9 +235,9 @@
             relayed=True,
         )
         try:
-            self.host.admission.submit(put, Hand(self, expansion, dest))
+            self.host.admission.submit(put, DeliveryReply(self, expansion, dest))
         except BadRequest as error:
-            expansion.open.discard(dest)
+            expansion.unanswered.discard(dest)
             self.reject_delivery(expansion, dest, str(error))
 
     def _join_pending(self, expansion: Expansion, dest: int, message: PendingMessage) -> None:
@@ -246,21 +247,21 @@
         in turn waits for the second.
         """
         if message.status:
-            expansion.open.discard(dest)
+            expansion.unanswered.discard(dest)
             result = Result.FAILED if message.possibly_executed_at else Result.REFUSED
-            self.tell(Ended(expansion.publication.name, dest, result))
+            self.post_event(Ended(expansion.publication.name, dest, result))
             return
         if not self._record_client(message.id) or not self.take_back(message):
             self._remove_client_records([message.id])
-            expansion.open.discard(dest)
-            expansion.busy[dest] = TAKE_BACK_RETRY_US
+            expansion.unanswered.discard(dest)
+            expansion.retry_after_us[dest] = TAKE_BACK_RETRY_US
             return
         if not message.is_relayed:
             # a relayed one is a delivery whose record was not written before a restart
-            self.clients.add(message.id)
+            self.awaited_by_client.add(message.id)
         self._add_delivery(message.id, expansion.publication.name, dest)
-        expansion.open.discard(dest)
-        expansion.taken.add(dest)
+        expansion.unanswered.discard(dest)
+        expansion.accepted.add(dest)
 
     def reject_delivery(self, expansion: Expansion, dest: int, reason: str) -> None:
         """Reject a delivery for good and report that to the custodian."""
@@ -271,40 +272,40 @@
             dest,
             reason,
         )
-        self.tell(Ended(expansion.publication.name, dest, Result.REFUSED))
+        self.post_event(Ended(expansion.publication.name, dest, Result.REFUSED))
 
-    def look(self, expansion: Expansion) -> None:
+    def check_expansion(self, expansion: Expansion) -> None:
         """Once all deliveries have replies, accept custody, decline it or schedule a retry."""
-        if expansion.open:
+        if expansion.unanswered:
             return
         name = expansion.publication.name
-        if not expansion.busy:
-            self.tell(Taken(name, tuple(sorted(expansion.taken))))
+        if not expansion.retry_after_us:
+            self.post_event(Taken(name, tuple(sorted(expansion.accepted))))
             return
-        after_us = max(expansion.busy.values())
-        if not expansion.taken:
-            for dest in expansion.busy:
+        after_us = max(expansion.retry_after_us.values())
+        if not expansion.accepted:
+            for dest in expansion.retry_after_us:
                 self._remove_delivery(delivery_id(expansion.publication, dest), name, dest)
-            self.tell(NotTaken(name, after_us, f"{self.me} has no room for it now"))
+            self.post_event(NotTaken(name, after_us, f"{self.member_id} has no room for it now"))
             return
         # Some deliveries are journaled and may execute, so the others are retried until the deadline.
-        rejected, expansion.busy = expansion.busy, {}
+        rejected, expansion.retry_after_us = expansion.retry_after_us, {}
         if self.host.clock() + after_us >= expansion.publication.until_us:
             for dest in rejected:
                 self.reject_delivery(expansion, dest, "its time is up")
-            self.tell(Taken(name, tuple(sorted(expansion.taken))))
+            self.post_event(Taken(name, tuple(sorted(expansion.accepted))))
             return
-        expansion.open = set(rejected)
+        expansion.unanswered = set(rejected)
         self.host.schedule(max(MIN_RESUBMIT_S, after_us / 1e6), lambda: self._resubmit(expansion))
 
     def _resubmit(self, expansion: Expansion) -> None:
-        for dest in sorted(expansion.open):
+        for dest in sorted(expansion.unanswered):
             self._submit(expansion, dest)
-        self.look(expansion)
+        self.check_expansion(expansion)
 
     # Outcomes
 
-    def ended(self, m: PendingMessage, status: str) -> bool:
+    def report_outcome(self, m: PendingMessage, status: str) -> bool:
         """A `CompletionListener`: report the outcome of a delivery; False if a client gets it too."""
         parts = self.deliveries.get(m.id)
         if parts is None:
@@ -315,22 +316,22 @@
             result = Result.DELIVERED
         else:
             result = Result.REFUSED if status == "deferred" or not m.possibly_executed_at else Result.FAILED
-        client_waits = m.id in self.clients
+        client_waits = m.id in self.awaited_by_client
         self.settling.add(m.number)
         for name, dest in sorted(parts):
             self.unsettled[name, dest] = m
-            self.tell(Ended(name, dest, result))
+            self.post_event(Ended(name, dest, result))
             if self.custodian.kept.get(name) is None:
                 # the custodian has no record: nothing to store
-                self.settled(Settled(name, (dest,)))
+                self.outcomes_stored(Settled(name, (dest,)))
         return not client_waits
 
-    def settled(self, action: Settled) -> None:
+    def outcomes_stored(self, action: Settled) -> None:
         """Release deliveries whose outcomes are stored for all publications that they belong to."""
         numbers = []
         for dest in action.dests:
             if message := self.unsettled.pop((action.name, dest), None):
-                client_waits = message.id in self.clients
+                client_waits = message.id in self.awaited_by_client
                 self._remove_delivery(message.id, action.name, dest)
                 if message.id not in self.deliveries:
                     self.settling.discard(message.number)
@@ -341,30 +342,34 @@
 
     # Entries of this courier for itself
 
-    def local(self, publication: Publication) -> None:
+    def deliver_locally(self, publication: Publication) -> None:
         """Deliver this courier's own publication to the subscribers of its site."""
-        self.seq += 1
-        self.own[self.seq] = publication
+        self.last_sequence += 1
+        self.own_publications[self.last_sequence] = publication
         now_us = self.host.clock()
         left_us = max(0, publication.until_us - now_us)
-        self.tell(MessageReceived(self.me, Entry(self.stream, self.seq, publication, left_us), now_us))
+        self.post_event(
+            MessageReceived(
+                self.member_id, Entry(self.stream_number, self.last_sequence, publication, left_us), now_us
+            )
+        )
 
-    def to_self(self, message: Any) -> None:
+    def receive_own_message(self, message: Any) -> None:
         """Handle a message of the custodian that is addressed to this courier."""
         if isinstance(message, Nak):
-            publication = self.own.pop(message.seq, None)
+            publication = self.own_publications.pop(message.seq, None)
             if publication is not None and self.host.clock() + message.after_us < publication.until_us:
                 self.host.schedule(
-                    max(MIN_RESUBMIT_S, message.after_us / 1e6), lambda: self.local(publication)
+                    max(MIN_RESUBMIT_S, message.after_us / 1e6), lambda: self.deliver_locally(publication)
                 )
         elif isinstance(message, Ends):
             for row in message.rows:
                 if not row.left:
-                    self.streams(LocalEnded(row.name, row.delivered, row.ends))
-            self.tell(MessageReceived(self.me, EndsAck(message.number)))
+                    self.post_stream_event(LocalEnded(row.name, row.delivered, row.ends))
+            self.post_event(MessageReceived(self.member_id, EndsAck(message.number)))
         elif (seq := getattr(message, "seq", None)) is not None:
-            for acknowledged in [number for number in self.own if number <= seq]:
-                del self.own[acknowledged]
+            for acknowledged in [number for number in self.own_publications if number <= seq]:
+                del self.own_publications[acknowledged]
 
     def close(self) -> None:
         """Stop the periodic checks."""
--- a/madderbeam/host/federation/kept.py
+++ b/madderbeam/host/federation/kept.py
@@ -14,11 +14,11 @@
 
 MIN_COMPACTED_BYTES = 1 << 16  # smaller files are not compacted
 COMPACTION_RATIO = 4  # compacts at this ratio of file size to live bytes
-LIMIT = 1 << 25  # writes that would exceed this file size fail
+MAX_FILE_BYTES = 1 << 25  # writes that would exceed this file size fail
 log = logging.getLogger(__name__)
 
 
-class Kept:
+class DurableMap:
     """Maps (kind, key) to a value that msgpack can encode; the last record of a key counts.
 
     Written records survive SIGKILL, and with `sync` also a power failure. A tail torn by a kill is truncated:
@@ -33,8 +33,8 @@
         self.damaged = False
         if not disk.is_folder(folder):
             disk.make_folder(folder)
-        self.file, self.size = self._open()
-        self.live = self._count_live_bytes()
+        self.file, self.size_bytes = self._open()
+        self.live_bytes = self._count_live_bytes()
 
     def _open(self) -> tuple[File, int]:
         try:
@@ -43,7 +43,7 @@
             data = b""
         records, end = parse(data)
         for record in records:
-            self._effect(record)
+            self._apply(record)
         file = self.disk.open(self.path)
         if end < len(data):
             self.damaged = not _is_torn(data[end:])
@@ -65,7 +65,7 @@
             file.truncate(end)
         return file, end
 
-    def _effect(self, record: list[Any]) -> None:
+    def _apply(self, record: list[Any]) -> None:
         if len(record) == 4 and record[0] == "keep":
             kind, key, value = str(record[1]), str(record[2]), record[3]
             if value is None:
@@ -77,9 +77,9 @@
         """Write all rows or none; a value of None removes its key. OSError if the write fails."""
         records: list[list[Any]] = [["keep", kind, key, value] for kind, key, value in rows]
         data = b"".join(map(frame, records))
-        if self.size + len(data) > LIMIT:
+        if self.size_bytes + len(data) > MAX_FILE_BYTES:
             self._compact()
-        if self.size + len(data) > LIMIT:
+        if self.size_bytes + len(data) > MAX_FILE_BYTES:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         try:
             if self.file.append(data) != len(data):
@@ -87,24 +87,24 @@
             if self.sync:
                 self.file.sync()
         except OSError:
-            self.file.truncate(self.size)
+            self.file.truncate(self.size_bytes)
             raise
-        self.size += len(data)
+        self.size_bytes += len(data)
         for record in records:
-            self._effect(record)
-        if self.size > max(MIN_COMPACTED_BYTES, COMPACTION_RATIO * self.live):
+            self._apply(record)
+        if self.size_bytes > max(MIN_COMPACTED_BYTES, COMPACTION_RATIO * self.live_bytes):
             self._compact()
 
     def _encoded_rows(self) -> bytes:
         return b"".join(frame(["keep", kind, key, value]) for (kind, key), value in self.map.items())
 
     def _count_live_bytes(self) -> int:
-        return len(self._encoded_rows()) if self.size > MIN_COMPACTED_BYTES else self.size
+        return len(self._encoded_rows()) if self.size_bytes > MIN_COMPACTED_BYTES else self.size_bytes
 
     def _compact(self) -> None:
         """Rewrite the file with the live records only; on a disk error the file stays as it is."""
         data = self._encoded_rows()
-        self.live = len(data)
+        self.live_bytes = len(data)
         try:
             atomic_file.replace(self.disk, self.path, data)
             file = self.disk.open(self.path)
@@ -112,7 +112,7 @@
             log.error("%s: compaction failed: %s", self.path, error)
             return
         self.file.close()
-        self.file, self.size = file, len(data)
+        self.file, self.size_bytes = file, len(data)
 
     def close(self) -> None:
         """Close the file."""
--- a/madderbeam/host/federation/limits.py
+++ b/madderbeam/host/federation/limits.py
@@ -34,70 +34,74 @@
     """
 
     def __init__(self, host: Host, leases: Leases, post_lease_event: Callable[[Any], None]) -> None:
-        self.host, self.leases, self.lease = host, leases, post_lease_event
-        self.members = 1
+        self.host, self.leases, self.post_lease_event = host, leases, post_lease_event
+        self.member_count = 1
         self.longest_s = max(c.deadline_us for c in host.settings.classes) / 1e6
         # destination -> endpoint -> max_conns
-        self.places: dict[int, dict[int, int]] = {}
-        self.dests: dict[int, int] = {}  # endpoint -> destination
-        self.parts: dict[
+        self.connection_limits: dict[int, dict[int, int]] = {}
+        self.destinations: dict[int, int] = {}  # endpoint -> destination
+        self.divided_leases: dict[
             int, tuple[int, dict[int, int]]
         ] = {}  # destination -> lease, connections per endpoint
-        self.told: dict[int, int] = {}  # endpoint -> limit last applied to its pool
-        self.limits: dict[str, Limit] = {}
-        self.full = False  # that some limits are not shared was logged
-        self.gate: Any = None
+        self.applied_limits: dict[int, int] = {}  # endpoint -> limit last applied to its pool
+        self.posted_limits: dict[str, Limit] = {}
+        self.is_excess_logged = False  # that some limits are not shared was logged
+        self.quota_admission: Any = None
         if host.config.quota is not None:
             # already imported where quotas are configured
             from madderbeam.host.quota import QuotaComponent
 
-            self.gate = next(g.gate for g in host.admission.checks if isinstance(g, QuotaComponent))
-            if self.gate.leased.unleased_count:
-                self._log_excess(f"{self.gate.leased.unleased_count} quotas have equal parts")
+            self.quota_admission = next(
+                g.gate for g in host.admission.checks if isinstance(g, QuotaComponent)
+            )
+            if self.quota_admission.leased.unleased_count:
+                self._log_excess(f"{self.quota_admission.leased.unleased_count} quotas have equal parts")
         # quota node -> messages, bytes
         self.meters: dict[str, tuple[RateMeter, RateMeter]] = {}
         self.largest_messages: dict[str, tuple[int, float]] = {}  # bytes, remaining seconds
         host.calls.places = self
 
     def _log_excess(self, what: str) -> None:
-        if not self.full:
-            self.full = True
+        if not self.is_excess_logged:
+            self.is_excess_logged = True
             log.warning("federation: %s", LimitsMany(what).line())
 
     # Limits
 
-    def table(self, member_count: int) -> None:
+    def apply_table(self, member_count: int) -> None:
         """Adjust all limits to the number of members of this site."""
-        self.members = member_count
-        self.listed()
-        if self.gate is not None:
+        self.member_count = member_count
+        self.list_changed()
+        if self.quota_admission is not None:
             couriers = max(member_count, int((self.host.config.quota or {}).get("couriers", 1)))
-            for name in self.gate.leased.nodes:
+            for name in self.quota_admission.leased.nodes:
                 self._post_limit(Limit(f"quota/{name}", member_count / couriers, 1 / couriers))
 
-    def listed(self) -> None:
+    def list_changed(self) -> None:
         """Read the connection limits again: the endpoint list or the routing may have changed."""
         router = self.host.routing.router
-        self.places, self.dests = {}, {}
+        self.connection_limits, self.destinations = {}, {}
         for dest, endpoint, max_connections in router.places() if router is not None else ():
-            if dest not in self.places and len(self.places) >= MAX_SHARED_DESTINATIONS:
+            if dest not in self.connection_limits and len(self.connection_limits) >= MAX_SHARED_DESTINATIONS:
                 self._log_excess(f"only {MAX_SHARED_DESTINATIONS} partners' places are shared")
                 continue
-            self.places.setdefault(dest, {})[endpoint] = max_connections
-            self.dests[endpoint] = dest
-        for dest, limits in self.places.items():
+            self.connection_limits.setdefault(dest, {})[endpoint] = max_connections
+            self.destinations[endpoint] = dest
+        for dest, limits in self.connection_limits.items():
             per_member = float(sum(limits.values()))
             lasts_us = int(self.longest_s * 1e6)
-            self._post_limit(Limit(f"places/{dest}", per_member * self.members, per_member, True, lasts_us))
-        self.told.clear()  # the pools may be new objects
-        self.parts.clear()
-        for endpoint in self.dests:
+            self._post_limit(
+                Limit(f"places/{dest}", per_member * self.member_count, per_member, True, lasts_us)
+            )
+        self.applied_limits.clear()  # the pools may be new objects
+        self.divided_leases.clear()
+        for endpoint in self.destinations:
             self.most(endpoint)
 
     def _post_limit(self, limit: Limit) -> None:
-        if self.limits.get(limit.resource) != limit:
-            self.limits[limit.resource] = limit
-            self.lease(limit)
+        if self.posted_limits.get(limit.resource) != limit:
+            self.posted_limits[limit.resource] = limit
+            self.post_lease_event(limit)
 
     # Connection limits
 
@@ -107,15 +111,15 @@
         Evaluated before each call, so that an expired lease is not used. Connections that other endpoints
         have beyond their share, after the lease shrank, reduce the result.
         """
-        dest = self.dests.get(endpoint)
+        dest = self.destinations.get(endpoint)
         if dest is None:
             return None
         now_us, calls = self.host.clock(), self.host.calls
         lease = int(self.leases.amount(f"places/{dest}", now_us))
-        if dest not in self.parts or self.parts[dest][0] != lease:
-            self.parts[dest] = lease, self._divide(dest, lease)
-        at_other_endpoints = sum(calls.connections(n) for n in self.places[dest] if n != endpoint)
-        max_connections = min(self.parts[dest][1][endpoint], max(0, lease - at_other_endpoints))
+        if dest not in self.divided_leases or self.divided_leases[dest][0] != lease:
+            self.divided_leases[dest] = lease, self._divide(dest, lease)
+        at_other_endpoints = sum(calls.connections(n) for n in self.connection_limits[dest] if n != endpoint)
+        max_connections = min(self.divided_leases[dest][1][endpoint], max(0, lease - at_other_endpoints))
         self._apply_limit(dest, endpoint, max_connections, now_us)
         return max_connections
 
@@ -124,7 +128,7 @@
 
         The remainder of the rounding goes to a different endpoint at each courier.
         """
-        limits = self.places[dest]
+        limits = self.connection_limits[dest]
         order = sorted(limits)
         first = self.host.settings.courier_index % len(order)
         total = sum(limits.values())
@@ -134,10 +138,10 @@
         return {endpoint: int(part) for endpoint, part in parts.items()}
 
     def _apply_limit(self, dest: int, endpoint: int, max_connections: int, now_us: int) -> None:
-        before = self.told.get(endpoint)
+        before = self.applied_limits.get(endpoint)
         if max_connections == before:
             return
-        self.told[endpoint] = max_connections
+        self.applied_limits[endpoint] = max_connections
         if (router := self.host.routing.router) is not None:
             router.allow(dest, endpoint, max_connections, now_us)
         entry = self.host.registry.entries.get(endpoint)
@@ -148,41 +152,43 @@
     def in_use(self, resource: str) -> float:
         """Return the connections that are open or opening under this resource."""
         kind, _, dest = resource.partition("/")
-        limits = self.places.get(int(dest), {}) if kind == "places" else {}
+        limits = self.connection_limits.get(int(dest), {}) if kind == "places" else {}
         return float(sum(map(self.host.calls.connections, limits)))
 
     # Leases
 
-    def allot(self, action: SetAllowance) -> None:
+    def apply_allowance(self, action: SetAllowance) -> None:
         """Apply a changed allowance to quota admission or to the connections of a destination."""
         kind, _, name = action.resource.partition("/")
-        if kind == "quota" and self.gate is not None:
-            self.gate.set_lease(name, action.amount, action.until_us, action.fallback, self.host.clock())
+        if kind == "quota" and self.quota_admission is not None:
+            self.quota_admission.set_lease(
+                name, action.amount, action.until_us, action.fallback, self.host.clock()
+            )
         elif kind == "places":
-            for endpoint in self.places.get(int(name), ()):
+            for endpoint in self.connection_limits.get(int(name), ()):
                 self.host.calls.trim(endpoint)
 
-    def look(self, span_s: float) -> None:
+    def update_needs(self, span_s: float) -> None:
         """Post what is needed, and close idle connections beyond the leases; `span_s` since the last call."""
         calls = self.host.calls
-        for dest, limits in self.places.items():
+        for dest, limits in self.connection_limits.items():
             for endpoint in limits:
                 calls.trim(endpoint)
             destination = self.host.courier.state.destinations.get(dest)
             queued = len(destination.queue) if destination is not None else 0
-            self.lease(
+            self.post_lease_event(
                 Need(
                     f"places/{dest}",
                     sum(calls.busy[limited_endpoint] for limited_endpoint in limits) + queued,
                 )
             )
-        if self.gate is not None:
+        if self.quota_admission is not None:
             self._update_quota_needs(span_s)
 
     def _update_quota_needs(self, span_s: float) -> None:
-        self.gate.expire_leases(self.host.clock())
-        demand = self.gate.take_demand()
-        for name, node in self.gate.leased.nodes.items():
+        self.quota_admission.expire_leases(self.host.clock())
+        demand = self.quota_admission.take_demand()
+        for name, node in self.quota_admission.leased.nodes.items():
             if name not in demand and name not in self.meters:
                 continue
             messages, total_bytes, largest = demand.get(name, (0, 0, 0))
@@ -196,13 +202,13 @@
             if largest >= largest_known or left_s <= 0:
                 largest_known, left_s = largest, LARGEST_MESSAGE_S
             self.largest_messages[name] = (largest_known, left_s - span_s)
-            fraction = self.gate.leased.needed_fraction(
+            fraction = self.quota_admission.leased.needed_fraction(
                 node,
                 message_meter.needed_rate() * DEMAND_FACTOR,
                 byte_meter.needed_rate() * DEMAND_FACTOR,
                 largest_known,
             )
-            self.lease(Need(f"quota/{name}", fraction))
+            self.post_lease_event(Need(f"quota/{name}", fraction))
 
     # Admin address
 
@@ -210,15 +216,18 @@
         """Return for GET /federation the open and permitted connections and the leased quota fractions."""
         calls, names = self.host.calls, self.host.registry.names
         status: dict[str, Any] = {}
-        if self.places:
+        if self.connection_limits:
             status["places"] = {
                 dest: {
-                    names.get(endpoint, ""): [calls.connections(endpoint), self.told.get(endpoint, 0)]
+                    names.get(endpoint, ""): [
+                        calls.connections(endpoint),
+                        self.applied_limits.get(endpoint, 0),
+                    ]
                     for endpoint in limits
                 }
-                for dest, limits in self.places.items()
+                for dest, limits in self.connection_limits.items()
             }
-        if self.gate is not None:
-            nodes = self.gate.leased.nodes.items()
+        if self.quota_admission is not None:
+            nodes = self.quota_admission.leased.nodes.items()
             status["quota"] = {name: round(node.fraction / WHOLE_LIMIT, 6) for name, node in nodes}
         return status
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -62,64 +62,66 @@
         deliver_locally: Callable[[Publication], None],
         max_retry_after_us: int,
         in_custody: Callable[[str], bool] = lambda ident: False,
-        settling: Callable[[int], bool] = lambda number: False,
+        is_settling: Callable[[int], bool] = lambda number: False,
     ) -> None:
         """`in_custody`: whether the message with this id is a delivery of another courier's publication;
         `is_settling`: whether the message with this number is completed and its outcome not stored yet."""
-        self.in_custody, self.is_settling = in_custody, settling
-        self.host, self.me, self.serving, self.streams = host, member_id, serving, streams
-        self.subscriptions, self.table, self.tell, self.local = (
+        self.in_custody, self.is_settling = in_custody, is_settling
+        self.host, self.member_id, self.serving, self.streams = host, member_id, serving, streams
+        self.subscriptions, self.table, self.post_event, self.deliver_locally = (
             subscriptions,
             table,
             post_event,
             deliver_locally,
         )
         # maximum Retry-After while a destination changes its owner
-        self.wait_us = max_retry_after_us
+        self.max_retry_after_us = max_retry_after_us
         # publication name -> message number in the journal
-        self.numbers: dict[str, int] = {}
-        self.names: dict[int, str] = {}  # message number -> publication name
+        self.numbers_by_name: dict[str, int] = {}
+        self.names_by_number: dict[int, str] = {}  # message number -> publication name
         # names of publications that a client may submit again
-        self.never_ran: set[str] = set()
+        self.not_executed: set[str] = set()
         self.restored: list[PendingMessage] = []
         # name -> site of non-idempotent messages forwarded before this start
-        self.sent = streams.sent.sites()
-        self.taken = self.refused = 0
+        self.recorded_sites = streams.sent.sites()
+        self.accepted = self.rejected = 0
 
     # Admission
 
-    def door(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> bool:
+    def intercept(self, put: Put, m: PendingMessage, reply: ReplyHandle) -> bool:
         """A `MessageInterceptor`: take over messages for topics and for destinations of other sites."""
         if put.topic:
             self._intercept_publication(put, m, reply)
             return True
         table = self.table()
         owner = table.owners.get(put.dest)
-        if owner == self.me.site:
+        if owner == self.member_id.site:
             if self.serving.owns(put.dest):
                 return False
             self._reject(m, reply, self._retry_after_us())
         elif owner is None:
             self.host.metrics.count_completion(ABORTED, m.class_index)
             reply.failed(f"dest: no site serves it by table {table.number}")
-        elif self.serving.hold.is_suspended and self.serving.hold.destinations is None:
+        elif self.serving.suspension.is_suspended and self.serving.suspension.destinations is None:
             self._reject(m, reply, self._retry_after_us())
         else:
             self._accept(m, self._as_publication(m), (owner,), reply)
         return True
 
     def _intercept_publication(self, put: Put, message: PendingMessage, reply: ReplyHandle) -> None:
-        if self.serving.hold.is_suspended and self.serving.hold.destinations is None:
+        if self.serving.suspension.is_suspended and self.serving.suspension.destinations is None:
             self._reject(message, reply, self._retry_after_us())
             return
         table = self.table()
         publication = replace(self._as_publication(message), topic=put.topic, dest=-1, table=table.number)
-        local_subscribers = expand(publication, self.me.site, table.owners, self.subscriptions.subscribers)
+        local_subscribers = expand(
+            publication, self.member_id.site, table.owners, self.subscriptions.subscribers
+        )
         sites = tuple(s for s in self.subscriptions.sites(put.topic) if s in table.sites)
         # Just after a start some subscriptions are unknown; sites without subscribers decline the entry.
         sites += self.subscriptions.unheard(table.sites)
         if local_subscribers:
-            sites = (self.me.site, *sites)
+            sites = (self.member_id.site, *sites)
         if not sites:
             self.host.metrics.count_completion(ABORTED, message.class_index)
             reply.failed("topic: nobody has subscribed to it")
@@ -146,11 +148,11 @@
 
         No client then waits more than twice as long as necessary.
         """
-        elapsed_us = self.host.clock() - self.serving.changed_us
-        return min(self.wait_us, max(MIN_RETRY_AFTER_US, elapsed_us))
+        elapsed_us = self.host.clock() - self.serving.changed_at_us
+        return min(self.max_retry_after_us, max(MIN_RETRY_AFTER_US, elapsed_us))
 
     def _reject(self, message: PendingMessage, reply: ReplyHandle, retry_after_us: int) -> None:
-        self.refused += 1
+        self.rejected += 1
         self.host.metrics.count_completion(DECLINED, message.class_index)
         reply.busy(retry_after_us)
 
@@ -167,13 +169,13 @@
         tenant = settings.tenants[message.tenant].name if message.tenant < len(settings.tenants) else ""
         until_us = self.host.journal.wall.monotonic_us_at(message.deadline_s)
         ident = (
-            derived_id(f"{self.me}:{message.id}", message.dest)
+            derived_id(f"{self.member_id}:{message.id}", message.dest)
             if message.is_relayed or self.in_custody(message.id)
             else message.id
         )
         return Publication(
             ident,
-            self.me,
+            self.member_id,
             "",
             message.dest,
             message_class.name,
@@ -187,15 +189,18 @@
         )
 
     def _publish(self, message: PendingMessage, publication: Publication, sites: tuple[str, ...]) -> None:
-        self.taken += 1
-        self.numbers[publication.name], self.names[message.number] = message.number, publication.name
-        self.tell(Published(publication, sites))
-        if self.me.site in sites:
-            self.local(publication)
+        self.accepted += 1
+        self.numbers_by_name[publication.name], self.names_by_number[message.number] = (
+            message.number,
+            publication.name,
+        )
+        self.post_event(Published(publication, sites))
+        if self.member_id.site in sites:
+            self.deliver_locally(publication)
 
-    def passed_on(self, message: PendingMessage) -> None:
+    def forward_message(self, message: PendingMessage) -> None:
         """Forward an accepted message whose destination another site now serves."""
-        if message.number in self.names or self.is_settling(message.number):
+        if message.number in self.names_by_number or self.is_settling(message.number):
             return
         owner = self.table().owners.get(message.dest)
         self.host.post_event(MessageWithdrawn(message.number))
@@ -203,7 +208,7 @@
             self.host.completions.complete(
                 message, "undeliverable" if message.possibly_executed_at else "deferred", 0
             )
-        elif owner != self.me.site:
+        elif owner != self.member_id.site:
             self._publish(message, self._as_publication(message), (owner,))
 
     def _may_forward(self, message: PendingMessage) -> bool:
@@ -225,13 +230,13 @@
 
         Returns False if its destination is not served here at present.
         """
-        if message.number not in self.names:
+        if message.number not in self.names_by_number:
             return True
         if not self.serving.serves(message.dest):
             return False
-        name = self.names[message.number]
+        name = self.names_by_number[message.number]
         self._forget(name)
-        self.tell(Withdrawn(name))
+        self.post_event(Withdrawn(name))
         self.host.post_event(self.host.admission.arrival_event(message))
         return True
 
@@ -243,19 +248,19 @@
         is_forwarded = message.dest == TOPIC_DEST or (
             not message.possibly_executed_at
             and not is_taken_back
-            and self._as_publication(message).name in self.sent
+            and self._as_publication(message).name in self.recorded_sites
         )
         if is_forwarded:
             self.restored.append(message)
         return is_forwarded
 
-    def resume(self) -> None:
+    def resume_restored(self) -> None:
         """Publish the restored messages again; all state machines have started."""
         restored, self.restored = self.restored, []
         for message in restored:
             if message.dest != TOPIC_DEST:
                 publication = self._as_publication(message)
-                self._publish(message, publication, (self.sent[publication.name],))
+                self._publish(message, publication, (self.recorded_sites[publication.name],))
                 continue
             try:
                 topic, table, sites, body = msgpack.unpackb(message.body)
@@ -271,19 +276,19 @@
                 self._as_publication(replace(message, body=body)), topic=topic, dest=-1, table=table
             )
             self._publish(message, publication, tuple(sites))
-        self.sent.clear()
+        self.recorded_sites.clear()
 
     def forward_unserved(self) -> None:
         """Forward pending messages whose destinations other sites serve."""
-        owners, own_site = self.table().owners, self.me.site
+        owners, own_site = self.table().owners, self.member_id.site
         pending = self.host.journal.pending.values()
         elsewhere = {
             message.dest
             for message in pending
             if not message.status and message.dest >= 0 and owners.get(message.dest) != own_site
         }
-        for dest in elsewhere - self.serving.leaving.keys():
-            self.serving.hand_over(dest)
+        for dest in elsewhere - self.serving.releasing.keys():
+            self.serving.forward_pending(dest)
 
     # Outcomes
 
@@ -291,11 +296,11 @@
         """Note whether a site rejected its part without any attempt."""
         results = {end.result for end in action.ends}
         if not action.delivered and results == {Result.REFUSED} and not action.why:
-            self.never_ran.add(action.name)
+            self.not_executed.add(action.name)
 
-    def ended(self, action: PublicationEnded) -> None:
+    def publication_ended(self, action: PublicationEnded) -> None:
         """Complete the message of a publication that ended at all sites."""
-        not_executed = action.name in self.never_ran
+        not_executed = action.name in self.not_executed
         message = self._forget(action.name)
         if message is None or message.status:
             return
@@ -309,14 +314,14 @@
             message, "deferred" if is_single and not_executed else "undeliverable", 0
         )
 
-    def over(self, number: int) -> None:
+    def message_completed(self, number: int) -> None:
         """Withdraw the publication of a message that completed by its deadline or a second submission."""
-        if (name := self.names.get(number)) is not None:
+        if (name := self.names_by_number.get(number)) is not None:
             self._forget(name)
-            self.tell(Withdrawn(name))
+            self.post_event(Withdrawn(name))
 
     def _forget(self, name: str) -> PendingMessage | None:
-        self.never_ran.discard(name)
-        number = self.numbers.pop(name, 0)
-        self.names.pop(number, None)
+        self.not_executed.discard(name)
+        number = self.numbers_by_name.pop(name, 0)
+        self.names_by_number.pop(number, None)
         return self.host.journal.pending.get(number)
--- a/madderbeam/host/federation/runner.py
+++ b/madderbeam/host/federation/runner.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from madderbeam.host.federation.kept import Kept
+from madderbeam.host.federation.kept import DurableMap
 from madderbeam.membership.values import LogLine, Persist, SetTimer, TimerDue, WriteFailed
 
 log = logging.getLogger(__name__)
@@ -35,31 +35,31 @@
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], int],
         machine: Machine,
-        store: Kept,
+        store: DurableMap,
         perform: Callable[[Any], None],
         name: str = "federation",
     ) -> None:
         """`clock` returns monotonic time in microseconds; `name` is the prefix of log lines."""
-        self.loop, self.clock, self.machine, self.kept, self.act = loop, clock, machine, store, perform
+        self.loop, self.clock, self.machine, self.store, self.perform = loop, clock, machine, store, perform
         self.name = name
         self.events: deque[Any] = deque()
         self.timers: dict[str, asyncio.TimerHandle] = {}
-        self.busy = self.closed = False
-        self.unwritten = 0  # records whose write failed
+        self.is_running = self.closed = False
+        self.unwritten_records = 0  # records whose write failed
         # when the event arrived whose actions are being performed
         self.now_us = clock()
 
-    def tell(self, event: Any) -> None:
+    def post_event(self, event: Any) -> None:
         """Handle the event now, or after the queued ones if called while actions are performed."""
         self.events.append(event)
-        if not self.busy:
+        if not self.is_running:
             self.run([])
 
     def run(self, actions: Iterable[Any]) -> None:
         """Perform the actions, then handle the queued events."""
         if self.closed:
             return
-        self.busy = True
+        self.is_running = True
         try:
             self._perform(actions)
             while self.events and not self.closed:
@@ -72,7 +72,7 @@
                     continue
                 self._perform(actions)
         finally:
-            self.busy = False
+            self.is_running = False
 
     def _perform(self, actions: Iterable[Any]) -> None:
         rows: list[Persist] = []
@@ -80,40 +80,40 @@
             if isinstance(action, Persist):
                 rows.append(action)
                 continue
-            if rows and not self._written(rows):
+            if rows and not self._write_records(rows):
                 return
             rows = []
             try:
-                self._one(action)
+                self._perform_one(action)
             except Exception:
                 log.exception("action %s failed", type(action).__name__)
         if rows:
-            self._written(rows)
+            self._write_records(rows)
 
-    def _written(self, rows: list[Persist]) -> bool:
+    def _write_records(self, rows: list[Persist]) -> bool:
         try:
-            self.kept.write((row.kind, row.key, row.value) for row in rows)
+            self.store.write((row.kind, row.key, row.value) for row in rows)
         except OSError as error:
             log.error("%s: writing %d records failed: %s", self.name, len(rows), error)
-            self.unwritten += len(rows)
+            self.unwritten_records += len(rows)
             self.events.extendleft(WriteFailed(row.kind, row.key) for row in reversed(rows))
             return False
         return True
 
-    def _one(self, action: Any) -> None:
+    def _perform_one(self, action: Any) -> None:
         if isinstance(action, SetTimer):
             if timer := self.timers.pop(action.token, None):
                 timer.cancel()
             delay = max(0, action.at_us - self.clock()) / 1e6 + 5e-5
-            self.timers[action.token] = self.loop.call_later(delay, self._due, action.token)
+            self.timers[action.token] = self.loop.call_later(delay, self._timer_due, action.token)
         elif isinstance(action, LogLine):
-            note(action, self.name)
+            write_log_line(action, self.name)
         else:
-            self.act(action)
+            self.perform(action)
 
-    def _due(self, token: str) -> None:
+    def _timer_due(self, token: str) -> None:
         self.timers.pop(token, None)
-        self.tell(TimerDue(token))
+        self.post_event(TimerDue(token))
 
     def close(self) -> None:
         """Cancel all timers; later events are ignored."""
@@ -122,7 +122,7 @@
             timer.cancel()
 
 
-def note(action: LogLine, name: str = "federation") -> None:
+def write_log_line(action: LogLine, name: str = "federation") -> None:
     """Write a log line: at level error if it carries an error with advice to the operator, else info."""
     line = getattr(action.error, "line", None)
     if line is not None:
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -25,7 +25,7 @@
 from madderbeam.membership.values import MemberId
 from madderbeam.policy.events import EndpointEntry, EndpointState, ListUpdateKind
 
-LOOK_S = 0.02  # interval of the checks for calls in flight to relinquished destinations
+CALL_CHECK_S = 0.02  # interval of the checks for calls in flight to relinquished destinations
 CHECKS_WITHOUT_CALLS = (
     2  # consecutive checks without a call: the cycle that handles their outcomes lies between
 )
@@ -51,41 +51,47 @@
         forward_message: Callable[[PendingMessage], None],
         has_lease: bool,
     ) -> None:
-        self.host, self.me, self.may_call, self.told, self.passed_on = (
+        self.host, self.member_id, self.may_call, self.on_released, self.forward_message = (
             host,
             member_id,
             may_call,
             on_released,
             forward_message,
         )
-        self.leased = has_lease
-        self.hold = SuspendServing(True, "has not started")
-        self.begun: set[int] = set()
+        self.has_lease = has_lease
+        self.suspension = SuspendServing(True, "has not started")
+        self.served: set[int] = set()
         # table number, consecutive checks without a call
-        self.leaving: dict[int, tuple[int, int]] = {}
+        self.releasing: dict[int, tuple[int, int]] = {}
         self.is_check_scheduled = False
-        self.before_call: Callable[[int], bool] | None = (
+        self.may_start_call: Callable[[int], bool] | None = (
             None  # set where couriers of a site share findings and limits
         )
         # last change of the table in force or of the suspension
-        self.changed_us = host.clock()
+        self.changed_at_us = host.clock()
         host.registry.is_served = self.serves
 
     # Queries
 
     def serves(self, dest: int) -> bool:
         """Whether a call to the destination may start now."""
-        return self.owns(dest) and (self.before_call is None or self.before_call(dest))
+        return self.owns(dest) and (self.may_start_call is None or self.may_start_call(dest))
 
     def owns(self, dest: int) -> bool:
         """Whether this courier delivers the messages for the destination."""
-        return dest in self.begun and not (self.hold.is_suspended and self.held(dest)) and self.may_call(dest)
+        return (
+            dest in self.served
+            and not (self.suspension.is_suspended and self.is_dest_suspended(dest))
+            and self.may_call(dest)
+        )
 
-    def held(self, dest: int) -> bool:
+    def is_dest_suspended(self, dest: int) -> bool:
         """Whether serving of the destination is suspended until the table in force is known."""
-        return self.hold.is_suspended and (self.hold.destinations is None or dest in self.hold.destinations)
+        return self.suspension.is_suspended and (
+            self.suspension.destinations is None or dest in self.suspension.destinations
+        )
 
-    def why_not(self, table: Table, site: str) -> str:
+    def objection(self, table: Table, site: str) -> str:
         """Return why this site can't serve the table, with the path of the first fault; "" if it can."""
         for dest, owner in sorted(table.owners.items()):
             if owner == site and dest not in self.host.registry.dests:
@@ -94,13 +100,13 @@
 
     # Decisions of the federation
 
-    def begin(self, action: BeginServing) -> None:
+    def begin_serving(self, action: BeginServing) -> None:
         """Start to serve a destination, with the waits, drains and slow start in its releases."""
         dest, registry = action.dest, self.host.registry
-        self.leaving.pop(dest, None)
-        if dest in self.begun:
+        self.releasing.pop(dest, None)
+        if dest in self.served:
             return
-        self.begun.add(dest)
+        self.served.add(dest)
         now = self.host.clock()
         waiting: dict[int, EndpointEntry] = {}
         for release in action.releases:
@@ -113,7 +119,7 @@
             registry.relayed_drains.update(dict.fromkeys(w.uid for w in release.draining))
         cold = any(release.is_cold for release in action.releases)
         entries = [waiting.get(e.endpoint, e) for e in self._entries(dest)]
-        self._show([replace(e, recovering=cold or e.recovering) for e in entries])
+        self._post_entries([replace(e, recovering=cold or e.recovering) for e in entries])
         if action.releases:
             log.info(
                 "federation: destination %d is served here: %d waits, %s",
@@ -124,52 +130,52 @@
 
     def relinquish(self, action: Relinquish) -> None:
         """Start no more calls to the destination, and report its release when none is in flight."""
-        self.begun.discard(action.dest)
-        self.leaving[action.dest] = (action.table_number, 0)
+        self.served.discard(action.dest)
+        self.releasing[action.dest] = (action.table_number, 0)
         log.info("federation: destination %d is relinquished by table %d", action.dest, action.table_number)
-        self._hide([action.dest])
+        self._unlist([action.dest])
         self._schedule_check()
 
-    def keep(self, suspension: SuspendServing) -> None:
+    def set_suspension(self, suspension: SuspendServing) -> None:
         """Replace the current suspension."""
-        before, self.hold = self.hold, suspension
+        before, self.suspension = self.suspension, suspension
         if before.is_suspended is not suspension.is_suspended:
-            self.changed_us = self.host.clock()
+            self.changed_at_us = self.host.clock()
         if suspension.is_suspended and suspension.reason != before.reason:
             log.warning("federation: serving suspended: %s", suspension.reason)
         elif before.is_suspended and not suspension.is_suspended:
             log.info("federation: served again")
         if suspension.is_suspended:
             suspended = (
-                self.begun if suspension.destinations is None else self.begun & suspension.destinations
+                self.served if suspension.destinations is None else self.served & suspension.destinations
             )
-            self._hide(sorted(suspended))
+            self._unlist(sorted(suspended))
             for call in [
                 c
                 for c in self.host.calls.out
-                if self.leased and self._destination_of(c.endpoint) in suspended
+                if self.has_lease and self._destination_of(c.endpoint) in suspended
             ]:
                 call.drop()  # a call must not outlast the lease
-        self._show([e for dest in sorted(self.begun) for e in self._entries(dest)])
+        self._post_entries([e for dest in sorted(self.served) for e in self._entries(dest)])
 
-    def refresh(self) -> None:
+    def repost_list(self) -> None:
         """Post the whole list to the engine: a lease ended or began."""
-        self._show(self.host.registry.entries.values())
+        self._post_entries(self.host.registry.entries.values())
 
     # Release
 
-    def _hide(self, dests: list[int]) -> None:
+    def _unlist(self, dests: list[int]) -> None:
         entries = [e for dest in dests for e in self._entries(dest)]
         for entry in entries:
             self.host.calls.close_idle(entry.endpoint)
-        self._show(entries)
+        self._post_entries(entries)
 
     def _schedule_check(self) -> None:
         if not self.is_check_scheduled:
             self.is_check_scheduled = True
-            self.host.schedule(LOOK_S, self._look)
+            self.host.schedule(CALL_CHECK_S, self._check_calls)
 
-    def _look(self) -> None:
+    def _check_calls(self) -> None:
         self.is_check_scheduled = False
         destinations_in_flight = {self._destination_of(call.endpoint) for call in self.host.calls.out}
         destinations_in_flight |= {
@@ -178,16 +184,16 @@
             for item in open_call.items
             if (message := self.host.journal.pending.get(item.number))
         }
-        for dest, (table, checks) in list(self.leaving.items()):
+        for dest, (table, checks) in list(self.releasing.items()):
             if dest in destinations_in_flight:
-                self.leaving[dest] = (table, 0)
+                self.releasing[dest] = (table, 0)
             elif checks + 1 < CHECKS_WITHOUT_CALLS:
-                self.leaving[dest] = (table, checks + 1)
+                self.releasing[dest] = (table, checks + 1)
             else:
-                del self.leaving[dest]
-                self.told(DestinationReleased(self._release(dest, table)))
-                self.hand_over(dest)
-        if self.leaving:
+                del self.releasing[dest]
+                self.on_released(DestinationReleased(self._release(dest, table)))
+                self.forward_pending(dest)
+        if self.releasing:
             self._schedule_check()
 
     def _release(self, dest: int, table: int) -> Release:
@@ -202,22 +208,22 @@
             for e in self._entries(dest)
             if e.state is EndpointState.DRAINING
         )
-        return Release(dest, self.me, table, waits, drains, self._cold(dest))
+        return Release(dest, self.member_id, table, waits, drains, self._is_cold(dest))
 
-    def _cold(self, dest: int) -> bool:
+    def _is_cold(self, dest: int) -> bool:
         """Whether an endpoint has an open circuit or is in slow start."""
         found = self.host.courier.state.destinations.get(dest)
         endpoints = [ep for lane in found.scopes for ep in lane.endpoints.values()] if found else []
         return any(ep.circuit.is_open or ep.circuit.slow_start_since_us >= 0 for ep in endpoints)
 
-    def hand_over(self, dest: int) -> None:
+    def forward_pending(self, dest: int) -> None:
         """Forward all pending messages of the destination to the site that serves it."""
         for message in [
             message
             for message in self.host.journal.pending.values()
             if message.dest == dest and not message.status
         ]:
-            self.passed_on(message)
+            self.forward_message(message)
 
     # Endpoint list
 
@@ -228,6 +234,6 @@
         entry = self.host.registry.entries.get(endpoint)
         return entry.destination if entry else -1
 
-    def _show(self, entries: Iterable[EndpointEntry]) -> None:
+    def _post_entries(self, entries: Iterable[EndpointEntry]) -> None:
         if posted := list(entries):
             self.host.post_list_update(ListUpdateKind.DELTA, posted)
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/shared.py
@@ -39,7 +39,7 @@
 )
 from madderbeam.transport.calls import Item, Outcome
 
-LOOK_S = 0.25  # interval of the checks of the engine's state
+CHECK_S = 0.25  # interval of the checks of the engine's state
 FAILURE_CHECK_S = 0.005  # delay of the check after a failed call
 OUTAGE_FINDING_US = 3_000_000  # lifetime of an outage finding; renewed while messages for it are pending
 OUTAGE_FAILURES = 3  # consecutive failed calls to a destination that count as an outage
@@ -58,7 +58,7 @@
 log = logging.getLogger(__name__)
 
 
-class Shared:
+class SiteSharing:
     """Exchanges findings and leases between the host and the two state machines.
 
     `post_finding` posts events to the findings machine, `post_lease_event` to the lease machine.
@@ -75,74 +75,79 @@
         post_finding: Callable[[Any], None],
         post_lease_event: Callable[[Any], None],
     ) -> None:
-        self.host, self.me, self.serving = host, member_id, serving
-        self.partners, self.leases, self.news, self.lease = partners, leases, post_finding, post_lease_event
-        self.out: set[int] = set()  # destinations with an outage found by this courier
+        self.host, self.member_id, self.serving = host, member_id, serving
+        self.partners, self.leases, self.post_finding, self.post_lease_event = (
+            partners,
+            leases,
+            post_finding,
+            post_lease_event,
+        )
+        self.outages: set[int] = set()  # destinations with an outage found by this courier
         # destinations with a failed call and no later reply
-        self.failed: set[int] = set()
-        self.answered_us: dict[int, int] = {}
+        self.failed_destinations: set[int] = set()
+        self.answered_at_us: dict[int, int] = {}
         self.is_check_scheduled = False
         # destinations that another member probes, or that two members suspect
-        self.held: set[int] = set()
+        self.held_off: set[int] = set()
         # endpoint -> when its full connection table was last reported
         self.table_full_at_us: dict[int, int] = {}
         # destinations that rejected a call as overloaded since the last check
-        self.refused: set[int] = set()
+        self.overloaded: set[int] = set()
         # when another member found a destination recovered
-        self.back_us: dict[int, int] = {}
-        self.drains: set[str] = set()  # uids of endpoints whose drain was reported
+        self.recovered_at_us: dict[int, int] = {}
+        self.reported_drains: set[str] = set()  # uids of endpoints whose drain was reported
         # destination -> rate last posted to the engine
-        self.rates: dict[int, float] = {}
+        self.posted_rates: dict[int, float] = {}
         # destination -> end of the lease behind that rate
-        self.until: dict[int, int] = {}
+        self.leased_until_us: dict[int, int] = {}
         # destinations whose expired lease the engine still uses
-        self.stale: set[int] = set()
+        self.expired: set[int] = set()
         self.arrivals: dict[int, int] = {}
         self.meters: dict[int, RateMeter] = {}
-        self.limits: dict[str, Limit] = {}
-        self.members = 1
-        self.more = LimitLeases(host, leases, post_lease_event)
+        self.rate_limits: dict[str, Limit] = {}
+        self.member_count = 1
+        self.limit_leases = LimitLeases(host, leases, post_lease_event)
         self.closed = False
-        self.warming = True
-        host.registry.shared_rate, host.registry.add_shared_findings = self.rate, self.learnt
-        serving.before_call = self.before_call
+        self.is_waiting_for_findings = True
+        host.registry.shared_rate, host.registry.add_shared_findings = self.listed_rate, self.add_findings
+        serving.may_start_call = self.may_start_call
         previous_told_wait, previous_ended = host.calls.hooks.told_wait, host.calls.hooks.ended
 
         def told_wait(endpoint: int, wait_us: int) -> None:
             previous_told_wait(endpoint, wait_us)
-            self._waits(endpoint, wait_us)
+            self._retry_after_received(endpoint, wait_us)
 
         def on_call_ended(item: Item, endpoint: int, outcome: Outcome, latency_us: int) -> None:
             previous_ended(item, endpoint, outcome, latency_us)
             if outcome.result is AttemptResult.OK:
-                self.answered(endpoint)
+                self.call_answered(endpoint)
             elif outcome.result in OUTAGE_RESULTS:
                 self._call_failed(endpoint, latency_us)
             elif outcome.result is AttemptResult.OVERLOADED and (entry := self._entry(endpoint)) is not None:
-                self.refused.add(entry.destination)
+                self.overloaded.add(entry.destination)
 
         host.calls.hooks.told_wait, host.calls.hooks.ended = told_wait, on_call_ended
 
     def open(self) -> None:
         """Start the checks; calls wait a moment for the findings of other members."""
-        self.host.schedule(MAX_START_WAIT_S, self.warm)
-        self._look()
+        self.host.schedule(MAX_START_WAIT_S, self.stop_waiting)
+        self._check_all()
 
-    def warm(self) -> None:
+    def stop_waiting(self) -> None:
         """Permit calls: findings of another member have arrived, or the wait is over."""
-        if self.warming:
-            self.warming = False
-            self.serving.refresh()
+        if self.is_waiting_for_findings:
+            self.is_waiting_for_findings = False
+            self.serving.repost_list()
 
-    def table(self, table: Table, earlier: tuple[tuple[MemberId, ...], ...] = ()) -> None:
+    def apply_table(self, table: Table, earlier: tuple[tuple[MemberId, ...], ...] = ()) -> None:
         """Apply the members of this site in the table in force; `earlier` are those of previous tables."""
-        members = table.members(self.me.site)
-        self.members = max(1, len(members))
+        members = table.members(self.member_id.site)
+        self.member_count = max(1, len(members))
         site = SiteMembers(members, earlier, is_first_table=table.number <= 1)
-        self.news(site)
+        self.post_finding(site)
         self._post_rate_limits()
-        self.more.table(self.members)
-        self.lease(site)
+        self.limit_leases.apply_table(self.member_count)
+        self.post_lease_event(site)
 
     def close(self) -> None:
         """Stop the periodic checks."""
@@ -150,65 +155,67 @@
 
     # Before a call
 
-    def before_call(self, dest: int) -> bool:
+    def may_start_call(self, dest: int) -> bool:
         """Whether a call may start: no other member probes the destination and its lease has not expired."""
-        if self.warming or dest in self.held:
+        if self.is_waiting_for_findings or dest in self.held_off:
             return False
-        if dest in self.until and self.host.clock() >= self.until[dest]:
+        if dest in self.leased_until_us and self.host.clock() >= self.leased_until_us[dest]:
             # Calls chosen under the expired lease are returned until the engine uses the unleased rate.
-            self.stale.add(dest)
-            self._rate(dest, self.leases.amount(f"rate/{dest}", self.host.clock()), 0)
-            self.host.schedule(ENGINE_CYCLE_S, lambda: self._told(dest))
-        return dest not in self.stale
+            self.expired.add(dest)
+            self._set_rate(dest, self.leases.amount(f"rate/{dest}", self.host.clock()), 0)
+            self.host.schedule(ENGINE_CYCLE_S, lambda: self._lease_end_handled(dest))
+        return dest not in self.expired
 
-    def _told(self, dest: int) -> None:
+    def _lease_end_handled(self, dest: int) -> None:
         """Permit calls again: the engine has handled the end of the lease."""
-        self.stale.discard(dest)
-        self._show(dest)
+        self.expired.discard(dest)
+        self._repost_entries(dest)
 
     # Local findings
 
     def _entry(self, endpoint: int) -> EndpointEntry | None:
         return self.host.registry.entries.get(endpoint)
 
-    def _waits(self, endpoint: int, wait_us: int) -> None:
+    def _retry_after_received(self, endpoint: int, wait_us: int) -> None:
         if (entry := self._entry(endpoint)) is not None:
             per_endpoint = self.host.settings.kinds[
                 min(entry.kind, len(self.host.settings.kinds) - 1)
             ].limits_per_endpoint
             uid = self.host.registry.names[endpoint] if per_endpoint else ""
-            self.news(LocalFinding(Finding(FindingKind.RETRY_AFTER, entry.destination, uid, wait_us)))
+            self.post_finding(LocalFinding(Finding(FindingKind.RETRY_AFTER, entry.destination, uid, wait_us)))
 
-    def answered(self, endpoint: int) -> None:
+    def call_answered(self, endpoint: int) -> None:
         """Note a reply of the endpoint, and report the recovery of a destination that was out."""
         if (entry := self._entry(endpoint)) is None:
             return
         dest, now = entry.destination, self.host.clock()
-        self.answered_us[dest] = now
-        self.failed.discard(dest)
+        self.answered_at_us[dest] = now
+        self.failed_destinations.discard(dest)
         if self.partners.answered(now, dest):
-            self.news(CallAnswered(dest))
-        if dest in self.out:
-            self.out.discard(dest)
+            self.post_finding(CallAnswered(dest))
+        if dest in self.outages:
+            self.outages.discard(dest)
             log.info("federation: destination %d has recovered", dest)
             was_probing = dest in self.partners.probing
-            self.news(LocalFinding(Finding(FindingKind.RECOVERY, dest, "", self.host.settings.warm_up_us)))
-            self.news(LocalFinding(Finding(FindingKind.OUTAGE, dest, "", 0)))
+            self.post_finding(
+                LocalFinding(Finding(FindingKind.RECOVERY, dest, "", self.host.settings.warm_up_us))
+            )
+            self.post_finding(LocalFinding(Finding(FindingKind.OUTAGE, dest, "", 0)))
             if was_probing:
-                self._show(dest, cold=True)
+                self._repost_entries(dest, cold=True)
 
     def _call_failed(self, endpoint: int, latency_us: int) -> None:
         """Report a failed call, unless a call that started later has succeeded."""
         entry, now = self._entry(endpoint), self.host.clock()
-        if entry is None or self.answered_us.get(entry.destination, -1) >= now - latency_us:
+        if entry is None or self.answered_at_us.get(entry.destination, -1) >= now - latency_us:
             return
-        self.failed.add(entry.destination)
-        self.news(CallFailed(entry.destination))
+        self.failed_destinations.add(entry.destination)
+        self.post_finding(CallFailed(entry.destination))
         if not self.is_check_scheduled:
             self.is_check_scheduled = True
             self.host.schedule(FAILURE_CHECK_S, self._check_failed)
 
-    def listed(self) -> None:
+    def list_changed(self) -> None:
         """Report new drains of the endpoint list and update the limits."""
         registry = self.host.registry
         draining = {
@@ -216,19 +223,19 @@
             for listed_entry in registry.entries.values()
             if listed_entry.state is EndpointState.DRAINING
         }
-        for uid in draining.keys() - self.drains:
-            self.news(
+        for uid in draining.keys() - self.reported_drains:
+            self.post_finding(
                 LocalFinding(
                     Finding(FindingKind.DRAIN, draining[uid], uid, self.host.settings.drain_grace_us)
                 )
             )
-        self.drains = set(draining)
+        self.reported_drains = set(draining)
         self._post_rate_limits()
-        self.more.listed()
+        self.limit_leases.list_changed()
 
     def _check_failed(self) -> None:
         self.is_check_scheduled = False
-        for number in sorted(self.failed):
+        for number in sorted(self.failed_destinations):
             if not self.closed and (dest := self.host.courier.state.destinations.get(number)) is not None:
                 self._check_outage(number, dest)
 
@@ -240,16 +247,16 @@
             for scope in dest.scopes
         )
         is_out = all(endpoint.circuit.is_open for endpoint in endpoints) or (
-            number in self.failed and is_failing
+            number in self.failed_destinations and is_failing
         )
         # The engine's state may be from before the recovery.
-        recovered_lately = self.host.clock() - self.back_us.get(number, 0) < LOOK_S * 1e6
+        recovered_lately = self.host.clock() - self.recovered_at_us.get(number, 0) < CHECK_S * 1e6
         if endpoints and is_out and not recovered_lately and (dest.queue or dest.in_flight):
-            self.out.add(number)
-            self.news(LocalFinding(Finding(FindingKind.OUTAGE, number, "", OUTAGE_FINDING_US)))
-        elif number in self.out and not any(endpoint.circuit.is_open for endpoint in endpoints):
-            self.out.discard(number)
-            self.news(LocalFinding(Finding(FindingKind.OUTAGE, number, "", 0)))
+            self.outages.add(number)
+            self.post_finding(LocalFinding(Finding(FindingKind.OUTAGE, number, "", OUTAGE_FINDING_US)))
+        elif number in self.outages and not any(endpoint.circuit.is_open for endpoint in endpoints):
+            self.outages.discard(number)
+            self.post_finding(LocalFinding(Finding(FindingKind.OUTAGE, number, "", 0)))
 
     def _check_limits(self, number: int, dest: Destination) -> None:
         """Report full connection tables, and paces that rejections led to where no rate is listed."""
@@ -263,15 +270,17 @@
                 ):
                     self.table_full_at_us[endpoint.id] = endpoint.connection_limit_at_us
                     left_us = endpoint.connection_limit_at_us + TABLE_FULL_FINDING_US - self.host.clock()
-                    self.news(LocalFinding(Finding(FindingKind.TABLE_FULL, number, uid, max(0, left_us))))
-            if scope.pace_per_s and not scope.listed_rate_per_s and number in self.refused:
-                self.news(
+                    self.post_finding(
+                        LocalFinding(Finding(FindingKind.TABLE_FULL, number, uid, max(0, left_us)))
+                    )
+            if scope.pace_per_s and not scope.listed_rate_per_s and number in self.overloaded:
+                self.post_finding(
                     LocalFinding(
                         Finding(FindingKind.RATE_LIMIT, number, "", RATE_FINDING_US, scope.pace_per_s)
                     )
                 )
 
-    def _look(self) -> None:
+    def _check_all(self) -> None:
         """Check the engine's state for outages, limits and demand, periodically."""
         if self.closed:
             return
@@ -283,15 +292,15 @@
         for number, dest in list(self.host.courier.state.destinations.items()):
             self._check_outage(number, dest)
             self._check_limits(number, dest)
-            self.refused.discard(number)
-            if f"rate/{number}" in self.limits:
+            self.overloaded.discard(number)
+            if f"rate/{number}" in self.rate_limits:
                 arrived = dest.arrivals - self.arrivals.get(number, 0)
                 self.arrivals[number] = dest.arrivals
                 meter = self.meters.setdefault(number, RateMeter())
-                meter.record_arrivals(arrived, LOOK_S)
-                self.lease(Need(f"rate/{number}", meter.needed_rate(len(dest.queue))))
-        self.more.look(LOOK_S)
-        self.host.schedule(LOOK_S, self._look)
+                meter.record_arrivals(arrived, CHECK_S)
+                self.post_lease_event(Need(f"rate/{number}", meter.needed_rate(len(dest.queue))))
+        self.limit_leases.update_needs(CHECK_S)
+        self.host.schedule(CHECK_S, self._check_all)
 
     def _post_rate_limits(self) -> None:
         """Post the listed rates of partners, which all members share, to the lease machine."""
@@ -299,14 +308,14 @@
             return
         for entry in self.host.registry.entries.values():
             name = f"rate/{entry.destination}"
-            limit = Limit(name, entry.rate_per_s, entry.rate_per_s / self.members)
-            if entry.rate_per_s > 0 and self.limits.get(name) != limit:
-                self.limits[name] = limit
-                self.lease(limit)
+            limit = Limit(name, entry.rate_per_s, entry.rate_per_s / self.member_count)
+            if entry.rate_per_s > 0 and self.rate_limits.get(name) != limit:
+                self.rate_limits[name] = limit
+                self.post_lease_event(limit)
 
     # Findings of other members
 
-    def heed(self, action: ApplyFinding) -> None:
+    def apply_finding(self, action: ApplyFinding) -> None:
         """Apply a finding of another member, which restricts the calls of this courier."""
         finding, registry = action.finding, self.host.registry
         if finding.kind is FindingKind.RETRY_AFTER:
@@ -315,7 +324,7 @@
             self.host.post_list_update(ListUpdateKind.DELTA, entries)
         elif finding.kind is FindingKind.DRAIN and finding.uid in registry.uids:
             registry.relayed_drains[finding.uid] = None
-            self._show(finding.dest)
+            self._repost_entries(finding.dest)
         elif finding.kind in (FindingKind.OUTAGE, FindingKind.SUSPICION):
             if finding.kind is FindingKind.OUTAGE:
                 log.info(
@@ -324,9 +333,9 @@
                     action.source,
                     self.partners.prober(self.host.clock(), finding.dest),
                 )
-            if finding.dest not in self.held:
-                self.held.add(finding.dest)
-                self._show(finding.dest)
+            if finding.dest not in self.held_off:
+                self.held_off.add(finding.dest)
+                self._repost_entries(finding.dest)
         elif finding.kind is FindingKind.RECOVERY:
             self._recovered_elsewhere(finding.dest)
         elif finding.kind is FindingKind.TABLE_FULL and finding.uid in registry.uids:
@@ -345,22 +354,22 @@
 
     def _recovered_elsewhere(self, dest: int) -> None:
         """Drop earlier findings about a destination that another member found recovered; use slow start."""
-        self.failed.discard(dest)
-        self.back_us[dest] = self.host.clock()
-        if dest in self.out:
-            self.out.discard(dest)
-            self.news(LocalFinding(Finding(FindingKind.OUTAGE, dest, "", 0)))
-        self._show(dest, cold=True)
-
-    def lapsed(self, action: FindingExpired) -> None:
+        self.failed_destinations.discard(dest)
+        self.recovered_at_us[dest] = self.host.clock()
+        if dest in self.outages:
+            self.outages.discard(dest)
+            self.post_finding(LocalFinding(Finding(FindingKind.OUTAGE, dest, "", 0)))
+        self._repost_entries(dest, cold=True)
+
+    def finding_expired(self, action: FindingExpired) -> None:
         """Stop applying a finding that expired."""
         if action.kind in (FindingKind.OUTAGE, FindingKind.SUSPICION):
-            self.held.discard(action.dest)
-            self._show(action.dest, cold=action.kind is FindingKind.OUTAGE)
+            self.held_off.discard(action.dest)
+            self._repost_entries(action.dest, cold=action.kind is FindingKind.OUTAGE)
 
-    def try_for(self, action: SetProbing) -> None:
+    def set_probing(self, action: SetProbing) -> None:
         """Begin or end probing a destination on behalf of the site."""
-        self._show(action.dest)
+        self._repost_entries(action.dest)
         log.info(
             "federation: destination %d: this courier %s it",
             action.dest,
@@ -369,45 +378,45 @@
 
     # Leases
 
-    def allot(self, action: SetAllowance) -> None:
+    def apply_allowance(self, action: SetAllowance) -> None:
         """Apply a changed allowance of a rate, a connection limit or a quota."""
         kind, _, dest = action.resource.partition("/")
         if kind == "rate" and dest.isdecimal():
             is_leased = self.host.clock() < action.until_us
-            self._rate(
+            self._set_rate(
                 int(dest),
                 action.amount if is_leased else action.fallback,
                 action.until_us if is_leased else 0,
             )
         else:
-            self.more.allot(action)
+            self.limit_leases.apply_allowance(action)
 
-    def _rate(self, dest: int, amount: float, until_us: int) -> None:
-        before = self.rates.get(dest)
+    def _set_rate(self, dest: int, amount: float, until_us: int) -> None:
+        before = self.posted_rates.get(dest)
         if until_us:
-            self.until[dest] = until_us
+            self.leased_until_us[dest] = until_us
         else:
-            self.until.pop(dest, None)
+            self.leased_until_us.pop(dest, None)
         if before is None or amount < before or abs(amount - before) > MIN_RATE_INCREASE * before:
-            self.rates[dest] = amount
-            self._show(dest)
+            self.posted_rates[dest] = amount
+            self._repost_entries(dest)
 
-    def rate(self, entry: EndpointEntry) -> float:
+    def listed_rate(self, entry: EndpointEntry) -> float:
         """Return the rate to list for the entry, per second: the leased rate times the couriers."""
-        amount = self.rates.get(entry.destination)
+        amount = self.posted_rates.get(entry.destination)
         return entry.rate_per_s if amount is None else max(1e-3, amount) * self.host.settings.courier_count
 
-    def learnt(self, entry: EndpointEntry) -> EndpointEntry:
+    def add_findings(self, entry: EndpointEntry) -> EndpointEntry:
         """Return the entry with the probe interval of the prober, and whether its rate is leased."""
         interval_us = MAX_PROBE_INTERVAL_US if entry.destination in self.partners.probing else 0
         return replace(
-            entry, max_probe_interval_us=interval_us, rate_is_leased=entry.destination in self.rates
+            entry, max_probe_interval_us=interval_us, rate_is_leased=entry.destination in self.posted_rates
         )
 
     def _entries(self, dest: int) -> list[EndpointEntry]:
         return [e for e in self.host.registry.entries.values() if e.destination == dest]
 
-    def _show(self, dest: int, cold: bool = False) -> None:
+    def _repost_entries(self, dest: int, cold: bool = False) -> None:
         slow_start_share = 1 / max(1, self.partners.board.live_member_count) if cold else 1.0
         self._post_changed(
             dest, lambda e: replace(e, recovering=cold or e.recovering, slow_start_share=slow_start_share)
@@ -427,7 +436,7 @@
         """Return the section of GET /federation on findings and leases."""
         return {
             **self.partners.status(now_us),
-            "held_back": sorted(self.held),
+            "held_back": sorted(self.held_off),
             "leases": self.leases.status(now_us),
-            **self.more.status(),
+            **self.limit_leases.status(),
         }
--- a/madderbeam/host/standby/keeper.py
+++ b/madderbeam/host/standby/keeper.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from madderbeam.config.platform import Config
-from madderbeam.host.federation.kept import Kept
+from madderbeam.host.federation.kept import DurableMap
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.standby.copy import Copy
 from madderbeam.host.standby.shared import kept_folder, read_keys, settings, told
@@ -40,7 +40,7 @@
         """OSError if a folder can't be used."""
         self.loop, self.ports, self.config, self.clock = loop, ports, config, ports.clock.monotonic_us
         mine, sync = told(config), bool(config.sidecar and config.sidecar.sync)
-        self.kept = Kept(ports.disk, kept_folder(config), sync)
+        self.kept = DurableMap(ports.disk, kept_folder(config), sync)
         if self.kept.damaged:  # what was promised may be forgotten: the copy counts as never whole
             log.error("standby: what was kept is damaged: the copy has to be whole again first")
         self.copy = Copy(ports.disk, config.state, sync)
@@ -53,7 +53,7 @@
             lambda: read_keys(ports.disk, mine.key_file),
             self._hello,
             self._got,
-            lambda link: self.runner.tell(Down(link)),
+            lambda link: self.runner.post_event(Down(link)),
         )
         self.taken: asyncio.Future[TakeOver] = loop.create_future()
         self.heard_at = 0
@@ -68,11 +68,11 @@
         return port
 
     def _hello(self, link: int, row: list[Any]) -> None:
-        self.runner.tell(Hello(link, row))
+        self.runner.post_event(Hello(link, row))
 
     def _got(self, link: int, channel: str, row: list[Any]) -> None:
         self.heard_at = self.clock()
-        self.runner.tell(Got(channel, row, link))
+        self.runner.post_event(Got(channel, row, link))
 
     def _act(self, action: Any) -> None:
         match action:
@@ -85,7 +85,7 @@
                     self.copy.remove(segment)
                 except OSError as error:  # its file stands there in vain
                     log.error("standby: segment %d: %s", segment, error)
-                self.runner.tell(Removed(segment))
+                self.runner.post_event(Removed(segment))
             case Close(link=link):
                 self.port.drop(link, flush=True)
             case TakeOver():
@@ -99,7 +99,7 @@
         except OSError as error:
             log.error("standby: segment %d: %s", a.segment, error)
             ok = False
-        self.runner.tell(Wrote(a.segment, a.at, a.data, a.before, ok))
+        self.runner.post_event(Wrote(a.segment, a.at, a.data, a.before, ok))
 
     # What those who run it ask
 
@@ -121,7 +121,7 @@
             return Answer(409, error.line() + "\n")
         if self.machine.over is not None:
             return Answer(200, f"it was promoted, with fence {self.machine.fence}\n")
-        self.runner.tell(Promote())
+        self.runner.post_event(Promote())
         if self.machine.over is not None:
             return Answer(200, f"promoted, with fence {self.machine.fence}\n")
         what = (
--- a/madderbeam/host/standby/primary.py
+++ b/madderbeam/host/standby/primary.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from madderbeam.host.components import Component
-from madderbeam.host.federation.kept import Kept
+from madderbeam.host.federation.kept import DurableMap
 from madderbeam.host.host import Host
 from madderbeam.host.standby.journal import ReplicatedJournal
 from madderbeam.host.standby.shared import Watched, kept_folder, read_keys, settings, told
@@ -55,7 +55,7 @@
         assert isinstance(host.journal, ReplicatedJournal)
         self.host, self.ports, self.journal = host, ports, host.journal
         mine, self.loop, self.clock = told(host.config), host.loop, ports.clock.monotonic_us
-        self.kept = Kept(ports.disk, kept_folder(host.config), host.journal.sync)
+        self.kept = DurableMap(ports.disk, kept_folder(host.config), host.journal.sync)
         sizes = {n: s.size for n, s in host.journal.files.segments.items()}
         self.machine = Owner(settings(host.config), host.config.name, sizes, self.kept.map)
         self.runner = Watched(self.loop, self.clock, self.machine, self.kept, self._act, "standby")
@@ -94,7 +94,7 @@
             self.link.start()
 
     def tell(self, event: Any) -> None:
-        self.runner.tell(event)
+        self.runner.post_event(event)
 
     def _look(self) -> None:
         if self.machine.settled and not self.settled.done():
@@ -112,7 +112,7 @@
         return not self.fenced and self.machine.open(self.clock())
 
     def ask(self, sort: Sort, go: Callable[[], None], deny: Callable[[], None], until: float) -> None:
-        if not self.runner.busy and self.machine.passes(sort):
+        if not self.runner.is_running and self.machine.passes(sort):
             go()
             return
         token = next(self.tokens)
--- a/madderbeam/host/standby/process.py
+++ b/madderbeam/host/standby/process.py
@@ -13,7 +13,7 @@
 from madderbeam.config.platform import Config
 from madderbeam.host import process
 from madderbeam.host.composition import assemble
-from madderbeam.host.federation.kept import Kept
+from madderbeam.host.federation.kept import DurableMap
 from madderbeam.host.standalone import STDIN, claim_resources, lock_folder
 from madderbeam.host.standby.copy import doubt
 from madderbeam.host.standby.keeper import Keeper
@@ -107,7 +107,7 @@
     ends: asyncio.Future[None],
 ) -> int:
     """A courier, which begins work once its own standby is in step, where it has one."""
-    kept = Kept(ports.disk, kept_folder(config))
+    kept = DurableMap(ports.disk, kept_folder(config))
     fence = kept.map.get(("fenced", ""), 0)
     kept.close()
     if fence:
--- a/tests/relay/test_relay_settling.py
+++ b/tests/relay/test_relay_settling.py
@@ -24,9 +24,9 @@
     streams = SimpleNamespace(sent=SimpleNamespace(sites=dict))
     table = SimpleNamespace(number=4, owners={1: "macon"})
     publications = Publications(
-        host, ME, None, streams, None, lambda: table, told.append, None, 0, settling=settling.__contains__
+        host, ME, None, streams, None, lambda: table, told.append, None, 0, is_settling=settling.__contains__
     )
-    publications.passed_on(MESSAGE)
+    publications.forward_message(MESSAGE)
     return [event.sites for event in told if isinstance(event, Published)]
 
 
--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -17,7 +17,7 @@
 from swimnet import Net, Node, S
 
 from madderbeam.host.endpoint_registry import EndpointRegistry
-from madderbeam.host.federation.shared import Shared
+from madderbeam.host.federation.shared import SiteSharing
 from madderbeam.membership.settings import MembershipSettings as Times
 from madderbeam.membership.values import (
     Disseminate,
@@ -137,7 +137,7 @@
             self.partners = PartnerOutages(node.id, Incarnation(1, 1))
             serving = SimpleNamespace(before_call=None, refresh=lambda: None)
             leases = SimpleNamespace(status=lambda now: {}, amount=lambda name, now: 0.0)
-            self.shared = Shared(
+            self.shared = SiteSharing(
                 self,
                 node.id,
                 Incarnation(1, 1),
@@ -147,7 +147,7 @@
                 self.tell_news,
                 lambda event: None,
             )
-            self.registry.is_served = self.shared.before_call
+            self.registry.is_served = self.shared.may_start_call
 
     def begin(self, members):
         target = {"uid": "p-1", "endpoint": "10.0.0.1:80", "pod_group": 1, "state": "in_service"}
@@ -155,8 +155,8 @@
         self.post_list_update(ListUpdateKind.CACHED, entries)
         if self.shared is not None:
             self.tell_news(SiteMembers(members))
-            self.shared.warm()
-            self.schedule(self.network.chance.random() / 4, self.shared._look)
+            self.shared.stop_waiting()
+            self.schedule(self.network.chance.random() / 4, self.shared._check_all)
             self.post_list_update(ListUpdateKind.DELTA, entries)
 
     # Parts of the host
@@ -244,11 +244,11 @@
             self.network.later(action.at_us - self.network.now, lambda: self._timer(action))
         elif isinstance(action, ApplyFinding):
             self.heeds.append((self.network.now, action.finding))
-            self.shared.heed(action)
+            self.shared.apply_finding(action)
         elif isinstance(action, FindingExpired):
-            self.shared.lapsed(action)
+            self.shared.finding_expired(action)
         elif isinstance(action, SetProbing):
-            self.shared.try_for(action)
+            self.shared.set_probing(action)
         else:
             assert isinstance(action, LogLine), action
 
--- a/tests/shared/test_site_net.py
+++ b/tests/shared/test_site_net.py
@@ -68,7 +68,7 @@
     with_all, _ = served(False)
     without, one = served(True)
     assert without > 0.95 * with_all
-    assert not any(1 in c.shared.held for c in one.couriers.values())
+    assert not any(1 in c.shared.held_off for c in one.couriers.values())
 
 
 def test_random_call_failures_cost_little(base):
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -12,7 +12,7 @@
 from madderbeam.federation.values import DestinationReleased
 from madderbeam.host.federation import custody as host_custody
 from madderbeam.host.federation.component import FederationComponent
-from madderbeam.host.federation.kept import Kept
+from madderbeam.host.federation.kept import DurableMap
 from madderbeam.host.federation.publications import Publications
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.federation.serving import Serving
@@ -143,7 +143,7 @@
 
 @bug(1, "F5")
 def an_end_is_told_twice(patch):
-    ended = Publications.ended
+    ended = Publications.publication_ended
 
     def twice(self, action):
         m = self.host.journal.pending.get(self.numbers.get(action.name, 0))
@@ -173,13 +173,13 @@
 
 @bug(8, "F2", "F4")
 def what_stands_behind_a_lost_record_is_carried_out(patch):
-    written = Runner._written
+    written = Runner._write_records
     patch.setattr(Runner, "_written", lambda self, rows: written(self, rows) or True)
 
 
 @bug(2, "F2", "F4", "F5", "F7")
 def a_disk_error_counts_as_written(patch):
-    write = Kept.write
+    write = DurableMap.write
 
     def blind(self, rows):
         rows = list(rows)
@@ -189,7 +189,7 @@
             for kind, key, value in rows:
                 self._effect(["keep", kind, key, value])
 
-    patch.setattr(Kept, "write", blind)
+    patch.setattr(DurableMap, "write", blind)
 
 
 @bug(0, "F3", "F4", "F5", "F7")
--- a/tests/simulation/planted_sharing.py
+++ b/tests/simulation/planted_sharing.py
@@ -4,7 +4,7 @@
 
 from planted import Bug
 
-from madderbeam.host.federation.shared import Shared
+from madderbeam.host.federation.shared import SiteSharing
 from madderbeam.shared import findings, partner_outages
 from madderbeam.shared.findings import FindingsBoard
 from madderbeam.shared.lease_holder import LeaseHolder
@@ -26,18 +26,18 @@
 
 def heed(patch, change):
     """`change(news)`: what is heeded in its place, None for nothing."""
-    inner = Shared.heed
+    inner = SiteSharing.apply_finding
 
     def changed(self, action):
         if (told := change(action.finding)) is not None:
             inner(self, replace(action, finding=told))
 
-    patch.setattr(Shared, "heed", changed)
+    patch.setattr(SiteSharing, "heed", changed)
 
 
 @bug(192, "S3")
 def a_wait_is_told_to_nobody(patch):
-    patch.setattr(Shared, "_waits", lambda self, endpoint, wait_us: None)
+    patch.setattr(SiteSharing, "_waits", lambda self, endpoint, wait_us: None)
 
 
 @bug(192, "S3")
@@ -62,9 +62,9 @@
 
 @bug(99, "F5", "S4", "S6")
 def an_outage_is_never_lifted(patch):
-    lapsed = Shared.lapsed
+    lapsed = SiteSharing.finding_expired
     patch.setattr(
-        Shared, "lapsed", lambda self, action: action.kind is FindingKind.OUTAGE or lapsed(self, action)
+        SiteSharing, "lapsed", lambda self, action: action.kind is FindingKind.OUTAGE or lapsed(self, action)
     )
 
 
@@ -87,25 +87,27 @@
 def a_return_is_not_told_as_cold(patch):
     heed(patch, lambda told: None if told.kind is FindingKind.RECOVERY else told)
     patch.setattr(
-        Shared, "lapsed", lambda self, action: self.held.discard(action.dest) or self._show(action.dest)
+        SiteSharing, "lapsed", lambda self, action: self.held.discard(action.dest) or self._show(action.dest)
     )
 
 
 @bug(222, "S1")
 def a_lease_is_used_after_its_end(patch):
-    patch.setattr(Shared, "before_call", lambda self, dest: not self.warming and dest not in self.held)
+    patch.setattr(SiteSharing, "before_call", lambda self, dest: not self.warming and dest not in self.held)
 
 
 @bug(99, "S1")
 def a_lent_rate_is_outgrown(patch):
-    learnt = Shared.learnt
-    patch.setattr(Shared, "learnt", lambda self, entry: replace(learnt(self, entry), rate_is_leased=False))
+    learnt = SiteSharing.add_findings
+    patch.setattr(
+        SiteSharing, "learnt", lambda self, entry: replace(learnt(self, entry), rate_is_leased=False)
+    )
 
 
 @bug(99, "S2")
 def what_holds_without_a_lease_is_not_used(patch):
     patch.setattr(
-        Shared,
+        SiteSharing,
         "allot",
         lambda self, action: self._rate(
             int(action.resource.partition("/")[2]), action.amount, action.until_us
@@ -115,7 +117,7 @@
 
 @bug(99, "S1", "S2")
 def the_list_says_the_whole_rate(patch):
-    patch.setattr(Shared, "rate", lambda self, entry: entry.rate_per_s)
+    patch.setattr(SiteSharing, "rate", lambda self, entry: entry.rate_per_s)
 
 
 @bug(348, "S1")
--- a/tests/standby/world.py
+++ b/tests/standby/world.py
@@ -13,7 +13,7 @@
 from collections import Counter, defaultdict
 from dataclasses import replace
 
-from madderbeam.host.federation.kept import Kept
+from madderbeam.host.federation.kept import DurableMap
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.standby.copy import Copy, doubt
 from madderbeam.host.standby.journal import ReplicatedJournal
@@ -253,7 +253,7 @@
 
     def _start(self):
         w = self.world
-        self.kept = Kept(self.disk, "/state-standby")
+        self.kept = DurableMap(self.disk, "/state-standby")
         if self.kept.map.get(("fenced", ""), 0):
             self.role, self.life = "fenced", None
             return
@@ -290,7 +290,7 @@
             self._work()
 
     def tell(self, event):
-        self.runner.tell(event)
+        self.runner.post_event(event)
 
     # The room of the owner's journal
 
@@ -304,7 +304,7 @@
         return self.role == "courier" or self.machine.open(self.clock.monotonic_us())
 
     def ask(self, sort, go, deny, until):
-        if not self.runner.busy and self.machine.passes(sort):
+        if not self.runner.is_running and self.machine.passes(sort):
             go()
             return
         token = next(self.tokens)
@@ -346,10 +346,10 @@
                 except OSError:
                     ok = False
                     w.met["standby's disk"] += 1
-                self.runner.tell(Wrote(a.segment, a.at, a.data, a.before, ok))
+                self.runner.post_event(Wrote(a.segment, a.at, a.data, a.before, ok))
             case Remove():
                 self.copy.remove(a.segment)
-                self.runner.tell(Removed(a.segment))
+                self.runner.post_event(Removed(a.segment))
             case TakeOver():
                 self.call_soon(self._take_over, a)
 
@@ -379,13 +379,13 @@
 
     def heard(self, number, channel, row):
         if self.name == "b":
-            self.runner.tell(Hello(number, row) if channel == "hello" else Got(channel, row, number))
+            self.runner.post_event(Hello(number, row) if channel == "hello" else Got(channel, row, number))
         elif self.role == "owner":
             self.tell(Got(channel, row))
 
     def broke(self, link):
         if self.role in ("owner", "standby", "courier"):
-            self.runner.tell(Down(link.number))
+            self.runner.post_event(Down(link.number))
 
     # The courier
 
