--- a/madderbeam/simulation/fedjudge.py
+++ b/madderbeam/simulation/fedjudge.py
@@ -374,7 +374,7 @@
         room = member.room
         if room.table is not self.seen.get(member):
             self._in_force(member, room.table)
-        hold = room.serving.hold
+        hold = room.serving.suspension
         if hold.is_suspended and hold.destinations is None:
             self.held[member] = True
         elif self.held[member] and member.asked_us >= 0:
@@ -444,11 +444,11 @@
             self.broken(
                 "F2",
                 f"table {self.last['number']} is not in force though all is whole: {numbers}, "
-                f"{members[0].room.calls.outcomes}",
+                f"{members[0].room.admin_calls.outcomes}",
             )
         for member in members:
-            if member.room.serving.hold.is_suspended:
-                why = member.room.serving.hold.reason
+            if member.room.serving.suspension.is_suspended:
+                why = member.room.serving.suspension.reason
                 self.broken("F6", f"{member.name} is held though all is whole: {why}")
             for other in members:
                 state = self._state(member, other)
@@ -477,9 +477,9 @@
             "records of custody": room.custodian.kept.all,
             "deliveries": room.custody.deliveries,
             "unsettled": room.custody.unsettled,
-            "numbers": room.publications.numbers,
+            "numbers": room.publications.numbers_by_name,
             "journal": room.host.journal.pending,
-            "leaving": room.serving.leaving,
+            "leaving": room.serving.releasing,
             "on disk": [k for k in self.kept[member] if k[0] in ("custody", "sent")],
         }
         for what, found in left.items():
--- a/madderbeam/simulation/sharefaults.py
+++ b/madderbeam/simulation/sharefaults.py
@@ -161,7 +161,9 @@
     ]
     f.world.note(member.name, "tells nonsense")
     for n, (key, body) in enumerate(told):
-        member.room.members.tell(Disseminate(key, (1 << 50) + f.world.scheduler.steps + n, body, 5 * S))
+        member.room.membership_runner.post_event(
+            Disseminate(key, (1 << 50) + f.world.scheduler.steps + n, body, 5 * S)
+        )
 
 
 def _told_and_gone(f: Troubles) -> None:
--- a/madderbeam/simulation/sharejudge.py
+++ b/madderbeam/simulation/sharejudge.py
@@ -325,7 +325,7 @@
         left = {
             "news": news,
             "news that are over": kept,
-            "held": shared.held - {odd},
+            "held": shared.held_off - {odd},
             "tries": shared.partners.probing.keys() - {odd},
         }
         for what, found in left.items():
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -91,10 +91,10 @@
 @bug(8, "F1")
 def a_release_is_told_before_its_calls_have_ended(patch):
     def at_once(self, action):
-        self.begun.discard(action.dest)
-        self._hide([action.dest])
-        self.told(DestinationReleased(self._release(action.dest, action.table_number)))
-        self.hand_over(action.dest)
+        self.served.discard(action.dest)
+        self._unlist([action.dest])
+        self.on_released(DestinationReleased(self._release(action.dest, action.table_number)))
+        self.forward_pending(action.dest)
 
     patch.setattr(Serving, "relinquish", at_once)
 
@@ -102,7 +102,7 @@
 @bug(8, "F1")
 def what_is_let_go_of_is_called_on(patch):
     def deaf(self, action):
-        self.told(DestinationReleased(self._release(action.dest, action.table_number)))
+        self.on_released(DestinationReleased(self._release(action.dest, action.table_number)))
 
     patch.setattr(Serving, "relinquish", deaf)
     patch.setattr(Switchover, "may_call", lambda self, now_us, dest, lasting_us=0: True)
@@ -130,7 +130,7 @@
 
 @bug(6, "F6")
 def a_pause_goes_unnoticed(patch):
-    patch.setattr(FederationComponent, "_resumed", lambda self, action: None)
+    patch.setattr(FederationComponent, "_pause_detected", lambda self, action: None)
 
 
 @bug(23, "F3")
@@ -146,13 +146,13 @@
     ended = Publications.publication_ended
 
     def twice(self, action):
-        m = self.host.journal.pending.get(self.numbers.get(action.name, 0))
+        m = self.host.journal.pending.get(self.numbers_by_name.get(action.name, 0))
         if m is not None and not action.delivered:
             self.host.notices.add(m.number, m.id, "undeliverable", 0)
             self.host.loop.call_later(0.01, self.host.notices.add, m.number, m.id, "undeliverable", 0)
         ended(self, action)
 
-    patch.setattr(Publications, "ended", twice)
+    patch.setattr(Publications, "publication_ended", twice)
 
 
 @bug(2, "F5", "F3")
@@ -174,7 +174,7 @@
 @bug(8, "F2", "F4")
 def what_stands_behind_a_lost_record_is_carried_out(patch):
     written = Runner._write_records
-    patch.setattr(Runner, "_written", lambda self, rows: written(self, rows) or True)
+    patch.setattr(Runner, "_write_records", lambda self, rows: written(self, rows) or True)
 
 
 @bug(2, "F2", "F4", "F5", "F7")
@@ -187,7 +187,7 @@
             write(self, rows)
         except OSError:
             for kind, key, value in rows:
-                self._effect(["keep", kind, key, value])
+                self._apply(["keep", kind, key, value])
 
     patch.setattr(DurableMap, "write", blind)
 
--- a/tests/simulation/planted_sharing.py
+++ b/tests/simulation/planted_sharing.py
@@ -32,12 +32,12 @@
         if (told := change(action.finding)) is not None:
             inner(self, replace(action, finding=told))
 
-    patch.setattr(SiteSharing, "heed", changed)
+    patch.setattr(SiteSharing, "apply_finding", changed)
 
 
 @bug(192, "S3")
 def a_wait_is_told_to_nobody(patch):
-    patch.setattr(SiteSharing, "_waits", lambda self, endpoint, wait_us: None)
+    patch.setattr(SiteSharing, "_retry_after_received", lambda self, endpoint, wait_us: None)
 
 
 @bug(192, "S3")
@@ -64,7 +64,9 @@
 def an_outage_is_never_lifted(patch):
     lapsed = SiteSharing.finding_expired
     patch.setattr(
-        SiteSharing, "lapsed", lambda self, action: action.kind is FindingKind.OUTAGE or lapsed(self, action)
+        SiteSharing,
+        "finding_expired",
+        lambda self, action: action.kind is FindingKind.OUTAGE or lapsed(self, action),
     )
 
 
@@ -87,20 +89,26 @@
 def a_return_is_not_told_as_cold(patch):
     heed(patch, lambda told: None if told.kind is FindingKind.RECOVERY else told)
     patch.setattr(
-        SiteSharing, "lapsed", lambda self, action: self.held.discard(action.dest) or self._show(action.dest)
+        SiteSharing,
+        "finding_expired",
+        lambda self, action: self.held_off.discard(action.dest) or self._repost_entries(action.dest),
     )
 
 
 @bug(222, "S1")
 def a_lease_is_used_after_its_end(patch):
-    patch.setattr(SiteSharing, "before_call", lambda self, dest: not self.warming and dest not in self.held)
+    patch.setattr(
+        SiteSharing,
+        "may_start_call",
+        lambda self, dest: not self.is_waiting_for_findings and dest not in self.held_off,
+    )
 
 
 @bug(99, "S1")
 def a_lent_rate_is_outgrown(patch):
     learnt = SiteSharing.add_findings
     patch.setattr(
-        SiteSharing, "learnt", lambda self, entry: replace(learnt(self, entry), rate_is_leased=False)
+        SiteSharing, "add_findings", lambda self, entry: replace(learnt(self, entry), rate_is_leased=False)
     )
 
 
@@ -108,8 +116,8 @@
 def what_holds_without_a_lease_is_not_used(patch):
     patch.setattr(
         SiteSharing,
-        "allot",
-        lambda self, action: self._rate(
+        "apply_allowance",
+        lambda self, action: self._set_rate(
             int(action.resource.partition("/")[2]), action.amount, action.until_us
         ),
     )
@@ -117,7 +125,7 @@
 
 @bug(99, "S1", "S2")
 def the_list_says_the_whole_rate(patch):
-    patch.setattr(SiteSharing, "rate", lambda self, entry: entry.rate_per_s)
+    patch.setattr(SiteSharing, "listed_rate", lambda self, entry: entry.rate_per_s)
 
 
 @bug(348, "S1")
--- a/tests/standby/world.py
+++ b/tests/standby/world.py
@@ -581,7 +581,7 @@
 
 def _promote(w):
     if w.b.life is not None and w.b.role == "standby":
-        w.b.awake(lambda: w.b.life is not None and w.b.role == "standby" and w.b.runner.tell(Promote()))
+        w.b.awake(lambda: w.b.life is not None and w.b.role == "standby" and w.b.runner.post_event(Promote()))
 
 
 def _heal(w):
