--- a/tests/federation/faulty_links.py
+++ b/tests/federation/faulty_links.py
@@ -1,8 +1,8 @@
-"""A test's own proxies between members: datagrams and streams of each ordered pair, with faults by direction.
+"""Proxies for the datagrams and streams of each ordered pair of members, with faults by direction.
 
-`Links.address(a, b)` is where a reaches b. What goes from a to b by it is subject to `links[a, b]`, and what
-comes back on the same connection to `links[b, a]`. A datagram comes to b from `address(b, a)`, so that b may
-answer to where it came from.
+`Links.address(a, b)` is the address at which a reaches b. Traffic from a to b is subject to `links[a, b]`,
+and the replies on the same connection to `links[b, a]`. A datagram reaches b from `address(b, a)`, so that b
+can reply to its source.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 
 
 class Link:
-    """One direction between two members. Shares are of datagrams; delays in seconds."""
+    """One direction between two members. Shares apply to datagrams; delays are in seconds."""
 
     def __init__(self, links, source, to):
         self.links, self.source, self.to = links, source, to
         self.chance = random.Random(f"{links.seed} {source} {to}")
         self.loss = self.double = 0.0
         self.delay = self.jitter = 0.0  # of datagrams and of streams
-        self.late, self.late_s = 0.0, 0.0  # share of datagrams that take longer: they come out of order
-        self.whole = asyncio.Event()  # else nothing passes; streams go on once it is whole again
+        self.late, self.late_s = 0.0, 0.0  # share of datagrams with an extra delay, which reorders them
+        self.whole = asyncio.Event()  # cleared: nothing passes; streams resume when set
         self.whole.set()
-        self.flows = asyncio.Event()  # else streams stand still, and datagrams pass
+        self.flows = asyncio.Event()  # cleared: streams stall, datagrams pass
         self.flows.set()
-        self.left = None  # bytes of streams that still pass before all connections break off
+        self.left = None  # stream bytes that still pass before connections are reset
         self.passed = 0  # datagrams
-        self.under_way = 0  # copies of datagrams that were not lost and have not passed yet
+        self.under_way = 0  # copies of datagrams that are delayed
         self.streamed = 0  # bytes
-        self.calls = 0  # connections that the source made
-        self.target = None  # the address of the one it leads to
+        self.calls = 0  # connections opened by the source
+        self.target = None  # address of the destination member
         self.address = None  # of the proxy
         self.pairs = set()  # writers of a connection, both sides
         self.tasks = set()
@@ -50,26 +50,26 @@
         return self.links[self.to, self.source]
 
     def cut(self):
-        """Nothing comes through in this direction."""
+        """Drop all traffic in this direction."""
         self.whole.clear()
 
     def heal(self):
-        """No fault any more."""
+        """Remove all faults."""
         self.loss = self.double = self.delay = self.jitter = self.late = 0.0
         self.left = None
         self.whole.set()
         self.flows.set()
 
     def hold(self):
-        """Bytes of streams that come stay here until `heal`."""
+        """Hold stream bytes until `heal`."""
         self.flows.clear()
 
     def cut_after(self, count):
-        """So many bytes of streams pass, then connections break off: in the middle of a frame."""
+        """Reset connections after `count` more stream bytes, possibly in the middle of a frame."""
         self.left = count
 
     def sever(self):
-        """All connections by this proxy are reset now."""
+        """Reset all connections of this proxy."""
         for writers in list(self.pairs):
             for writer in writers:
                 reset(writer)
@@ -78,7 +78,7 @@
         return self.delay + self.chance.random() * self.jitter
 
     async def start(self):
-        """One port for datagrams and streams."""
+        """Listen on one port for both datagrams and streams."""
         while True:
             self.server = await asyncio.start_server(self._accept, HOST, 0)
             self.address = self.server.sockets[0].getsockname()
@@ -102,7 +102,7 @@
     # Datagrams
 
     def datagram(self, data):
-        """One from the source."""
+        """Forward a datagram of the source, subject to the faults."""
         if not self.whole.is_set() or self.target is None:
             return
         for _ in range(2 if self.chance.random() < self.double else 1):
@@ -122,7 +122,7 @@
 
     async def _accept(self, reader, writer):
         self.tasks.add(task := asyncio.current_task())
-        with contextlib.suppress(asyncio.CancelledError):  # the server's own callback takes none
+        with contextlib.suppress(asyncio.CancelledError):  # the server's own callback doesn't handle it
             await self._joined(reader, writer)
         self.tasks.discard(task)
 
@@ -154,7 +154,7 @@
                 reset(one) if broken else one.close()
 
     async def _pump(self, reader, writer):
-        """Bytes in one direction; True if the connection is to be reset."""
+        """Copy bytes in one direction; return whether the connection is to be reset."""
         frames = FrameSplitter()
         try:
             while data := await reader.read(AT_ONCE):
@@ -176,16 +176,16 @@
                 self.streamed += len(data)
                 writer.write(data)
                 await writer.drain()
-            await self.whole.wait()  # its end is news as well
+            await self.whole.wait()  # a cut link also hides the end of the stream
             return False
         except OSError:
             await self.whole.wait()
             return True
 
     def _last(self, frames, data):
-        """How much of it passes where a frame in it is the last one that the source sends; else None."""
+        """Return how much of the data passes if it contains the source's last frame, else None."""
         at = -len(frames.buffer)
-        with contextlib.suppress(InvalidFrame):  # tests send these as well
+        with contextlib.suppress(InvalidFrame):  # some tests send invalid frames
             for frame in frames.feed(data):
                 at += LENGTH_PREFIX_BYTES + len(frame)
                 if self.links.passes(self.source, self.to, frame):
@@ -194,15 +194,17 @@
 
 
 class Last:
-    """The last frame that a member sends: the one numbered `count` of those that `so(channel, row)` holds
-    of. Behind it all its links are cut, both ways, and `sent` is set."""
+    """The last frame that a member sends: number `count` of the frames for which `so(channel, row)` is true.
+
+    After it all links of the member are cut in both directions, and `sent` is set.
+    """
 
     def __init__(self, source, so, count):
         self.source, self.so, self.count, self.sent = source, so, count, asyncio.Event()
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """The proxy's socket, which only the source sends to."""
+    """The proxy's datagram socket, to which only the source sends."""
 
     def __init__(self, link):
         self.link = link
@@ -212,50 +214,50 @@
 
 
 class Links:
-    """All ordered pairs of these members. `async with` starts and ends them."""
+    """The links of all ordered pairs of the members. `async with` starts and stops them."""
 
     def __init__(self, members, seed=0):
         self.seed = seed
         self.lasts = []
-        self.notes = []  # called with source, to, channel and row of each frame of a stream that passes
+        self.notes = []  # callbacks for each stream frame: (source, to, channel, row)
         self.links = {(a, b): Link(self, a, b) for a in members for b in members if a != b}
 
     def __getitem__(self, pair):
         return self.links[pair]
 
     def address(self, source, to):
-        """Where the one reaches the other."""
+        """Return the address at which `source` reaches `to`."""
         return self.links[source, to].address
 
     def lead(self, member, address):
-        """This member listens there."""
+        """Set the address at which the member listens."""
         for (_, to), link in self.links.items():
             if to == member:
                 link.target = address
 
     def part(self, one, other):
-        """Cut all between two groups of members, both ways."""
+        """Cut all links between two groups of members, in both directions."""
         for (a, b), link in self.links.items():
             if (a in one and b in other) or (a in other and b in one):
                 link.cut()
 
     def apart(self, member):
-        """Cut all from and to this one."""
+        """Cut all links of the member."""
         self.part({member}, {b for _, b in self.links} - {member})
 
     def sever(self, member):
-        """All that this one has sent and that is on its way is lost; its connections are reset."""
+        """Reset the member's connections; data in transit is lost."""
         for pair, link in self.links.items():
             if member in pair:
                 link.sever()
 
     def last(self, source, so, count=1):
-        """Cut the member off behind this frame of its streams: a `Last`."""
+        """Cut the member off after this frame of its streams; return a `Last`."""
         self.lasts.append(Last(source, so, count))
         return self.lasts[-1]
 
     def passes(self, source, to, frame):
-        """A whole frame of a stream; whether it is the last."""
+        """Handle a whole stream frame; return whether it is the source's last one."""
         lasts = [last for last in self.lasts if last.source == source]
         if not lasts and not self.notes:
             return False
@@ -290,7 +292,7 @@
 
 
 def reset(writer):
-    """Close with a reset, whatever is unsent."""
+    """Close the connection with a reset and discard unsent data."""
     sock = writer.get_extra_info("socket")
     if sock is not None and not writer.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/federation/harness.py
+++ b/tests/federation/harness.py
@@ -1,7 +1,7 @@
-"""Several sites of several couriers each, as real processes, with faulty links between each ordered pair.
+"""A federation of sites with several couriers each, as processes, with a faulty link per ordered pair.
 
-`async with Estate(folder, {"macon": 2, "savannah": 2}) as estate` renders them by the project's own
-configuration and starts the links and partners; `await estate.start()` starts the processes.
+`async with Estate(folder, {"macon": 2, "savannah": 2}) as estate` renders the configuration and starts the
+links and partners; `await estate.start()` starts the processes.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 repeat = "keyed"
 key_window_ms = 89000
 
-# Their calls wait for so long for an answer: this process has to come to it.
+# A long timeout, because this test process may answer their calls late.
 [classes.unsafe]
 wanted_ms = 20000
 deadline_ms = 90000
@@ -42,18 +42,21 @@
 share = 1.0
 
 """
-TAKEN_S = 60.0  # a message is taken on within this
+TAKEN_S = 60.0  # limit for the acceptance of a message
 _estates = itertools.count()
 
 
 class Estate:
-    """`sites`: couriers by site, which are named m1, m2, ...; `partners`: by number, the site that serves it
-    and the topics that it subscribes to; `told`: settings of [federation]; `votes`: members that vote, all
-    unless given; `settings`: of each application."""
+    """The couriers and partners of a federation, and the messages submitted to it.
+
+    `sites`: site -> number of its couriers, which are named m1, m2, ...; `partners`: number -> the site that
+    serves it and the topics that it subscribes to; `told`: settings of [federation]; `votes`: members that
+    vote, by default all; `settings`: settings of each application.
+    """
 
     def __init__(self, folder, sites, partners=None, told=None, votes=None, settings=None, seed=0):
         self.folder, self.told, self.settings, self.votes = folder, told or {}, settings or {}, votes
-        # Addresses of loopback that are this estate's alone: its ports stay free until they are taken.
+        # Loopback addresses that only this estate uses, so that its ports stay free until members bind them.
         number, pid = next(_estates), os.getpid()
         net = f"127.{16 + pid // 250 % 200}.{pid % 250}"
         names = [f"{site}/m{n + 1}" for site, count in sites.items() for n in range(count)]
@@ -67,13 +70,13 @@
         self.links = Links(names, seed)
         self.publications = []
         self.per_s = 1000
-        self.lacks = {}  # partners that a member's list has not, by member
+        self.lacks = {}  # member -> partners missing in its list
 
     def __getitem__(self, name):
         return self.members[name]
 
     def site(self, site):
-        """Its members."""
+        """Return the members of the site."""
         return [m for m in self.members.values() if m.site == site]
 
     async def __aenter__(self):
@@ -92,23 +95,23 @@
         await self.links.__aexit__()
 
     async def start(self, *names, served=True):
-        """Start these, or all, at once; see Member.start."""
+        """Start the named members, or all, concurrently; see Member.start."""
         await asyncio.gather(*(self.members[n].start(served) for n in names or self.members))
 
     async def cut_off(self, last, limit):
-        """Once a member has sent its last frame (faulty_links.Last): kill it, mend its links."""
+        """Kill a member once it has sent its last frame (faulty_links.Last), then heal the links."""
         await asyncio.wait_for(last.sent.wait(), limit)
         await self[last.source].kill()
         self.links.sever(last.source)
         self.links.heal()
 
-    async def until_told(self, names, so, limit):
-        """What these members tell at GET /federation, once this holds of all of them (a list)."""
+    async def until_told(self, names, predicate, limit):
+        """Return GET /federation of the members once `predicate` is true of the list; else TimeoutError."""
         told = []
 
         async def inner():
             nonlocal told
-            while not so(told := await asyncio.gather(*(self[n].federation() for n in names))):
+            while not predicate(told := await asyncio.gather(*(self[n].federation() for n in names))):
                 await asyncio.sleep(0.05)
             return told
 
@@ -118,13 +121,13 @@
             raise TimeoutError(f"{list(names)} tell {json.dumps(told)}") from None
 
     async def until_in_force(self, number, limit, names=None):
-        """Until this table is in force at these members, or all."""
+        """Wait until the table is in force at the named members, or all."""
         await self.until_told(
             names or list(self.members), lambda told: all(t["table"]["number"] == number for t in told), limit
         )
 
     async def until_ended(self, limit):
-        """Until all that was handed in has an end."""
+        """Wait until each submitted message is completed."""
 
         async def inner():
             while judge.ends(self.calls(), self.publications, self.finals(), float("inf")):
@@ -136,10 +139,10 @@
             left = judge.ends(self.calls(), self.publications, self.finals(), float("inf"))
             raise TimeoutError("\n".join(left)) from None
 
-    # What they run from
+    # Configuration
 
     def render(self, member):
-        """Its files, written anew from the estate as it is now."""
+        """Write the member's configuration files for the present state of the estate."""
         (member.folder / "estate.toml").write_text(self._estate(member))
         (member.folder / "partners.toml").write_text(self._partners(member))
         report = check(member.folder / "estate.toml")
@@ -194,19 +197,19 @@
         return "\n".join(rows)
 
     def drain(self, number, state="terminating"):
-        """The partner's endpoint drains (or is back in service), by all members' partner lists."""
+        """Set the state of the partner's endpoint in the partner lists of all members."""
         self.partners[number].state = state
         for member in self.members.values():
             self.look(member)
 
     def look(self, member):
-        """It reads its partner list, which is written anew."""
+        """Write the member's partner list and make it read it."""
         self.render(member)
         if member.process is not None and member.process.returncode is None:
             member.hangup()
 
     def table(self, number, owners=None, off=()):
-        """A table's document: as the first, with other owners and members that are off."""
+        """Return a table document: the first table with changed owners and decommissioned members `off`."""
         sites = {
             s: {
                 m.short: {
@@ -226,47 +229,49 @@
             **({"off": sorted(off)} if off else {}),
         }
 
-    # What is handed in, and what came of it
+    # Messages
 
     async def publish(self, client, member, ident, topic, kind="safe", life=6000):
-        """Hand a publication in, and note it if it is taken on: the answer."""
+        """Submit a publication, record it if it is accepted, and return the reply."""
         body = f"{ident} on {topic}".encode()
         key = f"key-{ident}" if kind == "keyed" else ""
-        told = await client.publish(ident, topic, kind=kind, life=life, body=body, key=key)
-        if told == "+OK":
+        reply = await client.publish(ident, topic, kind=kind, life=life, body=body, key=key)
+        if reply == "+OK":
             dests = frozenset(n for n, (_, topics) in self.served.items() if topic in topics)
             self.publications.append(Publication(ident, member.name, kind, dests, body, now(), life / 1e3))
-        return told
+        return reply
 
     async def put(self, client, member, ident, dest, kind="safe", life=6000):
-        """Hand a message for one destination in, and note it if it is taken on: the answer."""
+        """Submit a message for one destination, record it if it is accepted, and return the reply."""
         body = f"{ident} for {dest}".encode()
         key = f"key-{ident}" if kind == "keyed" else ""
-        told = await client.put(ident, kind=kind, dest=dest, life=life, body=body, key=key)
-        if told == "+OK":
+        reply = await client.put(ident, kind=kind, dest=dest, life=life, body=body, key=key)
+        if reply == "+OK":
             self.publications.append(
                 Publication(ident, member.name, kind, frozenset([dest]), body, now(), life / 1e3)
             )
-        return told
+        return reply
+
+    async def taken_on(self, client, member, ident, target, **more):
+        """Submit a message for a destination (its number) or a topic until it is accepted.
 
-    async def taken_on(self, client, member, ident, way, **more):
-        """Hand a message for a destination (its number) or a topic in until it is taken on: a courier that
-        stood still asks the others first, and says -BUSY meanwhile."""
-        hand_in = self.put if isinstance(way, int) else self.publish
+        A courier that was paused queries the other members first and replies -BUSY in the meantime.
+        """
+        submit = self.put if isinstance(target, int) else self.publish
 
         async def inner():
-            while (told := await hand_in(client, member, ident, way, **more)) != "+OK":
-                assert told.startswith("-BUSY"), told
+            while (reply := await submit(client, member, ident, target, **more)) != "+OK":
+                assert reply.startswith("-BUSY"), reply
                 await asyncio.sleep(0.05)
 
         await asyncio.wait_for(inner(), TAKEN_S)
 
     def calls(self):
-        """All calls that partners noted, by when they began."""
+        """Return all calls that partners received, by their begin."""
         return sorted((c for p in self.partners.values() for c in p.calls), key=lambda c: c.begun)
 
     def finals(self):
-        """All ends that were told: (member, id, status)."""
+        """Return all notices: (member, id, status)."""
         return [(m.name, ident, status) for m in self.members.values() for ident, status in m.finals()]
 
 
--- a/tests/federation/judge.py
+++ b/tests/federation/judge.py
@@ -1,6 +1,6 @@
-"""What must hold, whatever fails, judged from the notes of partners and clients alone (F1 to F5).
+"""Checks the rules F1 to F5, which hold under any failure, from the records of partners and clients.
 
-Each function returns lines, one a thing that should not have been; none where all is well.
+Each function returns one line for each violation.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Publication:
-    """Something that a member took on (+OK). Bodies are unlike, so that calls are known by them."""
+    """A message that a member accepted (+OK). Its body is unique and identifies its calls."""
 
     ident: str
     member: str
@@ -26,109 +26,121 @@
 
 
 def one_owner(calls, tables=(), offered=None):
-    """F1 and F2: at no moment have two sites calls out at one destination; the sites that call there follow
-    each other as the owners in the tables do that were agreed, in their order; none calls by a table before
-    that was offered (`offered`: when, by number)."""
+    """F1 and F2: only the owner of a destination calls it.
+
+    Two sites never have calls in flight to one destination at the same time. The calling sites follow each
+    other in the order of the owners in the agreed tables. No site calls under a table before it was proposed
+    (`offered`: number -> time).
+    """
     wrong = []
-    for dest, of in _by(calls, lambda c: c.dest).items():
-        for n, call in enumerate(of):
-            for later in of[n + 1 :]:
+    for dest, dest_calls in _by(calls, lambda one_call: one_call.dest).items():
+        for index, call in enumerate(dest_calls):
+            for later in dest_calls[index + 1 :]:
                 if later.begun < call.ended and later.site != call.site:
                     wrong.append(
                         f"F1: {later.member} calls {dest} at {later.begun:.3f} while "
                         f"{call.member} does, from {call.begun:.3f} to {call.ended:.3f}"
                     )
         if tables:
-            wrong += _follows(dest, of, sorted(tables, key=lambda t: t["number"]), offered or {})
+            wrong += _follows(dest, dest_calls, sorted(tables, key=lambda t: t["number"]), offered or {})
     return wrong
 
 
 def _follows(dest, calls, tables, offered):
-    owners = [(t["number"], t["owners"].get(str(dest))) for t in tables]
-    at, wrong = 0, []
-    for site, of in groupby(calls, key=lambda c: c.site):
-        first = next(of)
-        turn = next((n for n in range(at, len(owners)) if owners[n][1] == site), None)
-        if turn is None:
+    owners = [(table["number"], table["owners"].get(str(dest))) for table in tables]
+    position, wrong = 0, []
+    for site, site_calls in groupby(calls, key=lambda call: call.site):
+        first = next(site_calls)
+        next_position = next(
+            (index for index in range(position, len(owners)) if owners[index][1] == site), None
+        )
+        if next_position is None:
             wrong.append(
                 f"F1: {first.member} calls {dest} at {first.begun:.3f}: no table from "
-                f"{owners[at][0]} on gives it to {site}"
+                f"{owners[position][0]} on gives it to {site}"
             )
             continue
-        at = turn
-        if first.begun < offered.get(owners[at][0], first.begun):
+        position = next_position
+        if first.begun < offered.get(owners[position][0], first.begun):
             wrong.append(
-                f"F2: {first.member} calls {dest} at {first.begun:.3f} by table {owners[at][0]}, "
-                f"which was offered at {offered[owners[at][0]]:.3f}"
+                f"F2: {first.member} calls {dest} at {first.begun:.3f} by table {owners[position][0]}, "
+                f"which was offered at {offered[owners[position][0]]:.3f}"
             )
     return wrong
 
 
 def effects(calls, publications):
-    """F3 and F4: nobody is called for what was not handed in, or not for him; an unsafe body may have run
-    once at most; a keyed one always comes under one key."""
+    """F3 and F4: calls carry only submitted messages, without forbidden repetitions.
+
+    A non-idempotent message may have been executed once at most; a keyed one always has the same key.
+    """
     wrong, known = [], {p.body: p for p in publications}
-    for (dest, body), of in _by(calls, lambda c: (c.dest, c.body)).items():
-        given = known.get(body)
-        if given is None or dest not in given.dests:
-            wrong.append(f"F3: {of[0].member} calls {dest} with {body!r}, which nobody handed in for it")
+    for (dest, body), body_calls in _by(calls, lambda c: (c.dest, c.body)).items():
+        publication = known.get(body)
+        if publication is None or dest not in publication.dests:
+            wrong.append(
+                f"F3: {body_calls[0].member} calls {dest} with {body!r}, which no client submitted for it"
+            )
             continue
-        ran = [c for c in of if c.effect != NEVER_RAN]
-        if given.kind == "unsafe" and len(ran) > 1:
+        executed = [c for c in body_calls if c.effect != NEVER_RAN]
+        if publication.kind == "unsafe" and len(executed) > 1:
             wrong.append(
-                f"F3: the unsafe {given.ident} may have run {len(ran)} times at {dest}: "
-                f"{[(c.member, round(c.begun, 3)) for c in ran]}"
+                f"F3: the unsafe {publication.ident} may have run {len(executed)} times at {dest}: "
+                f"{[(c.member, round(c.begun, 3)) for c in executed]}"
             )
-        keys = {c.key for c in of}
-        if given.kind == "keyed" and (len(keys) > 1 or "" in keys):
-            wrong.append(f"F4: the keyed {given.ident} came to {dest} under the keys {sorted(keys)}")
+        keys = {c.key for c in body_calls}
+        if publication.kind == "keyed" and (len(keys) > 1 or "" in keys):
+            wrong.append(f"F4: the keyed {publication.ident} came to {dest} under the keys {sorted(keys)}")
     return wrong
 
 
 def doubles(calls):
-    """How many calls ran what had run at that destination before: to be told beside the verdict."""
-    ran = _by([c for c in calls if c.effect == RAN], lambda c: (c.dest, c.body))
-    return sum(len(of) - 1 for of in ran.values())
+    """Count the repeated executions of a message at one destination, for information."""
+    executed = _by([c for c in calls if c.effect == RAN], lambda c: (c.dest, c.body))
+    return sum(len(repeats) - 1 for repeats in executed.values())
 
 
 def waits(calls):
-    """F3: what a partner told one courier to wait binds that one, and every other site's."""
+    """F3: a Retry-After binds the courier that received it and the couriers of all other sites."""
     wrong = []
-    for dest, of in _by(calls, lambda c: c.dest).items():
-        for told in (c for c in of if c.wait_s):
-            for call in of:
-                if told.ended < call.begun < told.ended + told.wait_s and (
-                    call.member == told.member or call.site != told.site
+    for dest, dest_calls in _by(calls, lambda c: c.dest).items():
+        for rejected in (c for c in dest_calls if c.wait_s):
+            for call in dest_calls:
+                if rejected.ended < call.begun < rejected.ended + rejected.wait_s and (
+                    call.member == rejected.member or call.site != rejected.site
                 ):
                     wrong.append(
-                        f"F3: {call.member} calls {dest} at {call.begun:.3f}; {told.member} was "
-                        f"told at {told.ended:.3f} to wait {told.wait_s} s"
+                        f"F3: {call.member} calls {dest} at {call.begun:.3f}; {rejected.member} was "
+                        f"told at {rejected.ended:.3f} to wait {rejected.wait_s} s"
                     )
     return wrong
 
 
 def ends(calls, publications, finals, at, slack_s=2.0):
-    """F5: each publication has one end in time: all its subscribers got it, or one status was told. `finals`:
-    (member, id, status); `at`: now; those whose time is not over may be without an end."""
+    """F5: each publication is delivered to all subscribers or completed with one status, in time.
+
+    `finals`: (member, id, status) of the notices; `at`: the present time. A publication whose deadline is not
+    over may be incomplete.
+    """
     wrong = []
-    told = defaultdict(list)
+    statuses = defaultdict(list)
     for member, ident, status in finals:
-        told[ident].append((member, status))
-    ran = {(c.dest, c.body) for c in calls if c.effect == RAN}
+        statuses[ident].append((member, status))
+    executed = {(c.dest, c.body) for c in calls if c.effect == RAN}
     for p in publications:
-        got = told.get(p.ident, [])
-        if len({status for _, status in got}) > 1 or any(m != p.member for m, _ in got):
-            wrong.append(f"F5: {p.ident} of {p.member} ended as {got}")
-        missed = sorted(d for d in p.dests if (d, p.body) not in ran)
-        if not got and missed and at > p.taken + p.life_s + slack_s:
+        outcomes = statuses.get(p.ident, [])
+        if len({status for _, status in outcomes}) > 1 or any(m != p.member for m, _ in outcomes):
+            wrong.append(f"F5: {p.ident} of {p.member} ended as {outcomes}")
+        missed = sorted(d for d in p.dests if (d, p.body) not in executed)
+        if not outcomes and missed and at > p.taken + p.life_s + slack_s:
             wrong.append(f"F5: {p.ident} of {p.member} has no end, and {missed} did not get it")
-    for ident in set(told) - {p.ident for p in publications}:
-        wrong.append(f"F5: {ident} ended as {told[ident]}, and nobody handed it in")
+    for ident in set(statuses) - {p.ident for p in publications}:
+        wrong.append(f"F5: {ident} ended as {statuses[ident]}, and no client submitted it")
     return wrong
 
 
 def judged(estate, tables=(), offered=None):
-    """All of it for an estate, from its notes as they are now."""
+    """Return all violations in the estate's present records."""
     from noting_partners import now
 
     calls = estate.calls()
--- a/tests/federation/member_processes.py
+++ b/tests/federation/member_processes.py
@@ -1,4 +1,4 @@
-"""Members as processes of their own: started, paused, killed and started again, and what they say."""
+"""Federation members as processes: start, pause, kill and restart them, read their log and status."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 
 from loopback import ROOT, Client, call
 
-START_S = 90.0  # until a process says that it is ready, where dozens start at once on a busy machine
+START_S = 90.0  # limit for the readiness of a process, where dozens start at once on a busy machine
 
 
 def free_ports(host, count):
-    """Different ones at which nobody listens, for datagrams and streams both. Hosts are a member's own, so
-    that they stay free until the member takes them. All are held until the last one is found: a port that
-    was let go of may be drawn a second time."""
+    """Return distinct ports that are free for both UDP and TCP.
+
+    Each member has its own host address, so the ports stay free until it binds them. All sockets stay open
+    until the last port is found, because a released port may be chosen a second time.
+    """
     ports = []
     with contextlib.ExitStack() as sockets:
         while len(ports) < count:
@@ -36,12 +38,12 @@
 
 
 def free_port(host):
-    """One such port."""
+    """Return one port that is free for both UDP and TCP."""
     return free_ports(host, 1)[0]
 
 
 class Program(Client):
-    """A client that knows topics as well."""
+    """A client that can also publish to topics."""
 
     @classmethod
     def publication(cls, ident, topic, kind="safe", life=6000, body=b"hello", key=""):
@@ -53,7 +55,7 @@
 
 
 class Member:
-    """One courier. `name` is SITE/NAME; `folder` holds its estate and what it keeps."""
+    """One courier process. `name` is SITE/NAME; `folder` holds its configuration and state."""
 
     def __init__(self, name, host, folder):
         self.name, self.host, self.folder = name, host, folder
@@ -61,7 +63,7 @@
         self.listen, self.control, self.mesh = free_ports(host, 3)
         self.process, self.reading = None, None
         self.lines, self.said = [], asyncio.Event()
-        self.life = 0  # lines before this one are an earlier life's
+        self.life = 0  # index of the first log line of the present process
 
     @property
     def rendered(self):
@@ -69,12 +71,15 @@
 
     @property
     def kept(self):
-        """What outlasts a process: the journal's folder, and the federation's beside it."""
+        """The state folders that outlast a process: the journal's and the federation's."""
         return "state", "state-federation"
 
     async def start(self, served=True):
-        """The process is ready when this returns, and serves what the table in force gives to it, which takes
-        a majority of the voters; not `served`: before it knows that."""
+        """Start the process and wait until it is ready.
+
+        With `served`, also wait until it serves the destinations that the table in force gives it, which
+        takes a majority of the voters.
+        """
         self.life = len(self.lines)
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -102,28 +107,30 @@
         self.said.set()
 
     async def until(self, pattern, limit, after=None):
-        """The first line of this life that the pattern is found in, or of those behind `after` (a count of
-        lines); TimeoutError, or AssertionError if the process ends before."""
-        found, at = re.compile(pattern), self.life if after is None else after
+        """Return the first log line that matches, of the present process or from line `after` on.
+
+        TimeoutError after `limit` seconds; AssertionError if the process exits before.
+        """
+        expression, position = re.compile(pattern), self.life if after is None else after
 
         async def inner():
-            nonlocal at
+            nonlocal position
             while True:
                 self.said.clear()
                 ended = self.reading.done()
-                while at < len(self.lines):
-                    at += 1
-                    if found.search(self.lines[at - 1]):
-                        return self.lines[at - 1]
+                while position < len(self.lines):
+                    position += 1
+                    if expression.search(self.lines[position - 1]):
+                        return self.lines[position - 1]
                 assert not ended, f"{self.name} ended: {self.lines[self.life :][-5:]}"
                 await self.said.wait()
 
         return await asyncio.wait_for(inner(), limit)
 
-    # What happens to it
+    # Process control
 
     def pause(self):
-        """SIGSTOP; it stands when this returns."""
+        """Send SIGSTOP and wait until the process is stopped."""
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED)
 
@@ -134,22 +141,22 @@
         await self.end(signal.SIGKILL)
 
     async def end(self, sig=signal.SIGTERM, limit=START_S):
-        """End it; what it said to the last is in `lines` when this returns."""
+        """Signal the process and wait for its exit; `lines` then has its whole log."""
         self.process.send_signal(sig)
         await asyncio.wait_for(self.process.wait(), limit)
         await asyncio.wait_for(self.reading, limit)
 
     def hangup(self):
-        """SIGHUP: it reads its partner list and offers its table's file."""
+        """Send SIGHUP: the process reads its partner list and proposes its table file."""
         self.process.send_signal(signal.SIGHUP)
 
     def copy(self, name="copy"):
-        """Keep a copy of its folders as they are now."""
+        """Copy the present state folders."""
         for kept in self.kept:
             shutil.copytree(self.folder / kept, self.folder / name / kept)
 
     def restore(self, name="copy"):
-        """Its folders are that copy from now on; it must not run."""
+        """Replace the state folders by that copy; the process must not run."""
         for kept in self.kept:
             shutil.rmtree(self.folder / kept)
             shutil.copytree(self.folder / name / kept, self.folder / kept)
@@ -161,64 +168,63 @@
         if self.reading is not None:
             await self.reading
 
-    # What it can be asked
+    # Queries
 
     async def call(self, method, path, body=b""):
-        """Status and text of a call at its second address."""
+        """Return status and text of a call to the admin address."""
         return await call(self.control, method, path, body, self.host)
 
     async def federation(self):
-        """GET /federation, read."""
+        """Return the document of GET /federation."""
         status, text = await self.call("GET", "/federation")
         assert status == 200, text
         return json.loads(text)
 
-    async def until_told(self, so, limit):
-        """GET /federation once this holds of it; TimeoutError, with what it told last, if it does not in
-        time."""
-        told = {}
+    async def until_told(self, predicate, limit):
+        """Return GET /federation once `predicate(document)` is true; TimeoutError with the last one."""
+        document = {}
 
         async def inner():
-            nonlocal told
-            while not so(told := await self.federation()):
-                await asyncio.sleep(0.05)  # nobody is told when it changes
-            return told
+            nonlocal document
+            while not predicate(document := await self.federation()):
+                await asyncio.sleep(0.05)  # changes are not notified
+            return document
 
         try:
             return await asyncio.wait_for(inner(), limit)
         except TimeoutError:
-            raise TimeoutError(f"{self.name} tells {json.dumps(told)}") from None
+            raise TimeoutError(f"{self.name} tells {json.dumps(document)}") from None
 
     async def say(self, path, **fields):
-        """POST of a JSON object at its second address: its status and text."""
+        """POST a JSON object to the admin address; return status and text."""
         return await self.call("POST", path, json.dumps(fields).encode())
 
     async def offer(self, document):
-        """POST /federation/table: its status and text."""
+        """POST /federation/table; return status and text."""
         return await self.call("POST", "/federation/table", json.dumps(document).encode())
 
     async def client(self):
         return await Program().open(self.listen, self.host)
 
     async def until_ended(self, ident, limit):
-        """The status with which it told the end of this message; TimeoutError if it does not in time."""
+        """Return the status in the notice of the message; TimeoutError after `limit` seconds."""
 
         async def inner():
             while not (found := [status for i, status in self.finals() if i == ident]):
-                await asyncio.sleep(0.02)  # a file tells nobody that it has grown
+                await asyncio.sleep(0.02)  # file growth is not notified
             return found[0]
 
         return await asyncio.wait_for(inner(), limit)
 
     def finals(self):
-        """What it has told of ends, whole lines only: (id, status)."""
+        """Return the notices, as (id, status), without torn lines."""
         path = self.folder / "finals.jsonl"
         rows = []
         for part in (path.with_name(path.name + ".1"), path):
             for line in part.read_text().splitlines() if part.exists() else ():
                 try:
                     row = json.loads(line)
-                except ValueError:  # torn by a kill; it comes again
+                except ValueError:  # torn by a kill; the notice is written again
                     continue
                 rows.append((row["id"], row["status"]))
         return rows
--- a/tests/federation/noting_partners.py
+++ b/tests/federation/noting_partners.py
@@ -1,4 +1,4 @@
-"""Stand-in partners that note who called, with what and when, and answer as they are told."""
+"""Simulated partners that record their calls and reply according to a script."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @dataclass
 class Call:
-    """One call as the partner saw it. Times are the test's monotonic seconds."""
+    """One call as the partner received it. Times are the test's monotonic seconds."""
 
     dest: int
-    member: str  # SITE/NAME of the courier: each is given addresses of its own
+    member: str  # SITE/NAME of the courier, known by the address that it calls
     ident: str
     key: str
     body: bytes
-    begun: float  # its last byte came
-    ended: float = float("inf")  # its answer was written, or its connection ended
+    begun: float  # its last byte arrived
+    ended: float = float("inf")  # its reply was written, or its connection ended
     effect: str = MAY_HAVE_RUN
-    wait_s: float = 0.0  # told in the answer
+    wait_s: float = 0.0  # the Retry-After of the reply
 
     @property
     def site(self):
@@ -33,17 +33,21 @@
 
 
 class Partner:
-    """One destination. Steps of its script answer the calls in turn, then all are 200: a status, ("wait", s),
-    "hang" (until the caller ends it), "reset", or "hold" (200 once `release` is set)."""
+    """One destination.
+
+    The steps of `script` answer the calls in order, later calls get 200. A step is a status,
+    ("wait", seconds), "hang" (until the caller closes the connection), "reset", or "hold" (200 once `release`
+    is set).
+    """
 
     def __init__(self, number, members):
         self.number, self.members = number, list(members)
         self.script, self.calls, self.release = deque(), [], asyncio.Event()
-        self.changed = asyncio.Event()  # a call came or ended
+        self.changed = asyncio.Event()  # a call began or ended
         self.ports, self.servers, self.writers = {}, [], set()
-        self.state = "in_service"  # as the partner list has it; see Estate.drain
-        # An endpoint with one address for all members is listed in place of theirs where its state is given
-        # by member. Who calls there is not known: its calls are noted apart.
+        self.state = "in_service"  # in the partner list; see Estate.drain
+        # `door_states` gives, by member, the state of an endpoint whose one address all members share; it
+        # replaces their own addresses. Its callers are unknown, so its calls are recorded separately.
         self.door_states, self.door_calls, self.door = {}, [], ""
 
     async def start(self):
@@ -86,7 +90,7 @@
             writer.close()
 
     async def _answer(self, call, reader, writer):
-        """Whether the connection goes on."""
+        """Reply to a call; return whether the connection stays open."""
         step = self.script.popleft() if self.script else 200
         if step == "reset":
             reset(writer)
@@ -108,11 +112,11 @@
     def _tell(self):
         self.changed.set()
 
-    async def until(self, so, limit):
-        """Wait until this holds of the calls; TimeoutError if it does not in time."""
+    async def until(self, predicate, limit):
+        """Wait until `predicate(calls)` is true; TimeoutError after `limit` seconds."""
 
         async def inner():
-            while not so(self.calls):
+            while not predicate(self.calls):
                 self.changed.clear()
                 await self.changed.wait()
 
@@ -127,5 +131,5 @@
 
 
 def now():
-    """The test's monotonic seconds."""
+    """Return the test's monotonic time in seconds."""
     return asyncio.get_running_loop().time()
--- a/tests/federation/test_all_killed.py
+++ b/tests/federation/test_all_killed.py
@@ -1,4 +1,4 @@
-"""Hard case 11: all processes are killed at once and started in some order, one with an older folder."""
+"""All processes are killed and restarted, one with an older copy of its folder that lacks its votes."""
 
 import asyncio
 
@@ -18,12 +18,15 @@
 @pytest.mark.parametrize(
     ("order", "restarts"),
     [
-        (["macon/m1", *OTHERS], 0),  # as old as the copy by its starts: its votes give it away
+        (
+            ["macon/m1", *OTHERS],
+            0,
+        ),  # the copy has the same start number: only its older votes show the rollback
         ([*reversed(OTHERS), "macon/m1"], 2),
     ],
     ids=["first", "last"],
 )
-def test_a_folder_from_a_copy_is_found_out_and_takes_no_part_in_votes(tmp_path, order, restarts):
+def test_a_member_with_an_older_folder_is_detected_and_does_not_vote(tmp_path, order, restarts):
     async def inner():
         async with Estate(tmp_path, SITES, PARTNERS, {"agree_within_ms": 10_000}, VOTERS) as estate:
             await estate.start()
@@ -38,7 +41,7 @@
     tables, offered = [estate.table(1)], {}
 
     async def offer(number, owners, names=None):
-        """Until it is in force."""
+        """Propose a table and wait until it is in force."""
         tables.append(estate.table(number, owners))
         offered[number] = now()
         status, text = await athens.offer(tables[-1])
@@ -66,7 +69,7 @@
     async with Traffic(estate, order, [1, 2], every_s=0.1, life=8_000) as traffic:
         await traffic.until_taken(8, LIMIT)
 
-    # Without its vote there is no majority once another voter is away.
+    # Without its vote there is no majority once another voter is down.
     await estate["savannah/m1"].kill()
     told = await macon.federation()
     assert told["agreement"]["distrusted"] and not told["agreement"]["votes"]
--- a/tests/federation/test_coordinator_dies.py
+++ b/tests/federation/test_coordinator_dies.py
@@ -1,4 +1,4 @@
-"""Hard case 3: the member that offered a table is killed at some moment of the agreement on it."""
+"""The member that proposed a table is killed at some point of the consensus on it."""
 
 import asyncio
 
@@ -13,30 +13,30 @@
 OTHERS = ["macon/m2", "savannah/m1", "athens/m1"]
 PARTNERS = {1: ("macon", []), 2: ("savannah", [])}
 LIMIT = 90.0
-PREPARED, TURNED_DOWN, AGREED = "2.0", "2.1", "3.0"  # the slot that is open at the others then
+PREPARED, TURNED_DOWN, AGREED = "2.0", "2.1", "3.0"  # the open slot at the other members then
 
 
 def kind(tag):
     return lambda channel, row: channel == "t" and row[0] == tag
 
 
-def words(channel, row):
-    """Sites' words go to a voter."""
+def site_votes(channel, row):
+    """Whether the frame sends the approvals of the sites to a voter."""
     return channel == "t" and row[0] == "accept" and row[5]
 
 
 @pytest.mark.parametrize(
     ("last", "count", "slot", "agree_within_ms"),
     [
-        (kind("prepare"), 1, PREPARED, 20_000),  # a voter knows of a ballot, none of the table
-        (kind("accept"), 1, TURNED_DOWN, 2_000),  # a voter has the claim: nobody has the document
-        (kind("offer"), 2, TURNED_DOWN, 2_000),  # sites are asked, with the document
-        (words, 1, AGREED, 20_000),  # a voter has words
-        (kind("decided"), 1, AGREED, 20_000),  # one member knows that it is agreed
+        (kind("prepare"), 1, PREPARED, 20_000),  # a voter knows the ballot, no voter the table
+        (kind("accept"), 1, TURNED_DOWN, 2_000),  # a voter has the claim, no member the document
+        (kind("offer"), 2, TURNED_DOWN, 2_000),  # the sites are queried and have the document
+        (site_votes, 1, AGREED, 20_000),  # a voter has the approvals
+        (kind("decided"), 1, AGREED, 20_000),  # one member knows that the table is agreed
     ],
     ids=["prepare", "claim", "asked", "words", "decided"],
 )
-def test_the_others_finish_it_or_it_is_turned_down(tmp_path, last, count, slot, agree_within_ms):
+def test_the_others_agree_on_the_table_or_it_is_rejected(tmp_path, last, count, slot, agree_within_ms):
     async def inner():
         told = {"agree_within_ms": agree_within_ms}
         voters = {OFFERS, "savannah/m1", "athens/m1"}
@@ -59,11 +59,11 @@
         agreed = slot == AGREED
         await estate.until_in_force(2 if agreed else 1, LIMIT, OTHERS)
         after, owner = now(), "athens" if agreed else "savannah"
-        # As long as it changes hands nothing is taken on for it: the traffic goes on until it is served.
+        # While the owner changes no message for 2 is accepted: the traffic continues until 2 is served.
         await estate.partners[2].until(
             lambda calls: any(c.begun > after and c.site == owner for c in calls), LIMIT
         )
-    await estate.start(OFFERS)  # it is told, or offers again what nobody was asked to take
+    await estate.start(OFFERS)  # it learns the outcome, or proposes again what no site was asked about
     final = 1 if slot == TURNED_DOWN else 2
     await estate.until_in_force(final, LIMIT)
     await estate.until_ended(LIMIT)
--- a/tests/federation/test_handed_in_twice.py
+++ b/tests/federation/test_handed_in_twice.py
@@ -1,13 +1,13 @@
-"""One message handed in at two couriers: at the site that serves it, and at another, which sends it there."""
+"""One message submitted twice: at the site that serves it, and at another that forwards it there."""
 
 import asyncio
 
 from harness import Estate
 
-LIMIT = 60.0  # seconds, for anything that is waited for
+LIMIT = 60.0  # seconds
 
 
-def test_both_tell_its_end_though_the_one_that_serves_it_was_killed_meanwhile(tmp_path):
+def test_both_report_the_outcome_after_the_serving_courier_was_killed(tmp_path):
     async def inner():
         partners = {1: ("macon", ()), 2: ("savannah", ())}
         async with Estate(tmp_path, {"macon": 1, "savannah": 1}, partners) as estate:
@@ -18,7 +18,7 @@
             assert await estate.put(here, savannah, "twice", 2, life=8000) == "+OK"
             assert await estate.put(there, macon, "twice", 2, life=8000) == "+OK"
             kept = savannah.folder / "state-federation" / "kept"
-            while b"home" not in kept.read_bytes():  # it has come from macon as well
+            while b"home" not in kept.read_bytes():  # until macon's copy has arrived too
                 await asyncio.sleep(0.02)
             await savannah.kill()
             await estate.start("savannah/m1")
--- a/tests/federation/test_harness.py
+++ b/tests/federation/test_harness.py
@@ -1,4 +1,4 @@
-"""The harness itself: processes, partners' notes, and a judge that finds what is wrong in them."""
+"""The harness itself: member processes, partners' records, and the checks on these."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 @on_estate
-async def test_a_process_is_started_paused_killed_and_started_again_and_partners_note_who_called(estate):
+async def test_processes_start_pause_die_and_restart_and_partners_record_their_callers(estate):
     await estate.start()
     macon = estate["macon/m1"]
     assert (await macon.call("GET", "/ready"))[0] == 200
@@ -41,7 +41,7 @@
     await estate.taken_on(client, macon, "n3", 1, kind="unsafe", life=60_000)
     await venue.until(lambda calls: len(calls) == 4, LIMIT)
     macon.pause()
-    venue.release.set()  # answered, and not read
+    venue.release.set()  # the reply is written but not read
     await venue.until(lambda calls: calls[3].ended < 1e9, LIMIT)
     await macon.kill()
     before = len(macon.lines)
@@ -55,7 +55,7 @@
     assert macon.process.returncode == 0 and not estate["savannah/m1"].process.returncode
 
 
-def test_a_member_starts_without_a_majority_and_from_a_copy_of_all_that_it_keeps(tmp_path):
+def test_a_member_starts_without_a_majority_and_from_a_copy_of_its_folders(tmp_path):
     async def inner():
         async with Estate(tmp_path, {"macon": 1, "savannah": 1, "athens": 1}, PARTNERS) as estate:
             macon = estate["macon/m1"]
@@ -78,7 +78,7 @@
     asyncio.run(inner())
 
 
-def test_an_estate_is_rendered_with_a_way_to_each_other_member(tmp_path):
+def test_the_rendered_configuration_has_a_link_address_for_each_other_member(tmp_path):
     async def inner():
         sites = {"macon": 2, "savannah": 2, "athens": 3}
         async with Estate(tmp_path, sites, PARTNERS, votes={"macon/m1", "athens/m2"}) as estate:
@@ -125,7 +125,7 @@
         ([AT_1, B_AT_2], tables("macon", "savannah"), {2: 2.5}, "F2: savannah/m1"),
     ],
 )
-def test_the_judge_finds_a_second_owner_and_an_early_one(calls, agreed, offered, wrong):
+def test_the_judge_reports_a_second_owner_and_a_call_before_the_proposal(calls, agreed, offered, wrong):
     found = judge.one_owner(calls, agreed, offered)
     assert (len(found) == 1 and wrong in found[0]) if wrong else found == []
 
@@ -143,16 +143,16 @@
         ("keyed", [called(1, A, 1.0), called(1, B, 2.0)], ""),
         ("keyed", [called(1, A, 1.0), called(1, B, 2.0, key="l")], "under the keys"),
         ("keyed", [called(1, A, 1.0, key="")], "under the keys"),
-        ("safe", [called(2, A, 1.0)], "nobody handed in"),
-        ("safe", [called(1, A, 1.0, body=b"c")], "nobody handed in"),
+        ("safe", [called(2, A, 1.0)], "no client submitted"),
+        ("safe", [called(1, A, 1.0, body=b"c")], "no client submitted"),
     ],
 )
-def test_the_judge_finds_effects_that_should_not_be(kind, calls, wrong):
+def test_the_judge_reports_forbidden_calls(kind, calls, wrong):
     found = judge.effects(calls, given(kind))
     assert (len(found) == 1 and wrong in found[0]) if wrong else found == []
 
 
-def test_the_judge_finds_a_wait_that_was_not_kept_and_counts_doubles():
+def test_the_judge_reports_an_ignored_retry_after_and_counts_repetitions():
     told = called(1, A, 1.0, 1.0, effect=NEVER_RAN, wait_s=2.0)
     kept = [called(1, A, 3.0), called(1, "macon/m2", 1.5), called(1, B, 3.1)]
     assert judge.waits([told, *kept]) == [] and judge.doubles(kept) == 2
@@ -169,10 +169,10 @@
         ([called(1, A, 1.0), called(2, A, 1.0, effect=MAY_HAVE_RUN)], [], "[2] did not get it"),
         ([], [(A, "p", "undeliverable"), (A, "p", "expired")], "F5: p of macon/m1 ended as"),
         ([], [(B, "p", "undeliverable")], "F5: p of macon/m1 ended as"),
-        ([called(1, A, 1.0), called(2, A, 1.0)], [(A, "q", "undeliverable")], "nobody handed it in"),
+        ([called(1, A, 1.0), called(2, A, 1.0)], [(A, "q", "undeliverable")], "no client submitted it"),
     ],
 )
-def test_the_judge_finds_an_end_that_lacks_or_is_told_twice(calls, finals, wrong):
+def test_the_judge_reports_a_missing_and_a_second_outcome(calls, finals, wrong):
     found = judge.ends(calls, given("safe", (1, 2)), finals, at=100.0)
     assert (len(found) == 1 and wrong in found[0]) if wrong else found == []
     assert judge.ends([], given("safe", (1, 2)), [], at=6.9) == []
--- a/tests/federation/test_limits.py
+++ b/tests/federation/test_limits.py
@@ -1,4 +1,4 @@
-"""Connection places and quotas of one site, by need, among real processes."""
+"""Connection limits and quotas that the couriers of one site share by need, as processes."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from harness import Estate
 from test_shared import LIMIT, MACON, PARTNERS, SITES, TOLD
 
-EACH = 4  # max_conns: of three couriers together 12
+EACH = 4  # max_conns; 12 for the three couriers together
 QUOTA = """
 [[quota]]
 name = "school"
@@ -16,7 +16,7 @@
 
 
 class Limited(Estate):
-    """With places at its partners, and a quota."""
+    """An estate with connection limits at its partners and a quota."""
 
     def _partners(self, member):
         return super()._partners(member).replace(", state =", f", max_conns = {EACH}, state =")
@@ -58,13 +58,13 @@
 
 
 @on_estate
-async def test_one_courier_has_the_places_that_the_others_leave_and_gives_them_back(estate):
+async def test_a_courier_uses_the_connections_that_others_leave_and_returns_them(estate):
     partner, first = estate.partners[1], MACON[0]
     partner.script += ["hold"] * 100
     client = await estate[first].client()
     for n in range(20):
         assert await estate.put(client, estate[first], f"n{n}", 1, life=20_000) == "+OK"
-    await partner.until(lambda calls: len(calls) > 2 * EACH, LIMIT)  # more than its equal part
+    await partner.until(lambda calls: len(calls) > 2 * EACH, LIMIT)  # more than its equal share
     told = await estate.until_told(MACON, lambda told: sum(amounts(told, "places/1")) <= 3 * EACH, LIMIT)
     assert sum(c.ended == float("inf") for c in partner.calls) <= 3 * EACH - 2, told
     assert min(amounts(told, "places/1")) >= 1
@@ -75,7 +75,7 @@
 
 
 @on_estate
-async def test_a_quota_goes_where_the_messages_come_and_ends_with_its_lease(estate):
+async def test_a_quota_follows_the_messages_and_ends_with_its_lease(estate):
     first, rest = MACON[0], MACON[1:]
     client = await estate[first].client()
     count = 0
@@ -92,7 +92,7 @@
     assert sum(amounts(told, "quota/school")) <= 1.0 + 1e-9
     await estate.until_told([first], lambda told: told[0]["shared"]["quota"]["school"] > 0.8, LIMIT)
     task.cancel()
-    for name in rest:  # no majority is left: its lease ends, and what it has is its floor
+    for name in rest:  # without a majority the lease ends, and only the floor is left
         await estate[name].kill()
     await estate.until_told(
         [first],
--- a/tests/federation/test_many_couriers.py
+++ b/tests/federation/test_many_couriers.py
@@ -1,5 +1,8 @@
-"""Couriers of one site, as real processes, in a flood: some die, some are restarted in turn, all start
-at once, the granter is cut off one way or dies, the site is in two while a partner returns."""
+"""Couriers of one site under overload keep a shared rate through kills, restarts and cuts.
+
+Some are killed, some restarted one after another, all started at once; the grantor loses one direction of its
+links or dies; the site is partitioned while a partner recovers.
+"""
 
 import asyncio
 import contextlib
@@ -10,10 +13,10 @@
 from traffic import Traffic
 
 LIMIT = 90.0
-PER_S = 20.0  # the partner's rate: far less than is handed in
+PER_S = 20.0  # the partner's rate, far below the submitted load
 PARTNERS = {1: ("macon", [])}
 TOLD = {"probe_period_ms": 200, "probe_timeout_ms": 100, "share": True}
-COLD_S, COLD_SHARE, FALL, FALL_S = 12.0, 0.15, 2.5, 2.0  # what a cold partner bears, as rendered
+COLD_S, COLD_SHARE, FALL, FALL_S = 12.0, 0.15, 2.5, 2.0  # the load that a cold partner bears, as rendered
 
 
 def on_site(count):
@@ -34,7 +37,7 @@
 
 
 class Flood:
-    """Each member is handed in more than the partner takes, while it lives."""
+    """Submits more to each running member than the partner takes."""
 
     def __init__(self, estate, feeds):
         self.estate, self.feeds, self.of = estate, feeds, {}
@@ -49,7 +52,7 @@
         await asyncio.gather(*(self.of.pop(name).cancel() for name in names))
 
     def within_limit(self):
-        """All calls that ever came, for the time that has passed. Buckets hold 0.8 s of their rate."""
+        """Assert that all calls so far were within the rate. Token buckets hold 0.8 s of their rate."""
         count, passed = len(self.estate.partners[1].calls), now() - self.begun
         assert count <= PER_S * (passed + 2.0), (count, passed)
 
@@ -59,8 +62,11 @@
 
 
 async def given_out(estate, names):
-    """Nine tenths of the limit or more are with these members. What all of them had from one reading to the
-    next they had at one moment in between: never over the limit."""
+    """Wait until these members have nine tenths of the limit or more.
+
+    Amounts that are equal in two successive readings were held at one moment between them, so their sum must
+    not exceed the limit.
+    """
 
     async def inner():
         while True:
@@ -78,13 +84,13 @@
 
 
 def granter(told):
-    """Who grants the partner's rate, as this member has it."""
+    """Return the grantor of the partner's rate in this member's view."""
     leases = told["shared"]["leases"]
     return leases["slots"][leases["leases"]["rate/1"]["slot"]]["granter"]
 
 
 async def until_granted(estate, names, than):
-    """One of these members grants to all of them, and it is another than this one."""
+    """Wait until all these members have one grantor other than `than`; return it."""
     told = await estate.until_told(
         names,
         lambda told: (
@@ -98,12 +104,12 @@
 
 
 def broken(estate):
-    """What is judged from outside, but ends: some are lost with who took the message on, until it is back."""
+    """Return the violations but F5: outcomes are missing while the courier of a message is down."""
     return [w for w in judge.judged(estate, [estate.table(1)]) if not w.startswith("F5")]
 
 
 @on_site(5)
-async def test_some_are_killed_in_a_flood_two_restarted_in_turn_and_all_killed_at_last(estate, flood):
+async def test_some_are_killed_under_overload_two_restarted_in_turn_and_all_killed_at_last(estate, flood):
     names = list(estate.members)
     dead, rest = names[:2], names[2:]
     await flood.begin(*names)
@@ -129,13 +135,13 @@
 
 
 @on_site(4)
-async def test_the_granter_is_cut_off_one_way_and_the_next_one_dies(estate, flood):
+async def test_the_grantor_loses_one_direction_and_the_next_one_dies(estate, flood):
     names = list(estate.members)
     await flood.begin(*names)
     first = await until_granted(estate, names, "")
     rest = [name for name in names if name != first]
     for name in rest:
-        estate.links[name, first].cut()  # it is heard, and hears nobody
+        estate.links[name, first].cut()  # it sends but receives nothing
     second = await until_granted(estate, rest, first)
     await given_out(estate, names)
     estate.links.heal()
@@ -149,8 +155,10 @@
 
 
 class Returning:
-    """Counts what a partner gets from its return on, by the test's own clock: a moment in which this process
-    stood still makes calls come together that did not."""
+    """Counts a partner's calls from its recovery on.
+
+    A stall of this test process makes calls seem to arrive together, so the longest stall widens the window.
+    """
 
     def __init__(self, partner):
         self.partner, self.back, self.worst = partner, now(), 0.0
@@ -163,7 +171,7 @@
             self.worst = max(self.worst, now() - before - 0.05)
 
     def pushed(self):
-        """Spans of calls that are more than a cold partner bears."""
+        """Return the windows with more calls than a cold partner bears: (begin, calls, limit)."""
         self.task.cancel()
         span, found = FALL_S + self.worst, []
         times = [c.begun - self.back for c in self.partner.calls if self.back <= c.begun < self.back + COLD_S]
@@ -177,7 +185,7 @@
 
 
 @on_site(5)
-async def test_a_site_that_is_in_two_while_a_partner_is_out_is_whole_again_amid_its_return(estate, flood):
+async def test_a_site_partitioned_during_an_outage_heals_while_the_partner_recovers(estate, flood):
     names, partner = list(estate.members), estate.partners[1]
     small, large = names[:2], names[2:]
     await flood.begin(*names)
--- a/tests/federation/test_members_fail.py
+++ b/tests/federation/test_members_fail.py
@@ -1,4 +1,4 @@
-"""Hard cases 1, 2, 7 and 8 with real processes: a pause, a one-sided cut, killed relays, a partition."""
+"""Failures of members as processes: a pause, a one-way cut, killed relays, a partition."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 PARTNERS = {1: ("macon", ["season"]), 2: ("savannah", ["season"]), 3: ("athens", ["season"])}
 
 
-# Who is slow for a moment is not taken for one that is silent.
+# Long enough that a slow member is not suspected as dead.
 PATIENT = {**QUICK, "probe_period_ms": 800, "probe_timeout_ms": 400, "suspicion_alpha": 4.0}
 
 
@@ -40,12 +40,12 @@
 
 
 def state(told, name):
-    """What this member thinks of another."""
+    """Return the state of a member in this member's view."""
     return next((m["state"] for m in told["members"] if m["member"] == name), "unknown")
 
 
 async def relay(estate, site):
-    """macon's relay at this site, and a client of macon's."""
+    """Return macon's relay at the site, and a client of macon."""
     client = await estate["macon/m1"].client()
     await estate.taken_on(client, estate["macon/m1"], f"first-{site}", "season")
     told = await estate.until_told(["macon/m1"], lambda t: t[0]["streams"].get(site, {}).get("relay"), LIMIT)
@@ -53,7 +53,7 @@
 
 
 @on_estate({"macon": 1, "savannah": 2, "athens": 1}, told=PATIENT)
-async def test_a_member_that_was_paused_accuses_nobody_and_learns_the_table_before_it_serves(estate):
+async def test_a_paused_member_suspects_no_one_and_learns_the_table_before_it_serves(estate):
     paused, client = await relay(estate, "savannah")
     other = next(m.name for m in estate.site("savannah") if m.name != paused)
     await estate.until_ended(LIMIT)
@@ -63,12 +63,12 @@
     await estate.until_told(
         ["macon/m1", other, "athens/m1"], lambda told: all(state(t, paused) == "dead" for t in told), LIMIT
     )
-    for n, kind in enumerate(("safe", "keyed", "unsafe") * 3):  # the next relay takes them
+    for n, kind in enumerate(("safe", "keyed", "unsafe") * 3):  # the next relay accepts them
         await estate.taken_on(client, macon, f"meanwhile-{n}", "season", kind=kind, life=60_000)
     offered = {2: now()}
     await macon.offer(estate.table(2, {2: "athens"}))
     await estate.until_in_force(2, LIMIT, ["macon/m1", other, "athens/m1"])
-    # What the paused one served is not begun elsewhere: it has not released it.
+    # The new owner does not serve yet: the paused member has not released the destination.
     await estate.until_told(
         ["athens/m1"], lambda told: told[0]["switch"]["moving"]["2"]["not_released"] == [paused], LIMIT
     )
@@ -83,7 +83,7 @@
     for _ in range(5):
         await estate.taken_on(client, macon, f"after-{_}", 2, kind="unsafe", life=60_000)
     await estate.until_ended(LIMIT)
-    said = estate[paused].lines[before:served]  # later on it may be right to
+    said = estate[paused].lines[before:served]  # later suspicions may be right
     assert not [line for line in said if "is dead" in line or "is suspect" in line]
     assert judge.judged(estate, [estate.table(1), estate.table(2, {2: "athens"})], offered) == []
 
@@ -93,8 +93,8 @@
     told={**PATIENT, "probe_period_ms": 400, "probe_timeout_ms": 200},
     seed=7,
 )
-async def test_nobody_that_answers_is_declared_dead_by_all_over_one_sided_cuts_and_bad_links(estate):
-    estate.links["macon/m1", "savannah/m1"].cut()  # savannah/m1 does not hear macon/m1, which hears it
+async def test_no_responsive_member_is_dead_to_all_under_one_way_cuts_and_bad_links(estate):
+    estate.links["macon/m1", "savannah/m1"].cut()  # savannah/m1 receives nothing from macon/m1
     for pair in (("athens/m1", "savannah/m2"), ("savannah/m2", "athens/m1"), ("athens/m2", "macon/m1")):
         link = estate.links[pair]
         link.loss, link.double, link.delay, link.jitter = 0.3, 0.2, 0.05, 0.1
@@ -120,17 +120,17 @@
 
 
 @on_estate({"macon": 1, "savannah": 2, "athens": 1})
-async def test_a_relay_killed_between_its_journal_and_its_ack_doubles_nothing_that_may_not_be(estate):
+async def test_a_relay_killed_between_journal_and_ack_repeats_no_unsafe_message(estate):
     first, client = await relay(estate, "savannah")
     await estate.until_ended(LIMIT)
     macon, partner = estate["macon/m1"], estate.partners[2]
     begun = len(partner.calls)
-    estate.links[first, "macon/m1"].cut()  # its acks and ends go nowhere
+    estate.links[first, "macon/m1"].cut()  # its acks and outcomes are lost
     for n, kind in enumerate(("safe", "keyed", "unsafe") * 4):
         await estate.taken_on(client, macon, f"n{n}", "season", kind=kind, life=60_000)
     await partner.until(lambda calls: len(calls) > begun, LIMIT)
     await estate[first].kill()
-    # The next one takes what may be sent again; the first comes back with its folder while that one works.
+    # The next relay gets what may be sent again; the first restarts with its state during that.
     await estate.until_told(
         ["macon/m1"], lambda t: t[0]["streams"]["savannah"]["relay"] not in (None, first), LIMIT
     )
@@ -145,7 +145,7 @@
 
 
 @on_estate({"macon": 1, "savannah": 1, "athens": 1})
-async def test_relay_and_origin_killed_together_each_publication_has_one_end(estate):
+async def test_relay_and_origin_killed_together_each_publication_has_one_outcome(estate):
     first, client = await relay(estate, "savannah")
     await estate.until_ended(LIMIT)
     macon, partner = estate["macon/m1"], estate.partners[2]
@@ -161,7 +161,7 @@
     assert judge.judged(estate, [estate.table(1)]) == []
 
 
-# Who stood still for a probe's time-out asks a majority before it serves, which the smaller side has not.
+# Long probes: a member paused for a probe's time-out queries a majority, which the smaller side lacks.
 CALM = {
     **QUICK,
     "probe_period_ms": 2000,
@@ -215,7 +215,7 @@
             ),
             LIMIT,
         )
-        # Of the two proposals one is agreed by now, or both are turned down: the same at all.
+        # One of the two proposals is agreed or both are rejected, identically at all members.
         told = await estate.until_told(
             list(estate.members),
             lambda told: (
--- a/tests/federation/test_release_missing.py
+++ b/tests/federation/test_release_missing.py
@@ -1,4 +1,4 @@
-"""Hard case 6: the old owner is killed amid an unsafe call, so that no release of its comes."""
+"""The old owner of a destination is killed during a non-idempotent call and never sends its release."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 SITES = {"macon": 1, "savannah": 1, "athens": 1}
 PARTNERS = {1: ("macon", []), 2: ("savannah", [])}
 LIMIT = 90.0
-DEPOSIT_MS = 15_000  # it ends as undeliverable then
+DEPOSIT_MS = 15_000  # the deposit is undeliverable then
 
 
 def on_estate(told=None, settings=None):
@@ -27,8 +27,11 @@
 
 
 async def killed_amid_a_deposit(estate):
-    """Partner 2 moves from savannah to athens; savannah's courier is killed with the deposit's call out,
-    before which it can't let go. The tables, when the second was offered, and the messages that wait."""
+    """Move partner 2 from savannah to athens and kill savannah's courier during its call with the deposit.
+
+    The courier can't release the destination before that call ends. More messages are submitted afterwards.
+    Returns the tables, and when the second was proposed.
+    """
     macon, savannah, partner = estate["macon/m1"], estate["savannah/m1"], estate.partners[2]
     partner.script.append("hang")
     client = await macon.client()
@@ -48,7 +51,7 @@
 
 
 async def all_but_the_deposit_arrive(estate, told):
-    """Once the new owner has begun."""
+    """Assert that the new owner delivers the other messages and the deposit was attempted once."""
     await estate.until_ended(LIMIT)
     assert judge.judged(estate, *told) == []
     calls = estate.partners[2].calls
@@ -59,12 +62,12 @@
 
 
 @on_estate()
-async def test_the_new_owner_waits_for_an_operators_word_and_the_deposit_goes_once(estate):
+async def test_the_new_owner_waits_for_the_operator_and_the_deposit_is_attempted_once(estate):
     await estate.start()
     told = await killed_amid_a_deposit(estate)
     athens = estate["athens/m1"]
 
-    def missed(told):  # told as an error from 10 s on: nothing else will come of it
+    def missed(told):  # reported as an error after 10 s; only an operator can resolve it
         return any(
             "release-missing" in line and "savannah/m1 has not released 2" in line
             for line in told["switch"]["errors"]
@@ -80,7 +83,7 @@
 
 
 @on_estate({"lease_ms": 3000})
-async def test_with_leases_the_new_owner_waits_for_the_end_of_the_old_ones(estate):
+async def test_with_leases_the_new_owner_waits_for_the_end_of_the_old_leases(estate):
     renewed, granted, both = {}, set(), asyncio.Event()
 
     def note(source, to, channel, row):
@@ -89,13 +92,13 @@
         if (to, channel, row[:1]) == ("savannah/m1", "s", ["la"]) and row[2]:
             granted.add(source)
             if len(granted) == 2:
-                both.set()  # a voter that never granted it one can't tell that its leases are over
+                both.set()  # a voter that never granted a lease can't tell that it has ended
 
     estate.links.notes.append(note)
     await estate.start()
     await asyncio.wait_for(both.wait(), LIMIT)
     told = await killed_amid_a_deposit(estate)
-    # Its lease ran from before these words on; a majority without it is both other voters.
+    # Its lease counts from before these requests; a majority without it is both other voters.
     ends = max(renewed.values()) + 3.0
     await all_but_the_deposit_arrive(estate, told)
     assert min(c.begun for c in estate.partners[2].calls[1:]) >= ends
--- a/tests/federation/test_shared.py
+++ b/tests/federation/test_shared.py
@@ -1,4 +1,4 @@
-"""One site, several couriers, as real processes: what one learns all heed, leases hold over all."""
+"""Couriers of one site, as processes, share findings about partners and leases on their rates."""
 
 import asyncio
 import contextlib
@@ -35,12 +35,12 @@
 
 
 def told_of(kind):
-    """Whether a member knows news of this kind, its own or another's."""
+    """Return a predicate: the member has a finding of this kind, its own or another's."""
     return lambda told: any(n["kind"] == kind for n in told["shared"]["news"])
 
 
 @on_estate
-async def test_a_wait_told_to_one_courier_binds_all_of_its_site(estate):
+async def test_a_retry_after_received_by_one_courier_binds_all_of_its_site(estate):
     partner, wait_s = estate.partners[1], 12.0
     partner.script.append(("wait", wait_s))
     clients = {name: await estate[name].client() for name in MACON}
@@ -56,10 +56,10 @@
 
 
 async def one_tries(estate, names):
-    """Who of these tries a partner that is out, once it alone calls there.
+    """Return the prober of a partner with an outage, once only the prober calls it.
 
-    Others may have calls on the way as they begin to hold back, and one whose process stands still for as
-    long as a word holds is taken for silent: so what counts is that it comes to one, which goes on.
+    Other members may have calls in flight when they start to hold off, and a member that stalls for the
+    lifetime of a finding counts as silent. So this waits until one prober is left that keeps probing.
     """
     partner = estate.partners[1]
 
@@ -84,7 +84,7 @@
 
 
 @on_estate
-async def test_one_courier_tries_a_partner_that_is_out_and_the_next_where_that_one_dies(estate):
+async def test_one_courier_probes_a_partner_with_an_outage_and_another_after_its_death(estate):
     async with contextlib.AsyncExitStack() as feeds:
         traffic = {
             name: await feeds.enter_async_context(Traffic(estate, [name], [1], every_s=0.05))
@@ -108,7 +108,7 @@
 
 
 @on_estate
-async def test_a_partner_that_refuses_one_courier_alone_is_served_by_the_others(estate):
+async def test_a_partner_that_resets_only_one_courier_is_called_by_the_others(estate):
     partner = estate.partners[1]
     inner = partner._answer
 
@@ -131,7 +131,7 @@
 
 
 @on_estate
-async def test_a_courier_that_was_paused_uses_no_lease_that_ended_meanwhile(estate):
+async def test_a_paused_courier_does_not_use_a_lease_that_ended_meanwhile(estate):
     await estate.until_told(
         MACON,
         lambda told: (
@@ -159,7 +159,7 @@
     told = await paused.federation()
     lease = told["shared"]["leases"]["leases"]["rate/1"]
     assert lease["left_ms"] is None or lease["left_ms"] <= 4000
-    # They answer one after another: what one hands over between two answers counts twice.
+    # The replies are not simultaneous: an amount that moves between two of them counts twice.
     await estate.until_told(
         MACON,
         lambda told: sum(t["shared"]["leases"]["leases"]["rate/1"]["amount"] for t in told) <= 1000.01,
--- a/tests/federation/test_steady_traffic.py
+++ b/tests/federation/test_steady_traffic.py
@@ -1,4 +1,4 @@
-"""Three sites under steady traffic of all kinds, while tables move the destinations; nothing fails."""
+"""Three sites without failures under steady traffic of all kinds, while tables move the destinations."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 ]
 
 
-def test_tables_move_destinations_under_traffic_and_each_message_has_its_end(tmp_path):
+def test_tables_move_destinations_under_traffic_and_each_message_has_an_outcome(tmp_path):
     async def inner():
         async with Estate(tmp_path, SITES, PARTNERS) as estate:
             await estate.start()
@@ -34,7 +34,7 @@
                         estate.members, lambda told: not any(t["switch"]["moving"] for t in told), LIMIT
                     )
                     begun = now()
-                    for dest, site in owners.items():  # each is served by all that are to serve it, in turn
+                    for dest, site in owners.items():  # each new owner calls its destination
                         await estate.partners[dest].until(
                             lambda calls, begun=begun, site=site: any(
                                 c.begun > begun and c.site == site for c in calls
--- a/tests/federation/test_turned_down.py
+++ b/tests/federation/test_turned_down.py
@@ -1,4 +1,4 @@
-"""Hard case 5: a site turns a table down, or is dead: nothing changes anywhere, and the error names it."""
+"""A site rejects a table or is dead: no member changes anything, and the error names the site."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
 
 
 async def turned_down(estate, table, others):
-    """Offer it; what the offering member tells of it then, once nobody has anything of it left."""
+    """Propose a table; return the error at the proposer once no member has any state of the table."""
     status, text = await estate[OFFERS].offer(table)
     assert status == 202, text
     name = text.split()[0]
@@ -46,7 +46,7 @@
 
 
 async def called_by(estate, number, site):
-    """Until a site has begun another call at this partner."""
+    """Wait until the site begins another call to the partner."""
     at = now()
     await estate.partners[number].until(
         lambda calls: any(c.begun > at and c.site == site for c in calls), LIMIT
@@ -54,7 +54,7 @@
 
 
 async def agreed(estate, table):
-    """It is offered again: nothing of the first try stands in its way."""
+    """Propose the table again and wait until it is in force; return the tables and proposal times."""
     offered = {2: now()}
     status, text = await estate[OFFERS].offer(table)
     assert status == 202, text
@@ -64,12 +64,12 @@
 
 
 @on_estate(20_000)
-async def test_a_site_whose_partner_list_lacks_the_partner_turns_the_table_down(estate):
+async def test_a_site_whose_partner_list_lacks_the_partner_rejects_the_table(estate):
     athens, table = estate["athens/m1"], estate.table(2, {2: "athens"})
     await athens.end()
     estate.lacks[athens.name] = {2}
     estate.render(athens)
-    await athens.start()  # it goes by the table that it has kept
+    await athens.start()  # it uses the stored table
     async with Traffic(estate, list(estate.members), [1, 2, 3], every_s=0.1, life=8_000) as traffic:
         await traffic.until_taken(9, LIMIT)
         error = await turned_down(estate, table, list(estate.members))
@@ -102,7 +102,7 @@
 
 
 @on_estate(20_000)
-async def test_a_table_that_may_not_follow_is_answered_at_once(estate):
+async def test_an_invalid_next_table_is_rejected_at_once(estate):
     for table, place in ((estate.table(3), "number"), (estate.table(2, {2: "nowhere"}), "owners.2")):
         status, text = await estate[OFFERS].offer(table)
         assert status in (400, 409) and place in text, (status, text)
--- a/tests/federation/test_waits_pass_on.py
+++ b/tests/federation/test_waits_pass_on.py
@@ -1,4 +1,4 @@
-"""Hard case 9: what the old owner of a destination was told of it binds the new one."""
+"""Retry-After, drains and slow start known to the old owner of a destination bind the new one."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 async def moved(estate, *more):
-    """Partner 2, and more, go to athens: the tables, and when the second was offered."""
+    """Move partner 2, and `more`, to athens; return the tables, and when the second was proposed."""
     tables, offered = [estate.table(1), estate.table(2, dict.fromkeys((2, *more), "athens"))], {2: now()}
     status, text = await estate["macon/m1"].offer(tables[1])
     assert status == 202, text
@@ -32,7 +32,7 @@
 
 
 @on_estate
-async def test_a_told_wait_ends_before_the_new_owner_calls(estate):
+async def test_a_retry_after_ends_before_the_new_owner_calls(estate):
     await estate.start()
     partner, wait_s = estate.partners[2], 12.0
     partner.script.append(("wait", wait_s))
@@ -40,7 +40,7 @@
     savannah = estate["savannah/m1"]
     await estate.taken_on(clients["savannah/m1"], savannah, "first", 2, kind="unsafe", life=60_000)
     await partner.until(lambda calls: calls and calls[0].ended < float("inf"), LIMIT)
-    for name, kind in (("macon/m1", "keyed"), ("athens/m1", "safe")):  # they wait in savannah
+    for name, kind in (("macon/m1", "keyed"), ("athens/m1", "safe")):  # they are queued in savannah
         await estate.taken_on(clients[name], estate[name], kind, 2, kind=kind, life=60_000)
     await savannah.until_told(lambda told: told["custody"]["custody"] == 2, LIMIT)
     tables, offered = await moved(estate)
@@ -49,21 +49,21 @@
     await partner.until(lambda calls: sum(c.effect == RAN for c in calls) >= 2, LIMIT)
     await estate.until_ended(LIMIT)
     assert judge.judged(estate, tables, offered) == []
-    # athens' own has come home; the first one may have been handed back to its client.
+    # athens took back its own message; the first one may have been returned to its client.
     assert {c.member for c in partner.calls[1:]} == {"athens/m1"}
     assert {c.body for c in partner.calls[1:]} >= {b"keyed for 2", b"safe for 2"}
     assert set(estate.finals()) <= {("savannah/m1", "first", "deferred")}
 
 
 async def feed(estate, name, dest, count, start=0):
-    """So many safe messages at once."""
+    """Submit `count` idempotent messages."""
     client = await estate[name].client()
     for n in range(start, start + count):
         await estate.taken_on(client, estate[name], f"m{dest}-{n}", dest, life=60_000)
 
 
 @on_estate
-async def test_a_drain_that_the_old_owner_heard_of_binds_the_new_one(estate):
+async def test_a_drain_known_to_the_old_owner_binds_the_new_one(estate):
     partner, savannah, athens = estate.partners[2], estate["savannah/m1"], estate["athens/m1"]
     partner.door_states = dict.fromkeys(estate.members, "in_service")
     for member in estate.members.values():
@@ -71,7 +71,7 @@
     await estate.start()
     await feed(estate, "savannah/m1", 2, 1)
     await partner.until(lambda _: len(partner.door_calls) == 1, LIMIT)
-    partner.door_states[savannah.name] = "terminating"  # athens' list does not know it yet
+    partner.door_states[savannah.name] = "terminating"  # athens' list does not show it yet
     await looks(estate, savannah)
     await moved(estate, 3)
     for dest in (2, 3):
@@ -79,23 +79,23 @@
     client = await athens.client()
     await estate.put(client, athens, "early", 2, life=60_000)
     await feed(estate, "athens/m1", 3, 3, start=1)
-    await estate.partners[3].until(lambda calls: len(calls) == 3, LIMIT)  # handed in later, and served
+    await estate.partners[3].until(lambda calls: len(calls) == 3, LIMIT)  # submitted later and delivered
     assert len(partner.door_calls) == 1
-    estate.per_s = 900  # its own list tells anew: what others heard counts no more
+    estate.per_s = 900  # a new version of its own list replaces the relayed drain
     await looks(estate, athens)
     await feed(estate, "athens/m1", 2, 1, start=1)
     await partner.until(lambda _: any(c.body == b"m2-1 for 2" for c in partner.door_calls), LIMIT)
 
 
 async def looks(estate, member):
-    """Until it has read its partner list, which has changed."""
+    """Make the member read its changed partner list, and wait until it has."""
     before = len(member.lines)
     estate.look(member)
     await member.until("partner list", LIMIT, after=before)
 
 
 @on_estate
-async def test_a_partner_that_came_back_is_cold_for_the_new_owner_too(estate):
+async def test_a_recovered_partner_is_cold_for_the_new_owner_too(estate):
     estate.per_s = 20
     for member in estate.members.values():
         estate.render(member)
@@ -111,7 +111,7 @@
     await asyncio.gather(*(feed(estate, "athens/m1", dest, 40, start=10) for dest in (2, 3)))
     await warm.until(lambda calls: sum(c.site == "athens" for c in calls) >= 40, LIMIT)
     await estate.until_ended(LIMIT)
-    # Messages that come slowly are paced by that: then the first seconds have fewer calls still.
+    # If messages arrive more slowly than the pace, the first seconds have even fewer calls.
     first = [c.begun for c in back.calls if c.site == "athens"]
     paced = sum(begun < first[0] + 2.0 for begun in first)
     assert judge.judged(estate, tables, offered) == []
--- a/tests/federation/traffic.py
+++ b/tests/federation/traffic.py
@@ -1,4 +1,4 @@
-"""Clients that hand in messages of all kinds at a steady pace, and come again where they are told to."""
+"""Clients that submit messages of all kinds at a steady pace."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 import itertools
 
 ANSWERED_S = 15.0
-_numbers = itertools.count(1)  # so that no id comes twice
+_numbers = itertools.count(1)  # makes ids unique
 KINDS = ("safe", "keyed", "unsafe")
 
 
 class Traffic:
-    """`async with Traffic(estate, ["macon/m1"], [1, 2], topic="season")` hands in one message every `every_s`
-    at each of these members in turn, to these destinations and, if there is one, the topic. What is refused
-    is not handed in again: the next message is."""
+    """Submits one message every `every_s` seconds to each of the members.
+
+    `async with Traffic(estate, ["macon/m1"], [1, 2], topic="season")` cycles through the destinations and the
+    topic, if any. A rejected message is not submitted again; the next one follows.
+    """
 
     def __init__(self, estate, members, dests, topic="", every_s=0.02, life=15_000):
         self.estate, self.members, self.dests = estate, members, dests
@@ -26,18 +28,21 @@
         return self
 
     async def __aexit__(self, *_):
-        self.ended = True  # what is handed in gets its answer first, or it may count without being noted
+        self.ended = True  # wait for open replies: a message may be accepted without a record otherwise
         await asyncio.wait_for(asyncio.gather(*self.tasks), ANSWERED_S)
 
     async def cancel(self):
-        """Its members are about to die: nothing more is handed in. What is on its way gets its answer first:
-        taken on and not noted it would count as handed in by nobody. Of one that is dead none comes."""
+        """Stop submitting, before members are killed.
+
+        Open submissions get their replies first: an accepted message without a record would count as
+        submitted by no client. A dead member sends none.
+        """
         self.ended = True
         await asyncio.wait_for(asyncio.gather(*self.tasks, return_exceptions=True), ANSWERED_S)
         self.tasks = []
 
     async def until_taken(self, count, limit):
-        """Until so many more were taken on."""
+        """Wait until `count` more messages are accepted."""
 
         async def inner():
             goal = self.taken + count
@@ -50,17 +55,17 @@
     async def _feed(self, name):
         estate, member = self.estate, self.estate[name]
         client = await member.client()
-        ways = [*self.dests, *([self.topic] if self.topic else [])]
-        for n, (kind, way) in enumerate(itertools.cycle(itertools.product(KINDS, ways))):
+        targets = [*self.dests, *([self.topic] if self.topic else [])]
+        for n, (kind, target) in enumerate(itertools.cycle(itertools.product(KINDS, targets))):
             ident = f"{name.replace('/', '-')}-{self.number}-{n}"
-            hand_in = estate.put if isinstance(way, int) else estate.publish
-            answer = await hand_in(client, member, ident, way, kind=kind, life=self.life)
-            self.answers.append(answer)
-            if answer == "+OK":
+            submit = estate.put if isinstance(target, int) else estate.publish
+            reply = await submit(client, member, ident, target, kind=kind, life=self.life)
+            self.answers.append(reply)
+            if reply == "+OK":
                 self.taken += 1
                 self.more.set()
             else:
-                assert answer.startswith("-BUSY"), answer
+                assert reply.startswith("-BUSY"), reply
             if self.ended:
                 return
-            await asyncio.sleep(self.every_s)  # the pace; nobody waits for it
+            await asyncio.sleep(self.every_s)  # the submission rate
