--- a/tests/federation/harness.py
+++ b/tests/federation/harness.py
@@ -42,7 +42,7 @@
 share = 1.0
 
 """
-TAKEN_S = 60.0  # limit for the acceptance of a message
+ACCEPTED_S = 60.0  # limit for the acceptance of a message
 _estates = itertools.count()
 
 
@@ -252,7 +252,7 @@
             )
         return reply
 
-    async def taken_on(self, client, member, ident, target, **more):
+    async def put_until_accepted(self, client, member, ident, target, **more):
         """Submit a message for a destination (its number) or a topic until it is accepted.
 
         A courier that was paused queries the other members first and replies -BUSY in the meantime.
@@ -264,7 +264,7 @@
                 assert reply.startswith("-BUSY"), reply
                 await asyncio.sleep(0.05)
 
-        await asyncio.wait_for(inner(), TAKEN_S)
+        await asyncio.wait_for(inner(), ACCEPTED_S)
 
     def calls(self):
         """Return all calls that partners received, by their begin."""
--- a/tests/federation/test_all_killed.py
+++ b/tests/federation/test_all_killed.py
@@ -49,7 +49,7 @@
         await estate.until_in_force(number, LIMIT, names)
 
     async with Traffic(estate, OTHERS, [1, 2], every_s=0.1) as traffic:
-        await traffic.until_taken(6, LIMIT)
+        await traffic.until_accepted(6, LIMIT)
         await offer(2, {2: "athens"})
         for _ in range(restarts):
             await macon.kill()
@@ -58,7 +58,7 @@
         await estate.until_told(
             estate.members, lambda told: not any(t["switch"]["moving"] for t in told), LIMIT
         )
-        await traffic.until_taken(6, LIMIT)
+        await traffic.until_accepted(6, LIMIT)
     await asyncio.gather(*(m.kill() for m in estate.members.values()))
     macon.restore()
     for name in order:
@@ -67,7 +67,7 @@
     await estate.until_in_force(3, LIMIT)  # the copy has table 1, by which macon serves partner 1
     await macon.until("folder-older", LIMIT)
     async with Traffic(estate, order, [1, 2], every_s=0.1, life=8_000) as traffic:
-        await traffic.until_taken(8, LIMIT)
+        await traffic.until_accepted(8, LIMIT)
 
     # Without its vote there is no majority once another voter is down.
     await estate["savannah/m1"].kill()
@@ -84,7 +84,7 @@
     await offer(4, {1: "savannah", 2: "macon"}, ["macon/m1", "savannah/m2", "athens/m1"])
     await estate.start("savannah/m1")
     async with Traffic(estate, order, [1, 2], every_s=0.1, life=8_000) as traffic:
-        await traffic.until_taken(8, LIMIT)
+        await traffic.until_accepted(8, LIMIT)
         await estate.partners[2].until(lambda calls: calls[-1].site == "macon", LIMIT)
     await estate.until_ended(LIMIT)
     assert judge.judged(estate, tables, offered) == []
--- a/tests/federation/test_coordinator_dies.py
+++ b/tests/federation/test_coordinator_dies.py
@@ -13,7 +13,7 @@
 OTHERS = ["macon/m2", "savannah/m1", "athens/m1"]
 PARTNERS = {1: ("macon", []), 2: ("savannah", [])}
 LIMIT = 90.0
-PREPARED, TURNED_DOWN, AGREED = "2.0", "2.1", "3.0"  # the open slot at the other members then
+PREPARED, REJECTED, AGREED = "2.0", "2.1", "3.0"  # the open slot at the other members then
 
 
 def kind(tag):
@@ -29,8 +29,8 @@
     ("last", "count", "slot", "agree_within_ms"),
     [
         (kind("prepare"), 1, PREPARED, 20_000),  # a voter knows the ballot, no voter the table
-        (kind("accept"), 1, TURNED_DOWN, 2_000),  # a voter has the claim, no member the document
-        (kind("offer"), 2, TURNED_DOWN, 2_000),  # the sites are queried and have the document
+        (kind("accept"), 1, REJECTED, 2_000),  # a voter has the claim, no member the document
+        (kind("offer"), 2, REJECTED, 2_000),  # the sites are queried and have the document
         (site_votes, 1, AGREED, 20_000),  # a voter has the approvals
         (kind("decided"), 1, AGREED, 20_000),  # one member knows that the table is agreed
     ],
@@ -42,15 +42,15 @@
         voters = {OFFERS, "savannah/m1", "athens/m1"}
         async with Estate(tmp_path, SITES, PARTNERS, told, voters) as estate:
             await estate.start()
-            await _dies(estate, last, count, slot)
+            await _kill_proposer(estate, last, count, slot)
 
     asyncio.run(inner())
 
 
-async def _dies(estate, last, count, slot):
+async def _kill_proposer(estate, last, count, slot):
     moved, offered = estate.table(2, {2: "athens"}), {2: now()}
     async with Traffic(estate, ["athens/m1"], [1, 2], every_s=0.1) as traffic:
-        await traffic.until_taken(6, LIMIT)
+        await traffic.until_accepted(6, LIMIT)
         end = estate.links.last(OFFERS, last, count)
         status, text = await estate[OFFERS].offer(moved)
         assert status == 202, text
@@ -64,7 +64,7 @@
             lambda calls: any(c.begun > after and c.site == owner for c in calls), LIMIT
         )
     await estate.start(OFFERS)  # it learns the outcome, or proposes again what no site was asked about
-    final = 1 if slot == TURNED_DOWN else 2
+    final = 1 if slot == REJECTED else 2
     await estate.until_in_force(final, LIMIT)
     await estate.until_ended(LIMIT)
     tables = [estate.table(1), moved][:final]
--- a/tests/federation/test_harness.py
+++ b/tests/federation/test_harness.py
@@ -30,15 +30,15 @@
     assert (await macon.call("GET", "/ready"))[0] == 200
     client, venue = await macon.client(), estate.partners[1]
     venue.script += ["reset", 200, ("wait", 0.05), "hold"]
-    await estate.taken_on(client, macon, "n1", 1, kind="safe")
+    await estate.put_until_accepted(client, macon, "n1", 1, kind="safe")
     await venue.until(lambda calls: any(c.effect == RAN and c.ended < 1e9 for c in calls), LIMIT)
     assert [c.effect for c in venue.calls] == [MAY_HAVE_RUN, RAN]
     assert {(c.member, c.ident, c.body) for c in venue.calls} == {("macon/m1", "n1", b"n1 for 1")}
-    await estate.taken_on(client, macon, "n2", 1, kind="unsafe")
+    await estate.put_until_accepted(client, macon, "n2", 1, kind="unsafe")
     await venue.until(lambda calls: len(calls) == 3 and calls[2].ended < 1e9, LIMIT)
     assert venue.calls[2].effect == NEVER_RAN and venue.calls[2].wait_s == 0.05
     await macon.until_ended("n2", LIMIT)
-    await estate.taken_on(client, macon, "n3", 1, kind="unsafe", life=60_000)
+    await estate.put_until_accepted(client, macon, "n3", 1, kind="unsafe", life=60_000)
     await venue.until(lambda calls: len(calls) == 4, LIMIT)
     macon.pause()
     venue.release.set()  # the reply is written but not read
--- a/tests/federation/test_many_couriers.py
+++ b/tests/federation/test_many_couriers.py
@@ -61,7 +61,7 @@
     return told["shared"]["leases"]["leases"]["rate/1"]["amount"]
 
 
-async def given_out(estate, names):
+async def until_rate_is_granted(estate, names):
     """Wait until these members have nine tenths of the limit or more.
 
     Amounts that are equal in two successive readings were held at one moment between them, so their sum must
@@ -83,7 +83,7 @@
     await asyncio.wait_for(inner(), LIMIT)
 
 
-def granter(told):
+def grantor(told):
     """Return the grantor of the partner's rate in this member's view."""
     leases = told["shared"]["leases"]
     return leases["slots"][leases["leases"]["rate/1"]["slot"]]["granter"]
@@ -94,16 +94,16 @@
     told = await estate.until_told(
         names,
         lambda told: (
-            len({granter(t) for t in told}) == 1
-            and granter(told[0]) not in (None, than)
+            len({grantor(t) for t in told}) == 1
+            and grantor(told[0]) not in (None, than)
             and all(t["shared"]["leases"]["leases"]["rate/1"]["left_ms"] for t in told)
         ),
         LIMIT,
     )
-    return granter(told[0])
+    return grantor(told[0])
 
 
-def broken(estate):
+def violations(estate):
     """Return the violations but F5: outcomes are missing while the courier of a message is down."""
     return [w for w in judge.judged(estate, [estate.table(1)]) if not w.startswith("F5")]
 
@@ -116,7 +116,7 @@
     await until_granted(estate, names, "")
     await flood.end(*dead)
     await asyncio.gather(*(estate[name].kill() for name in dead))
-    await given_out(estate, rest)
+    await until_rate_is_granted(estate, rest)
     await estate.start(*dead)
     await flood.begin(*dead)
     for name in rest[:2]:
@@ -124,14 +124,14 @@
         await estate[name].end()
         await estate.start(name)
         await flood.begin(name)
-    await given_out(estate, names)
+    await until_rate_is_granted(estate, names)
     await flood.end(*names)
     await asyncio.gather(*(estate[name].kill() for name in names))
     await estate.start()
     await flood.begin(*names)
-    await given_out(estate, names)
+    await until_rate_is_granted(estate, names)
     flood.within_limit()
-    assert broken(estate) == []
+    assert violations(estate) == []
 
 
 @on_site(4)
@@ -143,15 +143,15 @@
     for name in rest:
         estate.links[name, first].cut()  # it sends but receives nothing
     second = await until_granted(estate, rest, first)
-    await given_out(estate, names)
+    await until_rate_is_granted(estate, names)
     estate.links.heal()
     await flood.end(second)
     await estate[second].kill()
     living = [name for name in names if name != second]
     await until_granted(estate, living, second)
-    await given_out(estate, living)
+    await until_rate_is_granted(estate, living)
     flood.within_limit()
-    assert broken(estate) == []
+    assert violations(estate) == []
 
 
 class Returning:
@@ -170,7 +170,7 @@
             await asyncio.sleep(0.05)
             self.worst = max(self.worst, now() - before - 0.05)
 
-    def pushed(self):
+    def overloads(self):
         """Return the windows with more calls than a cold partner bears: (begin, calls, limit)."""
         self.task.cancel()
         span, found = FALL_S + self.worst, []
@@ -210,6 +210,6 @@
     await partner.until(
         lambda calls: {c.member for c in calls[healed:] if c.effect == RAN} == set(names), LIMIT
     )
-    await given_out(estate, names)
-    assert returning.pushed() == [] and broken(estate) == []
+    await until_rate_is_granted(estate, names)
+    assert returning.overloads() == [] and violations(estate) == []
     flood.within_limit()
--- a/tests/federation/test_members_fail.py
+++ b/tests/federation/test_members_fail.py
@@ -47,7 +47,7 @@
 async def relay(estate, site):
     """Return macon's relay at the site, and a client of macon."""
     client = await estate["macon/m1"].client()
-    await estate.taken_on(client, estate["macon/m1"], f"first-{site}", "season")
+    await estate.put_until_accepted(client, estate["macon/m1"], f"first-{site}", "season")
     told = await estate.until_told(["macon/m1"], lambda t: t[0]["streams"].get(site, {}).get("relay"), LIMIT)
     return told[0]["streams"][site]["relay"], client
 
@@ -64,7 +64,7 @@
         ["macon/m1", other, "athens/m1"], lambda told: all(state(t, paused) == "dead" for t in told), LIMIT
     )
     for n, kind in enumerate(("safe", "keyed", "unsafe") * 3):  # the next relay accepts them
-        await estate.taken_on(client, macon, f"meanwhile-{n}", "season", kind=kind, life=60_000)
+        await estate.put_until_accepted(client, macon, f"meanwhile-{n}", "season", kind=kind, life=60_000)
     offered = {2: now()}
     await macon.offer(estate.table(2, {2: "athens"}))
     await estate.until_in_force(2, LIMIT, ["macon/m1", other, "athens/m1"])
@@ -81,7 +81,7 @@
     await estate.until_in_force(2, LIMIT)
     served = len(estate[paused].lines)
     for _ in range(5):
-        await estate.taken_on(client, macon, f"after-{_}", 2, kind="unsafe", life=60_000)
+        await estate.put_until_accepted(client, macon, f"after-{_}", 2, kind="unsafe", life=60_000)
     await estate.until_ended(LIMIT)
     said = estate[paused].lines[before:served]  # later suspicions may be right
     assert not [line for line in said if "is dead" in line or "is suspect" in line]
@@ -101,7 +101,9 @@
     client = await estate["macon/m1"].client()
     for n in range(40):
         kind = ("safe", "keyed", "unsafe")[n % 3]
-        await estate.taken_on(client, estate["macon/m1"], f"cut-{n}", "season", kind=kind, life=60_000)
+        await estate.put_until_accepted(
+            client, estate["macon/m1"], f"cut-{n}", "season", kind=kind, life=60_000
+        )
         told = await asyncio.gather(*(m.federation() for m in estate.members.values()))
         for name in estate.members:
             thought = {state(t, name) for t in told if t["member"] != name}
@@ -127,7 +129,7 @@
     begun = len(partner.calls)
     estate.links[first, "macon/m1"].cut()  # its acks and outcomes are lost
     for n, kind in enumerate(("safe", "keyed", "unsafe") * 4):
-        await estate.taken_on(client, macon, f"n{n}", "season", kind=kind, life=60_000)
+        await estate.put_until_accepted(client, macon, f"n{n}", "season", kind=kind, life=60_000)
     await partner.until(lambda calls: len(calls) > begun, LIMIT)
     await estate[first].kill()
     # The next relay gets what may be sent again; the first restarts with its state during that.
@@ -152,7 +154,7 @@
     partner.script += ["hold"] * 3
     begun = len(partner.calls)
     for n, kind in enumerate(("safe", "keyed", "unsafe") * 3):
-        await estate.taken_on(client, macon, f"n{n}", "season", kind=kind, life=60_000)
+        await estate.put_until_accepted(client, macon, f"n{n}", "season", kind=kind, life=60_000)
     await partner.until(lambda calls: len(calls) > begun, LIMIT)
     await asyncio.gather(macon.kill(), estate[first].kill())
     partner.release.set()
@@ -186,7 +188,7 @@
 async def test_both_sides_of_a_partition_serve_what_they_own_and_the_smaller_agrees_on_nothing(estate):
     small, large = ["macon/m1", "savannah/m1"], ["athens/m1", "augusta/m1", "albany/m1"]
     async with Traffic(estate, ["macon/m1", "athens/m1"], [1, 3], topic="season", every_s=0.03) as traffic:
-        await traffic.until_taken(20, LIMIT)
+        await traffic.until_accepted(20, LIMIT)
         estate.links.part(small, large)
         await estate.until_told(
             list(estate.members),
@@ -225,7 +227,7 @@
             2 * LIMIT,
         )
         print(f"healed in {now() - healed:.1f} s")
-        await traffic.until_taken(20, LIMIT)
+        await traffic.until_accepted(20, LIMIT)
     await estate.until_ended(LIMIT)
     told = await asyncio.gather(*(m.federation() for m in estate.members.values()))
     tables = {t["table"]["number"]: t["table"] for t in told}
--- a/tests/federation/test_release_missing.py
+++ b/tests/federation/test_release_missing.py
@@ -26,7 +26,7 @@
     return made
 
 
-async def killed_amid_a_deposit(estate):
+async def kill_during_deposit(estate):
     """Move partner 2 from savannah to athens and kill savannah's courier during its call with the deposit.
 
     The courier can't release the destination before that call ends. More messages are submitted afterwards.
@@ -35,7 +35,7 @@
     macon, savannah, partner = estate["macon/m1"], estate["savannah/m1"], estate.partners[2]
     partner.script.append("hang")
     client = await macon.client()
-    await estate.taken_on(client, macon, "deposit", 2, kind="unsafe", life=DEPOSIT_MS)
+    await estate.put_until_accepted(client, macon, "deposit", 2, kind="unsafe", life=DEPOSIT_MS)
     await partner.until(lambda calls: len(calls) == 1, LIMIT)
     table = estate.table(2, {2: "athens"})
     tables, offered = [estate.table(1), table], {2: now()}
@@ -46,11 +46,11 @@
     assert partner.calls[0].ended == float("inf")
     await savannah.kill()
     for kind in ("safe", "keyed", "unsafe"):
-        await estate.taken_on(client, macon, kind, 2, kind=kind, life=60_000)
+        await estate.put_until_accepted(client, macon, kind, 2, kind=kind, life=60_000)
     return tables, offered
 
 
-async def all_but_the_deposit_arrive(estate, told):
+async def assert_all_but_the_deposit_delivered(estate, told):
     """Assert that the new owner delivers the other messages and the deposit was attempted once."""
     await estate.until_ended(LIMIT)
     assert judge.judged(estate, *told) == []
@@ -64,7 +64,7 @@
 @on_estate()
 async def test_the_new_owner_waits_for_the_operator_and_the_deposit_is_attempted_once(estate):
     await estate.start()
-    told = await killed_amid_a_deposit(estate)
+    told = await kill_during_deposit(estate)
     athens = estate["athens/m1"]
 
     def missed(told):  # reported as an error after 10 s; only an operator can resolve it
@@ -78,7 +78,7 @@
     off = now()
     status, text = await estate["macon/m1"].say("/federation/off", member="savannah/m1")
     assert status == 200, text
-    await all_but_the_deposit_arrive(estate, told)
+    await assert_all_but_the_deposit_delivered(estate, told)
     assert min(c.begun for c in estate.partners[2].calls[1:]) > off
 
 
@@ -97,8 +97,8 @@
     estate.links.notes.append(note)
     await estate.start()
     await asyncio.wait_for(both.wait(), LIMIT)
-    told = await killed_amid_a_deposit(estate)
+    told = await kill_during_deposit(estate)
     # Its lease counts from before these requests; a majority without it is both other voters.
     ends = max(renewed.values()) + 3.0
-    await all_but_the_deposit_arrive(estate, told)
+    await assert_all_but_the_deposit_delivered(estate, told)
     assert min(c.begun for c in estate.partners[2].calls[1:]) >= ends
--- a/tests/federation/test_shared.py
+++ b/tests/federation/test_shared.py
@@ -34,7 +34,7 @@
     return run
 
 
-def told_of(kind):
+def has_finding(kind):
     """Return a predicate: the member has a finding of this kind, its own or another's."""
     return lambda told: any(n["kind"] == kind for n in told["shared"]["news"])
 
@@ -44,18 +44,18 @@
     partner, wait_s = estate.partners[1], 12.0
     partner.script.append(("wait", wait_s))
     clients = {name: await estate[name].client() for name in MACON}
-    await estate.taken_on(clients[MACON[0]], estate[MACON[0]], "first", 1, life=60_000)
+    await estate.put_until_accepted(clients[MACON[0]], estate[MACON[0]], "first", 1, life=60_000)
     await partner.until(lambda calls: calls and calls[0].ended < float("inf"), LIMIT)
-    await estate.until_told(MACON, lambda told: all(map(told_of("wait"), told)), LIMIT)
+    await estate.until_told(MACON, lambda told: all(map(has_finding("wait"), told)), LIMIT)
     assert now() < partner.calls[0].ended + wait_s
     for name in MACON:
-        await estate.taken_on(clients[name], estate[name], f"behind-{name[-1]}", 1, life=60_000)
+        await estate.put_until_accepted(clients[name], estate[name], f"behind-{name[-1]}", 1, life=60_000)
     await partner.until(lambda calls: sum(c.effect == RAN for c in calls) >= 3, LIMIT)
     early = [c for c in partner.calls[1:] if c.begun < partner.calls[0].ended + wait_s]
     assert early == [] and judge.judged(estate, [estate.table(1)]) == []
 
 
-async def one_tries(estate, names):
+async def one_prober(estate, names):
     """Return the prober of a partner with an outage, once only the prober calls it.
 
     Other members may have calls in flight when they start to hold off, and a member that stalls for the
@@ -90,14 +90,14 @@
             name: await feeds.enter_async_context(Traffic(estate, [name], [1], every_s=0.05))
             for name in MACON
         }
-        await asyncio.gather(*(t.until_taken(5, LIMIT) for t in traffic.values()))
+        await asyncio.gather(*(t.until_accepted(5, LIMIT) for t in traffic.values()))
         partner = estate.partners[1]
         partner.script += ["reset"] * 100_000
-        first = await one_tries(estate, MACON)
+        first = await one_prober(estate, MACON)
         rest = [name for name in MACON if name != first]
         await traffic[first].cancel()
         await estate[first].kill()
-        assert await one_tries(estate, rest) in rest
+        assert await one_prober(estate, rest) in rest
         at = now()
         partner.script.clear()
         await estate.until_told(rest, lambda told: not any(t["shared"]["held_back"] for t in told), LIMIT)
@@ -119,7 +119,7 @@
 
     partner._answer = answer
     async with Traffic(estate, MACON, [1], every_s=0.05) as traffic:
-        await estate.until_told(MACON[:1], lambda told: told_of("outage")(told[0]), LIMIT)
+        await estate.until_told(MACON[:1], lambda told: has_finding("outage")(told[0]), LIMIT)
         at = now()
         await partner.until(
             lambda calls: sum(c.begun > at and c.effect == RAN and c.member != MACON[0] for c in calls) > 30,
@@ -127,7 +127,7 @@
         )
         told = await asyncio.gather(*(estate[name].federation() for name in MACON))
         assert not any(t["shared"]["held_back"] for t in told)
-        await traffic.until_taken(1, LIMIT)
+        await traffic.until_accepted(1, LIMIT)
 
 
 @on_estate
--- a/tests/federation/test_steady_traffic.py
+++ b/tests/federation/test_steady_traffic.py
@@ -23,7 +23,7 @@
             await estate.start()
             tables, offered = [estate.table(1)], {}
             async with Traffic(estate, list(estate.members), list(PARTNERS), "season", 0.1) as traffic:
-                await traffic.until_taken(30, LIMIT)
+                await traffic.until_accepted(30, LIMIT)
                 for number, owners in enumerate(OWNERS, 2):
                     tables.append(estate.table(number, owners))
                     offered[number] = now()
--- a/tests/federation/test_turned_down.py
+++ b/tests/federation/test_turned_down.py
@@ -29,7 +29,7 @@
     return made
 
 
-async def turned_down(estate, table, others):
+async def until_rejected(estate, table, others):
     """Propose a table; return the error at the proposer once no member has any state of the table."""
     status, text = await estate[OFFERS].offer(table)
     assert status == 202, text
@@ -45,7 +45,7 @@
     return told["offered"][name]
 
 
-async def called_by(estate, number, site):
+async def until_called_by(estate, number, site):
     """Wait until the site begins another call to the partner."""
     at = now()
     await estate.partners[number].until(
@@ -53,13 +53,13 @@
     )
 
 
-async def agreed(estate, table):
+async def propose_again(estate, table):
     """Propose the table again and wait until it is in force; return the tables and proposal times."""
     offered = {2: now()}
     status, text = await estate[OFFERS].offer(table)
     assert status == 202, text
     await estate.until_in_force(2, LIMIT)
-    await called_by(estate, 2, "athens")
+    await until_called_by(estate, 2, "athens")
     return [estate.table(1), table], offered
 
 
@@ -71,15 +71,15 @@
     estate.render(athens)
     await athens.start()  # it uses the stored table
     async with Traffic(estate, list(estate.members), [1, 2, 3], every_s=0.1, life=8_000) as traffic:
-        await traffic.until_taken(9, LIMIT)
-        error = await turned_down(estate, table, list(estate.members))
+        await traffic.until_accepted(9, LIMIT)
+        error = await until_rejected(estate, table, list(estate.members))
         assert "(table-refused)" in error and "athens/m1" in error and "owners.2" in error, error
-        await called_by(estate, 2, "savannah")
+        await until_called_by(estate, 2, "savannah")
         before = len(athens.lines)
         estate.lacks.clear()
         estate.look(athens)
         await athens.until("partner list", LIMIT, after=before)
-        told = await agreed(estate, table)
+        told = await propose_again(estate, table)
     await estate.until_ended(LIMIT)
     assert judge.judged(estate, *told) == []
 
@@ -88,15 +88,15 @@
 async def test_a_site_that_is_dead_is_named_and_nothing_changes_without_it(estate):
     table, athens = estate.table(2, {2: "athens"}), estate["athens/m1"]
     async with Traffic(estate, ["macon/m1", "savannah/m1"], [1, 2], every_s=0.1, life=8_000) as traffic:
-        await traffic.until_taken(9, LIMIT)
+        await traffic.until_accepted(9, LIMIT)
         await athens.kill()
-        error = await turned_down(estate, table, ["macon/m1", "savannah/m1"])
+        error = await until_rejected(estate, table, ["macon/m1", "savannah/m1"])
         assert "(not-all-staged)" in error and "athens has not staged table 2" in error, error
         assert "athens/m1" in error
-        await called_by(estate, 2, "savannah")
+        await until_called_by(estate, 2, "savannah")
         await estate.start("athens/m1")
         assert (await athens.federation())["table"] == estate.table(1)
-        told = await agreed(estate, table)
+        told = await propose_again(estate, table)
     await estate.until_ended(LIMIT)
     assert judge.judged(estate, *told) == []
 
--- a/tests/federation/test_waits_pass_on.py
+++ b/tests/federation/test_waits_pass_on.py
@@ -23,7 +23,7 @@
     return run
 
 
-async def moved(estate, *more):
+async def move_to_athens(estate, *more):
     """Move partner 2, and `more`, to athens; return the tables, and when the second was proposed."""
     tables, offered = [estate.table(1), estate.table(2, dict.fromkeys((2, *more), "athens"))], {2: now()}
     status, text = await estate["macon/m1"].offer(tables[1])
@@ -38,12 +38,12 @@
     partner.script.append(("wait", wait_s))
     clients = {name: await member.client() for name, member in estate.members.items()}
     savannah = estate["savannah/m1"]
-    await estate.taken_on(clients["savannah/m1"], savannah, "first", 2, kind="unsafe", life=60_000)
+    await estate.put_until_accepted(clients["savannah/m1"], savannah, "first", 2, kind="unsafe", life=60_000)
     await partner.until(lambda calls: calls and calls[0].ended < float("inf"), LIMIT)
     for name, kind in (("macon/m1", "keyed"), ("athens/m1", "safe")):  # they are queued in savannah
-        await estate.taken_on(clients[name], estate[name], kind, 2, kind=kind, life=60_000)
+        await estate.put_until_accepted(clients[name], estate[name], kind, 2, kind=kind, life=60_000)
     await savannah.until_told(lambda told: told["custody"]["custody"] == 2, LIMIT)
-    tables, offered = await moved(estate)
+    tables, offered = await move_to_athens(estate)
     line = await estate["athens/m1"].until("destination 2 is served here", LIMIT)
     assert "1 waits" in line and now() < partner.calls[0].ended + wait_s
     await partner.until(lambda calls: sum(c.effect == RAN for c in calls) >= 2, LIMIT)
@@ -59,7 +59,7 @@
     """Submit `count` idempotent messages."""
     client = await estate[name].client()
     for n in range(start, start + count):
-        await estate.taken_on(client, estate[name], f"m{dest}-{n}", dest, life=60_000)
+        await estate.put_until_accepted(client, estate[name], f"m{dest}-{n}", dest, life=60_000)
 
 
 @on_estate
@@ -72,8 +72,8 @@
     await feed(estate, "savannah/m1", 2, 1)
     await partner.until(lambda _: len(partner.door_calls) == 1, LIMIT)
     partner.door_states[savannah.name] = "terminating"  # athens' list does not show it yet
-    await looks(estate, savannah)
-    await moved(estate, 3)
+    await reload_partner_list(estate, savannah)
+    await move_to_athens(estate, 3)
     for dest in (2, 3):
         await athens.until(f"destination {dest} is served here", LIMIT)
     client = await athens.client()
@@ -82,12 +82,12 @@
     await estate.partners[3].until(lambda calls: len(calls) == 3, LIMIT)  # submitted later and delivered
     assert len(partner.door_calls) == 1
     estate.per_s = 900  # a new version of its own list replaces the relayed drain
-    await looks(estate, athens)
+    await reload_partner_list(estate, athens)
     await feed(estate, "athens/m1", 2, 1, start=1)
     await partner.until(lambda _: any(c.body == b"m2-1 for 2" for c in partner.door_calls), LIMIT)
 
 
-async def looks(estate, member):
+async def reload_partner_list(estate, member):
     """Make the member read its changed partner list, and wait until it has."""
     before = len(member.lines)
     estate.look(member)
@@ -105,7 +105,7 @@
     await feed(estate, "savannah/m1", 2, 3)
     await feed(estate, "savannah/m1", 3, 3)
     await savannah.until("recovered: slow start", LIMIT)
-    tables, offered = await moved(estate, 3)
+    tables, offered = await move_to_athens(estate, 3)
     assert "cold" in await estate["athens/m1"].until("destination 2 is served here", LIMIT)
     assert "warm" in await estate["athens/m1"].until("destination 3 is served here", LIMIT)
     await asyncio.gather(*(feed(estate, "athens/m1", dest, 40, start=10) for dest in (2, 3)))
--- a/tests/federation/traffic.py
+++ b/tests/federation/traffic.py
@@ -5,7 +5,7 @@
 import asyncio
 import itertools
 
-ANSWERED_S = 15.0
+REPLY_S = 15.0
 _numbers = itertools.count(1)  # makes ids unique
 KINDS = ("safe", "keyed", "unsafe")
 
@@ -29,7 +29,7 @@
 
     async def __aexit__(self, *_):
         self.ended = True  # wait for open replies: a message may be accepted without a record otherwise
-        await asyncio.wait_for(asyncio.gather(*self.tasks), ANSWERED_S)
+        await asyncio.wait_for(asyncio.gather(*self.tasks), REPLY_S)
 
     async def cancel(self):
         """Stop submitting, before members are killed.
@@ -38,10 +38,10 @@
         submitted by no client. A dead member sends none.
         """
         self.ended = True
-        await asyncio.wait_for(asyncio.gather(*self.tasks, return_exceptions=True), ANSWERED_S)
+        await asyncio.wait_for(asyncio.gather(*self.tasks, return_exceptions=True), REPLY_S)
         self.tasks = []
 
-    async def until_taken(self, count, limit):
+    async def until_accepted(self, count, limit):
         """Wait until `count` more messages are accepted."""
 
         async def inner():
