--- a/madderbeam/host/changes/reading.py
+++ b/madderbeam/host/changes/reading.py
@@ -11,7 +11,7 @@
 from madderbeam.changes.records import Restored, restore
 from madderbeam.changes.values import DRAINING, Endpoint, Key, Snapshot, blank
 from madderbeam.config.platform import Config
-from madderbeam.host.federation.kept import DurableMap
+from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.policy.settings import DestinationKind, Idempotency, MessageClass, Settings, Tenant
 from madderbeam.ports import Ports
 
--- a/madderbeam/host/federation/calls.py
+++ b/madderbeam/host/federation/admin_calls.py
@@ -21,7 +21,7 @@
     Table,
     TableProposed,
 )
-from madderbeam.host.federation.shared import SiteSharing
+from madderbeam.host.federation.site_sharing import SiteSharing
 from madderbeam.host.host import Host
 from madderbeam.membership.membership import Membership
 from madderbeam.membership.values import MemberId, MemberView
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -31,13 +31,13 @@
     TableInForce,
 )
 from madderbeam.host.components import Component
-from madderbeam.host.federation.calls import AdminCalls, CallContext
+from madderbeam.host.federation.admin_calls import AdminCalls, CallContext
 from madderbeam.host.federation.custody import Custody
-from madderbeam.host.federation.kept import DurableMap
+from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.federation.publications import Publications
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.federation.serving import Serving
-from madderbeam.host.federation.shared import SiteSharing
+from madderbeam.host.federation.site_sharing import SiteSharing
 from madderbeam.host.host import Host
 from madderbeam.membership import messages as gossip
 from madderbeam.membership.incarnations import next_incarnation
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from madderbeam.host.federation.kept import DurableMap
+from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.host import Host
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.membership.values import Incarnation, LinkUp, MemberId, MessageReceived
--- a/madderbeam/host/federation/runner.py
+++ b/madderbeam/host/federation/runner.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from madderbeam.host.federation.kept import DurableMap
+from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.membership.values import LogLine, Persist, SetTimer, TimerDue, WriteFailed
 
 log = logging.getLogger(__name__)
--- a/madderbeam/host/federation/shared.py
+++ b/madderbeam/host/federation/site_sharing.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from madderbeam.federation.values import Table
-from madderbeam.host.federation.limits import LimitLeases
+from madderbeam.host.federation.limit_leases import LimitLeases
 from madderbeam.host.federation.serving import Serving
 from madderbeam.host.host import Host
 from madderbeam.membership.values import Incarnation, MemberId
--- a/madderbeam/host/standby/keeper.py
+++ b/madderbeam/host/standby/keeper.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from madderbeam.config.platform import Config
-from madderbeam.host.federation.kept import DurableMap
+from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.standby.copy import Copy
 from madderbeam.host.standby.shared import kept_folder, read_keys, settings, told
--- a/madderbeam/host/standby/primary.py
+++ b/madderbeam/host/standby/primary.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from madderbeam.host.components import Component
-from madderbeam.host.federation.kept import DurableMap
+from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.host import Host
 from madderbeam.host.standby.journal import ReplicatedJournal
 from madderbeam.host.standby.shared import Watched, kept_folder, read_keys, settings, told
--- a/madderbeam/host/standby/process.py
+++ b/madderbeam/host/standby/process.py
@@ -13,7 +13,7 @@
 from madderbeam.config.platform import Config
 from madderbeam.host import process
 from madderbeam.host.composition import assemble
-from madderbeam.host.federation.kept import DurableMap
+from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.standalone import STDIN, claim_resources, lock_folder
 from madderbeam.host.standby.copy import doubt
 from madderbeam.host.standby.keeper import Keeper
--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -17,7 +17,7 @@
 from swimnet import Net, Node, S
 
 from madderbeam.host.endpoint_registry import EndpointRegistry
-from madderbeam.host.federation.shared import SiteSharing
+from madderbeam.host.federation.site_sharing import SiteSharing
 from madderbeam.membership.settings import MembershipSettings as Times
 from madderbeam.membership.values import (
     Disseminate,
--- a/tests/shared/test_ended_lease.py
+++ b/tests/shared/test_ended_lease.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from madderbeam.host.federation.shared import SiteSharing
+from madderbeam.host.federation.site_sharing import SiteSharing
 
 
 def test_calls_are_not_written_until_the_engine_knows_that_the_lease_expired():
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -12,7 +12,7 @@
 from madderbeam.federation.values import DestinationReleased
 from madderbeam.host.federation import custody as host_custody
 from madderbeam.host.federation.component import FederationComponent
-from madderbeam.host.federation.kept import DurableMap
+from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.federation.publications import Publications
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.federation.serving import Serving
--- a/tests/simulation/planted_sharing.py
+++ b/tests/simulation/planted_sharing.py
@@ -4,7 +4,7 @@
 
 from planted import Bug
 
-from madderbeam.host.federation.shared import SiteSharing
+from madderbeam.host.federation.site_sharing import SiteSharing
 from madderbeam.shared import findings, partner_outages
 from madderbeam.shared.findings import FindingsBoard
 from madderbeam.shared.lease_holder import LeaseHolder
--- a/tests/standby/world.py
+++ b/tests/standby/world.py
@@ -13,7 +13,7 @@
 from collections import Counter, defaultdict
 from dataclasses import replace
 
-from madderbeam.host.federation.kept import DurableMap
+from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.standby.copy import Copy, doubt
 from madderbeam.host.standby.journal import ReplicatedJournal
