--- a/madderbeam/changes/__init__.py
+++ b/madderbeam/changes/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of a courier's configuration as transactions; pure (docs/design/changes.md)."""
+"""Transactional changes of a courier's configuration, free of I/O (docs/design/changes.md)."""
--- a/madderbeam/changes/check.py
+++ b/madderbeam/changes/check.py
@@ -1,7 +1,7 @@
-"""Whether a snapshot holds by itself, and whether a change may be made in a courier as it is now.
+"""Validates a snapshot by itself, and a change against the state of the running courier.
 
-`whole` has every rule of the estate's model that concerns more than one value (config/check.py and
-config/partners.py hold the same at render time). `live` has what only the running courier can tell.
+`validate` has every rule of the estate's model that spans several values (config/check.py and
+config/partners.py check the same rules at render time). `runtime_errors` checks the runtime state.
 """
 
 from __future__ import annotations
@@ -11,65 +11,70 @@
 from typing import Any
 
 from madderbeam.changes import errors
-from madderbeam.changes.document import some
+from madderbeam.changes.document import short_list
 from madderbeam.changes.values import READY, Change, Endpoint, Facts, Key, Settings, Snapshot
 
-MOST = {"class": 64, "tenant": 1_000, "kind": 64, "endpoint": 100_000, "pool": 10_000, "name": 10_000}
-WINDOW_SHARE = 0.75  # calls to one destination stay under this share of the slots
-HELD_BYTES = 700  # of disk that one held message takes at least
+MAX_ROWS = {"class": 64, "tenant": 1_000, "kind": 64, "endpoint": 100_000, "pool": 10_000, "name": 10_000}
+MAX_WINDOW_SHARE = 0.75  # of the call slots, for one destination
+MIN_PENDING_MESSAGE_BYTES = 700  # on disk
 
 
-def whole(snapshot: Snapshot, touched: Iterable[Key] = ()) -> list[errors.ChangeError]:
-    """All that is wrong with a snapshot. `touched`: the rows that are told of where two of them clash."""
-    found: list[errors.ChangeError] = []
-    keys = frozenset(touched)
-    for rule in (_sizes, _classes, _tenants, _limits, _routing, _quota):
-        found += rule(snapshot)
-    return [*found, *_endpoints(snapshot, keys)]
+def validate(snapshot: Snapshot, touched: Iterable[Key] = ()) -> list[errors.ChangeError]:
+    """Return all errors of a snapshot. `touched`: rows that an error names first where two rows conflict."""
+    found_errors: list[errors.ChangeError] = []
+    touched_keys = frozenset(touched)
+    for rule in (_check_sizes, _check_classes, _check_tenants, _check_limits, _check_routing, _check_quota):
+        found_errors += rule(snapshot)
+    return [*found_errors, *_check_endpoints(snapshot, touched_keys)]
 
 
-def _sizes(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
-    for section, most in MOST.items():
-        if len(snapshot.sections[section]) > most:
+def _check_sizes(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
+    for section, max_rows in MAX_ROWS.items():
+        if len(snapshot.sections[section]) > max_rows:
             yield errors.TooMany(
-                section, f"{len(snapshot.sections[section])} with those taken away", f"at most {most}"
+                section, f"{len(snapshot.sections[section])} with those taken away", f"at most {max_rows}"
             )
 
 
-def _endpoints(snapshot: Snapshot, touched: frozenset[Key]) -> Iterator[errors.ChangeError]:
-    kinds: dict[int, Endpoint] = {}
-    places: dict[str, Endpoint] = {}
-    known = frozenset(snapshot.names("kind"))
+def _check_endpoints(snapshot: Snapshot, touched: frozenset[Key]) -> Iterator[errors.ChangeError]:
+    first_by_dest: dict[int, Endpoint] = {}
+    first_by_address: dict[str, Endpoint] = {}
+    known_kinds = frozenset(snapshot.names("kind"))
     for row in snapshot.endpoints.values():
-        at = f"endpoint {row.uid}"
-        if row.kind not in known:
-            yield errors.Unknown(f"{at}.kind", f"no kind {row.kind!r}", some(known))
-        first = kinds.setdefault(row.dest, row)
-        if first.kind != row.kind:
-            mine, other = _told(first, row, touched)
+        path = f"endpoint {row.uid}"
+        if row.kind not in known_kinds:
+            yield errors.Unknown(f"{path}.kind", f"no kind {row.kind!r}", short_list(known_kinds))
+        same_dest = first_by_dest.setdefault(row.dest, row)
+        if same_dest.kind != row.kind:
+            reported, other = _reported_first(same_dest, row, touched)
             yield errors.Broken(
-                f"endpoint {mine.uid}.kind",
-                f"{mine.kind!r} where {other.uid} of the same destination {row.dest} is of {other.kind!r}",
+                f"endpoint {reported.uid}.kind",
+                f"{reported.kind!r} where {other.uid} of the same destination {row.dest} "
+                f"is of {other.kind!r}",
                 "one kind a destination",
             )
         if row.state != READY:
             continue
-        last = places.setdefault(row.address, row)
-        if last is not row:
-            mine, other = _told(last, row, touched)
+        same_address = first_by_address.setdefault(row.address, row)
+        if same_address is not row:
+            reported, other = _reported_first(same_address, row, touched)
             yield errors.Broken(
-                f"endpoint {mine.uid}.address",
+                f"endpoint {reported.uid}.address",
                 f"{other.uid} has the endpoint {row.address}",
                 "one endpoint in service an address",
             )
 
 
-def _told(a: Endpoint, b: Endpoint, touched: frozenset[Key]) -> tuple[Endpoint, Endpoint]:
-    """Which of two is to be told: the one that the change touches."""
-    return (a, b) if ("endpoint", a.uid) in touched and ("endpoint", b.uid) not in touched else (b, a)
+def _reported_first(first: Endpoint, second: Endpoint, touched: frozenset[Key]) -> tuple[Endpoint, Endpoint]:
+    """Return both rows, first the one that the error names: the one that the change touches."""
+    return (
+        (first, second)
+        if ("endpoint", first.uid) in touched and ("endpoint", second.uid) not in touched
+        else (second, first)
+    )
 
 
-def _classes(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
+def _check_classes(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
     names = snapshot.names("class")
     if not names:
         yield errors.Broken("classes", "none is left", "at least one")
@@ -95,38 +100,40 @@
             )
 
 
-def _tenants(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
-    shares = sum(snapshot.get(("tenant", name))["share"] for name in snapshot.names("tenant"))
-    if shares > 1 + 1e-9:
-        yield errors.Broken("tenants", f"shares add up to {shares:.1%}", "at most 100%")
+def _check_tenants(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
+    total_share = sum(snapshot.get(("tenant", name))["share"] for name in snapshot.names("tenant"))
+    if total_share > 1 + 1e-9:
+        yield errors.Broken("tenants", f"shares add up to {total_share:.1%}", "at most 100%")
 
 
-def _limits(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
-    limit: Mapping[str, Any] = dict(snapshot.sections["limit"].items())
+def _check_limits(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
+    limits: Mapping[str, Any] = dict(snapshot.sections["limit"].items())
     fixed: Mapping[str, Any] = dict(snapshot.sections["fixed"].items())
-    base, cap = limit.get("retry_base_ms", 0), limit.get("retry_cap_ms", 0)
-    if cap < base:
+    retry_base_ms, retry_cap_ms = limits.get("retry_base_ms", 0), limits.get("retry_cap_ms", 0)
+    if retry_cap_ms < retry_base_ms:
         yield errors.Broken(
-            "limits.retry_cap_ms", f"{cap} is under retry_base_ms {base}", "at least retry_base_ms"
+            "limits.retry_cap_ms",
+            f"{retry_cap_ms} is under retry_base_ms {retry_base_ms}",
+            "at least retry_base_ms",
         )
-    most = max(1, int(WINDOW_SHARE * fixed.get("slots", 1 << 20)))
-    if limit.get("window", 1) > most:
+    max_window = max(1, int(MAX_WINDOW_SHARE * fixed.get("slots", 1 << 20)))
+    if limits.get("window", 1) > max_window:
         yield errors.Broken(
             "limits.window",
-            f"{limit['window']} is over three quarters of {fixed['slots']} slots",
-            f"a whole number from 1 to {most}",
+            f"{limits['window']} is over three quarters of {fixed['slots']} slots",
+            f"a whole number from 1 to {max_window}",
         )
-    room = int(fixed.get("disk_bytes", 1 << 60) / HELD_BYTES)
-    if limit.get("max_held", 0) > room:
+    max_pending = int(fixed.get("disk_bytes", 1 << 60) / MIN_PENDING_MESSAGE_BYTES)
+    if limits.get("max_held", 0) > max_pending:
         yield errors.Broken(
             "limits.max_held",
-            f"{limit['max_held']} is more than the disk's limit has room for",
-            f"at most {room}, with bodies of no size",
+            f"{limits['max_held']} is more than the disk's limit has room for",
+            f"at most {max_pending}, with bodies of no size",
         )
 
 
-def routing(snapshot: Snapshot) -> dict[str, Any] | None:
-    """Pools, routes and names in routing's form; None where there are none."""
+def routing_config(snapshot: Snapshot) -> dict[str, Any] | None:
+    """Return pools, routes and names in the format of the routing package; None if there are none."""
     pools = dict(snapshot.sections["pool"].items())
     names = dict(snapshot.sections["name"].items())
     routes = snapshot.get(("whole", "routes"))
@@ -135,9 +142,9 @@
     return {"form": 1, "pools": pools, "names": names, "routes": list(routes or ())}
 
 
-def _routing(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
-    raw = routing(snapshot)
-    if raw is None:
+def _check_routing(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
+    config = routing_config(snapshot)
+    if config is None:
         return
     try:
         from madderbeam.routing.router import Router, RoutingError
@@ -147,44 +154,46 @@
         )
         return
     try:
-        Router(0).configure(raw)
+        Router(0).configure(config)
     except (RoutingError, ValueError, TypeError, KeyError, AttributeError) as error:
-        path, _, what = str(error).partition(": ")
-        yield errors.Broken(path, what or str(error), "see the page on routing")
+        path, _, reason = str(error).partition(": ")
+        yield errors.Broken(path, reason or str(error), "see the page on routing")
     dests = {row.dest for row in snapshot.endpoints.values()}
     for name, number in snapshot.sections["name"].items():
         if number not in dests:
             yield errors.Broken(
-                f"names.{name}", f"no endpoint is of destination {number}", some(map(str, dests))
+                f"names.{name}", f"no endpoint is of destination {number}", short_list(map(str, dests))
             )
 
 
-def _quota(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
-    raw = snapshot.get(("whole", "quota"))
-    if not raw:
+def _check_quota(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
+    config = snapshot.get(("whole", "quota"))
+    if not config:
         return
     from madderbeam.quota.admission import QuotaAdmission, QuotaError
 
     try:
-        QuotaAdmission(raw, 0, random.Random(0), 1)
-        nodes = list(raw["nodes"])
+        QuotaAdmission(config, 0, random.Random(0), 1)
+        nodes = list(config["nodes"])
     except QuotaError as error:
         yield errors.Broken("quota", str(error).removeprefix("quota: "), "a tree that adds up")
         return
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         yield errors.Broken("quota", f"can't be used: {error!r}", "a table with form, couriers and nodes")
         return
-    for n, node in enumerate(nodes):
-        for what, section in (("tenants", "tenant"), ("classes", "class")):
+    for number, node in enumerate(nodes):
+        for table, section in (("tenants", "tenant"), ("classes", "class")):
             known = snapshot.names(section)
-            for name in node.get(what, ()):
+            for name in node.get(table, ()):
                 if name not in known:
-                    yield errors.Unknown(f"quota.nodes[{n}].{what}", f"no {section} {name!r}", some(known))
+                    yield errors.Unknown(
+                        f"quota.nodes[{number}].{table}", f"no {section} {name!r}", short_list(known)
+                    )
 
 
-def bound(on: Snapshot, change: Change) -> Iterator[errors.ChangeError]:
-    """What this courier can't change while it runs."""
-    if on.get(("fixed", "kafka")):
+def restart_errors(snapshot: Snapshot, change: Change) -> Iterator[errors.ChangeError]:
+    """Yield errors for settings that this courier can't change while it runs."""
+    if snapshot.get(("fixed", "kafka")):
         for section, name in change.ops:
             if section in ("class", "tenant"):
                 yield errors.NeedsRestart(
@@ -192,62 +201,71 @@
                     "Kafka clients have been told the classes and tenants",
                     "a courier with no Kafka front",
                 )
-    if on.get(("fixed", "share")) and ("whole", "quota") in change.ops:
+    if snapshot.get(("fixed", "share")) and ("whole", "quota") in change.ops:
         yield errors.NeedsRestart("quota", "the site's couriers share it", "a courier that shares nothing")
 
 
-# What only the running courier knows
+# Runtime state
 
 
-def _serving(snapshot: Snapshot) -> tuple[dict[int, int], set[int]]:
-    """Endpoints in service by destination, and all destinations."""
-    ready: dict[int, int] = {}
+def _ready_counts(snapshot: Snapshot) -> tuple[dict[int, int], set[int]]:
+    """Return the count of endpoints in service by destination, and all destinations."""
+    ready_by_dest: dict[int, int] = {}
     dests = set()
     for row in snapshot.endpoints.values():
         dests.add(row.dest)
         if row.state == READY:
-            ready[row.dest] = ready.get(row.dest, 0) + 1
-    return ready, dests
+            ready_by_dest[row.dest] = ready_by_dest.get(row.dest, 0) + 1
+    return ready_by_dest, dests
 
 
-def live(
-    before: Snapshot, after: Snapshot, change: Change, facts: Facts, settings: Settings
+def runtime_errors(
+    before: Snapshot, after: Snapshot, change: Change, runtime_state: Facts, settings: Settings
 ) -> list[errors.LiveError]:
-    """What stands against the change now, but for what its author has accepted."""
-    return [e for e in _live(before, after, change, facts, settings) if e.code not in change.accept]
+    """Return the conflicts with the runtime state, without those that the change accepts."""
+    return [
+        error
+        for error in _all_runtime_errors(before, after, change, runtime_state, settings)
+        if error.code not in change.accepted_codes
+    ]
 
 
-def _live(
-    before: Snapshot, after: Snapshot, change: Change, facts: Facts, settings: Settings
+def _all_runtime_errors(
+    before: Snapshot, after: Snapshot, change: Change, runtime_state: Facts, settings: Settings
 ) -> Iterator[errors.LiveError]:
-    touched = {
+    touched_dests = {
         row.dest
         for key in change.keys
         if key[0] == "endpoint"
         for row in (before.get(key), after.get(key))
         if row is not None
     }
-    if not touched:
+    if not touched_dests:
         return
-    had, _ = _serving(before)
-    has, dests = _serving(after)
-    for dest in sorted(touched):
-        held, out = facts.held.get(dest, 0), facts.out.get(dest, 0)
-        if dest not in dests and (held or out):
+    ready_before, _ = _ready_counts(before)
+    ready_after, dests = _ready_counts(after)
+    for dest in sorted(touched_dests):
+        pending, in_flight = runtime_state.pending.get(dest, 0), runtime_state.in_flight.get(dest, 0)
+        if dest not in dests and (pending or in_flight):
             yield errors.Orphans(
                 f"destination {dest}",
-                f"would go with {held} messages held and {out} calls out",
+                f"would go with {pending} messages held and {in_flight} calls out",
                 "a destination for which nothing is held",
             )
-        elif dest in dests and not has.get(dest) and had.get(dest) and (held or out):
+        elif (
+            dest in dests and not ready_after.get(dest) and ready_before.get(dest) and (pending or in_flight)
+        ):
             yield errors.NothingReady(
                 f"destination {dest}",
-                f"no endpoint would be in service, with {held} messages held and {out} calls out",
+                f"no endpoint would be in service, with {pending} messages held and {in_flight} calls out",
                 "one in service, at least",
             )
-        elif out and has.get(dest, 0) < settings.left_share * min(had.get(dest, 0), out):
+        elif in_flight and ready_after.get(dest, 0) < settings.left_share * min(
+            ready_before.get(dest, 0), in_flight
+        ):
             yield errors.LittleLeft(
                 f"destination {dest}",
-                f"{has.get(dest, 0)} of {had[dest]} endpoints would be in service, with {out} calls out",
+                f"{ready_after.get(dest, 0)} of {ready_before[dest]} endpoints would be in service, "
+                f"with {in_flight} calls out",
                 f"at least {settings.left_share:.0%} of them",
             )
--- a/madderbeam/changes/drains.py
+++ b/madderbeam/changes/drains.py
@@ -1,5 +1,5 @@
-"""When each drain was heard, and until when it holds: for its time, whatever becomes of the change that
-brought it."""
+"""Tracks when each drain began and when it expires. A drain lasts its full time even if the change that
+started it is rolled back."""
 
 from __future__ import annotations
 
@@ -7,66 +7,75 @@
 
 from madderbeam.changes.values import DRAINING, READY, Snapshot
 
-LEFT_MOST = 4096  # ids that have left, the newest
+MAX_REMOVED_IDS = 4096  # the newest are kept
 
 
 class Drains:
-    """Ids that drain, by when that was heard first (the machine's microseconds)."""
+    """Endpoint ids that drain, by the time the drain began in microseconds of the state machine's clock."""
 
     def __init__(self, hold_us: int) -> None:
         self.hold_us = hold_us
         self.heard: dict[str, int] = {}
-        self.left: dict[str, None] = {}  # ids that were taken away: they come back as returning ones
+        self.removed: dict[str, None] = {}  # ids that recover with slow start if they return
 
-    def changed(
+    def snapshot_changed(
         self, now_us: int, before: Snapshot, after: Snapshot, uids: Iterable[str]
     ) -> tuple[frozenset[str], frozenset[str]]:
-        """A snapshot comes into force that differs in these: which are back and held back until their drain
-        is over, and which come in cold. The clock of a drain that was heard before goes on."""
-        held, cold = set(), set()
+        """Track a new active snapshot that differs in these ids. Returns the ids in service again that still
+        drain until their drain expires, and those that recover with slow start. A drain that began before
+        keeps its start time."""
+        still_draining, slow_starting = set(), set()
         for uid in uids:
             old, new = before.get(("endpoint", uid)), after.get(("endpoint", uid))
             if new is None:
                 if old is not None:
-                    self.left.pop(uid, None)
-                    self.left[uid] = None
-                if not self.holds(uid, now_us):
+                    self.removed.pop(uid, None)
+                    self.removed[uid] = None
+                if not self.is_held(uid, now_us):
                     self.heard.pop(uid, None)
                 continue
             if new.state == DRAINING:
                 self.heard.setdefault(uid, now_us)
-            elif self.holds(uid, now_us):
-                held.add(uid)
-            elif uid in self.heard or uid in self.left or (old is not None and old.state == DRAINING):
-                cold.add(uid)
-                self.over(uid)
-        while len(self.left) > LEFT_MOST:
-            del self.left[next(iter(self.left))]
-        return frozenset(held), frozenset(cold)
+            elif self.is_held(uid, now_us):
+                still_draining.add(uid)
+            elif uid in self.heard or uid in self.removed or (old is not None and old.state == DRAINING):
+                slow_starting.add(uid)
+                self.forget(uid)
+        while len(self.removed) > MAX_REMOVED_IDS:
+            del self.removed[next(iter(self.removed))]
+        return frozenset(still_draining), frozenset(slow_starting)
 
-    def holds(self, uid: str, now_us: int) -> bool:
-        """Nothing new goes there, also if the list has it in service."""
+    def is_held(self, uid: str, now_us: int) -> bool:
+        """Whether an endpoint still drains, which it does also if the snapshot has it in service."""
         return uid in self.heard and now_us < self.heard[uid] + self.hold_us
 
-    def due(self, now_us: int, snapshot: Snapshot) -> tuple[list[str], list[str]]:
-        """Those whose time is over: ids in service, which come in cold now, and ids that have gone."""
-        back, gone = [], []
-        for uid in [u for u, at in self.heard.items() if now_us >= at + self.hold_us]:
+    def expired(self, now_us: int, snapshot: Snapshot) -> tuple[list[str], list[str]]:
+        """Forget expired drains. Returns the ids in service, which now recover, and the removed ids."""
+        returned, removed = [], []
+        for uid in [
+            heard_uid for heard_uid, began_at_us in self.heard.items() if now_us >= began_at_us + self.hold_us
+        ]:
             row = snapshot.get(("endpoint", uid))
             if row is None:
                 del self.heard[uid]
-                gone.append(uid)
+                removed.append(uid)
             elif row.state == READY:
-                self.over(uid)
-                back.append(uid)
-        return back, gone
+                self.forget(uid)
+                returned.append(uid)
+        return returned, removed
 
-    def over(self, uid: str) -> None:
+    def forget(self, uid: str) -> None:
+        """Forget the drain and the removal of an endpoint."""
         self.heard.pop(uid, None)
-        self.left.pop(uid, None)
+        self.removed.pop(uid, None)
 
-    def next_us(self, now_us: int) -> int | None:
-        """When the next drain's time is over."""
+    def next_expiry_us(self, now_us: int) -> int | None:
+        """Return when the next drain expires, None if none runs."""
         return min(
-            (at + self.hold_us for at in self.heard.values() if at + self.hold_us > now_us), default=None
+            (
+                began_at_us + self.hold_us
+                for began_at_us in self.heard.values()
+                if began_at_us + self.hold_us > now_us
+            ),
+            default=None,
         )
--- a/madderbeam/changes/errors.py
+++ b/madderbeam/changes/errors.py
@@ -1,14 +1,14 @@
-"""What can be wrong with a change: each mistake has a stable code, where it stands, what is allowed there,
-and what an operator can do.
+"""Errors of a change. Each has a stable code, the path of the faulty value, the allowed values and advice for
+the operator.
 
-All mistakes of a change are told at once, a line each, so that it is mended once.
+All errors of a change are reported together, one line each, so that one correction fixes them all.
 """
 
 from __future__ import annotations
 
 
 class ChangeError(Exception):
-    """One mistake. `path`: where in the change; `allowed`: what may stand there."""
+    """One error. `path`: its place in the change; `allowed`: the values allowed there."""
 
     code = "change"
     advice = ""
@@ -18,7 +18,7 @@
         self.path, self.wrong, self.allowed = path, wrong, allowed
 
     def line(self) -> str:
-        """As it is logged and answered."""
+        """Return the line that is logged and sent to the operator."""
         return f"{self.path}: {self.wrong}; allowed: {self.allowed} ({self.code}: {self.advice})"
 
     def __eq__(self, other: object) -> bool:
@@ -28,115 +28,115 @@
         return hash(self.line())
 
 
-# Of the document
+# In the document
 
 
 class Unreadable(ChangeError):
-    """A document, a field or a value that can't be one of a change."""
+    """An invalid document, field or value."""
 
     code = "unreadable"
     advice = "correct the field named here and hand the change in again"
 
 
 class Unknown(ChangeError):
-    """The change names something that is not there."""
+    """The change refers to something that does not exist."""
 
     code = "unknown"
     advice = "correct the name, or add what is meant in the same change"
 
 
 class Exists(ChangeError):
-    """The change adds something that is there already."""
+    """The change adds something that already exists."""
 
     code = "exists"
     advice = "edit it in place of adding it, or choose another name"
 
 
-# Of the snapshot that it would make
+# In the resulting snapshot
 
 
 class Broken(ChangeError):
-    """The configuration as it would be breaks a rule of the model."""
+    """The resulting configuration breaks a rule of the model."""
 
     code = "broken-rule"
     advice = "correct the value named here, or change the others that it does not go with as well"
 
 
 class NeedsRestart(ChangeError):
-    """A setting that a running courier can't change."""
+    """The change touches a setting that a running courier can't change."""
 
     code = "needs-restart"
     advice = "put it into the estate's file, render it, and start the courier anew"
 
 
 class TooMany(ChangeError):
-    """More of something than a courier keeps."""
+    """More rows in a section than a courier allows."""
 
     code = "too-many"
     advice = "take away what is not used, or start the courier anew, which forgets what has been taken away"
 
 
-# Of what only the running courier knows
+# In the runtime state
 
 
 class LiveError(ChangeError):
-    """What is so now and may be otherwise later. A change that names the code in `accept` passes."""
+    """A conflict with the current runtime state. A change that lists the code in `accept` overrides it."""
 
 
 class NothingReady(LiveError):
-    """A destination that has messages would be left with no endpoint in service."""
+    """A destination with pending messages would have no endpoint in service."""
 
     code = "nothing-ready"
     advice = "add an endpoint first, wait until nothing is held for it, or accept this code in the change"
 
 
 class Orphans(LiveError):
-    """A destination would go altogether, with messages held for it: each ends unsent."""
+    """A destination with pending messages would be removed; each of them would complete unsent."""
 
     code = "orphans"
     advice = "wait until nothing is held for it, or accept this code in the change: they are handed back"
 
 
 class LittleLeft(LiveError):
-    """Less of a destination's endpoints would be left than carry what is under way there."""
+    """Too few of a destination's endpoints would remain for its calls in flight."""
 
     code = "little-left"
     advice = "take away fewer at a time, or accept this code in the change"
 
 
-# Of its place among others
+# In relation to other changes
 
 
 class Stale(ChangeError):
-    """It builds on a version in which what it touches was otherwise."""
+    """The rows that the change touches have changed since its base version."""
 
     code = "stale"
     advice = "look at what is in force now, and write the change anew on that version"
 
 
 class BuiltUpon(ChangeError):
-    """A later change touched the same: to undo this one would undo a part of that."""
+    """A later change touched the same rows, so a rollback of this one would partly revert that one."""
 
     code = "built-upon"
     advice = "undo the later ones first, the newest at the beginning"
 
 
 class Twice(ChangeError):
-    """A change of this name is known already."""
+    """A change with this name already exists."""
 
     code = "twice"
     advice = "if it is another change give it another name; `change history` tells what became of the first"
 
 
 class Full(ChangeError):
-    """As many changes wait as may."""
+    """The queue of staged changes is full."""
 
     code = "queue-full"
     advice = "wait until one is kept or undone, or drop one with `change undo NAME`"
 
 
 class NotKept(ChangeError):
-    """The disk did not take the record, so that the change is not in force."""
+    """The record could not be written to disk, so the change is not active."""
 
     code = "not-kept"
     advice = "make room on the disk beside the state folder and hand the change in again"
--- a/madderbeam/changes/events.py
+++ b/madderbeam/changes/events.py
@@ -1,5 +1,5 @@
-"""What the machine is told, and what it has carried out. Records, timers and lines for the log are those that
-all machines have (membership/values.py)."""
+"""The events that the state machine takes and the actions that it returns. Records, timers and log lines are
+those that all state machines share (membership/values.py)."""
 
 from __future__ import annotations
 
@@ -12,90 +12,91 @@
 
 @dataclass(frozen=True)
 class Offered:
-    """A change is handed in: to wait for a word, or (`go`) to come into force as soon as may be."""
+    """A change was submitted: staged until approved, or with `approved` set, applied as soon as possible."""
 
     change: Change
-    facts: Facts
-    go: bool = True
+    runtime_state: Facts
+    approved: bool = True
 
 
 @dataclass(frozen=True)
-class Go:
-    """The word for a change that was staged."""
+class ChangeApproved:
+    """A staged change may be applied."""
 
     id: str
-    facts: Facts
+    runtime_state: Facts
 
 
 @dataclass(frozen=True)
-class Dropped:
-    """A change that waits is not wanted any more."""
+class ChangeDropped:
+    """A staged change was withdrawn."""
 
     id: str
 
 
 @dataclass(frozen=True)
-class TrialStopped:
-    """An operator undoes what is on trial."""
+class RollbackRequested:
+    """An operator rolls back a change in its canary period."""
 
     id: str
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True)
 class Seen:
-    """What is so now, as was asked by `Look`."""
+    """The runtime state that an action requested."""
 
-    facts: Facts
+    runtime_state: Facts
 
 
 @dataclass(frozen=True)
-class FileSeen:
-    """This file has been taken up, or turned down for good: it is offered again only once it has changed."""
+class FileProcessed:
+    """This file was submitted, or rejected for good: it is read again only after it has changed."""
 
     digest: str
     snapshot: Snapshot
 
 
 @dataclass(frozen=True)
-class Failed:
-    """The courier could not bring a version into force."""
+class ApplyFailed:
+    """The courier failed to apply a version."""
 
     version: int
-    why: str
+    reason: str
 
 
 # Actions
 
 
 @dataclass(frozen=True)
-class Look:
-    """Tell `Seen`."""
+class RequestRuntimeState:
+    """Request the runtime state."""
 
 
 @dataclass(frozen=True)
 class Apply:
-    """Bring this into force at one turn's edge. `held`: ids that are in service there and whose drain still
-    holds; `cold`: ids that come in as returning ones. `trial`: what differs is on trial from now on."""
+    """Activate a snapshot between two dispatch cycles. `held_draining`: ids in service there whose earlier
+    drain has not expired; `slow_starting`: ids that recover with slow start; `trial`: a canary period begins.
+    """
 
     before: Snapshot
     after: Snapshot
-    held: frozenset[str] = frozenset()
-    cold: frozenset[str] = frozenset()
+    held_draining: frozenset[str] = frozenset()
+    slow_starting: frozenset[str] = frozenset()
     trial: bool = False
 
 
 @dataclass(frozen=True)
 class Readmit:
-    """The drains of these are over: they come in as returning ones."""
+    """The drains of these endpoints have expired: they recover with slow start."""
 
     uids: tuple[str, ...]
 
 
 @dataclass(frozen=True)
-class Settled:
-    """What became of a change."""
+class ChangeCompleted:
+    """A change has ended, with its outcome."""
 
     id: str
-    what: str
-    why: str
+    result: str
+    reason: str
--- a/madderbeam/changes/fields.py
+++ b/madderbeam/changes/fields.py
@@ -1,5 +1,5 @@
-"""Each field that a change may set: what is allowed, and its default. The bounds are those of the estate's
-model (config/model.py), which a running courier does not import; a test holds the two together."""
+"""The fields that a change may set, with allowed values and defaults. The bounds are those of the estate's
+model (config/model.py), which a running courier does not import; a test compares the two."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-TOPIC = re.compile(r"[A-Za-z0-9._-]{1,249}")
-NEEDED = object()  # no default: it must be given
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+TOPIC_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,249}")
+REQUIRED = object()  # a default that marks a required field
 
 
-class Wrong(ValueError):
-    """A value that can't be; `allowed` says what can."""
+class InvalidValue(ValueError):
+    """An invalid value; `allowed` describes the valid ones."""
 
     def __init__(self, value: Any, allowed: str) -> None:
         super().__init__(f"can't be {value!r:.80}")
@@ -23,22 +23,23 @@
 
 @dataclass(frozen=True)
 class Field:
-    """One field. `kind`: whole, number, above (a number above `least`), choice, flag, name, topic, text,
+    """One field. `kind`: whole, number, above (a number above `minimum`), choice, flag, name, topic, text,
     address, uid, names."""
 
     kind: str
-    least: float = 0
-    most: float = 0
-    default: Any = NEEDED
+    minimum: float = 0
+    maximum: float = 0
+    default: Any = REQUIRED
     choices: tuple[str, ...] = ()
 
     @property
     def allowed(self) -> str:
+        """Describes the valid values, for error messages."""
         if self.kind in ("whole", "number"):
-            word = "a whole number" if self.kind == "whole" else "a number"
-            return f"{word} from {self.least:.15g} to {self.most:.15g}"
+            type_name = "a whole number" if self.kind == "whole" else "a number"
+            return f"{type_name} from {self.minimum:.15g} to {self.maximum:.15g}"
         if self.kind == "above":
-            return f"a number above {self.least:g}, at most {self.most:g}"
+            return f"a number above {self.minimum:g}, at most {self.maximum:g}"
         return {
             "choice": ", ".join(self.choices),
             "flag": "true or false",
@@ -49,54 +50,56 @@
         }.get(self.kind, "a name of letters, digits, '.', '_', '-' with at most 64 characters")
 
     def read(self, value: Any) -> Any:
-        """The value; Wrong if it can't be one."""
-        if not self._fits(value):
-            raise Wrong(value, self.allowed)
+        """Return the value, converted; raises InvalidValue if it is invalid."""
+        if not self._is_valid(value):
+            raise InvalidValue(value, self.allowed)
         if self.kind in ("number", "above"):
             return float(value)
         return tuple(value) if self.kind == "names" else value
 
-    def _fits(self, value: Any) -> bool:
+    def _is_valid(self, value: Any) -> bool:
         kind = self.kind
         if kind in ("whole", "number", "above"):
             if isinstance(value, bool) or not isinstance(value, int if kind == "whole" else (int, float)):
                 return False
-            return (value > self.least if kind == "above" else value >= self.least) and value <= self.most
+            return (
+                value > self.minimum if kind == "above" else value >= self.minimum
+            ) and value <= self.maximum
         if kind == "flag":
             return isinstance(value, bool)
         if kind == "names":
             return (
                 isinstance(value, (list, tuple))
                 and len(value) <= 1000
-                and all(isinstance(v, str) and NAME.fullmatch(v) for v in value)
+                and all(isinstance(element, str) and NAME_PATTERN.fullmatch(element) for element in value)
             )
         if not isinstance(value, str):
             return False
         if kind == "choice":
             return value in self.choices
         if kind == "address":
-            return address(value) is not None
+            return parse_address(value) is not None
         if kind == "uid":
             return 0 < len(value) <= 300
         if kind == "topic":
-            return value == "" or TOPIC.fullmatch(value) is not None
-        return NAME.fullmatch(value) is not None
+            return value == "" or TOPIC_PATTERN.fullmatch(value) is not None
+        return NAME_PATTERN.fullmatch(value) is not None
 
 
-def address(text: str) -> tuple[str, int] | None:
-    """HOST:PORT; None if it is none."""
+def parse_address(text: str) -> tuple[str, int] | None:
+    """Split HOST:PORT; returns None if the text has another format."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 1 <= int(port) <= 65535:
         return None
     return host.strip("[]"), int(port)
 
 
-DAY = 86_400_000
+DAY_MS = 86_400_000
 CLASS = {
-    "wanted_ms": Field("whole", 1, DAY),
-    "deadline_ms": Field("whole", 1, DAY),
+    "wanted_ms": Field("whole", 1, DAY_MS),
+    "deadline_ms": Field("whole", 1, DAY_MS),
     "repeat": Field("choice", default="unsafe", choices=("safe", "keyed", "unsafe")),
-    "key_window_ms": Field("whole", 0, DAY, 0),
+    "key_window_ms": Field("whole", 0, DAY_MS, 0),
     "key_scope": Field("choice", default="all", choices=("all", "zone")),
     "worth": Field("number", 0, 1e6, 1.0),
     "late_share": Field("number", 0, 1, 0.0),
--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -1,14 +1,15 @@
-"""The stages of changes: checked, staged, on trial, kept or undone. `handle(now_us, event) -> actions`.
+"""The state machine of changes: `handle(now_us, event) -> actions`.
 
-Changes that touch nothing in common are on trial together, as parts of one: each has its own time, is
-watched by itself and undone alone. One that touches what is on trial waits for that trial's end. Each is
-checked as it is handed in and again as its turn comes, against the snapshot that it makes of the one in force
-then: what was right as it was handed in may be wrong by then.
+A change is checked, staged, active for a canary period, and then kept or rolled back.
 
-What comes into force does so in a list of actions that begins with its record, so that a disk that takes
-nothing leaves all as it was. What only takes back, an undo or a drain, is done all the same then, and
-recorded once the disk takes it. One change comes into force by one event; the machine asks for a look where
-more is to be done.
+Changes that touch disjoint rows run their canary periods concurrently; each has its own period, is observed
+and rolled back by itself. A change that touches rows of a running canary waits until that has ended. Each
+change is checked when it is submitted and again when its turn comes, against the snapshot that results from
+the one active then, since a valid change may have become invalid in between.
+
+The actions that activate a change begin with its record, so if the disk rejects the write nothing changes. A
+rollback or a drain is carried out even then, and recorded once the disk accepts writes again. One event
+activates at most one change; the machine requests the runtime state again where more is left to do.
 """
 
 from __future__ import annotations
@@ -18,277 +19,327 @@
 from typing import Any
 
 from madderbeam.changes import errors
-from madderbeam.changes.check import bound, live, whole
+from madderbeam.changes.check import restart_errors, runtime_errors, validate
 from madderbeam.changes.drains import Drains
 from madderbeam.changes.events import (
     Apply,
-    Dropped,
-    Failed,
-    FileSeen,
-    Go,
-    Look,
+    ApplyFailed,
+    ChangeApproved,
+    ChangeCompleted,
+    ChangeDropped,
+    FileProcessed,
     Offered,
     Readmit,
+    RequestRuntimeState,
+    RollbackRequested,
     Seen,
-    Settled,
-    TrialStopped,
 )
-from madderbeam.changes.making import inverse_of, made, undoing
+from madderbeam.changes.making import inverse_of_rows, made, rollback_change
 from madderbeam.changes.records import (
-    Back,
     Outcome,
     Restored,
-    Staged,
-    base_rows,
-    change_row,
-    ops_row,
-    raw_difference,
-    rows_row,
-    trial_row,
+    RollbackRecord,
+    StagedChange,
+    base_records,
+    changed_rows,
+    encode_canary,
+    encode_change,
+    encode_ops,
+    encode_rows,
 )
-from madderbeam.changes.trial import Trial
-from madderbeam.changes.values import DRAINING, NUMBERED, Change, Facts, Key, Settings, Snapshot
+from madderbeam.changes.trial import Canary
+from madderbeam.changes.values import DRAINING, NUMBERED_SECTIONS, Change, Facts, Key, Settings, Snapshot
 from madderbeam.membership.values import LogLine, Persist, SetTimer, TimerDue, WriteFailed
 
-BACK_MOST = 16  # versions that can be undone
-CHAIN_MOST = 32  # records above a base: then it is written anew
-AGAIN_US = 1_000_000  # what the disk did not take is tried again after this
-LOOK, DRAIN, AGAIN = "look", "drain", "again"
+MAX_ROLLBACK_RECORDS = 16
+MAX_RECORDS_ABOVE_BASE = 32  # beyond this the base is rewritten
+WRITE_RETRY_US = 1_000_000  # after a rejected write
+OBSERVE_TIMER, DRAIN_TIMER, WRITE_RETRY_TIMER = "look", "drain", "again"
 
 
-def in_force(r: Restored) -> Snapshot:
-    """What a courier that starts from these records has in force."""
-    return composed(r.snapshot, r.trials, r.version)
+def active_snapshot(restored: Restored) -> Snapshot:
+    """Return the snapshot that is active on a courier that starts from these records."""
+    return compose(restored.snapshot, restored.canaries, restored.version)
 
 
-def composed(kept: Snapshot, trials: Iterable[Trial], version: int) -> Snapshot:
-    """What is kept with what is on trial."""
+def compose(committed: Snapshot, canaries: Iterable[Canary], version: int) -> Snapshot:
+    """Return the committed snapshot with the rows of the canaries applied."""
     rows: dict[Key, Any] = {}
-    for trial in trials:
-        rows |= trial.after
-    return kept.with_rows(rows, version)
+    for canary in canaries:
+        rows |= canary.after
+    return committed.with_rows(rows, version)
 
 
 class Changes:
-    """All of one courier's changes. `wall_ms` gives the wall time of the machine's."""
+    """All changes of one courier. `to_wall_ms` converts the clock of the state machine to wall time in ms."""
 
     def __init__(
         self,
         settings: Settings,
         restored: Restored,
-        wall_ms: Callable[[int], int],
-        fixed: Mapping[Key, Any] | None = None,
+        to_wall_ms: Callable[[int], int],
+        fixed_rows: Mapping[Key, Any] | None = None,
     ) -> None:
-        """`fixed`: rows that are the file's alone, whatever was kept."""
-        self.s, self.wall_ms, self.fixed = settings, wall_ms, fixed or {}
-        self.kept = self._with_fixed(restored.snapshot)
-        self.trials = list(restored.trials)  # in the order in which they began; they touch nothing in common
-        self.version = restored.version  # the newest that was ever in force
-        self.current = composed(self.kept, self.trials, self.version)
-        self.gen, self.parts = restored.gen, restored.parts
-        self.base, self.chain = restored.base, restored.chain  # chain: records so far
+        """`fixed_rows`: rows that always come from the file, whatever was committed."""
+        self.settings, self.to_wall_ms, self.fixed_rows = settings, to_wall_ms, fixed_rows or {}
+        self.committed = self._with_fixed(restored.snapshot)
+        self.trials = list(restored.canaries)  # in the order of their start; they touch disjoint rows
+        self.version = restored.version  # the newest ever active
+        self.current = compose(self.committed, self.trials, self.version)
+        self.generation, self.part_count = restored.generation, restored.part_count
+        self.base_record, self.last_record = restored.base_record, restored.last_record
         self.staged = list(restored.staged)
-        self.past = dict(sorted(restored.past.items()))
-        self.back = dict(sorted(restored.back.items()))
-        self.file = restored.file and (restored.file[0], self._with_fixed(restored.file[1]))
+        self.past = dict(sorted(restored.outcomes.items()))
+        self.rollbacks = dict(sorted(restored.rollbacks.items()))
+        self.processed_file = restored.processed_file and (
+            restored.processed_file[0],
+            self._with_fixed(restored.processed_file[1]),
+        )
         self.drains = Drains(settings.drain_ms * 1000)
-        self.unwritten = False  # the disk lacks something of what is kept
+        self.has_unwritten = False  # the disk lacks some of the committed state
         self.actions: list[Any] = []
-        self._back: tuple[str, list[Any]] | None = None  # the record of what takes back, and what that does
-        self._beginning: tuple[Trial, Snapshot, dict[str, int], dict[str, None]] | None = None
-        self._drained = restored.drains
+        # The key of the record, and the actions to carry out even if that can't be written.
+        self._rollback_in_progress: tuple[str, list[Any]] | None = None
+        self._starting: tuple[Canary, Snapshot, dict[str, int], dict[str, None]] | None = None
+        self._restored_drains = restored.drain_heard_at_ms
 
     def _with_fixed(self, snapshot: Snapshot) -> Snapshot:
-        return snapshot.with_rows(self.fixed, snapshot.version) if self.fixed else snapshot
+        return snapshot.with_rows(self.fixed_rows, snapshot.version) if self.fixed_rows else snapshot
 
     # Start
 
     def start(self, now_us: int) -> list[Any]:
-        """Go on from what was kept; a trial begins anew, since nobody has looked at it meanwhile. What it has
-        in force is to be brought into force before, with those whose drains were kept as draining."""
+        """Resume from the restored state; canary periods restart, since none was observed meanwhile. The
+        caller must have activated the current snapshot, with the endpoints of recorded drains draining."""
         self.actions = []
-        for uid, at_ms in self._drained.items():
-            self.drains.heard[uid] = now_us - max(0, self.wall_ms(now_us) - at_ms) * 1000
+        for uid, began_at_ms in self._restored_drains.items():
+            self.drains.heard[uid] = now_us - max(0, self.to_wall_ms(now_us) - began_at_ms) * 1000
         for uid, row in self.current.endpoints.items():
             if row.state == DRAINING:
                 self.drains.heard.setdefault(uid, now_us)
-        if not self.gen:
+        if not self.generation:
             self._write_base()
-        for trial in self.trials:
-            trial.again(now_us, now_us + self._trial_us(trial.change))
-            self._note(f"{trial.id} (version {trial.version}) is on trial again after a restart")
-        if self.trials or any(s.go for s in self.staged):
-            self._timer(LOOK, now_us + self.s.look_ms * 1000)
+        for canary in self.trials:
+            canary.restart(now_us, now_us + self._canary_duration_us(canary.change))
+            self._log(f"{canary.id} (version {canary.version}) restarts its canary period after a restart")
+        if self.trials or any(staged.go for staged in self.staged):
+            self._set_timer(OBSERVE_TIMER, now_us + self.settings.look_ms * 1000)
         if self.drains.heard:
-            self._timer(DRAIN, now_us)  # some may have ended meanwhile: they come in as returning ones
+            self._set_timer(DRAIN_TIMER, now_us)  # some may have expired during the restart
         return self.actions
 
-    # Questions
-
-    def check(self, change: Change, facts: Facts | None) -> list[errors.ChangeError]:
-        """All that is wrong with a change, if it came now; nothing changes by it. Without facts: but for what
-        only the running courier can tell."""
-        return self._place(change) + self._checked(change, facts)[1]
-
-    def undo_of(self, version: int, ident: str) -> tuple[Change | None, list[errors.ChangeError]]:
-        """The change that undoes a kept version, which later ones may have built upon."""
-        back = self.back.get(version)
-        if back is None or back.dead:
-            known = ", ".join(str(v) for v, b in self.back.items() if not b.dead) or "none"
-            return None, [errors.Unknown(f"version {version}", "can't be undone from here", known)]
-        wrong: list[errors.ChangeError] = []
-        later = [(v, b.id, b.ops.keys()) for v, b in self.back.items() if v > version and not b.dead]
-        later += [(t.version, t.id, t.after.keys()) for t in self.trials if t.version > version]
-        for number, other, keys in later:
-            if common := back.ops.keys() & keys:
-                wrong.append(
+    # Queries
+
+    def check(self, change: Change, runtime_state: Facts | None) -> list[errors.ChangeError]:
+        """Return all errors that the change would have if submitted now, without side effects. Without a
+        runtime state the checks against it are skipped."""
+        return self._admission_errors(change) + self._build_and_check(change, runtime_state)[1]
+
+    def rollback_of(self, version: int, change_id: str) -> tuple[Change | None, list[errors.ChangeError]]:
+        """Return the change that rolls back a kept version, and an error per conflicting later change."""
+        rollback = self.rollbacks.get(version)
+        if rollback is None or rollback.is_irreversible:
+            reversible_versions = (
+                ", ".join(
+                    str(other_version)
+                    for other_version, record in self.rollbacks.items()
+                    if not record.is_irreversible
+                )
+                or "none"
+            )
+            return None, [
+                errors.Unknown(f"version {version}", "can't be undone from here", reversible_versions)
+            ]
+        found_errors: list[errors.ChangeError] = []
+        later = [
+            (other_version, record.id, record.ops.keys())
+            for other_version, record in self.rollbacks.items()
+            if other_version > version and not record.is_irreversible
+        ]
+        later += [
+            (canary.version, canary.id, canary.after.keys())
+            for canary in self.trials
+            if canary.version > version
+        ]
+        for later_version, later_id, keys in later:
+            if common := rollback.ops.keys() & keys:
+                found_errors.append(
                     errors.BuiltUpon(
                         f"version {version}",
-                        f"{other} (version {number}) touched {_some(common)} as well",
+                        f"{later_id} (version {later_version}) touched {_list_keys(common)} as well",
                         "a version that no later one touches",
                     )
                 )
-        return undoing(ident, version, self.current.version, back.ops), wrong
+        return rollback_change(change_id, version, self.current.version, rollback.ops), found_errors
 
-    def outcome(self, ident: str) -> Outcome | None:
-        """What became of it last."""
-        return next((o for o in reversed(self.past.values()) if o.id == ident), None)
+    def outcome(self, change_id: str) -> Outcome | None:
+        """Return the newest outcome of a change, None if there is none."""
+        return next((outcome for outcome in reversed(self.past.values()) if outcome.id == change_id), None)
 
-    def waits(self, ident: str) -> Staged | None:
-        return next((s for s in self.staged if s.change.id == ident), None)
+    def staged_change(self, change_id: str) -> StagedChange | None:
+        """Return the staged change with this id, None if there is none."""
+        return next((staged for staged in self.staged if staged.change.id == change_id), None)
 
-    def trial(self, ident: str) -> Trial | None:
-        return next((t for t in self.trials if t.id == ident), None)
+    def canary(self, change_id: str) -> Canary | None:
+        """Return the running canary of this change, None if there is none."""
+        return next((canary for canary in self.trials if canary.id == change_id), None)
 
     # Events
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
+        """Process one event and return the actions to carry out in their order."""
         self.actions = []
         if isinstance(event, WriteFailed):
-            self._not_written(now_us, event)
+            self._write_failed(now_us, event)
             return self.actions
-        self._beginning = self._back = None
+        self._starting = self._rollback_in_progress = None
         if isinstance(event, Offered):
-            self._offered(now_us, event)
-        elif isinstance(event, Go):
-            self._go(event)
-        elif isinstance(event, Dropped):
-            self._drop(now_us, event.id)
-        elif isinstance(event, TrialStopped):
-            if (trial := self.trial(event.id)) is not None:
-                self._undo(now_us, trial, event.why)
+            self._change_submitted(now_us, event)
+        elif isinstance(event, ChangeApproved):
+            self._change_approved(event)
+        elif isinstance(event, ChangeDropped):
+            self._drop_staged(now_us, event.id)
+        elif isinstance(event, RollbackRequested):
+            if (canary := self.canary(event.id)) is not None:
+                self._roll_back(now_us, canary, event.reason)
         elif isinstance(event, Seen):
-            self._seen(now_us, event.facts)
-        elif isinstance(event, FileSeen):
-            self._file(event.digest, event.snapshot)
-        elif isinstance(event, Failed):
-            self._failed(now_us, event)
+            self._observe(now_us, event.runtime_state)
+        elif isinstance(event, FileProcessed):
+            self._record_file(event.digest, event.snapshot)
+        elif isinstance(event, ApplyFailed):
+            self._apply_failed(now_us, event)
         elif isinstance(event, TimerDue):
-            self._due(now_us, event.token)
+            self._timer_fired(now_us, event.token)
         return self.actions
 
-    def _due(self, now_us: int, token: str) -> None:
-        if token == DRAIN:
-            back, gone = self.drains.due(now_us, self.current)
-            if back:
-                self.actions.append(Readmit(tuple(back)))
-            self._drain_timer(now_us)
-            self.actions += [Persist("drain", uid, None) for uid in (*back, *gone)]
-        elif token == AGAIN:
-            if self.unwritten:
+    def _timer_fired(self, now_us: int, token: str) -> None:
+        if token == DRAIN_TIMER:
+            returned, removed = self.drains.expired(now_us, self.current)
+            if returned:
+                self.actions.append(Readmit(tuple(returned)))
+            self._set_drain_timer(now_us)
+            self.actions += [Persist("drain", uid, None) for uid in (*returned, *removed)]
+        elif token == WRITE_RETRY_TIMER:
+            if self.has_unwritten:
                 self._write_base()
-            self.actions.append(Look())
-        elif token == LOOK and (self.trials or any(s.go for s in self.staged)):
-            self.actions.append(Look())
+            self.actions.append(RequestRuntimeState())
+        elif token == OBSERVE_TIMER and (self.trials or any(staged.go for staged in self.staged)):
+            self.actions.append(RequestRuntimeState())
 
-    # Handing in
+    # Submission
 
-    def _offered(self, now_us: int, event: Offered) -> None:
+    def _change_submitted(self, now_us: int, event: Offered) -> None:
         change = event.change
-        facts = event.facts if event.go else None
-        after, wrong = self._checked(change, facts)
-        if wrong := [*self._place(change), *wrong]:
-            self._settle(now_us, change.id, 0, "refused", "\n".join(e.line() for e in wrong))
+        runtime_state = event.runtime_state if event.approved else None
+        after, found_errors = self._build_and_check(change, runtime_state)
+        if found_errors := [*self._admission_errors(change), *found_errors]:
+            self._record_outcome(
+                now_us, change.id, 0, "refused", "\n".join(error.line() for error in found_errors)
+            )
             return
         if (
-            event.go
+            event.approved
             and self._only_drains(change, after)
-            and (change.source == "file" or any(change.keys & t.after.keys() for t in self.trials))
+            and (change.source == "file" or any(change.keys & canary.after.keys() for canary in self.trials))
         ):
             self._drain_now(now_us, change, after)
             return
-        order = 1 + max((s.order for s in self.staged), default=0)
-        staged = Staged(change, event.go, order)
+        sequence = 1 + max((other.sequence for other in self.staged), default=0)
+        staged = StagedChange(change, event.approved, sequence)
         self.staged.append(staged)
-        self.actions.append(Persist("staged", change.id, [change_row(change), event.go, order]))
-        self._note(f"{change.id} is staged on version {self.current.version}")
-        if event.go:
-            self.actions.append(Look())
+        self.actions.append(Persist("staged", change.id, [encode_change(change), event.approved, sequence]))
+        self._log(f"{change.id} is staged on version {self.current.version}")
+        if event.approved:
+            self.actions.append(RequestRuntimeState())
 
-    def _go(self, event: Go) -> None:
-        if (staged := self.waits(event.id)) is None or staged.go:
+    def _change_approved(self, event: ChangeApproved) -> None:
+        if (staged := self.staged_change(event.id)) is None or staged.go:
             return
-        ready = replace(staged, go=True)
-        self.staged[self.staged.index(staged)] = ready
-        self.actions.append(Persist("staged", event.id, [change_row(ready.change), True, ready.order]))
-        self.actions.append(Look())
-
-    def _drop(self, now_us: int, ident: str) -> None:
-        if (staged := self.waits(ident)) is not None:
-            self._leave(staged)
-            self._settle(now_us, ident, 0, "dropped", "by an operator's word")
-
-    def _place(self, change: Change) -> list[errors.ChangeError]:
-        """What is wrong with its place among others."""
-        at = f"change {change.id}"
-        wrong: list[errors.ChangeError] = []
-        out = self.outcome(change.id)
-        waiting = self.waits(change.id) or self.trial(change.id)
-        if waiting or (out is not None and out.what in ("kept", "undone")):
-            told = f"{out.what}, version {out.version}" if out and not waiting else "it waits or is on trial"
-            wrong.append(errors.Twice(at, f"{change.id!r} is known already: {told}", "a name of its own"))
-        if len(self.staged) >= self.s.queue:
-            wrong.append(errors.Full(at, f"{len(self.staged)} wait", f"at most {self.s.queue}"))
-        return wrong + self._stale(change)
-
-    def _stale(self, change: Change) -> list[errors.ChangeError]:
-        """It builds on a version since which what it touches has changed."""
-        at = f"change {change.id}.base"
-        if change.base > self.current.version:
-            return [errors.Unknown(at, f"there is no version {change.base}", f"{self.current.version}")]
-        oldest = min(self.back) - 1 if self.back else self.kept.version
-        if change.base < min(oldest, self.kept.version):
+        approved = replace(staged, go=True)
+        self.staged[self.staged.index(staged)] = approved
+        self.actions.append(
+            Persist("staged", event.id, [encode_change(approved.change), True, approved.sequence])
+        )
+        self.actions.append(RequestRuntimeState())
+
+    def _drop_staged(self, now_us: int, change_id: str) -> None:
+        if (staged := self.staged_change(change_id)) is not None:
+            self._unstage(staged)
+            self._record_outcome(now_us, change_id, 0, "dropped", "by an operator's word")
+
+    def _admission_errors(self, change: Change) -> list[errors.ChangeError]:
+        """Return conflicts with other changes: a known id, a full queue, a stale base version."""
+        path = f"change {change.id}"
+        found_errors: list[errors.ChangeError] = []
+        outcome = self.outcome(change.id)
+        waiting = self.staged_change(change.id) or self.canary(change.id)
+        if waiting or (outcome is not None and outcome.what in ("kept", "undone")):
+            state = (
+                f"{outcome.what}, version {outcome.version}"
+                if outcome and not waiting
+                else "it waits or is on trial"
+            )
+            found_errors.append(
+                errors.Twice(path, f"{change.id!r} is known already: {state}", "a name of its own")
+            )
+        if len(self.staged) >= self.settings.queue:
+            found_errors.append(
+                errors.Full(path, f"{len(self.staged)} wait", f"at most {self.settings.queue}")
+            )
+        return found_errors + self._stale_errors(change)
+
+    def _stale_errors(self, change: Change) -> list[errors.ChangeError]:
+        """Return an error if rows that the change touches have changed since its base version."""
+        path = f"change {change.id}.base"
+        if change.base_version > self.current.version:
+            return [
+                errors.Unknown(path, f"there is no version {change.base_version}", f"{self.current.version}")
+            ]
+        oldest_version = min(self.rollbacks) - 1 if self.rollbacks else self.committed.version
+        if change.base_version < min(oldest_version, self.committed.version):
             return [
                 errors.Stale(
-                    at,
-                    f"version {change.base} is too old to be compared",
-                    f"{oldest} to {self.current.version}",
+                    path,
+                    f"version {change.base_version} is too old to be compared",
+                    f"{oldest_version} to {self.current.version}",
                 )
             ]
-        since = [b.ops.keys() for v, b in self.back.items() if v > change.base]
-        since += [t.after.keys() for t in self.trials if t.version > change.base]
-        if common := {key for keys in since for key in change.keys & keys}:
+        changed_since = [
+            record.ops.keys() for version, record in self.rollbacks.items() if version > change.base_version
+        ]
+        changed_since += [
+            canary.after.keys() for canary in self.trials if canary.version > change.base_version
+        ]
+        if common := {key for keys in changed_since for key in change.keys & keys}:
             return [
                 errors.Stale(
-                    at, f"{_some(common)} has changed since version {change.base}", f"{self.current.version}"
+                    path,
+                    f"{_list_keys(common)} has changed since version {change.base_version}",
+                    f"{self.current.version}",
                 )
             ]
         return []
 
-    def _checked(self, change: Change, facts: Facts | None) -> tuple[Snapshot, list[errors.ChangeError]]:
-        """The snapshot that it makes of what is in force, and all that is wrong with that; with facts, also
-        as the courier is now. A file's word on what partners do stands against what is so now."""
-        on = self.current
-        result = made(on, change.ops, self.version + 1)
-        wrong = [*result.wrong, *bound(on, change), *whole(result.snapshot, change.keys)]
-        if not wrong and facts is not None and change.source != "file":
-            wrong += live(on, result.snapshot, change, facts, self.s)
-        return result.snapshot, wrong
+    def _build_and_check(
+        self, change: Change, runtime_state: Facts | None
+    ) -> tuple[Snapshot, list[errors.ChangeError]]:
+        """Return the snapshot that results from the active one, and all its errors. Checks also against the
+        runtime state if given, unless the change comes from the file, which takes precedence there."""
+        current = self.current
+        result = made(current, change.ops, self.version + 1)
+        found_errors = [
+            *result.found_errors,
+            *restart_errors(current, change),
+            *validate(result.snapshot, change.keys),
+        ]
+        if not found_errors and runtime_state is not None and change.source != "file":
+            found_errors += runtime_errors(current, result.snapshot, change, runtime_state, self.settings)
+        return result.snapshot, found_errors
 
     # Drains
 
     def _only_drains(self, change: Change, after: Snapshot) -> bool:
-        """Nothing but endpoints that are there and drain from now on."""
+        """Whether the change only starts drains of existing endpoints."""
         for key in change.ops:
             old = self.current.get(key)
             if key[0] != "endpoint" or old is None or after.get(key) != replace(old, state=DRAINING):
@@ -296,256 +347,313 @@
         return True
 
     def _drain_now(self, now_us: int, change: Change, after: Snapshot) -> None:
-        """A drain waits for nothing and is not on trial: the endpoint is going, whatever one might wish. It
-        holds also where a trial that touches the endpoint is undone."""
+        """Apply drains at once and without a canary period, since the endpoint shuts down in any case. They
+        persist if a canary that touches the endpoint is rolled back."""
         rows = {key: after.get(key) for key in change.ops}
         self.version = after.version
-        kept = {key: replace(row, state=DRAINING) for key in rows if (row := self.kept.get(key)) is not None}
-        self.kept = self.kept.with_rows(kept, self.kept.version)
-        for trial in self.trials:
-            if trial.drain(rows):
-                self.actions.append(Persist("trial", str(trial.version), trial_row(trial)))
-        self._chain((), kept)
+        committed_rows = {
+            key: replace(row, state=DRAINING) for key in rows if (row := self.committed.get(key)) is not None
+        }
+        self.committed = self.committed.with_rows(committed_rows, self.committed.version)
+        for canary in self.trials:
+            if canary.mark_draining(rows):
+                self.actions.append(Persist("trial", str(canary.version), encode_canary(canary)))
+        self._append_record((), committed_rows)
         self._apply(now_us, self.current, after)
-        self._remember(after.version, Back(change.id, change.ops, dead=True))
-        self._settle(now_us, change.id, after.version, "kept", "drains wait for nothing")
-        self._takes_back()
-
-    def _takes_back(self) -> None:
-        """What has been decided is to be done also if its record is not written."""
-        self._back = str(self.chain), [a for a in self.actions if not isinstance(a, Persist)]
+        self._record_rollback(after.version, RollbackRecord(change.id, change.ops, is_irreversible=True))
+        self._record_outcome(now_us, change.id, after.version, "kept", "drains wait for nothing")
+        self._apply_even_if_unwritten()
+
+    def _apply_even_if_unwritten(self) -> None:
+        """Remember the actions, which are carried out even if the record can't be written."""
+        self._rollback_in_progress = (
+            str(self.last_record),
+            [action for action in self.actions if not isinstance(action, Persist)],
+        )
 
-    # Coming into force
+    # Activation
 
-    def _next(self, now_us: int, facts: Facts) -> None:
-        """Bring the first that may into force, of those that wait for their turn."""
-        ahead: set[Key] = {key for t in self.trials for key in t.after}
-        for staged in sorted((s for s in self.staged if s.go), key=lambda s: s.order):
+    def _start_next(self, now_us: int, runtime_state: Facts) -> None:
+        """Activate the first approved change that conflicts with no running canary."""
+        blocked_keys: set[Key] = {key for canary in self.trials for key in canary.after}
+        for staged in sorted(
+            (queued for queued in self.staged if queued.go), key=lambda queued: queued.sequence
+        ):
             change = staged.change
             if change.source == "file":
-                self._make_way(now_us, change)
-                ahead = {key for t in self.trials for key in t.after}
-            if change.keys & ahead or len(self.trials) >= self.s.queue:
-                ahead |= change.keys  # it waits, and what touches it waits behind it
+                self._end_older_file_canaries(now_us, change)
+                blocked_keys = {key for canary in self.trials for key in canary.after}
+            if change.keys & blocked_keys or len(self.trials) >= self.settings.queue:
+                blocked_keys |= change.keys  # later changes that touch these rows wait as well
                 continue
-            after, wrong = self._checked(change, facts)
-            if wrong := [*self._stale(change), *wrong]:
-                self._leave(staged)
-                self._settle(
-                    now_us, change.id, 0, "refused", "as its turn came: " + "\n".join(e.line() for e in wrong)
+            after, found_errors = self._build_and_check(change, runtime_state)
+            if found_errors := [*self._stale_errors(change), *found_errors]:
+                self._unstage(staged)
+                self._record_outcome(
+                    now_us,
+                    change.id,
+                    0,
+                    "refused",
+                    "as its turn came: " + "\n".join(error.line() for error in found_errors),
                 )
                 continue
-            self._begin(now_us, facts, staged, after)
-            self.actions.append(Look())
+            self._start_canary(now_us, runtime_state, staged, after)
+            self.actions.append(RequestRuntimeState())
             return
 
-    def _make_way(self, now_us: int, change: Change) -> None:
-        """A newer file ends the trials of older ones that it touches: they are kept, if they hold alone."""
-        for trial in [t for t in self.trials if t.change.source == "file" and change.keys & t.after.keys()]:
-            if not whole(composed(self.kept, [trial], self.version)):
-                self._keep(now_us, trial, "a newer file has other rows before its time was over")
-
-    def _begin(self, now_us: int, facts: Facts, staged: Staged, after: Snapshot) -> None:
+    def _end_older_file_canaries(self, now_us: int, change: Change) -> None:
+        """Keep the canaries of older files that a newer file touches, if they are valid by themselves."""
+        for canary in [
+            other
+            for other in self.trials
+            if other.change.source == "file" and change.keys & other.after.keys()
+        ]:
+            if not validate(compose(self.committed, [canary], self.version)):
+                self._keep(now_us, canary, "a newer file has other rows before its time was over")
+
+    def _start_canary(self, now_us: int, runtime_state: Facts, staged: StagedChange, after: Snapshot) -> None:
         change, before = staged.change, self.current
         self.version = after.version
-        rows = raw_difference(before, after)
-        trial = Trial(
+        rows = changed_rows(before, after)
+        canary = Canary(
             change,
             after.version,
             {key: before.get(key) for key in rows},
             rows,
             now_us,
-            now_us + self._trial_us(change),
-            self.wall_ms(now_us),
-            facts,
+            now_us + self._canary_duration_us(change),
+            self.to_wall_ms(now_us),
+            runtime_state,
         )
-        self._beginning = trial, before, dict(self.drains.heard), dict(self.drains.left)
-        self.trials.append(trial)
+        self._starting = canary, before, dict(self.drains.heard), dict(self.drains.removed)
+        self.trials.append(canary)
         self.staged.remove(staged)
-        behind, self.actions = self.actions, []
-        self.actions.append(Persist("trial", str(trial.version), trial_row(trial)))
-        self._apply(now_us, before, after, trial=True)
+        later_actions, self.actions = self.actions, []
+        self.actions.append(Persist("trial", str(canary.version), encode_canary(canary)))
+        self._apply(now_us, before, after, starts_canary=True)
         self.actions.append(Persist("staged", change.id, None))
-        self._note(
-            f"{change.id} is in force as version {after.version}, on trial for "
-            f"{self._trial_us(change) // 1000} ms"
+        self._log(
+            f"{change.id} is active as version {after.version}, canary period "
+            f"{self._canary_duration_us(change) // 1000} ms"
         )
-        self._timer(LOOK, now_us + self.s.look_ms * 1000)
-        self.actions += behind
+        self._set_timer(OBSERVE_TIMER, now_us + self.settings.look_ms * 1000)
+        self.actions += later_actions
 
-    def _trial_us(self, change: Change) -> int:
-        return (change.trial_ms or self.s.trial_ms) * 1000
+    def _canary_duration_us(self, change: Change) -> int:
+        return (change.trial_ms or self.settings.trial_ms) * 1000
 
-    def _apply(self, now_us: int, before: Snapshot, after: Snapshot, trial: bool = False) -> None:
-        """With what is kept of drains that begin by it ahead."""
+    def _apply(self, now_us: int, before: Snapshot, after: Snapshot, starts_canary: bool = False) -> None:
+        """Activate a snapshot; the records of drains that it starts come first."""
         uids = list(before.endpoints.differing(after.endpoints))
-        had = dict(self.drains.heard)
-        held, cold = self.drains.changed(now_us, before, after, uids)
+        drains_before = dict(self.drains.heard)
+        still_draining, slow_starting = self.drains.snapshot_changed(now_us, before, after, uids)
         self.current = after
         heard = self.drains.heard
-        begun = [Persist("drain", u, self.wall_ms(heard[u])) for u in heard if u not in had]
-        over = [Persist("drain", u, None) for u in had if u not in heard]
-        self.actions += [*begun, Apply(before, after, held, cold, trial), *over]
-        self._drain_timer(now_us)
-
-    # The trial
-
-    def _seen(self, now_us: int, facts: Facts) -> None:
-        for trial in reversed(self.trials):  # what came last is undone first; the others may be well then
-            if why := trial.look(now_us, facts, self.s, self.current):
-                self._undo(now_us, trial, why)
+        begun = [
+            Persist("drain", uid, self.to_wall_ms(heard[uid])) for uid in heard if uid not in drains_before
+        ]
+        ended = [Persist("drain", uid, None) for uid in drains_before if uid not in heard]
+        self.actions += [*begun, Apply(before, after, still_draining, slow_starting, starts_canary), *ended]
+        self._set_drain_timer(now_us)
+
+    # Canary period
+
+    def _observe(self, now_us: int, runtime_state: Facts) -> None:
+        for canary in reversed(
+            self.trials
+        ):  # the newest is rolled back first: the others may recover by that
+            if reason := canary.observe(now_us, runtime_state, self.settings, self.current):
+                self._roll_back(now_us, canary, reason)
                 for other in self.trials:
-                    other.afresh(facts)
+                    other.reset_baseline(runtime_state)
                 break
-        else:  # nothing speaks against any: a look comes before the word to keep
-            while self.trials and now_us >= self.trials[0].until_us:
-                trial = self.trials[0]
-                passed = (now_us - trial.since_us) // 1000
-                self._keep(now_us, trial, f"nothing spoke against it for {passed} ms")
-            self._next(now_us, facts)
-        if self.trials or any(s.go for s in self.staged):
-            until = min((t.until_us for t in self.trials if t.until_us > now_us), default=now_us + (1 << 40))
-            self._timer(LOOK, min(until, now_us + self.s.look_ms * 1000))
-
-    def _keep(self, now_us: int, trial: Trial, why: str) -> None:
-        self.trials.remove(trial)
-        self.kept = self.kept.with_rows(trial.after, max(self.kept.version, trial.version))
-        self._remember(trial.version, Back(trial.id, inverse_of(trial.before, trial.after).ops))
-        self._chain((trial.version,), trial.after)
-        self.actions.append(Persist("trial", str(trial.version), None))
-        self._settle(now_us, trial.id, trial.version, "kept", why)
-        if self.chain - self.base > CHAIN_MOST:
+        else:  # each canary was observed before any is kept
+            while self.trials and now_us >= self.trials[0].ends_at_us:
+                canary = self.trials[0]
+                elapsed_ms = (now_us - canary.started_at_us) // 1000
+                self._keep(now_us, canary, f"nothing spoke against it for {elapsed_ms} ms")
+            self._start_next(now_us, runtime_state)
+        if self.trials or any(staged.go for staged in self.staged):
+            next_end_us = min(
+                (running.ends_at_us for running in self.trials if running.ends_at_us > now_us),
+                default=now_us + (1 << 40),
+            )
+            self._set_timer(OBSERVE_TIMER, min(next_end_us, now_us + self.settings.look_ms * 1000))
+
+    def _keep(self, now_us: int, canary: Canary, reason: str) -> None:
+        self.trials.remove(canary)
+        self.committed = self.committed.with_rows(canary.after, max(self.committed.version, canary.version))
+        self._record_rollback(
+            canary.version, RollbackRecord(canary.id, inverse_of_rows(canary.before, canary.after).ops)
+        )
+        self._append_record((canary.version,), canary.after)
+        self.actions.append(Persist("trial", str(canary.version), None))
+        self._record_outcome(now_us, canary.id, canary.version, "kept", reason)
+        if self.last_record - self.base_record > MAX_RECORDS_ABOVE_BASE:
             self._write_base()
 
-    def _undo(self, now_us: int, trial: Trial, why: str) -> None:
-        """The inverse is brought into force, also if its record is not written: then a restart resumes the
-        trial, which comes to the same end. What began later and does not hold without it goes as well."""
-        undone = [(trial, why)]
-        rest = [t for t in self.trials if t is not trial]
-        retired = _retired(trial)
+    def _roll_back(self, now_us: int, canary: Canary, reason: str) -> None:
+        """Activate the inverse, even if its record can't be written: a restart then resumes the canary, which
+        is rolled back again. Later canaries that are invalid without this one are rolled back as well."""
+        rolled_back = [(canary, reason)]
+        remaining = [other for other in self.trials if other is not canary]
+        retired = _retired_rows(canary)
         while True:
-            kept = self.kept.with_rows(retired, self.kept.version)
-            after = composed(kept, rest, self.version + 1)
-            later = [t for t in rest if t.version > trial.version]
-            if not later or not whole(after):
+            committed = self.committed.with_rows(retired, self.committed.version)
+            after = compose(committed, remaining, self.version + 1)
+            later = [other for other in remaining if other.version > canary.version]
+            if not later or not validate(after):
                 break
-            rest.remove(later[-1])
-            undone.append((later[-1], f"it does not hold without {trial.id}, which is undone"))
-            retired |= _retired(later[-1])
-        before, self.version, self.trials, self.kept = self.current, after.version, rest, kept
-        self._chain([t.version for t, _ in undone], retired)
+            remaining.remove(later[-1])
+            rolled_back.append((later[-1], f"it does not hold without {canary.id}, which is undone"))
+            retired |= _retired_rows(later[-1])
+        before, self.version, self.trials, self.committed = self.current, after.version, remaining, committed
+        self._append_record([other.version for other, _ in rolled_back], retired)
         self._apply(now_us, before, after)
-        keys: dict[Key, Any] = {}
-        for one, _ in undone:
-            keys |= inverse_of(one.before, one.after).ops
-        self._remember(after.version, Back(f"undo of {trial.id}", keys, dead=True))
-        for one, reason in undone:
+        inverse_ops: dict[Key, Any] = {}
+        for one, _ in rolled_back:
+            inverse_ops |= inverse_of_rows(one.before, one.after).ops
+        self._record_rollback(
+            after.version, RollbackRecord(f"undo of {canary.id}", inverse_ops, is_irreversible=True)
+        )
+        for one, one_reason in rolled_back:
             self.actions.append(Persist("trial", str(one.version), None))
-            self._settle(now_us, one.id, one.version, "undone", reason)
-            for text in inverse_of(one.before, one.after).leaves[:20]:
-                self._note(f"{one.id}: not restored: {text}")
-        self.actions.append(Look())
-        self._takes_back()
-
-    def _failed(self, now_us: int, event: Failed) -> None:
-        for trial in self.trials:
-            if trial.version == event.version:
-                self._undo(now_us, trial, f"could not be brought into force: {event.why}")
+            self._record_outcome(now_us, one.id, one.version, "undone", one_reason)
+            for text in inverse_of_rows(one.before, one.after).not_restored[:20]:
+                self._log(f"{one.id}: not restored: {text}")
+        self.actions.append(RequestRuntimeState())
+        self._apply_even_if_unwritten()
+
+    def _apply_failed(self, now_us: int, event: ApplyFailed) -> None:
+        for canary in self.trials:
+            if canary.version == event.version:
+                self._roll_back(now_us, canary, f"could not be brought into force: {event.reason}")
                 return
 
     # Records
 
-    def _not_written(self, now_us: int, event: WriteFailed) -> None:
-        """The disk did not take a record, and nothing behind it was carried out."""
-        if event.kind == "staged" and (staged := self.waits(event.key)) is not None:
+    def _write_failed(self, now_us: int, event: WriteFailed) -> None:
+        """A record could not be written, and the actions after it were not carried out."""
+        if event.kind == "staged" and (staged := self.staged_change(event.key)) is not None:
             self.staged.remove(staged)
-            self._refuse_unkept(now_us, event.key)
-        elif event.kind == "trial" and self._beginning and event.key == str(self._beginning[0].version):
-            trial, self.current, self.drains.heard, self.drains.left = self._beginning
-            self._beginning = None
-            self.trials.remove(trial)
-            self.unwritten = True  # nor was what stood behind it
-            self._refuse_unkept(now_us, trial.id)
+            self._reject_unwritten(now_us, event.key)
+        elif event.kind == "trial" and self._starting and event.key == str(self._starting[0].version):
+            canary, self.current, self.drains.heard, self.drains.removed = self._starting
+            self._starting = None
+            self.trials.remove(canary)
+            self.has_unwritten = True  # the records after it were not written either
+            self._reject_unwritten(now_us, canary.id)
         elif event.kind in ("change", "base", "file", "trial", "back"):
-            self.unwritten = True  # what is kept is in force: the whole is written once the disk takes it
-            if event.kind == "change" and self._back is not None and event.key == self._back[0]:
-                self.actions, self._back = self._back[1], None
-        self._timer(AGAIN, now_us + AGAIN_US)
-
-    def _refuse_unkept(self, now_us: int, ident: str) -> None:
-        error = errors.NotKept(f"change {ident}", "its record was not written", "a disk with room")
-        self._settle(now_us, ident, 0, "refused", error.line())
-
-    def _chain(self, over: Iterable[int], rows: Mapping[Key, Any]) -> None:
-        """One more record above the base: trials that are over by it, and rows that are kept from now on."""
-        self.chain += 1
-        self.actions.append(Persist("change", str(self.chain), [list(over), self.version, rows_row(rows)]))
+            self.has_unwritten = True  # all of it is written again later
+            if (
+                event.kind == "change"
+                and self._rollback_in_progress is not None
+                and event.key == self._rollback_in_progress[0]
+            ):
+                self.actions, self._rollback_in_progress = self._rollback_in_progress[1], None
+        self._set_timer(WRITE_RETRY_TIMER, now_us + WRITE_RETRY_US)
+
+    def _reject_unwritten(self, now_us: int, change_id: str) -> None:
+        error = errors.NotKept(f"change {change_id}", "its record was not written", "a disk with room")
+        self._record_outcome(now_us, change_id, 0, "refused", error.line())
+
+    def _append_record(self, ended_versions: Iterable[int], rows: Mapping[Key, Any]) -> None:
+        """Append a `change` record: the canaries that it ends, and the rows that it commits."""
+        self.last_record += 1
+        self.actions.append(
+            Persist("change", str(self.last_record), [list(ended_versions), self.version, encode_rows(rows)])
+        )
 
     def _write_base(self) -> None:
-        """All that is kept anew; what it stands for before then goes."""
-        old, parts, before = self.base, self.parts, self.gen
-        self.gen, self.base, self.unwritten = before + 1, self.chain, False
+        """Write the committed state as a new base, then delete the records that it replaces."""
+        old_base_record, old_part_count, old_generation = self.base_record, self.part_count, self.generation
+        self.generation, self.base_record, self.has_unwritten = old_generation + 1, self.last_record, False
         rows = list(
-            base_rows(self.kept, self.gen, self.chain, self.version, [t.version for t in self.trials])
+            base_records(
+                self.committed,
+                self.generation,
+                self.last_record,
+                self.version,
+                [canary.version for canary in self.trials],
+            )
         )
-        self.parts = len(rows) - 1
-        self.actions += [Persist("trial", str(t.version), trial_row(t)) for t in self.trials]
+        self.part_count = len(rows) - 1
+        self.actions += [
+            Persist("trial", str(canary.version), encode_canary(canary)) for canary in self.trials
+        ]
         self.actions += [Persist(*row) for row in rows]
-        self.actions += [Persist("base", f"{before}/{n}", None) for n in range(parts)]
-        self.actions += [Persist("change", str(n), None) for n in range(old + 1, self.base + 1)]
-        if self.file is not None:
-            self._file(*self.file)
-
-    def _file(self, digest: str, snapshot: Snapshot) -> None:
-        self.file = (digest, snapshot)
-        rows = rows_row(raw_difference(self.kept, snapshot))
-        self.actions.append(Persist("file", "", [digest, self.chain, rows]))
-
-    def _remember(self, version: int, back: Back) -> None:
-        self.back[version] = back
-        self.actions.append(Persist("back", str(version), [back.id, ops_row(back.ops), back.dead]))
-        while len(self.back) > BACK_MOST:
-            oldest = min(self.back)
-            del self.back[oldest]
+        self.actions += [
+            Persist("base", f"{old_generation}/{number}", None) for number in range(old_part_count)
+        ]
+        self.actions += [
+            Persist("change", str(number), None)
+            for number in range(old_base_record + 1, self.base_record + 1)
+        ]
+        if self.processed_file is not None:
+            self._record_file(*self.processed_file)
+
+    def _record_file(self, digest: str, snapshot: Snapshot) -> None:
+        self.processed_file = (digest, snapshot)
+        rows = encode_rows(changed_rows(self.committed, snapshot))
+        self.actions.append(Persist("file", "", [digest, self.last_record, rows]))
+
+    def _record_rollback(self, version: int, record: RollbackRecord) -> None:
+        self.rollbacks[version] = record
+        self.actions.append(
+            Persist("back", str(version), [record.id, encode_ops(record.ops), record.is_irreversible])
+        )
+        while len(self.rollbacks) > MAX_ROLLBACK_RECORDS:
+            oldest = min(self.rollbacks)
+            del self.rollbacks[oldest]
             self.actions.append(Persist("back", str(oldest), None))
 
-    def _leave(self, staged: Staged) -> None:
+    def _unstage(self, staged: StagedChange) -> None:
         self.staged.remove(staged)
         self.actions.append(Persist("staged", staged.change.id, None))
 
-    def _settle(self, now_us: int, ident: str, version: int, what: str, why: str) -> None:
+    def _record_outcome(self, now_us: int, change_id: str, version: int, result: str, reason: str) -> None:
         number = 1 + max(self.past, default=0)
-        self.past[number] = out = Outcome(ident, version, what, why[:4000], self.wall_ms(now_us))
-        while len(self.past) > self.s.history:
+        self.past[number] = outcome = Outcome(
+            change_id, version, result, reason[:4000], self.to_wall_ms(now_us)
+        )
+        while len(self.past) > self.settings.history:
             oldest = min(self.past)
             del self.past[oldest]
             self.actions.append(Persist("past", str(oldest), None))
-        self.actions.append(Settled(ident, what, why))
-        self.actions.append(Persist("past", str(number), [out.id, out.version, out.what, out.why, out.at_ms]))
-        self._note(f"{ident} is {what}: {why}")
+        self.actions.append(ChangeCompleted(change_id, result, reason))
+        self.actions.append(
+            Persist(
+                "past",
+                str(number),
+                [outcome.id, outcome.version, outcome.what, outcome.reason, outcome.recorded_at_ms],
+            )
+        )
+        self._log(f"{change_id} is {result}: {reason}")
 
-    # Help
+    # Helpers
 
-    def _note(self, text: str) -> None:
+    def _log(self, text: str) -> None:
         self.actions.append(LogLine(text))
 
-    def _timer(self, token: str, at_us: int) -> None:
+    def _set_timer(self, token: str, at_us: int) -> None:
         self.actions.append(SetTimer(at_us, token))
 
-    def _drain_timer(self, now_us: int) -> None:
-        if (at := self.drains.next_us(now_us)) is not None:
-            self._timer(DRAIN, at)
+    def _set_drain_timer(self, now_us: int) -> None:
+        if (at := self.drains.next_expiry_us(now_us)) is not None:
+            self._set_timer(DRAIN_TIMER, at)
 
 
-def _retired(trial: Trial) -> dict[Key, Any]:
-    """The numbers that a trial has given stay given: messages may name them."""
+def _retired_rows(canary: Canary) -> dict[Key, Any]:
+    """Return the numbered rows that a canary added, as retired: messages may refer to their numbers."""
     return {
         key: {**row, "retired": True}
-        for key, row in trial.after.items()
-        if key[0] in NUMBERED and trial.before[key] is None and row is not None
+        for key, row in canary.after.items()
+        if key[0] in NUMBERED_SECTIONS and canary.before[key] is None and row is not None
     }
 
 
-def _some(keys: Iterable[Key], most: int = 3) -> str:
-    found = sorted(f"{section} {name}" for section, name in keys)
-    return ", ".join(found[:most]) + (f" and {len(found) - most} more" if len(found) > most else "")
+def _list_keys(keys: Iterable[Key], max_keys: int = 3) -> str:
+    names = sorted(f"{section} {name}" for section, name in keys)
+    return ", ".join(names[:max_keys]) + (
+        f" and {len(names) - max_keys} more" if len(names) > max_keys else ""
+    )
--- a/madderbeam/changes/making.py
+++ b/madderbeam/changes/making.py
@@ -1,4 +1,4 @@
-"""The snapshot that a change makes, what differs between two, and the change that undoes one."""
+"""Builds the snapshot that a change results in, the difference of two snapshots, and rollback changes."""
 
 from __future__ import annotations
 
@@ -7,169 +7,181 @@
 from typing import Any
 
 from madderbeam.changes import errors
-from madderbeam.changes.document import like, some
-from madderbeam.changes.fields import NEEDED, SECTIONS
-from madderbeam.changes.values import DRAINING, NUMBERED, READY, Change, Endpoint, Key, Op, Snapshot, blank
-
-NAMES = frozenset(f.name for f in fields(Endpoint))
+from madderbeam.changes.document import short_list, suggestion
+from madderbeam.changes.fields import REQUIRED, SECTIONS
+from madderbeam.changes.values import (
+    DRAINING,
+    NUMBERED_SECTIONS,
+    READY,
+    Change,
+    Endpoint,
+    Key,
+    Op,
+    Snapshot,
+    empty_snapshot,
+)
+
+ENDPOINT_FIELDS = frozenset(f.name for f in fields(Endpoint))
 
 
 @dataclass
-class Made:
-    """The snapshot that a change would make; what is wrong with it."""
+class BuildResult:
+    """The snapshot that a change results in, and the errors found while building it."""
 
     snapshot: Snapshot
-    wrong: list[errors.ChangeError]
+    found_errors: list[errors.ChangeError]
 
 
-def made(snapshot: Snapshot, ops: Mapping[Key, Op], version: int) -> Made:
-    """All mistakes are found in one go; a row that has one stays as it was."""
+def made(snapshot: Snapshot, ops: Mapping[Key, Op], version: int) -> BuildResult:
+    """Apply operations to a snapshot. Collects all errors; a row with an error stays as it was."""
     rows: dict[Key, Any] = {}
-    wrong: list[errors.ChangeError] = []
-    numbers: dict[str, int] = {}
+    found_errors: list[errors.ChangeError] = []
+    next_numbers: dict[str, int] = {}
     for key, op in ops.items():
         try:
             if key[0] == "endpoint":
-                rows[key] = _endpoint(snapshot, key, op)
-            elif key[0] in NUMBERED:
-                rows[key] = _numbered(snapshot, key, op, numbers)
+                rows[key] = _build_endpoint(snapshot, key, op)
+            elif key[0] in NUMBERED_SECTIONS:
+                rows[key] = _build_numbered(snapshot, key, op, next_numbers)
             else:
-                rows[key] = _plain(snapshot, key, op)
+                rows[key] = _build_plain(snapshot, key, op)
         except errors.ChangeError as error:
-            wrong.append(error)
-    return Made(snapshot.with_rows(rows, version), wrong)
+            found_errors.append(error)
+    return BuildResult(snapshot.with_rows(rows, version), found_errors)
 
 
-def _unknown(snapshot: Snapshot, key: Key) -> errors.Unknown:
+def _unknown_row(snapshot: Snapshot, key: Key) -> errors.Unknown:
     known = snapshot.names(key[0])
-    return errors.Unknown(f"{key[0]} {key[1]}", f"is not there{like(key[1], known)}", some(known))
+    return errors.Unknown(f"{key[0]} {key[1]}", f"is not there{suggestion(key[1], known)}", short_list(known))
 
 
-def _endpoint(snapshot: Snapshot, key: Key, op: Op) -> Endpoint | None:
+def _build_endpoint(snapshot: Snapshot, key: Key, op: Op) -> Endpoint | None:
     row: Endpoint | None = snapshot.get(key)
-    if op.what == "put":
+    if op.kind == "put":
         return op.row
-    if op.what == "add":
+    if op.kind == "add":
         if row is not None:
             raise errors.Exists(f"endpoint {key[1]}", "is there already", "a uid of its own")
-        return Endpoint(**{k: v for k, v in op.row.items() if k in NAMES})
+        return Endpoint(**{k: v for k, v in op.row.items() if k in ENDPOINT_FIELDS})
     if row is None:
-        raise _unknown(snapshot, key)
-    if op.what == "remove":
+        raise _unknown_row(snapshot, key)
+    if op.kind == "remove":
         return None
-    return row.drained() if op.what == "drain" else replace(row, **op.row)
+    return row.as_draining() if op.kind == "drain" else replace(row, **op.row)
 
 
-def _numbered(snapshot: Snapshot, key: Key, op: Op, numbers: dict[str, int]) -> dict[str, Any]:
+def _build_numbered(snapshot: Snapshot, key: Key, op: Op, next_numbers: dict[str, int]) -> dict[str, Any]:
     section, name = key
     old = snapshot.get(key)
-    there = snapshot.present(key)
-    if op.what == "remove":
-        if there is None:
-            raise _unknown(snapshot, key)
+    active = snapshot.get_active(key)
+    if op.kind == "remove":
+        if active is None:
+            raise _unknown_row(snapshot, key)
         return {**old, "retired": True}
-    given = op.row
-    if op.what == "edit":
-        lacks = [
-            n
-            for n, f in SECTIONS[section].items()
-            if f.default is NEEDED and n not in given and there is None
+    fields_given = op.row
+    if op.kind == "edit":
+        missing = [
+            field_name
+            for field_name, field in SECTIONS[section].items()
+            if field.default is REQUIRED and field_name not in fields_given and active is None
         ]
-        if lacks:
-            allowed = SECTIONS[section][lacks[0]].allowed
-            raise errors.Unreadable(f"{section} {name}.{lacks[0]}", "lacks, and there is none yet", allowed)
-        apart = given.get("routes_apart", there and there.get("routes_apart"))
-        if there is not None and apart != there.get("routes_apart"):
-            raise errors.NeedsRestart(f"kind {name}.routes_apart", "changes", str(there["routes_apart"]))
-        start = there or {n: f.default for n, f in SECTIONS[section].items()}
-        given = {**start, **given}
+        if missing:
+            allowed = SECTIONS[section][missing[0]].allowed
+            raise errors.Unreadable(f"{section} {name}.{missing[0]}", "lacks, and there is none yet", allowed)
+        apart = fields_given.get("routes_apart", active and active.get("routes_apart"))
+        if active is not None and apart != active.get("routes_apart"):
+            raise errors.NeedsRestart(f"kind {name}.routes_apart", "changes", str(active["routes_apart"]))
+        base_fields = active or {field_name: field.default for field_name, field in SECTIONS[section].items()}
+        fields_given = {**base_fields, **fields_given}
     if old is not None:
         number = old["number"]
     else:
-        if section not in numbers:
-            numbers[section] = 1 + max((r["number"] for r in snapshot.sections[section].values()), default=-1)
-        number = numbers[section]
-        numbers[section] += 1
-    return {**public(given), "number": number, "retired": False}
+        if section not in next_numbers:
+            next_numbers[section] = 1 + max(
+                (row["number"] for row in snapshot.sections[section].values()), default=-1
+            )
+        number = next_numbers[section]
+        next_numbers[section] += 1
+    return {**without_number(fields_given), "number": number, "retired": False}
 
 
-def _plain(snapshot: Snapshot, key: Key, op: Op) -> Any:
-    if op.what == "remove":
+def _build_plain(snapshot: Snapshot, key: Key, op: Op) -> Any:
+    if op.kind == "remove":
         if snapshot.get(key) is None:
-            raise _unknown(snapshot, key)
+            raise _unknown_row(snapshot, key)
         return None
     return op.row
 
 
-def public(row: Mapping[str, Any]) -> dict[str, Any]:
-    """A numbered row without what the courier keeps beside it."""
+def without_number(row: Mapping[str, Any]) -> dict[str, Any]:
+    """Return a numbered row without its number and retired flag."""
     return {k: v for k, v in row.items() if k not in ("number", "retired")}
 
 
-def shown(snapshot: Snapshot, key: Key) -> Any:
-    """A row as it counts between two snapshots: numbers are each one's own."""
-    row = snapshot.present(key)
-    return public(row) if row is not None and key[0] in NUMBERED else row
+def comparable_row(snapshot: Snapshot, key: Key) -> Any:
+    """Return a row for comparing snapshots: without its number, which each snapshot assigns itself."""
+    row = snapshot.get_active(key)
+    return without_number(row) if row is not None and key[0] in NUMBERED_SECTIONS else row
 
 
 def difference(old: Snapshot, new: Snapshot) -> dict[Key, Op]:
-    """What is to be done to `old` so that it is as `new`; what only a restart changes is left out."""
-    found: dict[Key, Op] = {}
+    """Return the operations that turn `old` into `new`, without the `fixed` section."""
+    ops: dict[Key, Op] = {}
     for section in old.sections:
         if section == "fixed":
             continue
         for name in old.sections[section].differing(new.sections[section]):
             key = (section, name)
-            mine, its = shown(old, key), shown(new, key)
-            if mine != its:
-                found[key] = Op("remove") if its is None else Op("put", its)
-    return found
+            old_row, new_row = comparable_row(old, key), comparable_row(new, key)
+            if old_row != new_row:
+                ops[key] = Op("remove") if new_row is None else Op("put", new_row)
+    return ops
 
 
-# Undoing
+# Rollback
 
 
 @dataclass(frozen=True)
 class Inverse:
-    """What undoes a change: what it restores, and what not, in words."""
+    """The operations that roll back a change, and descriptions of what they restore and what they can't."""
 
     ops: Mapping[Key, Op]
     restores: tuple[str, ...]
-    leaves: tuple[str, ...]
+    not_restored: tuple[str, ...]
 
 
 def inverse(before: Snapshot, after: Snapshot) -> Inverse:
-    """What makes `before` of `after` again, as far as that can be."""
+    """Return what turns `after` back into `before`, as far as possible."""
     ops = difference(after, before)
-    restores, leaves = [], []
+    restores, not_restored = [], []
     for key, op in sorted(ops.items(), key=lambda item: item[0]):
-        old, new = before.present(key), after.present(key)
-        restores.append(f"{key[0]} {key[1]}" + (" goes again" if op.what == "remove" else " as it was"))
+        old, new = before.get_active(key), after.get_active(key)
+        restores.append(f"{key[0]} {key[1]}" + (" goes again" if op.kind == "remove" else " as it was"))
         if key[0] == "endpoint" and old is not None and old.state == READY:
             if new is None:
-                leaves.append(
+                not_restored.append(
                     f"endpoint {key[1]} was taken away: it comes back cold, and its connections "
                     "are opened anew; if it has shut it is not there"
                 )
             elif new.state == DRAINING:
-                leaves.append(
+                not_restored.append(
                     f"endpoint {key[1]} was told to drain: the drain holds for its time, then it "
                     "comes back cold; if it has shut it is not there"
                 )
-        elif key[0] in NUMBERED and op.what == "remove":
-            leaves.append(f"{key[0]} {key[1]}: messages that were taken on under it keep its terms")
+        elif key[0] in NUMBERED_SECTIONS and op.kind == "remove":
+            not_restored.append(f"{key[0]} {key[1]}: messages that were taken on under it keep its terms")
         elif key == ("whole", "quota"):
-            leaves.append("quotas: what was counted stays counted")
-    leaves.append("messages that have ended since stay ended")
-    return Inverse(ops, tuple(restores), tuple(leaves))
+            not_restored.append("quotas: what was counted stays counted")
+    not_restored.append("messages that have ended since stay ended")
+    return Inverse(ops, tuple(restores), tuple(not_restored))
 
 
-def inverse_of(before: Mapping[Key, Any], after: Mapping[Key, Any]) -> Inverse:
-    """The same of rows; None stands for one that is not there."""
-    nothing = blank()
-    return inverse(nothing.with_rows(before, 0), nothing.with_rows(after, 0))
+def inverse_of_rows(before: Mapping[Key, Any], after: Mapping[Key, Any]) -> Inverse:
+    """Return the inverse of a set of row changes; None stands for an absent row."""
+    empty = empty_snapshot()
+    return inverse(empty.with_rows(before, 0), empty.with_rows(after, 0))
 
 
-def undoing(change_id: str, version: int, base: int, ops: Mapping[Key, Op]) -> Change:
-    """The change that undoes a version."""
-    return Change(change_id, base, ops, source="undo", undoes=version)
+def rollback_change(change_id: str, version: int, base_version: int, ops: Mapping[Key, Op]) -> Change:
+    """Return the change that rolls back a version."""
+    return Change(change_id, base_version, ops, source="undo", rolls_back_version=version)
--- a/madderbeam/changes/records.py
+++ b/madderbeam/changes/records.py
@@ -1,18 +1,20 @@
-"""What the machine keeps, as rows for `Persist`, and what a restart makes of them.
-
-    base   GEN/n     a part of the snapshot that the records below build on
-    base   ""        [gen, chain, parts, version, versions on trial]: which parts count; written behind them
-    change N         [versions of trials that are over by it, the newest version, rows that are kept from then
-                     on]: what is kept is the base with all of these above its chain, in their order
-    trial  VERSION   a change that is in force on trial, with its rows before and after
-    back   VERSION   what undoes it, and whose it was; of the newest versions
-    staged ID        a change that waits: for a word (go false) or its turn
+"""The durable records of changes, as rows for `Persist`, and how a restart restores the state from them.
+
+    base   GEN/n     one part of the snapshot that the `change` records apply to
+    base   ""        [generation, last record, part count, version, canary versions]: names the valid parts
+                     and is written after them
+    change N         [versions whose canary period it ends, the newest version, rows committed by it]: the
+                     committed snapshot is the base with all records above its last record applied in order
+    trial  VERSION   an active change in its canary period, with its rows before and after
+    back   VERSION   the operations that roll back this version, and the id of its change; newest versions
+    staged ID        a staged change, waiting for approval (false) or for its turn (true)
     past   N         an outcome
-    drain  UID       wall ms at which it was heard
-    file   ""        [digest, N, rows that the file's snapshot has otherwise than what was kept after N]
+    drain  UID       wall time in ms at which the drain began
+    file   ""        [digest, N, rows in which the file's snapshot differs from the one committed by record N]
 
-Each record stands by itself, so that a kill between any two leaves a whole state: a trial that a `change`
-names is over, parts of another gen and changes up to the base's chain are left-overs.
+Each record is valid by itself, so a crash between any two leaves a consistent state: a canary that a `change`
+record names has ended; parts of another generation, and `change` records up to the base's last one, are
+obsolete.
 """
 
 from __future__ import annotations
@@ -21,67 +23,67 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from madderbeam.changes.trial import Trial
-from madderbeam.changes.values import SECTION_NAMES, Change, Endpoint, Key, Op, Snapshot, blank
+from madderbeam.changes.trial import Canary
+from madderbeam.changes.values import SECTION_NAMES, Change, Endpoint, Key, Op, Snapshot, empty_snapshot
 
-Kept = Mapping[tuple[str, str], Any]
+RecordMap = Mapping[tuple[str, str], Any]
 Row = list[Any]
-EACH = 500  # rows of one part
+ROWS_PER_PART = 500  # rows in one part of the base
 
 
 @dataclass(frozen=True)
-class Back:
-    """What undoes a version. `dead`: it was an undone trial's end, which nobody undoes; what it touched
-    counts as touched."""
+class RollbackRecord:
+    """The operations that roll back a version. `is_irreversible`: the version ended a canary by rollback or
+    applied drains, and can't be rolled back itself; later changes still conflict with the rows it touched."""
 
     id: str
     ops: Mapping[Key, Op]
-    dead: bool = False
+    is_irreversible: bool = False
 
 
 @dataclass(frozen=True)
-class Staged:
-    """A change that waits; `go`: for its turn, else for a word."""
+class StagedChange:
+    """A staged change: waits for its turn if `go` is set, else for approval."""
 
     change: Change
     go: bool
-    order: int
+    sequence: int
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What became of a change. `what`: kept, undone, refused, dropped."""
+    """How a change ended. `what`: kept, undone, refused or dropped."""
 
     id: str
     version: int
     what: str
-    why: str
-    at_ms: int
+    reason: str
+    recorded_at_ms: int
 
 
 @dataclass
 class Restored:
-    """What the records say. `snapshot`: what is kept; `version`: the newest that was ever in force."""
+    """The state read from the records. `snapshot`: committed rows; `version`: the newest ever active."""
 
-    snapshot: Snapshot = field(default_factory=blank)
+    snapshot: Snapshot = field(default_factory=empty_snapshot)
     version: int = 0
-    gen: int = 0  # of the base, 0: there is none
-    base: int = 0  # its chain
-    chain: int = 0  # the newest record of what is kept
-    parts: int = 0  # of the base
-    trials: list[Trial] = field(default_factory=list)
-    staged: list[Staged] = field(default_factory=list)
-    past: dict[int, Outcome] = field(default_factory=dict)
-    back: dict[int, Back] = field(default_factory=dict)
-    drains: dict[str, int] = field(default_factory=dict)  # wall ms
-    file: tuple[str, Snapshot] | None = None
+    generation: int = 0  # of the base; 0 if there is none
+    base_record: int = 0  # the last record that the base includes
+    last_record: int = 0  # the newest `change` record
+    part_count: int = 0  # of the base
+    canaries: list[Canary] = field(default_factory=list)
+    staged: list[StagedChange] = field(default_factory=list)
+    outcomes: dict[int, Outcome] = field(default_factory=dict)
+    rollbacks: dict[int, RollbackRecord] = field(default_factory=dict)
+    drain_heard_at_ms: dict[str, int] = field(default_factory=dict)  # wall time by uid
+    processed_file: tuple[str, Snapshot] | None = None
 
 
 # Rows
 
 
-def raw_difference(old: Snapshot, new: Snapshot) -> dict[Key, Any]:
-    """Rows that are otherwise, numbers and all; None for one that is gone. What is `fixed` is not kept."""
+def changed_rows(old: Snapshot, new: Snapshot) -> dict[Key, Any]:
+    """Return the rows of `new` that differ from `old`, None for removed ones, without section `fixed`."""
     return {
         (section, name): new.get((section, name))
         for section in SECTION_NAMES
@@ -90,15 +92,18 @@
     }
 
 
-def rows_row(rows: Mapping[Key, Any]) -> Row:
-    return [[section, name, to_row(row)] for (section, name), row in rows.items()]
+def encode_rows(rows: Mapping[Key, Any]) -> Row:
+    """Encode rows for a record; `decode_rows` reverses it."""
+    return [[section, name, encode_value(row)] for (section, name), row in rows.items()]
 
 
-def rows_from(rows: Row) -> dict[Key, Any]:
-    return {(section, name): from_row(section, row) for section, name, row in rows}
+def decode_rows(rows: Row) -> dict[Key, Any]:
+    """Return the rows that `encode_rows` encoded."""
+    return {(section, name): decode_value(section, row) for section, name, row in rows}
 
 
-def to_row(value: Any) -> Any:
+def encode_value(value: Any) -> Any:
+    """Encode one row: an endpoint becomes a list of its fields in a fixed order."""
     if isinstance(value, Endpoint):
         return [
             value.uid,
@@ -114,115 +119,174 @@
     return list(value) if isinstance(value, tuple) else value
 
 
-def from_row(section: str, value: Any) -> Any:
+def decode_value(section: str, value: Any) -> Any:
+    """Return the row that `encode_value` encoded."""
     if section == "endpoint" and isinstance(value, list):
         uid, dest, address, per_s, zone, kind, state, topic, topics = value
         return Endpoint(uid, dest, address, per_s, zone, kind, state, topic, tuple(topics))
     return value
 
 
-def ops_row(ops: Mapping[Key, Op]) -> Row:
+def encode_ops(ops: Mapping[Key, Op]) -> Row:
+    """Encode operations for a record; `decode_ops` reverses it."""
     return [
         [
             section,
             name,
-            op.what,
-            {k: to_row(v) for k, v in op.row.items()} if isinstance(op.row, dict) else to_row(op.row),
+            op.kind,
+            {field: encode_value(field_value) for field, field_value in op.row.items()}
+            if isinstance(op.row, dict)
+            else encode_value(op.row),
         ]
         for (section, name), op in ops.items()
     ]
 
 
-def ops_from(rows: Row) -> dict[Key, Op]:
-    found: dict[Key, Op] = {}
-    for section, name, what, row in rows:
+def decode_ops(rows: Row) -> dict[Key, Op]:
+    """Return the operations that `encode_ops` encoded."""
+    ops: dict[Key, Op] = {}
+    for section, name, kind, row in rows:
         if section == "endpoint" and isinstance(row, dict):
-            row = {k: tuple(v) if k == "topics" else v for k, v in row.items()}
-        found[str(section), str(name)] = Op(str(what), from_row(section, row))
-    return found
+            row = {
+                field: tuple(field_value) if field == "topics" else field_value
+                for field, field_value in row.items()
+            }
+        ops[str(section), str(name)] = Op(str(kind), decode_value(section, row))
+    return ops
 
 
-def change_row(c: Change) -> Row:
-    return [c.id, c.base, ops_row(c.ops), sorted(c.accept), c.source, c.trial_ms, c.undoes]
+def encode_change(change: Change) -> Row:
+    """Encode a change for a record; `decode_change` reverses it."""
+    return [
+        change.id,
+        change.base_version,
+        encode_ops(change.ops),
+        sorted(change.accepted_codes),
+        change.source,
+        change.trial_ms,
+        change.rolls_back_version,
+    ]
 
 
-def change_from(row: Row) -> Change:
-    ident, base, ops, accept, source, trial_ms, undoes = row
-    return Change(str(ident), int(base), ops_from(ops), frozenset(accept), str(source), trial_ms, int(undoes))
+def decode_change(row: Row) -> Change:
+    """Return the change that `encode_change` encoded."""
+    change_id, base_version, op_rows, accepted_codes, source, trial_ms, rolls_back_version = row
+    return Change(
+        str(change_id),
+        int(base_version),
+        decode_ops(op_rows),
+        frozenset(accepted_codes),
+        str(source),
+        trial_ms,
+        int(rolls_back_version),
+    )
 
 
-def trial_row(t: Trial) -> Row:
-    return [change_row(t.change), t.at_ms, rows_row(t.before), rows_row(t.after)]
+def encode_canary(canary: Canary) -> Row:
+    """Encode a canary for its `trial` record."""
+    return [
+        encode_change(canary.change),
+        canary.started_at_ms,
+        encode_rows(canary.before),
+        encode_rows(canary.after),
+    ]
 
 
-def base_rows(
-    snapshot: Snapshot, gen: int, chain: int, version: int, trials: Iterable[int]
+def base_records(
+    snapshot: Snapshot, generation: int, last_record: int, version: int, canary_versions: Iterable[int]
 ) -> Iterable[tuple[str, str, Any]]:
-    """All of a snapshot, the record that makes it count last."""
+    """Yield the records of a whole snapshot; the record that makes the parts valid comes last."""
     rows: list[Row] = [
-        [section, name, to_row(row)]
+        [section, name, encode_value(row)]
         for section in SECTION_NAMES
         if section != "fixed"
         for name, row in snapshot.sections[section].items()
     ]
-    parts = [rows[at : at + EACH] for at in range(0, len(rows), EACH)]
-    yield from (("base", f"{gen}/{n}", part) for n, part in enumerate(parts))
-    yield "base", "", [gen, chain, len(parts), version, list(trials)]
+    parts = [rows[start : start + ROWS_PER_PART] for start in range(0, len(rows), ROWS_PER_PART)]
+    yield from (("base", f"{generation}/{number}", part) for number, part in enumerate(parts))
+    yield "base", "", [generation, last_record, len(parts), version, list(canary_versions)]
 
 
 # Restoring
 
 
-def restore(kept: Kept) -> Restored | None:
-    """None if there is no whole base: nothing was ever kept here."""
-    head = kept.get(("base", ""))
-    if head is None:
+def restore(records: RecordMap) -> Restored | None:
+    """Return the state that the records describe, or None if there is no complete base record."""
+    base_record = records.get(("base", ""))
+    if base_record is None:
         return None
-    gen, chain, parts, version, trials = head
-    found: dict[Key, Any] = {}
-    for n in range(parts):
-        part = kept.get(("base", f"{gen}/{n}"))
+    generation, last_record, part_count, version, canary_versions = base_record
+    base_snapshot_rows: dict[Key, Any] = {}
+    for part_number in range(part_count):
+        part = records.get(("base", f"{generation}/{part_number}"))
         if part is None:
             return None
-        found |= rows_from(part)
-    r = Restored(blank().with_rows(found, version), version, gen, chain, chain, parts)
-    filed = kept.get(("file", ""))
-    over = {int(k) for kind, k in kept if kind == "trial" and int(k) <= version} - set(trials)
-    records = sorted((int(k), v) for (kind, k), v in kept.items() if kind == "change" and int(k) > chain)
-    for number, (versions, newest, rows) in [(chain, ((), version, [])), *records]:
-        over.update(versions)
-        r.chain, r.version = number, max(r.version, newest)
-        r.snapshot = r.snapshot.with_rows(rows_from(rows), r.version)
-        if filed is not None and filed[1] == number:
-            r.file = (filed[0], r.snapshot.with_rows(rows_from(filed[2]), r.version))
-    _rest(kept, r, over)
-    return r
-
-
-def _rest(kept: Kept, r: Restored, over: set[int]) -> None:
-    for (kind, key), value in kept.items():
-        if kind == "trial" and int(key) not in over:
+        base_snapshot_rows |= decode_rows(part)
+    restored = Restored(
+        empty_snapshot().with_rows(base_snapshot_rows, version),
+        version,
+        generation,
+        last_record,
+        last_record,
+        part_count,
+    )
+    file_record = records.get(("file", ""))
+    ended_versions = {int(key) for kind, key in records if kind == "trial" and int(key) <= version} - set(
+        canary_versions
+    )
+    change_records = sorted(
+        (int(key), value)
+        for (kind, key), value in records.items()
+        if kind == "change" and int(key) > last_record
+    )
+    for number, (versions, newest, rows) in [(last_record, ((), version, [])), *change_records]:
+        ended_versions.update(versions)
+        restored.last_record, restored.version = number, max(restored.version, newest)
+        restored.snapshot = restored.snapshot.with_rows(decode_rows(rows), restored.version)
+        if file_record is not None and file_record[1] == number:
+            restored.processed_file = (
+                file_record[0],
+                restored.snapshot.with_rows(decode_rows(file_record[2]), restored.version),
+            )
+    _restore_others(records, restored, ended_versions)
+    return restored
+
+
+def _restore_others(records: RecordMap, restored: Restored, ended_versions: set[int]) -> None:
+    for (kind, key), value in records.items():
+        if kind == "trial" and int(key) not in ended_versions:
             change, at_ms, before, after = value
-            r.trials.append(
-                Trial(change_from(change), int(key), rows_from(before), rows_from(after), 0, 0, int(at_ms))
+            restored.canaries.append(
+                Canary(
+                    decode_change(change), int(key), decode_rows(before), decode_rows(after), 0, 0, int(at_ms)
+                )
             )
-            r.version = max(r.version, int(key))
+            restored.version = max(restored.version, int(key))
         elif kind == "staged":
-            r.staged.append(Staged(change_from(value[0]), bool(value[1]), int(value[2])))
+            restored.staged.append(StagedChange(decode_change(value[0]), bool(value[1]), int(value[2])))
         elif kind == "past":
-            r.past[int(key)] = Outcome(*value)
+            restored.outcomes[int(key)] = Outcome(*value)
         elif kind == "back":
-            r.back[int(key)] = Back(str(value[0]), ops_from(value[1]), bool(value[2]))
+            restored.rollbacks[int(key)] = RollbackRecord(str(value[0]), decode_ops(value[1]), bool(value[2]))
         elif kind == "drain":
-            r.drains[key] = int(value)
-    r.trials.sort(key=lambda t: t.version)
-    known = {o.id for o in r.past.values()} | {t.id for t in r.trials}
-    r.staged = sorted((s for s in r.staged if s.change.id not in known), key=lambda s: s.order)
-
-
-def leftovers(kept: Kept, r: Restored) -> list[tuple[str, str]]:
-    """Records that say nothing any more."""
-    parts = [k for k in kept if k[0] == "base" and k[1] and not k[1].startswith(f"{r.gen}/")]
-    trials = {str(t.version) for t in r.trials}
-    parts += [k for k in kept if k[0] == "trial" and k[1] not in trials]
-    return parts + [k for k in kept if k[0] == "change" and int(k[1]) <= r.base]
+            restored.drain_heard_at_ms[key] = int(value)
+    restored.canaries.sort(key=lambda canary: canary.version)
+    known_ids = {outcome.id for outcome in restored.outcomes.values()} | {
+        canary.id for canary in restored.canaries
+    }
+    restored.staged = sorted(
+        (staged for staged in restored.staged if staged.change.id not in known_ids),
+        key=lambda staged: staged.sequence,
+    )
+
+
+def obsolete_records(records: RecordMap, restored: Restored) -> list[tuple[str, str]]:
+    """Return the keys of records that newer records supersede."""
+    obsolete = [
+        key
+        for key in records
+        if key[0] == "base" and key[1] and not key[1].startswith(f"{restored.generation}/")
+    ]
+    canary_versions = {str(canary.version) for canary in restored.canaries}
+    obsolete += [key for key in records if key[0] == "trial" and key[1] not in canary_versions]
+    return obsolete + [key for key in records if key[0] == "change" and int(key[1]) <= restored.base_record]
--- a/madderbeam/changes/sharing.py
+++ b/madderbeam/changes/sharing.py
@@ -1,4 +1,4 @@
-"""A map that never changes: a new one shares with the old all that did not."""
+"""An immutable map whose modified copies share all unchanged parts with the original."""
 
 from __future__ import annotations
 
@@ -6,83 +6,92 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-WIDTH = 256  # parts of a map
+BUCKET_COUNT = 256  # of each map
 
 
-class Shared:
-    """From text to values. A map of five thousand in which one value differs costs the two kilobytes of its
-    parts' list and one part of some twenty rows. Its order is the same in every process."""
+class ImmutableMap:
+    """Maps strings to values. A copy of a 5,000-row map with one changed value costs two kilobytes for the
+    list of buckets and one bucket of about twenty rows. The iteration order is the same in every process."""
 
-    __slots__ = ("count", "parts")
+    __slots__ = ("buckets", "count")
 
     def __init__(self, rows: Mapping[str, Any] | None = None) -> None:
         empty: dict[str, Any] = {}
-        self.parts: tuple[dict[str, Any], ...] = (empty,) * WIDTH
+        self.buckets: tuple[dict[str, Any], ...] = (empty,) * BUCKET_COUNT
         self.count = 0
         if rows:
-            made = self.with_rows(rows)
-            self.parts, self.count = made.parts, made.count
+            copy = self.with_rows(rows)
+            self.buckets, self.count = copy.buckets, copy.count
 
     def get(self, key: str) -> Any:
-        """None if there is none."""
-        return self.parts[_place(key)].get(key)
+        """Return the value, None if the key is absent."""
+        return self.buckets[_bucket_index(key)].get(key)
 
     def __contains__(self, key: str) -> bool:
-        return key in self.parts[_place(key)]
+        return key in self.buckets[_bucket_index(key)]
 
     def __len__(self) -> int:
         return self.count
 
     def __iter__(self) -> Iterator[str]:
-        for part in self.parts:
-            yield from part
+        for bucket in self.buckets:
+            yield from bucket
 
     def items(self) -> Iterator[tuple[str, Any]]:
-        for part in self.parts:
-            yield from part.items()
+        """Yield all keys with their values."""
+        for bucket in self.buckets:
+            yield from bucket.items()
 
     def values(self) -> Iterator[Any]:
-        for part in self.parts:
-            yield from part.values()
+        """Yield all values."""
+        for bucket in self.buckets:
+            yield from bucket.values()
 
-    def with_rows(self, rows: Mapping[str, Any]) -> Shared:
-        """The same with these; a value of None takes its key out."""
-        fresh: dict[int, dict[str, Any]] = {}
+    def with_rows(self, rows: Mapping[str, Any]) -> ImmutableMap:
+        """Return a copy with these rows replaced; a value of None removes the key."""
+        new_buckets: dict[int, dict[str, Any]] = {}
         count = self.count
         for key, value in rows.items():
-            place = _place(key)
-            part = fresh.get(place)
-            if part is None:
-                part = fresh[place] = dict(self.parts[place])
-            count += (value is not None) - (key in part)
+            index = _bucket_index(key)
+            bucket = new_buckets.get(index)
+            if bucket is None:
+                bucket = new_buckets[index] = dict(self.buckets[index])
+            count += (value is not None) - (key in bucket)
             if value is None:
-                part.pop(key, None)
+                bucket.pop(key, None)
             else:
-                part[key] = value
-        made = Shared()
-        made.parts = tuple(fresh.get(n, part) for n, part in enumerate(self.parts)) if fresh else self.parts
-        made.count = count
-        return made
-
-    def differing(self, other: Shared) -> Iterator[str]:
-        """The keys whose values differ."""
+                bucket[key] = value
+        copy = ImmutableMap()
+        copy.buckets = (
+            tuple(new_buckets.get(number, bucket) for number, bucket in enumerate(self.buckets))
+            if new_buckets
+            else self.buckets
+        )
+        copy.count = count
+        return copy
+
+    def differing(self, other: ImmutableMap) -> Iterator[str]:
+        """Yield the keys whose values differ."""
         return (key for key, _, _ in self.differences(other))
 
-    def differences(self, other: Shared) -> Iterator[tuple[str, Any, Any]]:
-        """Each key whose values differ, with both; parts that are shared are not looked at."""
-        for mine, its in zip(self.parts, other.parts, strict=True):
-            if mine is its:
+    def differences(self, other: ImmutableMap) -> Iterator[tuple[str, Any, Any]]:
+        """Yield each key whose values differ, with both values; skips buckets that both maps share."""
+        for own_bucket, other_bucket in zip(self.buckets, other.buckets, strict=True):
+            if own_bucket is other_bucket:
                 continue
-            for key in (*mine, *(k for k in its if k not in mine)):
-                old, new = mine.get(key), its.get(key)
+            for key in (
+                *own_bucket,
+                *(other_key for other_key in other_bucket if other_key not in own_bucket),
+            ):
+                old, new = own_bucket.get(key), other_bucket.get(key)
                 if old is not new and old != new:
                     yield key, old, new
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, Shared) and next(self.differing(other), None) is None
+        return isinstance(other, ImmutableMap) and next(self.differing(other), None) is None
 
     __hash__ = None  # type: ignore[assignment]
 
 
-def _place(key: str) -> int:
-    return zlib.crc32(key.encode()) % WIDTH
+def _bucket_index(key: str) -> int:
+    return zlib.crc32(key.encode()) % BUCKET_COUNT
--- a/madderbeam/changes/trial.py
+++ b/madderbeam/changes/trial.py
@@ -1,4 +1,4 @@
-"""The objective signs by which a change on trial is undone."""
+"""The canary period of a change: the conditions under which it is rolled back."""
 
 from __future__ import annotations
 
@@ -10,60 +10,61 @@
 
 from madderbeam.changes.values import DRAINING, READY, Change, Facts, Key, Settings, Snapshot
 
-LOOKS = 2  # in a row at which a destination has nothing ready
-GROWING = 6  # in a row at which what is held is more than before
-SETTLES_US = 2_000_000  # refusals count from then on, as a share of so long at least
+MAX_EMPTY_OBSERVATIONS = 2  # in a row without a ready endpoint at a destination
+GROWTH_OBSERVATIONS = 6  # in a row, each with more pending messages than the last
+MIN_REJECTION_SPAN_US = 2_000_000  # shortest span over which the rejection rate is computed
 
 
 @dataclass
-class Trial:
-    """A change on trial. `before`, `after`: the rows that it makes otherwise; `first`: what was so before it
-    came into force, or at the first look after a restart."""
+class Canary:
+    """A change in its canary period. `before`, `after`: the rows that it changes; `baseline`: the runtime
+    state before it became active, or at the first observation after a restart."""
 
     change: Change
     version: int
     before: dict[Key, Any]
     after: dict[Key, Any]
-    since_us: int
-    until_us: int
-    at_ms: int  # wall time of its start
-    first: Facts | None = None
-    seen_us: int = field(init=False)  # its newest look
-    nothing: dict[int, int] = field(default_factory=dict)  # looks in a row, by destination
-    held: deque[int] = field(default_factory=lambda: deque(maxlen=GROWING))
+    started_at_us: int
+    ends_at_us: int
+    started_at_ms: int  # wall time
+    baseline: Facts | None = None
+    observed_at_us: int = field(init=False)  # time of the newest observation
+    empty_observations: dict[int, int] = field(default_factory=dict)  # in a row, by destination
+    pending_counts: deque[int] = field(default_factory=lambda: deque(maxlen=GROWTH_OBSERVATIONS))
 
     def __post_init__(self) -> None:
-        self.seen_us = self.since_us
+        self.observed_at_us = self.started_at_us
 
     @property
     def id(self) -> str:
+        """The id of the change."""
         return self.change.id
 
-    def again(self, now_us: int, until_us: int) -> None:
-        """It begins anew, after a restart."""
-        self.since_us = self.seen_us = now_us
-        self.until_us = until_us
+    def restart(self, now_us: int, ends_at_us: int) -> None:
+        """Begin the canary period again after a restart."""
+        self.started_at_us = self.observed_at_us = now_us
+        self.ends_at_us = ends_at_us
 
-    def afresh(self, facts: Facts) -> None:
-        """Another has just been undone: what was refused and held until now may be its doing."""
-        if self.first is not None:
-            self.first = replace(self.first, refused=facts.refused)
-        self.held.clear()
+    def reset_baseline(self, runtime_state: Facts) -> None:
+        """Restart the counts after another change was rolled back, which may have caused them so far."""
+        if self.baseline is not None:
+            self.baseline = replace(self.baseline, rejected=runtime_state.rejected)
+        self.pending_counts.clear()
 
-    def drain(self, rows: Mapping[Key, Any]) -> bool:
-        """These drain, whatever becomes of the trial; whether it touches one of them."""
-        found = False
+    def mark_draining(self, rows: Mapping[Key, Any]) -> bool:
+        """Make these endpoints drain, also after a rollback. Returns whether the change touches any."""
+        is_touched = False
         for key in rows.keys() & self.after.keys():
             for side in (self.before, self.after):
                 if side[key] is not None:
                     side[key] = replace(side[key], state=DRAINING)
-            found = True
-        return found
+            is_touched = True
+        return is_touched
 
     @property
-    def fresh(self) -> list[str]:
-        """Ids of the endpoints that it brought or moved."""
-        found = []
+    def new_endpoint_ids(self) -> list[str]:
+        """Ids of the endpoints that the change added or moved."""
+        uids = []
         for key, new in self.after.items():
             old = self.before[key]
             if (
@@ -72,12 +73,12 @@
                 and new.state == READY
                 and (old is None or (old.address, old.dest) != (new.address, new.dest))
             ):
-                found.append(key[1])
-        return found
+                uids.append(key[1])
+        return uids
 
     @property
-    def dests(self) -> set[int]:
-        """Destinations whose endpoints it touches."""
+    def destinations(self) -> set[int]:
+        """The destinations whose endpoints the change touches."""
         return {
             row.dest
             for side in (self.before, self.after)
@@ -85,26 +86,29 @@
             if key[0] == "endpoint" and row is not None
         }
 
-    def look(self, now_us: int, facts: Facts, settings: Settings, current: Snapshot) -> str:
-        """Why it is to be undone, '' if nothing speaks against it."""
-        if now_us - self.seen_us < settings.look_ms * 500:
-            return ""  # looks of one moment are one
-        self.seen_us = now_us
-        if self.first is None:
-            self.first = facts
+    def observe(self, now_us: int, runtime_state: Facts, settings: Settings, current: Snapshot) -> str:
+        """Evaluate the canary; return why to roll it back, or ''."""
+        if now_us - self.observed_at_us < settings.look_ms * 500:
+            return ""  # observations within half a period count as one
+        self.observed_at_us = now_us
+        if self.baseline is None:
+            self.baseline = runtime_state
         return (
-            self._failing(facts, settings)
-            or self._nothing_ready(facts, current)
-            or self._refused(now_us, facts, settings)
-            or self._growing(facts, settings)
+            self._check_failing_calls(runtime_state, settings)
+            or self._check_ready_endpoints(runtime_state, current)
+            or self._check_rejections(now_us, runtime_state, settings)
+            or self._check_pending_growth(runtime_state, settings)
         )
 
-    def _failing(self, facts: Facts, settings: Settings) -> str:
-        assert self.first is not None
+    def _check_failing_calls(self, runtime_state: Facts, settings: Settings) -> str:
+        assert self.baseline is not None
         ended = failed = 0
-        for uid in self.fresh:
-            now, then = facts.calls.get(uid, (0, 0)), self.first.calls.get(uid, (0, 0))
-            ended, failed = ended + now[0] - then[0], failed + now[1] - then[1]
+        for uid in self.new_endpoint_ids:
+            counts, baseline_counts = (
+                runtime_state.call_counts.get(uid, (0, 0)),
+                self.baseline.call_counts.get(uid, (0, 0)),
+            )
+            ended, failed = ended + counts[0] - baseline_counts[0], failed + counts[1] - baseline_counts[1]
         if ended >= settings.least_calls and failed > settings.failing_share * ended:
             return (
                 f"calls-fail: {failed} of {ended} calls at its new endpoints failed; the bound is "
@@ -112,35 +116,48 @@
             )
         return ""
 
-    def _nothing_ready(self, facts: Facts, current: Snapshot) -> str:
-        assert self.first is not None
-        empty = [d for d in self.dests if self.first.ready.get(d) and not facts.ready.get(d)]
-        served = {row.dest for row in current.endpoints.values() if row.state == READY} if empty else set()
-        self.nothing = {d: self.nothing.get(d, 0) + 1 for d in empty if d in served}
-        for dest, looks in self.nothing.items():
-            if looks >= LOOKS:
-                return f"nothing-ready: no endpoint of destination {dest} can be used, and before one could"
+    def _check_ready_endpoints(self, runtime_state: Facts, current: Snapshot) -> str:
+        assert self.baseline is not None
+        empty = [
+            dest
+            for dest in self.destinations
+            if self.baseline.ready_endpoints.get(dest) and not runtime_state.ready_endpoints.get(dest)
+        ]
+        configured = (
+            {row.dest for row in current.endpoints.values() if row.state == READY} if empty else set()
+        )
+        self.empty_observations = {
+            dest: self.empty_observations.get(dest, 0) + 1 for dest in empty if dest in configured
+        }
+        for empty_dest, observations in self.empty_observations.items():
+            if observations >= MAX_EMPTY_OBSERVATIONS:
+                return (
+                    f"nothing-ready: no endpoint of destination {empty_dest} can be used, "
+                    "and before one could"
+                )
         return ""
 
-    def _refused(self, now_us: int, facts: Facts, settings: Settings) -> str:
-        assert self.first is not None
-        passed = max(SETTLES_US, now_us - self.since_us) / 1e6
-        rate = (facts.refused - self.first.refused) / passed
-        if rate > settings.refused_per_s and rate > 2 * self.first.refused_before:
+    def _check_rejections(self, now_us: int, runtime_state: Facts, settings: Settings) -> str:
+        assert self.baseline is not None
+        elapsed_s = max(MIN_REJECTION_SPAN_US, now_us - self.started_at_us) / 1e6
+        rate_per_s = (runtime_state.rejected - self.baseline.rejected) / elapsed_s
+        if rate_per_s > settings.refused_per_s and rate_per_s > 2 * self.baseline.rejected_per_s_before:
             return (
-                f"refusals: {rate:.0f} a second, before it was {self.first.refused_before:.0f}; the "
-                f"bound is {settings.refused_per_s:g}"
+                f"refusals: {rate_per_s:.0f} a second, before it was "
+                f"{self.baseline.rejected_per_s_before:.0f}; the bound is {settings.refused_per_s:g}"
             )
         return ""
 
-    def _growing(self, facts: Facts, settings: Settings) -> str:
-        self.held.append(facts.held_all)
-        rows = list(self.held)
-        if len(rows) < GROWING or any(b <= a for a, b in itertools.pairwise(rows)):
+    def _check_pending_growth(self, runtime_state: Facts, settings: Settings) -> str:
+        self.pending_counts.append(runtime_state.total_pending)
+        counts = list(self.pending_counts)
+        if len(counts) < GROWTH_OBSERVATIONS or any(
+            later <= earlier for earlier, later in itertools.pairwise(counts)
+        ):
             return ""
-        if rows[-1] - rows[0] < settings.held_growth * max(1, facts.max_held):
+        if counts[-1] - counts[0] < settings.held_growth * max(1, runtime_state.max_pending):
             return ""
         return (
-            f"holds-grow: {rows[0]} messages held became {rows[-1]} in {GROWING} looks; the bound is "
-            f"{settings.held_growth:.0%} of {facts.max_held}"
+            f"holds-grow: {counts[0]} messages held became {counts[-1]} in {GROWTH_OBSERVATIONS} looks; "
+            f"the bound is {settings.held_growth:.0%} of {runtime_state.max_pending}"
         )
--- a/madderbeam/changes/values.py
+++ b/madderbeam/changes/values.py
@@ -1,14 +1,14 @@
-"""Snapshots, changes and what is done to one row. Nothing of them is ever changed in place.
+"""Immutable values: configuration snapshots, changes and the operations on one row.
 
-A snapshot holds all that a message's treatment depends on, as rows by (section, name):
+A snapshot holds everything that the handling of a message depends on, as rows by (section, name):
 
-    endpoint  its uid               where it is and what it says of itself
-    class, tenant, kind  its name   numbered: messages name them by number, so a number is never given twice
-    pool      a destination         how its endpoints are chosen among (routing's own form)
-    name      a partner's name      its destination
-    limit     its name              one number
-    whole     routes, quota         routes in their order; the tree of quotas
-    fixed     its name              what only a restart changes, where rules need it
+    endpoint             its uid        address, destination and announced properties
+    class, tenant, kind  its name       numbered: messages refer to them by number, so no number is reused
+    pool                 a destination  how an endpoint is chosen there, in the format of the routing package
+    name                 partner name   its destination
+    limit                its name       one number
+    whole                routes, quota  the routes in their order; the quota tree
+    fixed                its name       settings that only a restart changes, where validation needs them
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from madderbeam.changes.sharing import Shared
+from madderbeam.changes.sharing import ImmutableMap
 
 Key = tuple[str, str]  # section, name
-NUMBERED = ("class", "tenant", "kind")
-SECTION_NAMES = ("endpoint", *NUMBERED, "pool", "name", "limit", "whole", "fixed")
+NUMBERED_SECTIONS = ("class", "tenant", "kind")
+SECTION_NAMES = ("endpoint", *NUMBERED_SECTIONS, "pool", "name", "limit", "whole", "fixed")
 READY, DRAINING = "in_service", "terminating"
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One endpoint, as the partner list has it."""
+    """One endpoint of the partner list."""
 
     uid: str
     dest: int
@@ -39,8 +39,8 @@
     topic: str = ""
     topics: tuple[str, ...] = ()
 
-    def drained(self) -> Endpoint:
-        """The same, draining."""
+    def as_draining(self) -> Endpoint:
+        """Return a copy in the draining state."""
         return Endpoint(
             self.uid,
             self.dest,
@@ -56,104 +56,114 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """One version of the configuration. Versions grow by one; an undone one's number is not given again."""
+    """One version of the configuration. Versions grow by one; that of a rolled back change is not reused."""
 
     version: int
-    sections: Mapping[str, Shared]
+    sections: Mapping[str, ImmutableMap]
 
     def get(self, key: Key) -> Any:
-        """The row, None if there is none; also that of a class that was taken away (see `present`)."""
+        """Return the row or None. Includes rows of retired classes, tenants and kinds (see `get_active`)."""
         return self.sections[key[0]].get(key[1])
 
-    def present(self, key: Key) -> Any:
-        """The row of what is there for new messages."""
+    def get_active(self, key: Key) -> Any:
+        """Return the row if new messages may use it, else None."""
         row = self.get(key)
-        return None if row is None or (key[0] in NUMBERED and row["retired"]) else row
+        return None if row is None or (key[0] in NUMBERED_SECTIONS and row["retired"]) else row
 
     def names(self, section: str) -> list[str]:
-        """Those that are there for new messages."""
+        """Return the sorted names in a section that new messages may use."""
         rows = self.sections[section].items()
-        return sorted(n for n, row in rows if section not in NUMBERED or not row["retired"])
+        return sorted(n for n, row in rows if section not in NUMBERED_SECTIONS or not row["retired"])
 
     @property
-    def endpoints(self) -> Shared:
+    def endpoints(self) -> ImmutableMap:
+        """The endpoints by uid."""
         return self.sections["endpoint"]
 
     def with_rows(self, rows: Mapping[Key, Any], version: int) -> Snapshot:
-        """The same with these rows; None takes one away."""
-        found: dict[str, dict[str, Any]] = {}
+        """Return a snapshot with these rows replaced; a value of None removes the row."""
+        rows_by_section: dict[str, dict[str, Any]] = {}
         for (section, name), row in rows.items():
-            found.setdefault(section, {})[name] = row
+            rows_by_section.setdefault(section, {})[name] = row
         sections = {
-            s: shared.with_rows(found[s]) if s in found else shared for s, shared in self.sections.items()
+            section_name: shared.with_rows(rows_by_section[section_name])
+            if section_name in rows_by_section
+            else shared
+            for section_name, shared in self.sections.items()
         }
         return Snapshot(version, sections)
 
-    def same(self, other: Snapshot) -> bool:
-        """All rows are equal, whatever the versions."""
+    def has_same_rows(self, other: Snapshot) -> bool:
+        """Whether all rows are equal, regardless of the versions."""
         return all(self.sections[s] == other.sections[s] for s in self.sections)
 
 
-def blank() -> Snapshot:
-    """Version 0: nothing at all."""
-    return Snapshot(0, {s: Shared() for s in SECTION_NAMES})
+def empty_snapshot() -> Snapshot:
+    """Return version 0, which has no rows."""
+    return Snapshot(0, {s: ImmutableMap() for s in SECTION_NAMES})
 
 
 @dataclass(frozen=True, slots=True)
 class Op:
-    """What is done to one row. `what`: add (it must not be there), edit (fields of one that is), drain,
-    remove, put (the whole row, in place of whatever is there)."""
+    """An operation on one row. `kind`: add (the row must not exist), edit (sets fields of an existing row),
+    drain, remove, put (replaces the whole row, whether or not it exists)."""
 
-    what: str
+    kind: str
     row: Any = None
 
 
 @dataclass(frozen=True)
 class Change:
-    """What is to become otherwise, by row. `base`: the version that it builds on. `accept`: codes of live
-    mistakes that its author takes upon himself. `source`: operator, file or undo."""
+    """Operations by row. `base_version`: the version that the author saw. `accepted_codes`: codes of runtime
+    errors that the author overrides. `source`: operator, file or undo."""
 
     id: str
-    base: int
+    base_version: int
     ops: Mapping[Key, Op]
-    accept: frozenset[str] = frozenset()
+    accepted_codes: frozenset[str] = frozenset()
     source: str = "operator"
     trial_ms: int | None = None
-    undoes: int = 0  # the version that it undoes
+    rolls_back_version: int = 0  # the version that this change rolls back, 0 for none
 
     @property
     def keys(self) -> frozenset[Key]:
+        """The rows that the change touches."""
         return frozenset(self.ops)
 
 
 @dataclass(frozen=True)
 class Settings:
-    """The bounds of `[changes]`."""
-
-    trial_ms: int = 30_000  # a change is on trial for this long, unless it says how long itself
-    look_ms: int = 500  # and looked at so often
-    failing_share: float = 0.5  # of the calls at its new endpoints; over it the change is undone
-    least_calls: int = 10  # that must have ended there before the share counts
-    refused_per_s: float = 50.0  # refusals; over it, and over twice what was refused before
-    held_growth: float = 0.25  # of max_held, by which what is held grows at six looks in a row
-    left_share: float = 0.25  # of a destination's ready endpoints that must stay while calls are out there
-    queue: int = 16  # changes that wait
-    history: int = 64  # outcomes that are remembered
-    drain_ms: int = 2_000  # a drain holds for this long, whatever becomes of its change
+    """The settings of the `[changes]` section."""
+
+    trial_ms: int = 30_000  # canary period, unless the change sets its own
+    look_ms: int = 500  # between two observations of a canary
+    failing_share: float = 0.5  # of the calls to its new endpoints; a higher share rolls the change back
+    least_calls: int = 10  # completed calls there before the share is evaluated
+    refused_per_s: float = (
+        50.0  # rejections; rolls back above this and above twice the rate before the change
+    )
+    held_growth: float = 0.25  # of max_held; growth of pending messages over six observations in a row
+    left_share: float = 0.25  # of a destination's ready endpoints that must remain while calls are in flight
+    queue: int = 16  # staged changes at most
+    history: int = 64  # recorded outcomes at most
+    drain_ms: int = 2_000  # minimum duration of a drain, also if its change is rolled back
 
 
 @dataclass(frozen=True)
 class Facts:
-    """What only the running courier knows. Counts are since its start."""
-
-    ready: Mapping[int, int] = field(default_factory=dict)  # endpoints in service and not avoided
-    out: Mapping[int, int] = field(default_factory=dict)  # calls under way, by destination
-    held: Mapping[int, int] = field(default_factory=dict)  # messages, by destination
-    calls: Mapping[str, tuple[int, int]] = field(default_factory=dict)  # ended and failed, by uid
-    refused: int = 0
-    refused_before: float = 0.0  # a second, before the change that is on trial
-    max_held: int = 0
+    """State of the running courier that no snapshot has. Counts are since its start."""
+
+    ready_endpoints: Mapping[int, int] = field(default_factory=dict)  # by destination, without ejected ones
+    in_flight: Mapping[int, int] = field(default_factory=dict)  # calls, by destination
+    pending: Mapping[int, int] = field(default_factory=dict)  # messages, by destination
+    call_counts: Mapping[str, tuple[int, int]] = field(
+        default_factory=dict
+    )  # ended and failed, by endpoint uid
+    rejected: int = 0
+    rejected_per_s_before: float = 0.0  # before the change in its canary period
+    max_pending: int = 0
 
     @property
-    def held_all(self) -> int:
-        return sum(self.held.values())
+    def total_pending(self) -> int:
+        """Pending messages over all destinations."""
+        return sum(self.pending.values())
--- a/madderbeam/host/changes/__init__.py
+++ b/madderbeam/host/changes/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of the configuration in a running courier: read, brought into force, watched, kept."""
+"""Configuration changes in a running courier: reads, applies, observes and persists them."""
--- a/madderbeam/host/changes/calls.py
+++ b/madderbeam/host/changes/calls.py
@@ -1,4 +1,4 @@
-"""Changes at the second address: handed in, looked at, undone."""
+"""The calls for changes at the admin address: submit, show, roll back."""
 
 from __future__ import annotations
 
@@ -8,153 +8,186 @@
 
 from madderbeam.changes import document
 from madderbeam.changes.errors import ChangeError
-from madderbeam.changes.events import Dropped, Go, Offered, TrialStopped
+from madderbeam.changes.events import ChangeApproved, ChangeDropped, Offered, RollbackRequested
 from madderbeam.changes.machine import Changes
-from madderbeam.changes.making import inverse, inverse_of, made
+from madderbeam.changes.making import inverse, inverse_of_rows, made
 from madderbeam.changes.values import Change, Facts
 from madderbeam.transport.control import Answer
 
-CALL_MOST = 4 << 20  # bytes of a call: a change of some ten thousand endpoints
-DO = ("check", "stage", "apply", "go")
-FORM = '{"do": "check", "stage" or "apply", "change": {...}} or {"do": "go", "name": NAME}'
+MAX_CALL_BYTES = 4 << 20  # enough for a change of about ten thousand endpoints
+ACTIONS = ("check", "stage", "apply", "go")
+BODY_FORM = '{"do": "check", "stage" or "apply", "change": {...}} or {"do": "go", "name": NAME}'
 
 
-class Calls:
-    """`tell` hands the machine an event, and has carried out what follows from it when it returns."""
+class AdminCalls:
+    """`handle_event` passes an event to the state machine and returns after its actions were carried out."""
 
     def __init__(
         self,
         machine: Changes,
-        facts: Callable[[], Facts],
-        tell: Callable[[Any], None],
-        now: Callable[[], int],
-        versions: Callable[[], dict[int, int]],
+        runtime_state: Callable[[], Facts],
+        handle_event: Callable[[Any], None],
+        clock: Callable[[], int],
+        pending_by_version: Callable[[], dict[int, int]],
     ) -> None:
-        self.machine, self.facts, self.tell, self.now = machine, facts, tell, now
-        self.versions = versions
-
-    def table(self) -> dict[str, tuple[str, Callable[[bytes], Answer]]]:
-        """What is answered where."""
+        self.machine, self.runtime_state, self.handle_event, self.clock = (
+            machine,
+            runtime_state,
+            handle_event,
+            clock,
+        )
+        self.pending_by_version = pending_by_version
+
+    def handlers(self) -> dict[str, tuple[str, Callable[[bytes], Answer]]]:
+        """Return the method and handler of each path."""
         return {
             "GET /changes": ("GET", self._show),
-            "POST /changes": ("POST", self._hand_in),
-            "/changes/undo": ("POST", self._undo),
+            "POST /changes": ("POST", self._submit),
+            "/changes/undo": ("POST", self._roll_back),
         }
 
-    # Handing in
+    # Submission
 
-    def _hand_in(self, body: bytes) -> Answer:
-        value = _object(body)
-        do = value.get("do") if value else None
-        if value is None or do not in DO:
-            return Answer(400, f"the body must be a JSON object like {FORM}\n")
-        if do == "go":
-            return self._go(value.get("name"))
-        change, wrong = document.read(value.get("change"))
+    def _submit(self, body: bytes) -> Answer:
+        value = _parse_object(body)
+        action = value.get("do") if value else None
+        if value is None or action not in ACTIONS:
+            return Answer(400, f"the body must be a JSON object like {BODY_FORM}\n")
+        if action == "go":
+            return self._approve(value.get("name"))
+        change, errors = document.parse(value.get("change"))
         if change is None:
-            return _no(400, wrong)
-        if do == "check":
-            wrong = self.machine.check(change, self.facts())
+            return _rejection(400, errors)
+        if action == "check":
+            errors = self.machine.check(change, self.runtime_state())
             return (
-                _no(409, wrong)
-                if wrong
+                _rejection(409, errors)
+                if errors
                 else Answer(200, f"{change.id}: holds on version {self.machine.current.version}\n")
             )
-        if do == "apply" and (staged := self.machine.waits(change.id)) and staged.change == change:
-            return self._go(change.id)
-        return self._offer(change, do == "apply")
-
-    def _offer(self, change: Change, go: bool) -> Answer:
-        if wrong := self.machine.check(change, self.facts() if go else None):
-            return _no(409, wrong)
-        self.tell(Offered(change, self.facts(), go))
-        return self._became(change.id)
-
-    def _go(self, ident: Any) -> Answer:
-        if not isinstance(ident, str) or self.machine.waits(ident) is None:
-            return Answer(404, f"name: no change {ident!r} waits\n")
-        self.tell(Go(ident, self.facts()))
-        return self._became(ident)
-
-    def _became(self, ident: str) -> Answer:
-        trial, staged, out = self.machine.trial(ident), self.machine.waits(ident), self.machine.outcome(ident)
-        if trial is not None:
+        if (
+            action == "apply"
+            and (staged := self.machine.staged_change(change.id))
+            and staged.change == change
+        ):
+            return self._approve(change.id)
+        return self._submit_change(change, action == "apply")
+
+    def _submit_change(self, change: Change, approved: bool) -> Answer:
+        if errors := self.machine.check(change, self.runtime_state() if approved else None):
+            return _rejection(409, errors)
+        self.handle_event(Offered(change, self.runtime_state(), approved))
+        return self._status_answer(change.id)
+
+    def _approve(self, change_id: Any) -> Answer:
+        if not isinstance(change_id, str) or self.machine.staged_change(change_id) is None:
+            return Answer(404, f"name: no change {change_id!r} waits\n")
+        self.handle_event(ChangeApproved(change_id, self.runtime_state()))
+        return self._status_answer(change_id)
+
+    def _status_answer(self, change_id: str) -> Answer:
+        canary, staged, outcome = (
+            self.machine.canary(change_id),
+            self.machine.staged_change(change_id),
+            self.machine.outcome(change_id),
+        )
+        if canary is not None:
             return Answer(
                 202,
-                f"{ident}: in force as version {trial.version}, on trial for "
-                f"{(trial.until_us - self.now()) // 1000} ms\n",
+                f"{change_id}: in force as version {canary.version}, on trial for "
+                f"{(canary.ends_at_us - self.clock()) // 1000} ms\n",
             )
         if staged is not None:
-            return Answer(202, f"{ident}: staged; {'it waits for its turn' if staged.go else 'say apply'}\n")
-        if out is not None:
-            return Answer(200 if out.what == "kept" else 409, f"{ident}: {out.what}: {out.why}\n")
-        return Answer(500, f"{ident}: nothing is known of it\n")
+            return Answer(
+                202, f"{change_id}: staged; {'it waits for its turn' if staged.go else 'say apply'}\n"
+            )
+        if outcome is not None:
+            return Answer(
+                200 if outcome.what == "kept" else 409, f"{change_id}: {outcome.what}: {outcome.reason}\n"
+            )
+        return Answer(500, f"{change_id}: nothing is known of it\n")
 
-    # Undoing
+    # Rollback
 
-    def _undo(self, body: bytes) -> Answer:
-        value = _object(body)
-        ident = value.get("name") if value else None
-        if not isinstance(ident, str):
+    def _roll_back(self, body: bytes) -> Answer:
+        value = _parse_object(body)
+        change_id = value.get("name") if value else None
+        if not isinstance(change_id, str):
             return Answer(400, 'the body must be a JSON object like {"name": NAME}\n')
         machine = self.machine
-        if machine.waits(ident) is not None:
-            self.tell(Dropped(ident))
-            return Answer(200, f"{ident}: dropped, it was not in force\n")
-        if (trial := machine.trial(ident)) is not None:
-            told = inverse_of(trial.before, trial.after)
-            self.tell(TrialStopped(ident, "by an operator's word"))
-            return Answer(200, _restores(ident, told.restores, told.leaves))
-        out = machine.outcome(ident)
-        if out is None or out.what != "kept":
-            return Answer(404, f"name: no change {ident!r} waits, is on trial or kept\n")
-        return self._undo_kept(ident, out.version)
-
-    def _undo_kept(self, ident: str, version: int) -> Answer:
+        if machine.staged_change(change_id) is not None:
+            self.handle_event(ChangeDropped(change_id))
+            return Answer(200, f"{change_id}: dropped, it was not in force\n")
+        if (canary := machine.canary(change_id)) is not None:
+            rollback = inverse_of_rows(canary.before, canary.after)
+            self.handle_event(RollbackRequested(change_id, "by an operator's word"))
+            return Answer(200, _rollback_text(change_id, rollback.restores, rollback.not_restored))
+        outcome = machine.outcome(change_id)
+        if outcome is None or outcome.what != "kept":
+            return Answer(404, f"name: no change {change_id!r} waits, is on trial or kept\n")
+        return self._roll_back_kept(change_id, outcome.version)
+
+    def _roll_back_kept(self, change_id: str, version: int) -> Answer:
         machine = self.machine
-        change, wrong = machine.undo_of(version, f"undo-{version}-{machine.current.version}")
-        if change is None or wrong:
-            return _no(409, wrong)
-        answer = self._offer(change, True)
+        change, errors = machine.rollback_of(version, f"undo-{version}-{machine.current.version}")
+        if change is None or errors:
+            return _rejection(409, errors)
+        answer = self._submit_change(change, True)
         if answer.status >= 300:
             return answer
-        told = inverse(made(machine.current, change.ops, 0).snapshot, machine.current)
-        return Answer(answer.status, answer.text + _restores(ident, told.restores, told.leaves))
+        rollback = inverse(made(machine.current, change.ops, 0).snapshot, machine.current)
+        return Answer(
+            answer.status, answer.text + _rollback_text(change_id, rollback.restores, rollback.not_restored)
+        )
 
-    # Looking
+    # Status
 
     def _show(self, _: bytes) -> Answer:
         return Answer(200, json.dumps(self.state(), indent=1) + "\n")
 
     def state(self) -> dict[str, Any]:
-        """All that is known; spans in milliseconds."""
-        m, now, current = self.machine, self.now(), self.machine.current
-        trials = [
+        """Return the full state; durations in milliseconds."""
+        machine, now_us, current = self.machine, self.clock(), self.machine.current
+        canaries = [
             {
-                "name": trial.id,
-                "version": trial.version,
-                "left_ms": max(0, trial.until_us - now) // 1000,
-                "touches": sorted(f"{section} {name}" for section, name in trial.after)[:100],
+                "name": canary.id,
+                "version": canary.version,
+                "left_ms": max(0, canary.ends_at_us - now_us) // 1000,
+                "touches": sorted(f"{section} {name}" for section, name in canary.after)[:100],
             }
-            for trial in m.trials
+            for canary in machine.trials
         ]
         return {
             "version": current.version,
-            "on_trial": trials,
-            "waiting": [{"name": s.change.id, "go": s.go, "base": s.change.base} for s in m.staged],
+            "on_trial": canaries,
+            "waiting": [
+                {"name": staged.change.id, "go": staged.go, "base": staged.change.base_version}
+                for staged in machine.staged
+            ],
             "history": [
-                {"name": o.id, "version": o.version, "what": o.what, "why": o.why, "at_ms": o.at_ms}
-                for o in m.past.values()
+                {
+                    "name": outcome.id,
+                    "version": outcome.version,
+                    "what": outcome.what,
+                    "why": outcome.reason,
+                    "at_ms": outcome.recorded_at_ms,
+                }
+                for outcome in machine.past.values()
             ],
             "drains": {
-                uid: max(0, at + m.drains.hold_us - now) // 1000 for uid, at in sorted(m.drains.heard.items())
+                uid: max(0, began_at_us + machine.drains.hold_us - now_us) // 1000
+                for uid, began_at_us in sorted(machine.drains.heard.items())
+            },
+            "rows": {
+                staged: len(current.sections[staged]) for staged in current.sections if staged != "fixed"
+            },
+            "messages_by_version": {
+                str(version): count for version, count in sorted(self.pending_by_version().items())
             },
-            "rows": {s: len(current.sections[s]) for s in current.sections if s != "fixed"},
-            "messages_by_version": {str(v): n for v, n in sorted(self.versions().items())},
         }
 
 
-def _object(body: bytes) -> dict[str, Any] | None:
+def _parse_object(body: bytes) -> dict[str, Any] | None:
     try:
         value = json.loads(body)
     except (ValueError, RecursionError):
@@ -162,13 +195,13 @@
     return value if isinstance(value, dict) else None
 
 
-def _no(status: int, wrong: Sequence[ChangeError]) -> Answer:
-    lines = "".join(e.line() + "\n" for e in wrong)
-    return Answer(status, f"{lines}{len(wrong)} mistake{'s' * (len(wrong) != 1)}; nothing is changed\n")
+def _rejection(status: int, errors: Sequence[ChangeError]) -> Answer:
+    lines = "".join(error.line() + "\n" for error in errors)
+    return Answer(status, f"{lines}{len(errors)} mistake{'s' * (len(errors) != 1)}; nothing is changed\n")
 
 
-def _restores(ident: str, restores: Sequence[str], leaves: Sequence[str]) -> str:
+def _rollback_text(change_id: str, restores: Sequence[str], not_restored: Sequence[str]) -> str:
     more = f" and {len(restores) - 20} more" if len(restores) > 20 else ""
-    return f"{ident}: restored: {', '.join(restores[:20])}{more}\n" + "".join(
-        f"{ident}: not restored: {text}\n" for text in leaves[:50]
+    return f"{change_id}: restored: {', '.join(restores[:20])}{more}\n" + "".join(
+        f"{change_id}: not restored: {text}\n" for text in not_restored[:50]
     )
--- a/madderbeam/host/changes/file.py
+++ b/madderbeam/host/changes/file.py
@@ -1,4 +1,4 @@
-"""The courier's file as a source of changes: what is new in it goes through the same stages as a command."""
+"""The courier's file as a source of changes: its changes pass the same stages as those of operators."""
 
 from __future__ import annotations
 
@@ -10,59 +10,69 @@
 from typing import Any
 
 from madderbeam.changes import errors
-from madderbeam.changes.events import FileSeen, Offered
+from madderbeam.changes.events import FileProcessed, Offered
 from madderbeam.changes.machine import Changes
-from madderbeam.changes.making import difference, shown
+from madderbeam.changes.making import comparable_row, difference
 from madderbeam.changes.values import DRAINING, Change, Endpoint, Facts, Key, Op, Snapshot
 from madderbeam.config.platform import ConfigError, load_sidecar
 from madderbeam.host.changes.reading import snapshot_of
 from madderbeam.ports import Disk
 
-LATER = (errors.Full, errors.Stale)  # may be otherwise in a moment
-AGAIN_S = 1.0
+RETRYABLE_ERRORS = (errors.Full, errors.Stale)  # may pass on the next attempt
+RETRY_S = 1.0
 log = logging.getLogger(__name__)
 
 
 class FileSource:
-    """Looks at a courier's rendered file and its partner list together. `later` calls back after so many
+    """Reads a courier's rendered file together with its partner list. `schedule` calls back after a number of
     seconds."""
 
     def __init__(
         self,
         disk: Disk,
-        listed: str,
+        partner_list_path: str,
         machine: Changes,
-        facts: Callable[[], Facts],
-        tell: Callable[[Any], None],
-        later: Callable[[float, Callable[[], None]], None],
+        runtime_state: Callable[[], Facts],
+        handle_event: Callable[[Any], None],
+        schedule: Callable[[float, Callable[[], None]], None],
     ) -> None:
-        """`listed`: the partner list's path, NAME.partners.json; the courier's file is NAME.json beside."""
-        self.disk, self.listed, self.machine, self.facts = disk, listed, machine, facts
-        self.tell, self.later = tell, later
-        self.main = listed.removesuffix(".partners.json") + ".json"
-        self.waits = False
-        self.told = ""  # why it is not taken up, as it was told last
-
-    def look(self) -> None:
-        """Take up what is new. A set of files that is being written is looked at again."""
+        """`partner_list_path`: NAME.partners.json; the courier's file is NAME.json in the same folder."""
+        self.disk, self.partner_list_path, self.machine, self.runtime_state = (
+            disk,
+            partner_list_path,
+            machine,
+            runtime_state,
+        )
+        self.handle_event, self.schedule = handle_event, schedule
+        self.courier_file_path = partner_list_path.removesuffix(".partners.json") + ".json"
+        self.is_retry_scheduled = False
+        self.last_logged = ""  # the last logged error, so that a repeated one is not logged
+
+    def check(self) -> None:
+        """Submit what is new in the files; retries later if they are just being written."""
         try:
             digest = self._digest()
             if digest is None:
-                self._again()
+                self._schedule_retry()
                 return
-            if self.machine.file is not None and self.machine.file[0] == digest:
+            if self.machine.processed_file is not None and self.machine.processed_file[0] == digest:
                 return
-            snapshot = snapshot_of(load_sidecar(self.main, self.disk))
+            snapshot = snapshot_of(load_sidecar(self.courier_file_path, self.disk))
         except (OSError, ConfigError, KeyError, TypeError, ValueError) as error:
-            self._say(f"the configuration stays as it was: {error}")
+            self._log_once(f"the files can't be used, the configuration is unchanged: {error}")
             return
-        self._offer(digest, snapshot)
+        self._submit(digest, snapshot)
 
     def _digest(self) -> str | None:
-        """Of both files; None if the manifest beside them names others: they are being written."""
-        data = {path.rpartition("/")[2]: self.disk.read(path) for path in (self.main, self.listed)}
+        """Return a digest of both files; None if the manifest has other hashes, as while they are written."""
+        data = {
+            path.rpartition("/")[2]: self.disk.read(path)
+            for path in (self.courier_file_path, self.partner_list_path)
+        }
         try:
-            manifest = json.loads(self.disk.read(self.main.rpartition("/")[0] + "/manifest.json"))["files"]
+            manifest = json.loads(
+                self.disk.read(self.courier_file_path.rpartition("/")[0] + "/manifest.json")
+            )["files"]
         except (OSError, ValueError, KeyError, TypeError):
             manifest = {}
         for name, content in data.items():
@@ -70,73 +80,81 @@
                 return None
         return hashlib.sha256(b"".join(data.values())).hexdigest()[:16]
 
-    def _offer(self, digest: str, snapshot: Snapshot) -> None:
-        """Drains first, by themselves: they wait for nothing. Then all the rest, as one change."""
-        m = self.machine
-        if m.file is None:  # nothing tells what was new in it: it counts as seen
-            self.tell(FileSeen(digest, snapshot))
+    def _submit(self, digest: str, snapshot: Snapshot) -> None:
+        """Submit drains as a change of their own, since they wait for nothing, then the rest as another."""
+        machine = self.machine
+        if machine.processed_file is None:  # there is no older file to compare it with
+            self.handle_event(FileProcessed(digest, snapshot))
             return
-        seen = m.file[1]
+        seen = machine.processed_file[1]
         drains: dict[Key, Op] = {}
-        rest: dict[Key, Op] = {}
+        others: dict[Key, Op] = {}
         for key, op in difference(seen, snapshot).items():
-            if shown(m.current, key) == op.row:
-                continue  # by a command
-            told = _told(seen.get(key), op.row) if key[0] == "endpoint" and m.current.get(key) else None
-            if told is None:
-                rest[key] = op
+            if comparable_row(machine.current, key) == op.row:
+                continue  # already made by an operator
+            edited = (
+                _edited_fields(seen.get(key), op.row)
+                if key[0] == "endpoint" and machine.current.get(key)
+                else None
+            )
+            if edited is None:
+                others[key] = op
                 continue
-            if told.get("state") == DRAINING:
+            if edited.get("state") == DRAINING:
                 drains[key] = Op("drain")
-                del told["state"]
-            if told:
-                rest[key] = Op("edit", told)
-        done = self._change(f"file-{digest}-{m.current.version}-drains", drains)
-        if done:
+                del edited["state"]
+            if edited:
+                others[key] = Op("edit", edited)
+        is_submitted = self._submit_ops(f"file-{digest}-{machine.current.version}-drains", drains)
+        if is_submitted:
             rows = {key: replace(seen.get(key), state=DRAINING) for key in drains}
             seen = seen.with_rows(rows, seen.version)
-            done = self._change(f"file-{digest}-{m.current.version}", rest)
-        if done:
-            self.told = ""
-            self.tell(FileSeen(digest, snapshot))
-        elif done is False:
-            self._again()
-        else:  # turned down until it changes; what was new in it stays new
-            self.tell(FileSeen(digest, seen))
-
-    def _change(self, ident: str, ops: Mapping[Key, Op]) -> bool | None:
-        """Whether these are taken up; None if they never will be."""
+            is_submitted = self._submit_ops(f"file-{digest}-{machine.current.version}", others)
+        if is_submitted:
+            self.last_logged = ""
+            self.handle_event(FileProcessed(digest, snapshot))
+        elif is_submitted is False:
+            self._schedule_retry()
+        else:  # rejected until the file changes; its new rows stay new
+            self.handle_event(FileProcessed(digest, seen))
+
+    def _submit_ops(self, change_id: str, ops: Mapping[Key, Op]) -> bool | None:
+        """Submit operations; returns whether they were accepted, None if a retry is pointless."""
         if not ops:
             return True
-        m = self.machine
-        change = Change(ident, m.current.version, ops, source="file")
-        if not (wrong := m.check(change, None)):
-            self.tell(Offered(change, self.facts()))
-            out = m.outcome(ident)
-            return out is None or out.what != "refused"
-        self._say("the file's change is not taken up:\n" + "\n".join(e.line() for e in wrong))
-        return False if all(isinstance(e, LATER) for e in wrong) else None
-
-    def _say(self, text: str) -> None:
-        if text != self.told:
-            self.told = text
+        machine = self.machine
+        change = Change(change_id, machine.current.version, ops, source="file")
+        if not (found_errors := machine.check(change, None)):
+            self.handle_event(Offered(change, self.runtime_state()))
+            outcome = machine.outcome(change_id)
+            return outcome is None or outcome.what != "refused"
+        self._log_once(
+            "the change of the files is rejected:\n" + "\n".join(error.line() for error in found_errors)
+        )
+        return False if all(isinstance(error, RETRYABLE_ERRORS) for error in found_errors) else None
+
+    def _log_once(self, text: str) -> None:
+        if text != self.last_logged:
+            self.last_logged = text
             log.error("changes: %s", text)
 
-    def _again(self) -> None:
-        if not self.waits:
-            self.waits = True
-            self.later(AGAIN_S, self._waited)
+    def _schedule_retry(self) -> None:
+        if not self.is_retry_scheduled:
+            self.is_retry_scheduled = True
+            self.schedule(RETRY_S, self._retry)
 
-    def _waited(self) -> None:
-        self.waits = False
-        self.look()
+    def _retry(self) -> None:
+        self.is_retry_scheduled = False
+        self.check()
 
 
-def _told(old: Endpoint | None, new: Endpoint | None) -> dict[str, Any] | None:
-    """The fields of an endpoint that the file has otherwise than before: what a command changed of others
-    stays. None if it is new there or gone."""
+def _edited_fields(old: Endpoint | None, new: Endpoint | None) -> dict[str, Any] | None:
+    """Return the fields of an endpoint that differ in the newer file, so that an operator's changes of other
+    fields stay. None if the endpoint is new or removed."""
     if old is None or new is None:
         return None
     return {
-        f.name: getattr(new, f.name) for f in fields(Endpoint) if getattr(old, f.name) != getattr(new, f.name)
+        field.name: getattr(new, field.name)
+        for field in fields(Endpoint)
+        if getattr(old, field.name) != getattr(new, field.name)
     }
--- a/madderbeam/host/changes/reading.py
+++ b/madderbeam/host/changes/reading.py
@@ -1,4 +1,4 @@
-"""A courier's configuration as a snapshot, and the other way round."""
+"""Converts a courier's configuration to a snapshot and back."""
 
 from __future__ import annotations
 
@@ -6,109 +6,119 @@
 from dataclasses import replace
 from typing import Any
 
-from madderbeam.changes.check import routing
-from madderbeam.changes.machine import in_force as newest
+from madderbeam.changes.check import routing_config
+from madderbeam.changes.machine import active_snapshot as newest
 from madderbeam.changes.records import Restored, restore
-from madderbeam.changes.values import DRAINING, Endpoint, Key, Snapshot, blank
+from madderbeam.changes.values import DRAINING, Endpoint, Key, Snapshot, empty_snapshot
 from madderbeam.config.platform import Config
 from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.policy.settings import DestinationKind, Idempotency, MessageClass, Settings, Tenant
 from madderbeam.ports import Ports
 
-REPEAT = {"safe": Idempotency.IDEMPOTENT, "keyed": Idempotency.WITH_KEY, "unsafe": Idempotency.NON_IDEMPOTENT}
-NAMED = {effect: name for name, effect in REPEAT.items()}
-BOUND = (("kafka", ("class", "tenant")), ("share", ("whole",)))  # what is fixed with it: see check.bound
-FIRST = 1  # the version that a courier's file makes where nothing was kept
+IDEMPOTENCY_BY_NAME = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.WITH_KEY,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+NAME_BY_IDEMPOTENCY = {effect: name for name, effect in IDEMPOTENCY_BY_NAME.items()}
+# Sections that only a restart changes while a fixed setting is on; check.restart_errors has the same rules.
+RESTART_SECTIONS = (("kafka", ("class", "tenant")), ("share", ("whole",)))
+FIRST_VERSION = 1  # of the snapshot of the file, if there are no records
 
 
-def folder(config: Config) -> str:
-    """Where a courier keeps its versions: beside the journal's folder, whose limit is the journal's."""
+def state_folder(config: Config) -> str:
+    """Return the folder of the records; it is not in the journal's folder, whose size is limited."""
     return config.state.rstrip("/") + "-changes"
 
 
-def opened(config: Config, ports: Ports) -> DurableMap:
-    """OSError if the folder can't be used."""
-    return DurableMap(ports.disk, folder(config), bool(config.sidecar and config.sidecar.sync))
+def open_store(config: Config, ports: Ports) -> DurableMap:
+    """Open the store of the records; raises OSError if the folder can't be used."""
+    return DurableMap(ports.disk, state_folder(config), bool(config.sidecar and config.sidecar.sync))
 
 
-# From a file to a snapshot
+# File to snapshot
 
 
 def snapshot_of(config: Config) -> Snapshot:
-    """What the file says."""
+    """Return the snapshot of a courier's file."""
     rows: dict[Key, Any] = {}
-    s = config.settings
-    for n, c in enumerate(s.classes):
-        rows["class", c.name] = {
-            "wanted_ms": c.latency_objective_us // 1000,
-            "deadline_ms": c.deadline_us // 1000,
-            "repeat": NAMED[c.idempotency],
-            "key_window_ms": c.key_window_us // 1000,
-            "key_scope": c.key_scope,
-            "worth": c.priority_weight,
-            "late_share": c.late_value_share,
-            "ordered": c.ordered,
-            "number": n,
+    settings = config.settings
+    for index, message_class in enumerate(settings.classes):
+        rows["class", message_class.name] = {
+            "wanted_ms": message_class.latency_objective_us // 1000,
+            "deadline_ms": message_class.deadline_us // 1000,
+            "repeat": NAME_BY_IDEMPOTENCY[message_class.idempotency],
+            "key_window_ms": message_class.key_window_us // 1000,
+            "key_scope": message_class.key_scope,
+            "worth": message_class.priority_weight,
+            "late_share": message_class.late_value_share,
+            "ordered": message_class.ordered,
+            "number": index,
             "retired": False,
         }
-    for n, t in enumerate(s.tenants):
-        rows["tenant", t.name] = {
-            "share": t.quota_share,
-            "per_s": t.quota_per_s,
-            "number": n,
+    for index, tenant in enumerate(settings.tenants):
+        rows["tenant", tenant.name] = {
+            "share": tenant.quota_share,
+            "per_s": tenant.quota_per_s,
+            "number": index,
             "retired": False,
         }
-    for n, k in enumerate(s.kinds):
-        rows["kind", k.name] = {
-            "bundle": k.max_batch,
-            "routes_apart": k.limits_per_endpoint,
-            "number": n,
+    for index, kind in enumerate(settings.kinds):
+        rows["kind", kind.name] = {
+            "bundle": kind.max_batch,
+            "routes_apart": kind.limits_per_endpoint,
+            "number": index,
             "retired": False,
         }
     for target in config.known["targets"]:
         row = endpoint_of(target)
         rows["endpoint", row.uid] = row
-    raw = config.known.get("routing") or {}
-    rows |= {("pool", str(number)): pool for number, pool in raw.get("pools", {}).items()}
-    rows |= {("name", name): number for name, number in raw.get("names", {}).items()}
-    if raw.get("routes"):
-        rows["whole", "routes"] = raw["routes"]
+    routing = config.known.get("routing") or {}
+    rows |= {("pool", str(number)): pool for number, pool in routing.get("pools", {}).items()}
+    rows |= {("name", name): number for name, number in routing.get("names", {}).items()}
+    if routing.get("routes"):
+        rows["whole", "routes"] = routing["routes"]
     if config.quota:
         rows["whole", "quota"] = config.quota
-    rows |= {("limit", name): value for name, value in _limits(s).items()}
-    return blank().with_rows(rows | fixed_of(config), FIRST)
+    rows |= {("limit", name): value for name, value in _limit_rows(settings).items()}
+    return empty_snapshot().with_rows(rows | fixed_rows(config), FIRST_VERSION)
 
 
-def fixed_of(config: Config) -> dict[Key, Any]:
-    """What only a restart changes, where rules need it."""
-    found: dict[str, Any] = {"slots": config.settings.max_in_flight, "disk_bytes": config.disk_bytes}
+def fixed_rows(config: Config) -> dict[Key, Any]:
+    """Return settings that only a restart changes, where validation needs them."""
+    values: dict[str, Any] = {"slots": config.settings.max_in_flight, "disk_bytes": config.disk_bytes}
     if config.kafka is not None:
-        found["kafka"] = True
+        values["kafka"] = True
     if config.federation is not None and config.federation.share:
-        found["share"] = True
-    return {("fixed", name): value for name, value in found.items()}
-
-
-def file_rows(config: Config, kept: Snapshot) -> dict[Key, Any]:
-    """Rows that are the file's alone: what is fixed, and what this courier can't change while it runs, which
-    counts from a start on whatever was kept."""
-    fixed = fixed_of(config)
-    bound = [s for mark, section in BOUND if ("fixed", mark) in fixed for s in section]
-    if not bound:
-        return fixed
-    whole = snapshot_of(config)
+        values["share"] = True
+    return {("fixed", name): value for name, value in values.items()}
+
+
+def file_only_rows(config: Config, active: Snapshot) -> dict[Key, Any]:
+    """Return the rows that always come from the file: the `fixed` section and what this courier can't change
+    while it runs. They take effect at a start, whatever was committed."""
+    fixed_values = fixed_rows(config)
+    sections = [
+        section
+        for fixed_name, section_names in RESTART_SECTIONS
+        if ("fixed", fixed_name) in fixed_values
+        for section in section_names
+    ]
+    if not sections:
+        return fixed_values
+    file_snapshot = snapshot_of(config)
     keys = {
-        (s, name)
-        for s in bound
-        for side in (kept, whole)
-        for name in side.sections[s]
-        if (s != "whole" or name == "quota")
+        (section, name)
+        for section in sections
+        for side in (active, file_snapshot)
+        for name in side.sections[section]
+        if (section != "whole" or name == "quota")
     }
-    return fixed | {key: whole.get(key) for key in keys}
+    return fixed_values | {key: file_snapshot.get(key) for key in keys}
 
 
 def endpoint_of(target: Mapping[str, Any]) -> Endpoint:
-    """From discovery's form, as a rendered list has it."""
+    """Return the endpoint of a discovery target, as a rendered partner list has it."""
     return Endpoint(
         str(target["uid"]),
         int(target["pod_group"]),
@@ -122,22 +132,22 @@
     )
 
 
-def _limits(s: Settings) -> dict[str, int]:
+def _limit_rows(settings: Settings) -> dict[str, int]:
     return {
-        "max_held": s.max_pending,
-        "attempts": min(s.attempts_per_message, s.max_attempts),
-        "retry_base_ms": s.backoff_base_us // 1000,
-        "retry_cap_ms": s.backoff_cap_us // 1000,
-        "max_wait_ms": s.max_retry_after_us // 1000,
-        "window": s.destination_window or max(1, int(0.75 * s.max_in_flight)),
+        "max_held": settings.max_pending,
+        "attempts": min(settings.attempts_per_message, settings.max_attempts),
+        "retry_base_ms": settings.backoff_base_us // 1000,
+        "retry_cap_ms": settings.backoff_cap_us // 1000,
+        "max_wait_ms": settings.max_retry_after_us // 1000,
+        "window": settings.destination_window or max(1, int(0.75 * settings.max_in_flight)),
     }
 
 
-# From a snapshot to what a courier runs on
+# Snapshot to configuration
 
 
 def target_of(row: Endpoint, state: str = "") -> dict[str, Any]:
-    """In discovery's form."""
+    """Return the discovery target of an endpoint."""
     return {
         "uid": row.uid,
         "endpoint": row.address,
@@ -153,67 +163,70 @@
 
 
 def settings_of(base: Settings, snapshot: Snapshot) -> Settings:
-    """The base with what the snapshot says. A class, tenant or kind that was taken away keeps its number."""
+    """Return the base settings updated from a snapshot, in which retired rows keep their numbers."""
 
     def numbered(section: str) -> list[tuple[str, Mapping[str, Any]]]:
         return sorted(snapshot.sections[section].items(), key=lambda item: item[1]["number"])
 
-    limit: Mapping[str, int] = dict(snapshot.sections["limit"].items())
+    limits: Mapping[str, int] = dict(snapshot.sections["limit"].items())
     return replace(
         base,
         classes=tuple(
             MessageClass(
                 name,
-                c["wanted_ms"] * 1000,
-                c["deadline_ms"] * 1000,
-                REPEAT[c["repeat"]],
-                c["worth"],
-                c["late_share"],
-                c["key_scope"],
-                c["key_window_ms"] * 1000,
-                c["ordered"],
+                message_class["wanted_ms"] * 1000,
+                message_class["deadline_ms"] * 1000,
+                IDEMPOTENCY_BY_NAME[message_class["repeat"]],
+                message_class["worth"],
+                message_class["late_share"],
+                message_class["key_scope"],
+                message_class["key_window_ms"] * 1000,
+                message_class["ordered"],
             )
-            for name, c in numbered("class")
+            for name, message_class in numbered("class")
+        ),
+        tenants=tuple(Tenant(name, tenant["share"], tenant["per_s"]) for name, tenant in numbered("tenant")),
+        kinds=tuple(
+            DestinationKind(name, kind["routes_apart"], kind["bundle"]) for name, kind in numbered("kind")
         ),
-        tenants=tuple(Tenant(name, t["share"], t["per_s"]) for name, t in numbered("tenant")),
-        kinds=tuple(DestinationKind(name, k["routes_apart"], k["bundle"]) for name, k in numbered("kind")),
-        max_pending=limit["max_held"],
-        attempts_per_message=limit["attempts"],
-        max_attempts=limit["attempts"],
-        backoff_base_us=limit["retry_base_ms"] * 1000,
-        backoff_cap_us=limit["retry_cap_ms"] * 1000,
-        max_retry_after_us=limit["max_wait_ms"] * 1000,
-        destination_window=limit["window"],
+        max_pending=limits["max_held"],
+        attempts_per_message=limits["attempts"],
+        max_attempts=limits["attempts"],
+        backoff_base_us=limits["retry_base_ms"] * 1000,
+        backoff_cap_us=limits["retry_cap_ms"] * 1000,
+        max_retry_after_us=limits["max_wait_ms"] * 1000,
+        destination_window=limits["window"],
     )
 
 
 def zones_of(base: tuple[str, ...], snapshot: Snapshot) -> tuple[str, ...]:
-    """Those that have a number keep it."""
+    """Return the zones by number: those of `base`, then the new ones in sorted order."""
     return base + tuple(sorted({row.zone for row in snapshot.endpoints.values()} - set(base)))
 
 
 def in_force(config: Config, ports: Ports) -> Config:
-    """The file's configuration with what was last in force here, if anything was ever kept."""
-    kept = opened(config, ports)
+    """Return the file's configuration, updated with the last active snapshot if there are records."""
+    store = open_store(config, ports)
     try:
-        restored = restore(kept.map)
+        restored = restore(store.map)
     finally:
-        kept.close()
+        store.close()
     return config if restored is None else config_of(config, restored)
 
 
 def config_of(config: Config, restored: Restored) -> Config:
-    """An endpoint whose drain was heard is listed as draining; it comes in once that is over."""
+    """Return a configuration with the restored snapshot. Endpoints with a recorded drain are draining."""
     snapshot = newest(restored)
-    snapshot = snapshot.with_rows(file_rows(config, snapshot), snapshot.version)
+    snapshot = snapshot.with_rows(file_only_rows(config, snapshot), snapshot.version)
     targets = [
-        target_of(row, DRAINING if uid in restored.drains else "") for uid, row in snapshot.endpoints.items()
+        target_of(row, DRAINING if uid in restored.drain_heard_at_ms else "")
+        for uid, row in snapshot.endpoints.items()
     ]
-    raw = routing(snapshot)
+    routing = routing_config(snapshot)
     return replace(
         config,
         settings=settings_of(config.settings, snapshot),
         zones=zones_of(config.zones, snapshot),
         quota=snapshot.get(("whole", "quota")) or None,
-        known={"rev": 0, "targets": targets, **({"routing": raw} if raw else {})},
+        known={"rev": 0, "targets": targets, **({"routing": routing} if routing else {})},
     )
--- a/tests/changes/estates_changes.py
+++ b/tests/changes/estates_changes.py
@@ -1,4 +1,4 @@
-"""An estate with changes on, for one courier in this process or in one of its own."""
+"""An estate with changes enabled, for a courier in the test process or in its own process."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Estate:
-    """`partners`: endpoints by destination, each by name."""
+    """`partners`: addresses of endpoints by destination."""
 
     def __init__(
         self, folder, partners, more="", listen="127.0.0.1:7101", control="127.0.0.1:7102", **bounds
@@ -59,7 +59,7 @@
         return self.folder / "rendered" / "n0.json"
 
     def write(self):
-        """Write and render it; nothing may be wrong with it."""
+        """Write and render the estate, which must have no errors."""
         bounds = "".join(f"{k} = {v}\n" for k, v in self.bounds.items())
         text = ESTATE.format(bounds=bounds, listen=self.listen, control=self.control, more=self.more)
         (self.folder / "estate.toml").write_text(text)
@@ -79,12 +79,12 @@
 
 
 class Courier:
-    """The courier of an estate, in this process."""
+    """The courier of an estate, in the test process."""
 
     def __init__(self, estate):
         self.estate = estate
         self.host, self.lock = beside(estate.rendered)
-        self.host.config = replace(self.host.config, control=None)  # asked in this process
+        self.host.config = replace(self.host.config, control=None)  # calls are made in this process
 
     async def __aenter__(self):
         self.client = await Client().open(self.host.start())
@@ -104,7 +104,7 @@
         return self.room.machine
 
     def do(self, method, path, **body):
-        """A call at the second address, without its socket: status and text."""
+        """Make a call of the admin address without its socket; returns status and text."""
         answer = self.host.admin_service.handle(method, path, json.dumps(body).encode())
         return answer.status, answer.text
 
@@ -113,7 +113,7 @@
         return self.do("POST", "/changes", do="apply", change=change)
 
     async def until(self, so, limit=15.0):
-        """Until this holds; the machine tells nobody when it changes."""
+        """Poll until a condition holds, since the state machine sends no notifications."""
 
         async def inner():
             while not so():
@@ -122,13 +122,13 @@
         await asyncio.wait_for(inner(), limit)
 
     async def until_ended(self, ident, limit=15.0):
-        """What became of a change."""
+        """Wait for the outcome of a change and return it."""
         await self.until(lambda: self.machine.outcome(ident) is not None, limit)
         return self.machine.outcome(ident)
 
 
 def uid(dest, endpoint):
-    """As the renderer names it."""
+    """Return the id that the renderer assigns to an endpoint."""
     return f"p{dest}/{address(endpoint)}"
 
 
