--- a/tests/changes/pure.py
+++ b/tests/changes/pure.py
@@ -1,14 +1,14 @@
-"""The machine by itself: its clock, its disk and what it has in force, for the tests of changes."""
+"""Runs the state machine of changes alone, with a simulated clock, disk and set of active endpoints."""
 
 from __future__ import annotations
 
 from collections import deque
 
 from madderbeam.changes import document
-from madderbeam.changes.events import Apply, Look, Offered, Readmit, Seen, Settled
-from madderbeam.changes.machine import Changes, in_force
+from madderbeam.changes.events import Apply, ChangeCompleted, Offered, Readmit, RequestRuntimeState, Seen
+from madderbeam.changes.machine import Changes, active_snapshot
 from madderbeam.changes.records import Restored, restore
-from madderbeam.changes.values import DRAINING, Endpoint, Facts, Settings, blank
+from madderbeam.changes.values import DRAINING, Endpoint, Facts, Settings, empty_snapshot
 from madderbeam.membership.values import Persist, SetTimer, TimerDue, WriteFailed
 
 LIMITS = {
@@ -38,23 +38,23 @@
 
 
 def first(*rows, version=1):
-    """A snapshot that holds."""
+    """Return a valid snapshot."""
     made = {("endpoint", r.uid): r for r in rows or (endpoint("a"), endpoint("b"), endpoint("c", 2))}
     made |= {("limit", k): v for k, v in LIMITS.items()}
     made["class", "safe"] = CLASS
     made["kind", "plain"] = {"bundle": 1, "routes_apart": False, "number": 0, "retired": False}
     made["tenant", "t"] = {"share": 0.5, "per_s": 100.0, "number": 0, "retired": False}
     made |= {("fixed", "slots"): 16, ("fixed", "disk_bytes"): 10_000_000}
-    return blank().with_rows(made, version)
+    return empty_snapshot().with_rows(made, version)
 
 
 class Killed(Exception):
-    """The process dies before this action."""
+    """The process is killed before this action."""
 
 
 class Bench:
-    """Carries out actions as the host's runner does. `shown` is what a courier would have in force, by uid:
-    what it may send to. `kill_at`: dies before so many actions; `full`: the disk takes nothing."""
+    """Carries out actions as the host's runner does. `shown`: the endpoint states a courier would act on, by
+    uid. `kill_at`: is killed after this many steps; `full`: all writes to disk fail."""
 
     def __init__(self, snapshot=None, settings=None, kept=None, now_us=0):
         self.kept = {} if kept is None else kept
@@ -64,14 +64,15 @@
         fixed = {k: first().get(k) for k in (("fixed", "slots"), ("fixed", "disk_bytes"))}
         self.machine = Changes(self.settings, restored, lambda now: now // 1000, fixed)
         self.shown = {
-            uid: self._state(row.state, uid, restored) for uid, row in in_force(restored).endpoints.items()
+            uid: self._state(row.state, uid, restored)
+            for uid, row in active_snapshot(restored).endpoints.items()
         }
         self.version, self.cold, self.settled = self.machine.version, [], {}
-        self.timers, self.facts, self.applied = {}, Facts(max_held=200), []
+        self.timers, self.facts, self.applied = {}, Facts(max_pending=200), []
         self.carry_out(self.machine.start(now_us))
 
     def _state(self, state, uid, restored):
-        return DRAINING if uid in restored.drains else state
+        return DRAINING if uid in restored.drain_heard_at_ms else state
 
     def tell(self, event):
         events = deque([event])
@@ -110,26 +111,27 @@
     def _act(self, action, events):
         if isinstance(action, SetTimer):
             self.timers[action.token] = action.at_us
-        elif isinstance(action, Look):
+        elif isinstance(action, RequestRuntimeState):
             events.append(Seen(self.facts))
         elif isinstance(action, Apply):
             self._apply(action)
         elif isinstance(action, Readmit):
             self.cold += [(self.now_us, uid) for uid in action.uids]
             self.shown.update(dict.fromkeys(action.uids, "in_service"))
-        elif isinstance(action, Settled):
-            self.settled[action.id] = (action.what, action.why)
+        elif isinstance(action, ChangeCompleted):
+            self.settled[action.id] = (action.result, action.reason)
 
     def _apply(self, action):
         self.version = action.after.version
         self.applied.append(action)
         self.shown = {
-            uid: DRAINING if uid in action.held else row.state for uid, row in action.after.endpoints.items()
+            uid: DRAINING if uid in action.held_draining else row.state
+            for uid, row in action.after.endpoints.items()
         }
-        self.cold += [(self.now_us, uid) for uid in action.cold]
+        self.cold += [(self.now_us, uid) for uid in action.slow_starting]
 
     def passes(self, seconds):
-        """Time goes on; what is due comes at its time."""
+        """Advance the clock and fire timers when they are due."""
         end = self.now_us + int(seconds * 1e6)
         while due := [(at, token) for token, at in self.timers.items() if at <= end]:
             at, token = min(due)
@@ -139,15 +141,15 @@
         self.now_us = end
 
     def offer(self, ident, go=True, base=None, **parts):
-        """Hand a change in, as an operator writes it; what became of it at once."""
+        """Submit a change document of an operator; returns its outcome if it has one at once."""
         base = self.machine.current.version if base is None else base
-        change, wrong = document.read({"name": ident, "base": base, **parts})
+        change, wrong = document.parse({"name": ident, "base": base, **parts})
         assert change is not None, [e.line() for e in wrong]
         self.tell(Offered(change, self.facts, go))
         return self.settled.get(ident)
 
     def again(self, now_us=None):
-        """Another process, from what the disk has."""
+        """Return a new process started from the records on disk."""
         return Bench(
             settings=self.settings, kept=dict(self.kept), now_us=self.now_us if now_us is None else now_us
         )
--- a/tests/changes/test_changes_hard_cases.py
+++ b/tests/changes/test_changes_hard_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases of changes, by name, in a courier that runs on loopback sockets."""
+"""Difficult cases of changes in a courier on loopback sockets; test names start with the case number."""
 
 import asyncio
 import functools
@@ -12,7 +12,7 @@
 
 
 def estate(test=None, *, partners=(1,), **settings):
-    """Runs a test with a courier; `partners`: how many endpoints each of the partners 1, 2, ... has."""
+    """Run a test with a courier; `partners`: counts of endpoints of the partners 1, 2, ..."""
     if test is None:
         return functools.partial(estate, partners=partners, **settings)
 
@@ -35,16 +35,16 @@
 
 
 def state(courier, name):
-    """As the turn sees it; None if it is not there."""
+    """Return the state of an endpoint in the registry, None if it is absent."""
     listing = courier.host.registry
     entry = listing.entries.get(listing.uids.get(name, -1))
     return entry.state if entry else None
 
 
-def waits_for(courier, dest):
-    """Messages that wait for a destination, and calls that are out there."""
+def queued_and_in_flight(courier, dest):
+    """Return the counts of queued messages and of calls in flight of a destination."""
     found = courier.host.courier.state.destinations.get(dest)
-    return (len(found.queue), found.out) if found else (0, 0)
+    return (len(found.queue), found.in_flight) if found else (0, 0)
 
 
 @estate(partners=(2,))
@@ -52,7 +52,7 @@
     a, b = ones
     heard = courier.host.clock()
     courier.apply(name="drain", drain=[uid(1, a)])
-    # Another change wants it back at once: it is in force, and the drain holds all the same.
+    # The drain is undone at once: the snapshot has the endpoint in service, but it must drain its full time.
     courier.do("POST", "/changes/undo", name="drain")
     assert courier.machine.current.endpoints.get(uid(1, a)).state == "in_service"
     assert state(courier, uid(1, a)) is EndpointState.DRAINING
@@ -62,7 +62,7 @@
     assert a.calls.qsize() == 0
     await courier.until(lambda: state(courier, uid(1, a)) is EndpointState.READY)
     assert courier.host.clock() - heard >= 2_000_000
-    # It comes back as a returning one: its slow start has begun.
+    # It returns with slow start.
     await courier.until(
         lambda: (
             courier.host.courier.state.endpoints[
@@ -86,18 +86,18 @@
 
 
 @estate(partners=(1, 1))
-async def test_3_a_change_removes_every_endpoint_of_a_partner_with_messages_held(courier, ones, twos):
+async def test_3_a_change_removes_every_endpoint_of_a_partner_with_pending_messages(courier, ones, twos):
     [a] = ones
     a.script[:] = ["hold", answer(503, retry_after="1.2")] + ["hold"] * 9
     for n in range(6):
         assert await courier.client.put(f"m{n}", dest=1, life=2500) == "+OK"
     await courier.until(lambda: a.calls.qsize() >= 1)
-    assert courier.apply(name="gone", remove=[uid(1, a)])[0] == 409  # not without its author's word
+    assert courier.apply(name="gone", remove=[uid(1, a)])[0] == 409  # only with the code in `accept`
     status, _ = courier.apply(name="gone", remove=[uid(1, a)], accept=["orphans"])
     assert status == 202 and state(courier, uid(1, a)) is None
     late = await courier.client.put("late", dest=1)
     assert late == "-ERR dest: no such destination, must be one of the list"
-    a.release.set()  # what was out is heard
+    a.release.set()  # replies to the calls in flight arrive
     await courier.until(lambda: not courier.host.journal.pending)
     feed = (courier.estate.folder / "finals.jsonl").read_text().splitlines()
     told = [json.loads(line)["id"] for line in feed]
@@ -106,7 +106,7 @@
 
 
 @estate(partners=(1,))
-async def test_3_waits_told_before_count_for_endpoints_that_come_back_under_new_ids(courier, ones):
+async def test_3_a_retry_after_applies_to_endpoints_that_return_under_new_ids(courier, ones):
     [a] = ones
     a.script[:] = [answer(503, retry_after="1.5")]
     assert await courier.client.put("m0", dest=1) == "+OK"
@@ -120,7 +120,7 @@
 
 
 @estate(partners=(1,))
-async def test_3_a_wait_told_by_one_endpoint_alone_counts_for_its_new_id(courier, ones):
+async def test_3_a_retry_after_of_one_endpoint_applies_to_its_new_id(courier, ones):
     [a] = ones
     chain = {"kinds": {"apart": {"routes_apart": True}}, "add": [added("old", 5, a, kind="apart")]}
     assert courier.apply(name="chain", remove=[uid(1, a)], **chain)[0] == 202
@@ -137,13 +137,13 @@
 
 
 @estate(partners=(2,))
-async def test_4_two_changes_at_once_that_each_are_right_and_together_are_not(courier, ones):
+async def test_4_two_concurrent_changes_are_valid_alone_and_invalid_together(courier, ones):
     classes = {"x": {"wanted_ms": 100, "deadline_ms": 1000}}
     tenants = [{"v": {"share": 0.08}}, {"w": {"share": 0.08}}]
     assert courier.apply(name="one", base=1, classes=classes, tenants=tenants[0])[0] == 202
     status, text = courier.apply(name="two", base=1, tenants=tenants[1])
     assert status == 409 and "tenants: shares add up to 106.0%" in text
-    # The same where both were staged before either came into force.
+    # The same if both were staged before either became active.
     courier.do("POST", "/changes/undo", name="one")
     for n, name in enumerate(("three", "four")):
         change = {
@@ -155,7 +155,7 @@
     assert courier.do("POST", "/changes", do="go", name="three")[0] == 202
     status, text = courier.do("POST", "/changes", do="go", name="four")
     assert status == 409 and "as its turn came" in text
-    assert courier.machine.current.present(("tenant", "z")) is None
+    assert courier.machine.current.get_active(("tenant", "z")) is None
 
 
 @estate(partners=(12,))
@@ -179,7 +179,7 @@
     courier.do("POST", "/changes/undo", name="swap")
     numbers = courier.host.registry.uids
     await courier.until(
-        lambda: all(  # back, and as returning ones
+        lambda: all(  # in service again, with slow start
             state(courier, name) is EndpointState.READY
             and courier.host.courier.state.endpoints[numbers[name]].circuit.slow_start_since_us >= 0
             for name in olds
@@ -190,19 +190,19 @@
     await courier.until(lambda: not courier.host.journal.pending)
     for end in ones[:7]:
         begun = [end.calls.get_nowait()[3] for _ in range(end.calls.qsize())]
-        assert not [t for t in begun if heard + 1.0 < t < heard + 1.9]  # what was out has long ended
+        assert not [t for t in begun if heard + 1.0 < t < heard + 1.9]  # calls in flight have long ended
     feed = courier.estate.folder / "finals.jsonl"
-    assert not feed.exists() or not feed.read_text()  # each was delivered
+    assert not feed.exists() or not feed.read_text()  # each message was delivered
     for end in fresh:
         await end.stop()
 
 
 @estate(partners=(1, 1))
-async def test_6_the_trial_fails_as_the_next_change_is_applied(courier, ones, twos):
+async def test_6_the_canary_fails_as_the_next_change_is_applied(courier, ones, twos):
     [a], [bad] = ones, await endpoints(1, *[answer(500)] * 99)
     courier.apply(name="bad", trial_ms=60_000, remove=[uid(1, a)], add=[added("bad", 1, bad)])
     version = courier.machine.current.version
-    # Built on what is on trial: it waits for that, and is turned down as the trial is undone.
+    # It touches rows of a canary: it waits for that, and is rejected when the canary is rolled back.
     assert courier.apply(name="next", base=version, edit=[{"uid": "bad", "per_s": 7}])[0] == 202
     n = 0
     while courier.machine.outcome("bad") is None:
@@ -210,15 +210,15 @@
         n += 1
         await asyncio.sleep(0.01)
     assert courier.machine.outcome("bad").what == "undone"
-    assert "calls-fail" in courier.machine.outcome("bad").why
+    assert "calls-fail" in courier.machine.outcome("bad").reason
     out = await courier.until_ended("next")
-    assert out.what == "refused" and "(unknown: " in out.why
+    assert out.what == "refused" and "(unknown: " in out.reason
     assert state(courier, uid(1, a)) is EndpointState.READY and state(courier, "bad") is None
     await bad.stop()
 
 
 @estate(partners=(1,))
-async def test_6_a_change_on_which_a_kept_one_builds_is_not_undone(courier, ones):
+async def test_6_a_change_with_later_changes_of_its_rows_is_not_undone(courier, ones):
     [b] = await endpoints(1)
     courier.apply(name="one", add=[added("b", 1, b)])
     assert (await courier.until_ended("one")).what == "kept"
@@ -232,11 +232,11 @@
 
 @estate(partners=(1, 1))
 async def test_7_ids_are_swapped_between_two_destinations(courier, ones, twos):
-    """A call that waits for its connection as they are swapped must not be written to the other partner."""
+    """A call waiting for its connection during the swap must not be written to the other partner."""
     [a], [b] = ones, twos
     network, waiting = courier.host.calls.network, []
     real = network.on_writable
-    network.on_writable = lambda *call: waiting.append(call)  # connections that are not up yet
+    network.on_writable = lambda *call: waiting.append(call)  # connections that are not established yet
     for n in range(4):
         assert await courier.client.put(f"one{n}", dest=1, body=b"one") == "+OK"
         assert await courier.client.put(f"two{n}", dest=2, body=b"two") == "+OK"
@@ -264,13 +264,13 @@
     assert a.calls.qsize() + c.calls.qsize() == 8 and b.calls.qsize() == 8
     while not a.calls.empty():
         assert a.calls.get_nowait()[2] == b"two"
-    # While the one that had it is in service, nobody else may have it.
+    # While its first endpoint is in service, no other may use the address.
     assert courier.apply(name="both", add=[added("third", 2, b)])[0] == 409
 
 
 @pytest.mark.parametrize("how", ("removed", "shortened"))
-def test_9_a_class_is_removed_or_its_deadline_shortened_while_messages_of_it_are_held(tmp_path, how):
-    """What was taken on keeps its terms, also over a restart, and its number is nobody else's."""
+def test_9_a_class_is_removed_or_its_deadline_shortened_while_messages_of_it_are_pending(tmp_path, how):
+    """Accepted messages keep their terms, also over a restart, and the class number is not reused."""
 
     async def inner():
         [a] = await endpoints(1, "hold", *["hold"] * 9)
@@ -301,7 +301,9 @@
             if how == "removed":
                 assert courier.host.admission.classes == {"unsafe": 1, "other": 2}
                 assert courier.host.settings.classes[0].name == "safe"
-            await courier.until(lambda: not courier.host.journal.pending)  # delivered under its own terms
+            await courier.until(
+                lambda: not courier.host.journal.pending
+            )  # delivered with the terms at acceptance
             feed = made.folder / "finals.jsonl"
             assert not feed.exists() or not feed.read_text()
         await a.stop()
--- a/tests/changes/test_room.py
+++ b/tests/changes/test_room.py
@@ -1,4 +1,4 @@
-"""Changes of a courier by its file, and what outlasts its process."""
+"""Changes of a courier by its file, and their persistence over restarts of its process."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 def run(test):
-    """Runs a test with two endpoints of one partner and its estate."""
+    """Run a test with an estate and two endpoints of one partner."""
 
     def inside(tmp_path):
         async def inner():
@@ -45,7 +45,9 @@
         estate.more = "max_held = 300"
         estate.write()
         courier.host.reload_files()
-        await courier.until(lambda: len(courier.machine.past) == 1)  # the address is had twice
+        await courier.until(
+            lambda: len(courier.machine.past) == 1
+        )  # two endpoints would have the same address
         assert courier.machine.current.get(("limit", "max_held")) == 200
         courier.do("POST", "/changes/undo", name="by-hand")
         estate.partners = {1: [address(a)]}
@@ -58,7 +60,7 @@
 
 
 @run
-async def test_a_drain_by_the_list_waits_for_no_trial(estate, a, b):
+async def test_a_drain_by_the_list_waits_for_no_canary(estate, a, b):
     estate.partners = {1: [address(a), address(b)]}
     estate.write()
     async with Courier(estate) as courier:
@@ -79,7 +81,7 @@
 
 
 @run
-async def test_a_file_that_says_nothing_new_undoes_no_command(estate, a, b):
+async def test_an_unchanged_file_undoes_no_command(estate, a, b):
     async with Courier(estate) as courier:
         courier.apply(name="more", add=[added("more", 1, b)])
         await courier.until_ended("more")
@@ -94,7 +96,7 @@
 
 
 @run
-async def test_a_set_of_files_that_is_being_written_is_looked_at_again(estate, a, b):
+async def test_a_set_of_files_that_is_being_written_is_read_again(estate, a, b):
     async with Courier(estate) as courier:
         manifest = estate.rendered.with_name("manifest.json")
         old = manifest.read_bytes()
@@ -109,7 +111,7 @@
 
 
 @run
-async def test_settings_change_while_messages_come(estate, a, b):
+async def test_settings_change_while_messages_arrive(estate, a, b):
     estate.more = "couriers = 1"
     estate.write()
     async with Courier(estate) as courier:
@@ -143,8 +145,8 @@
 
 
 @run
-async def test_what_needs_a_restart_counts_from_one_on(estate, a, b):
-    """Kafka clients have been told the classes: neither a command nor the file changes them meanwhile."""
+async def test_changes_that_need_a_restart_take_effect_at_one(estate, a, b):
+    """Kafka clients know the classes, so neither a command nor the file may change them before a restart."""
     kafka = '[application.kafka]\nlisten = "127.0.0.1:0"\nadvertised = "127.0.0.1:9092"\n'
     estate.more = kafka.replace(":0", f":{free_port('127.0.0.1')}")
     estate.write()
@@ -163,7 +165,7 @@
 
 
 @run
-async def test_without_the_setting_nothing_of_it_is_there(estate, a, b):
+async def test_without_the_setting_nothing_is_loaded(estate, a, b):
     raw = load_sidecar(str(estate.rendered), RealDisk())
     loop = asyncio.get_running_loop()
     from dataclasses import replace
@@ -188,11 +190,11 @@
     assert out.decode().strip() == "[]"
 
 
-# Processes of their own
+# Couriers in their own processes
 
 
 class Process:
-    """A courier by `madderbeam run --config`."""
+    """A courier started with `madderbeam run --config`."""
 
     def __init__(self, estate, port, control):
         self.estate, self.port, self.control = estate, port, control
@@ -244,7 +246,7 @@
 
 
 def processes(test=None, *, count=1, **bounds):
-    """Runs a test with so many couriers of one partner's endpoints."""
+    """Run a test with `count` couriers that share the endpoints of one partner."""
     if test is None:
         return lambda test: processes(test, count=count, **bounds)
 
@@ -277,9 +279,9 @@
 
 
 @processes(count=2, trial_ms=3000)
-async def test_8_a_process_that_is_killed_goes_on_from_the_last_whole_version(couriers, ends):
-    """Two couriers get the same changes; one is killed between stage and kept, at three places. Both end on
-    the same rows, and each message has one end."""
+async def test_8_a_killed_process_resumes_from_the_last_complete_version(couriers, ends):
+    """Two couriers get the same changes; one is killed at three points between stage and kept. Both must
+    reach the same rows, and each message must be completed once."""
     a, b, c = ends
     killed, other = couriers
     clients = {p: await Client().open(p.port) for p in couriers}
@@ -321,7 +323,7 @@
     assert state["rows"] == (await other.state())["rows"] and state["version"] == 3
     await load(10)
     await asyncio.sleep(0)
-    assert b.calls.qsize() == before  # it drains, by both
+    assert b.calls.qsize() == before  # both couriers drain it
 
     async def ended():
         bodies = 0
@@ -358,7 +360,7 @@
 
 
 @processes(trial_ms=60_000)
-async def test_the_command_hands_changes_in_and_tells_what_became_of_them(couriers, ends):
+async def test_the_command_submits_changes_and_shows_their_outcomes(couriers, ends):
     [courier], (a, *_) = couriers, ends
     at = ["--at", f"127.0.0.1:{courier.control}"]
     file = courier.estate.folder / "change.toml"
@@ -396,7 +398,7 @@
     assert code == 1 and "no change 'nothing'" in text
 
 
-def test_a_command_that_reaches_nobody_says_so(tmp_path, capsys):
+def test_a_command_reports_an_unreachable_courier(tmp_path, capsys):
     assert main(["change", "status", "--at", "127.0.0.1:1"]) == 2
     assert "no courier answers" in capsys.readouterr().err
     assert main(["change", "check", str(tmp_path / "none.toml"), "--at", "127.0.0.1:1"]) == 2
--- a/tests/changes/test_stages.py
+++ b/tests/changes/test_stages.py
@@ -1,4 +1,4 @@
-"""Stages of changes in the machine by itself, with its records: nothing of the outside."""
+"""The stages of changes in the state machine alone, with its records and no I/O."""
 
 import dataclasses
 import random
@@ -8,26 +8,33 @@
 from pure import Bench, add, endpoint, first
 
 from madderbeam.changes import document, fields
-from madderbeam.changes.events import Dropped, Failed, Go, Offered, Seen, TrialStopped
+from madderbeam.changes.events import (
+    ApplyFailed,
+    ChangeApproved,
+    ChangeDropped,
+    Offered,
+    RollbackRequested,
+    Seen,
+)
 from madderbeam.changes.making import difference, inverse, made
-from madderbeam.changes.sharing import Shared
+from madderbeam.changes.sharing import ImmutableMap
 from madderbeam.changes.values import Facts, Settings
 from madderbeam.config import model
 
 
-def test_a_map_shares_what_did_not_change_and_is_as_a_dict():
-    chance, like, shared = random.Random(3), {}, Shared()
+def test_an_immutable_map_shares_unchanged_buckets_and_equals_a_dict():
+    chance, like, shared = random.Random(3), {}, ImmutableMap()
     for _ in range(300):
         rows = {f"k{chance.randrange(400)}": chance.choice((None, 1, 2, 3)) for _ in range(3)}
         fresh = shared.with_rows(rows)
         like = {k: v for k, v in (like | rows).items() if v is not None}
         assert dict(fresh.items()) == like and len(fresh) == len(like)
-        assert sum(a is not b for a, b in zip(shared.parts, fresh.parts, strict=True)) <= len(rows)
+        assert sum(a is not b for a, b in zip(shared.buckets, fresh.buckets, strict=True)) <= len(rows)
         assert set(fresh.differing(shared)) <= set(rows)
         shared = fresh
 
 
-def test_a_kept_change_is_in_force_at_one_instant():
+def test_a_change_becomes_active_at_one_instant_and_is_kept():
     bench = Bench()
     bench.offer("one", add=[add("d", 3)], drain=["a"], limits={"max_held": 300})
     assert bench.version == 2 and bench.shown["a"] == "terminating" and bench.shown["d"] == "in_service"
@@ -38,17 +45,17 @@
     assert bench.settled["one"][0] == "kept" and not bench.machine.trials
 
 
-def test_a_staged_change_waits_for_its_word_and_can_be_dropped():
+def test_a_staged_change_waits_for_approval_and_can_be_dropped():
     bench = Bench()
     assert bench.offer("one", go=False, drain=["a"]) is None and bench.version == 1
     bench.offer("two", go=False, drain=["b"])
-    bench.tell(Dropped("two"))
+    bench.tell(ChangeDropped("two"))
     assert bench.settled["two"][0] == "dropped"
-    bench.tell(Go("one", bench.facts))
+    bench.tell(ChangeApproved("one", bench.facts))
     assert bench.shown == {"a": "terminating", "b": "in_service", "c": "in_service"}
 
 
-def test_what_touches_what_is_on_trial_waits_and_what_does_not_is_on_trial_beside_it():
+def test_changes_of_the_same_rows_wait_and_others_run_their_canary_concurrently():
     bench = Bench()
     bench.offer("one", edit=[{"uid": "a", "per_s": 7}, {"uid": "b", "per_s": 7}])
     bench.offer("beside", drain=["c"], accept=["nothing-ready"])
@@ -60,29 +67,31 @@
     assert bench.machine.current.endpoints.get("a").per_s == 8
 
 
-def test_a_drain_waits_for_nothing_and_outlasts_the_trial_that_it_touches():
+def test_a_drain_is_immediate_and_outlasts_the_canary_that_it_touches():
     bench = Bench()
     bench.offer("one", edit=[{"uid": "a", "per_s": 7}, {"uid": "b", "per_s": 7}])
     assert bench.offer("away", drain=["a"])[0] == "kept"
     assert bench.shown["a"] == "terminating"
-    bench.tell(TrialStopped("one", "a word"))
+    bench.tell(RollbackRequested("one", "a word"))
     row = bench.machine.current.endpoints.get("a")
     assert (row.per_s, row.state) == (100, "terminating")
     assert bench.again().shown["a"] == "terminating"
 
 
-def test_a_change_builds_on_a_version_in_which_what_it_touches_was_the_same():
+def test_a_change_is_stale_if_its_rows_changed_since_its_base_version():
     bench = Bench()
     bench.offer("one", edit=[{"uid": "a", "per_s": 7}, {"uid": "b", "per_s": 7}])
     what, why = bench.offer("late", base=1, drain=["a"])
     assert what == "refused" and "(stale: " in why and "endpoint a has changed since version 1" in why
-    assert bench.offer("other", base=1, edit=[{"uid": "c", "per_s": 9}]) is None  # it touches nothing of that
-    bench.tell(TrialStopped("one", "a word"))
+    assert (
+        bench.offer("other", base=1, edit=[{"uid": "c", "per_s": 9}]) is None
+    )  # it touches none of those rows
+    bench.tell(RollbackRequested("one", "a word"))
     assert "stale" in bench.offer("on-the-undone", base=2, drain=["b"])[1]
     assert "no version 99" in bench.offer("ahead", base=99, drain=["a"])[1]
 
 
-def test_the_same_change_twice_counts_once():
+def test_a_change_name_is_accepted_once():
     bench = Bench()
     bench.offer("one", drain=["a"])
     assert "(twice: " in bench.offer("one", drain=["b"])[1]
@@ -92,14 +101,14 @@
     assert "b" in bench.shown and bench.shown["b"] == "in_service"
 
 
-def test_only_so_many_changes_wait():
+def test_the_queue_of_staged_changes_is_bounded():
     bench = Bench(settings=Settings(queue=2))
     for n in range(2):
         assert bench.offer(f"w{n}", go=False, drain=["a"]) is None
     assert "(queue-full: " in bench.offer("w2", go=False, drain=["a"])[1]
 
 
-def test_an_undo_restores_all_rows_of_a_kept_change_if_nothing_was_built_on_them():
+def test_an_undo_restores_all_rows_of_a_kept_change_without_later_changes():
     bench = Bench()
     bench.offer(
         "one",
@@ -111,18 +120,18 @@
     bench.passes(11)
     bench.offer("two", edit=[{"uid": "d", "per_s": 7}])
     bench.passes(11)
-    change, wrong = bench.machine.undo_of(2, "back")
+    change, wrong = bench.machine.rollback_of(2, "back")
     assert [e.code for e in wrong] == ["built-upon"] and "two (version 3)" in wrong[0].line()
-    change, wrong = bench.machine.undo_of(3, "back-3")
+    change, wrong = bench.machine.rollback_of(3, "back-3")
     assert not wrong
     bench.tell(Offered(change, bench.facts))
     bench.passes(11)
-    # The undo touched d as well, so that what is below is built upon; by hand it is all there.
+    # The rollback touched d as well, so version 2 still has a later change; invert the rows directly.
     back = inverse(first(), bench.machine.current)
     restored = made(bench.machine.current, back.ops, 9).snapshot
     assert not difference(restored, first()) and restored.get(("class", "new"))["retired"]
-    assert any("b was taken away" in text for text in back.leaves)
-    assert any("keep its terms" in text for text in back.leaves)
+    assert any("b was taken away" in text for text in back.not_restored)
+    assert any("keep its terms" in text for text in back.not_restored)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -139,14 +148,14 @@
         rows["endpoint", f"n{chance.randrange(99)}"] = endpoint("n", chance.randrange(4))
         after = snapshot.with_rows(rows, snapshot.version + 1)
         back = made(after, inverse(snapshot, after).ops, 0).snapshot
-        assert back.same(snapshot)
+        assert back.has_same_rows(snapshot)
         snapshot = after
 
 
-# Mistakes
+# Errors
 
 
-BREAKS = [  # parts of a change, code, path, what is allowed
+BREAKS = [  # parts of a change, code, path, allowed values
     (
         {"add": [{"uid": "d", "dest": 1, "address": "10.0.0.1", "per_s": 1}]},
         "unreadable",
@@ -199,9 +208,9 @@
 
 
 @pytest.mark.parametrize("parts, code, path, allowed", BREAKS)
-def test_a_mistake_has_its_code_its_place_and_what_is_allowed(parts, code, path, allowed):
+def test_an_error_has_its_code_path_and_allowed_values(parts, code, path, allowed):
     bench = Bench()
-    change, wrong = document.read({"name": "x", "base": 1, **parts})
+    change, wrong = document.parse({"name": "x", "base": 1, **parts})
     if change is not None:
         wrong = bench.machine.check(change, bench.facts)
     found = [e for e in wrong if (e.code, e.path) == (code, path)]
@@ -211,7 +220,7 @@
         assert bench.settled["x"][0] == "refused" and bench.version == 1 and not bench.applied
 
 
-def test_all_mistakes_are_told_at_once():
+def test_all_errors_are_reported_together():
     bench = Bench()
     what, why = bench.offer(
         "x", add=[add("a"), add("d", 9, kind="odd")], drain=["nobody"], limits={"window": 13}
@@ -220,7 +229,7 @@
 
 
 def test_bounds_are_those_of_the_estates_model():
-    """A courier does not import the model; what both have must be the same."""
+    """A courier does not import the model, so the bounds exist twice and must be equal."""
 
     def bounds(field):
         found = {}
@@ -236,40 +245,40 @@
         assert set(table.model_fields) == set(has)
         for name, field in has.items():
             told = table.model_fields[name]
-            assert told.is_required() == (field.default is fields.NEEDED), name
+            assert told.is_required() == (field.default is fields.REQUIRED), name
             if not told.is_required():
                 assert told.default == field.default, name
             if field.kind in ("whole", "number", "above"):
-                assert bounds(told) == (field.least, field.most), name
+                assert bounds(told) == (field.minimum, field.maximum), name
             if field.kind == "choice":
                 assert told.annotation.__args__ == field.choices
     for name, field in fields.LIMITS.items():
-        assert bounds(model.Settings.model_fields[name]) == (field.least, field.most), name
+        assert bounds(model.Settings.model_fields[name]) == (field.minimum, field.maximum), name
     changes = {n: f.default for n, f in model.Changes.model_fields.items()}
     assert changes == {n: v for n, v in dataclasses.asdict(Settings()).items() if n != "drain_ms"}
 
 
-# What only the running courier knows
+# Runtime state
 
 
-def test_a_change_that_leaves_held_messages_with_nobody_needs_its_authors_word():
+def test_a_change_that_strands_pending_messages_needs_an_accepted_code():
     bench = Bench()
-    bench.facts = Facts(ready={1: 2, 2: 1}, held={2: 5}, out={1: 9}, max_held=200)
+    bench.facts = Facts(ready_endpoints={1: 2, 2: 1}, pending={2: 5}, in_flight={1: 9}, max_pending=200)
     assert "(orphans: " in bench.offer("gone", remove=["c"])[1]
     assert "(nothing-ready: " in bench.offer("drained", drain=["c"])[1]
     assert bench.offer("accepted", remove=["c"], accept=["orphans"]) is None
     many = Bench(first(*(endpoint(f"e{n}") for n in range(10))))
-    many.facts = Facts(ready={1: 10}, held={1: 9}, out={1: 9})
+    many.facts = Facts(ready_endpoints={1: 10}, pending={1: 9}, in_flight={1: 9})
     assert "(little-left: " in many.offer("most", drain=[f"e{n}" for n in range(9)])[1]
     assert many.offer("fewer", drain=[f"e{n}" for n in range(7)]) is None
 
 
-# Signs
+# Conditions for a rollback
 
 
 def _undone(bench, **facts):
     for step in range(1, 9):
-        bench.facts = Facts(**{k: v(step) if callable(v) else v for k, v in facts.items()}, max_held=200)
+        bench.facts = Facts(**{k: v(step) if callable(v) else v for k, v in facts.items()}, max_pending=200)
         bench.passes(0.5)
         if found := bench.settled.get("one"):
             return found
@@ -280,26 +289,26 @@
     for failed, so in ((9, True), (4, False)):
         bench = Bench()
         bench.offer("one", add=[add("d")])
-        found = _undone(bench, calls={"d": (12, failed), "a": (100, 100)})
+        found = _undone(bench, call_counts={"d": (12, failed), "a": (100, 100)})
         assert (found is not None and found[0] == "undone" and "calls-fail: 9 of 12" in found[1]) is so
         assert ("d" in bench.shown) is not so
 
 
-def test_a_destination_with_nothing_ready_undoes_the_change_that_touched_it():
+def test_a_destination_without_ready_endpoints_undoes_the_change_that_touched_it():
     bench = Bench()
-    bench.facts = Facts(ready={1: 2, 2: 1}, max_held=200)
+    bench.facts = Facts(ready_endpoints={1: 2, 2: 1}, max_pending=200)
     bench.offer("other", edit=[{"uid": "c", "per_s": 9}])
     bench.offer("one", remove=["a", "b"], add=[add("d")])
-    found = _undone(bench, ready={1: 0, 2: 1})
+    found = _undone(bench, ready_endpoints={1: 0, 2: 1})
     assert found[0] == "undone" and found[1].startswith("nothing-ready: ")
     assert set(bench.shown) == {"a", "b", "c"} and [t.id for t in bench.machine.trials] == ["other"]
 
 
-def test_looks_of_one_moment_are_one():
+def test_observations_of_one_moment_count_once():
     bench = Bench()
-    bench.facts = Facts(ready={1: 2, 2: 1})
+    bench.facts = Facts(ready_endpoints={1: 2, 2: 1})
     bench.offer("one", remove=["a", "b"], add=[add("d")])
-    bench.facts = Facts(ready={2: 1})
+    bench.facts = Facts(ready_endpoints={2: 1})
     bench.passes(0.5)
     bench.tell(Seen(bench.facts))
     assert "one" not in bench.settled
@@ -307,43 +316,43 @@
     assert bench.settled["one"][0] == "undone"
 
 
-def test_refusals_over_the_bound_and_twice_those_before_undo_a_change():
+def test_rejections_over_the_bound_and_twice_the_rate_before_undo_a_change():
     for before, so in ((0.0, True), (150.0, False)):
         bench = Bench()
-        bench.facts = Facts(refused_before=before)
+        bench.facts = Facts(rejected_per_s_before=before)
         bench.offer("one", limits={"max_held": 20})
-        found = _undone(bench, refused=lambda step: 100 * step, refused_before=before)
+        found = _undone(bench, rejected=lambda step: 100 * step, rejected_per_s_before=before)
         assert (found is not None and found[1].startswith("refusals: ")) is so
 
 
-def test_holds_that_grow_undo_a_change():
+def test_growing_pending_messages_undo_a_change():
     for each, so in ((20, True), (1, False)):
         bench = Bench()
         bench.offer("one", edit=[{"uid": "a", "per_s": 7}, {"uid": "b", "per_s": 7}])
-        found = _undone(bench, held=lambda step, each=each: {1: 10 + each * step})
+        found = _undone(bench, pending=lambda step, each=each: {1: 10 + each * step})
         assert (found is not None and found[1].startswith("holds-grow: ")) is so
 
 
-def test_what_builds_on_an_undone_change_goes_with_it():
+def test_a_change_that_depends_on_an_undone_one_is_undone_too():
     bench = Bench()
     bench.offer("one", kinds={"odd": {"bundle": 2}})
     bench.offer("two", add=[add("d", 3, kind="odd")])
-    bench.tell(TrialStopped("one", "a word"))
+    bench.tell(RollbackRequested("one", "a word"))
     assert bench.settled["two"] == ("undone", "it does not hold without one, which is undone")
     assert "d" not in bench.shown and bench.machine.current.get(("kind", "odd"))["retired"]
 
 
-def test_what_cannot_be_brought_into_force_is_taken_back():
+def test_a_change_that_fails_to_apply_is_undone():
     bench = Bench()
     bench.offer("one", add=[add("d")])
-    bench.tell(Failed(2, "OSError()"))
+    bench.tell(ApplyFailed(2, "OSError()"))
     assert bench.settled["one"][0] == "undone" and "d" not in bench.shown
 
 
 # Drains
 
 
-def test_a_drain_holds_its_time_whatever_becomes_of_the_change_that_brought_it():
+def test_a_drain_lasts_its_full_time_whatever_the_outcome_of_its_change():
     for how in ("undone", "twice", "replaced", "restart"):
         bench = Bench()
         bench.offer("one", drain=["a"])
@@ -351,11 +360,11 @@
         if how == "twice":
             bench.offer("again", base=bench.machine.version, drain=["a"])
         if how == "replaced":
-            bench.tell(TrialStopped("one", "a word"))
+            bench.tell(RollbackRequested("one", "a word"))
             bench.offer("more", edit=[{"uid": "a", "per_s": 9}, {"uid": "b", "per_s": 9}])
         else:
-            bench.tell(TrialStopped("one", "a word"))
-        if how == "twice":  # the second drain counts by itself: it is kept
+            bench.tell(RollbackRequested("one", "a word"))
+        if how == "twice":  # the second drain is a change of its own, which is kept
             assert bench.shown["a"] == "terminating"
             continue
         if how == "restart":
@@ -366,17 +375,17 @@
         assert bench.shown["a"] == "in_service" and bench.cold == [(2_000_000, "a")], how
 
 
-def test_a_drain_that_ended_while_the_process_was_down_brings_a_returning_endpoint():
+def test_a_drain_that_expired_while_the_process_was_down_ends_in_slow_start():
     bench = Bench()
     bench.offer("one", drain=["a"])
-    bench.tell(TrialStopped("one", "a word"))
+    bench.tell(RollbackRequested("one", "a word"))
     after = bench.again(now_us=5_000_000)
     assert after.shown["a"] == "terminating"
     after.passes(0)
     assert after.shown["a"] == "in_service" and after.cold == [(5_000_000, "a")]
 
 
-def test_one_that_was_taken_away_comes_back_cold():
+def test_a_removed_endpoint_returns_with_slow_start():
     bench = Bench()
     bench.offer("one", remove=["a"])
     bench.passes(11)
@@ -387,7 +396,7 @@
 # The disk
 
 
-def test_a_disk_that_takes_nothing_leaves_all_as_it_was():
+def test_a_failing_disk_rejects_changes_without_effect():
     bench = Bench()
     bench.full = True
     assert "(not-kept: " in bench.offer("one", drain=["a"])[1]
@@ -395,36 +404,36 @@
     bench.full = False
     bench.offer("two", go=False, drain=["a"])
     bench.full = True
-    bench.tell(Go("two", bench.facts))
+    bench.tell(ChangeApproved("two", bench.facts))
     assert bench.shown["a"] == "in_service" and not bench.machine.trials
 
 
-def test_an_undo_needs_no_disk_and_is_kept_once_there_is_room():
+def test_an_undo_needs_no_disk_and_is_recorded_once_there_is_room():
     bench = Bench()
     bench.offer("one", add=[add("d", 3)])
     bench.full = True
-    bench.tell(TrialStopped("one", "a word"))
+    bench.tell(RollbackRequested("one", "a word"))
     assert "d" not in bench.shown
-    assert "d" in bench.again().shown  # the trial goes on there, and comes to the same end
+    assert "d" in bench.again().shown  # a restart resumes the canary, which is rolled back again
     bench.full = False
     bench.passes(1.1)
     assert "d" not in bench.again().shown
 
 
 def _story(bench):
-    """Changes of all kinds, one after the other."""
+    """Submit changes of all kinds one after the other."""
     bench.offer("staged", go=False, drain=["c"], accept=["nothing-ready"])
     bench.offer("one", add=[add("d", 3)], classes={"new": {"wanted_ms": 5, "deadline_ms": 9}})
     bench.offer("beside", limits={"attempts": 5}, drain=["a"])
     bench.passes(5)
-    bench.tell(TrialStopped("one", "a word"))
+    bench.tell(RollbackRequested("one", "a word"))
     bench.passes(6)
-    bench.tell(Go("staged", bench.facts))
+    bench.tell(ChangeApproved("staged", bench.facts))
     bench.passes(11)
 
 
 def _whole(bench, seen):
-    """What is in force is one of the versions that were made, each wholly."""
+    """Whether the active snapshot equals one of the versions that were built."""
     rows = {uid: row for uid, row in bench.machine.current.endpoints.items()}
     rows["attempts"] = bench.machine.current.get(("limit", "attempts"))
     rows["classes"] = tuple(bench.machine.current.names("class"))
@@ -472,7 +481,7 @@
     assert ended and steps > 40
 
 
-def test_what_is_kept_stays_small():
+def test_the_number_of_records_is_bounded():
     bench = Bench(settings=Settings(trial_ms=1000))
     for n in range(120):
         bench.offer(f"c{n}", add=[add(f"n{n}", 3)], **({"remove": [f"n{n - 1}"]} if n else {}))
@@ -482,6 +491,6 @@
     assert kinds.count("change") <= 33 and kinds.count("back") <= 16 and kinds.count("past") <= 64
     assert kinds.count("base") == 2 and not kinds.count("trial") and not kinds.count("staged")
     again = bench.again()
-    for name in ("version", "past", "back"):
+    for name in ("version", "past", "rollbacks"):
         assert getattr(again.machine, name) == getattr(bench.machine, name)
-    assert again.machine.current.same(bench.machine.current)
+    assert again.machine.current.has_same_rows(bench.machine.current)
--- a/tests/changes/test_thousand.py
+++ b/tests/changes/test_thousand.py
@@ -1,5 +1,5 @@
-"""A thousand random changes, a fifth of them wrong, under steady load on virtual time, with kills; and the
-bugs that are planted to prove that what holds there is looked at."""
+"""A thousand random changes, a fifth of them invalid, under steady load on virtual time, with kills; and
+seeded faults, which prove that the simulation checks its invariants."""
 
 from collections import Counter
 
@@ -8,14 +8,14 @@
 from madderbeam.changes import machine, records
 from madderbeam.changes.drains import Drains
 from madderbeam.changes.machine import Changes
-from madderbeam.host.changes.applying import Applying
+from madderbeam.host.changes.applying import SnapshotApplier
 from madderbeam.simulation import changes
 
 SEEDS = range(8)
-FOUND_BY = 12  # seeds are enough for each bug
+FOUND_BY = 12  # seeds suffice for each seeded fault
 
 
-def test_a_thousand_changes_under_load_and_each_message_has_its_end():
+def test_a_thousand_changes_under_load_complete_each_message():
     drawn, kills, messages = Counter(), 0, 0
     for seed in SEEDS:
         report, counts = changes.play(seed)
@@ -30,35 +30,35 @@
     assert changes.play(3, 4.0, trace=True)[0].trace == changes.play(3, 4.0, trace=True)[0].trace
 
 
-BUGS = {}
+SEEDED_FAULTS = {}
 
 
-def bug(plant):
-    BUGS[plant.__name__] = plant
-    return plant
+def seeded_fault(fault):
+    SEEDED_FAULTS[fault.__name__] = fault
+    return fault
 
 
-@bug
-def applies_entry_by_entry(patch):
-    """Each endpoint by itself, with the loop's other work in between."""
-    whole = Applying._list
+@seeded_fault
+def applies_endpoints_one_by_one(patch):
+    """Each endpoint is applied by itself, with other work of the loop in between."""
+    whole = SnapshotApplier._apply_endpoints
 
     def one_by_one(self, action, rows):
         for row in rows:
             self.host.schedule(0.002, lambda row=row: whole(self, action, [row]))
 
-    patch.setattr(Applying, "_list", one_by_one)
+    patch.setattr(SnapshotApplier, "_apply_endpoints", one_by_one)
 
 
-@bug
+@seeded_fault
 def forgets_a_drains_time_as_it_is_undone(patch):
-    patch.setattr(Drains, "holds", lambda self, uid, now_us: False)
+    patch.setattr(Drains, "is_held", lambda self, uid, now_us: False)
 
 
-@bug
-def begins_a_drains_time_anew_each_time(patch):
-    """The clock is set by whatever comes: what it said before is gone."""
-    changed = Drains.changed
+@seeded_fault
+def restarts_a_drains_time_each_time(patch):
+    """The start time of a drain is overwritten by any later change."""
+    changed = Drains.snapshot_changed
 
     def anew(self, now_us, before, after, uids):
         uids = list(uids)
@@ -67,63 +67,68 @@
                 self.heard[uid] = now_us - self.hold_us
         return changed(self, now_us, before, after, uids)
 
-    patch.setattr(Drains, "changed", anew)
+    patch.setattr(Drains, "snapshot_changed", anew)
 
 
-@bug
-def a_change_that_waits_keeps_the_snapshot_of_its_offer(patch):
-    offered, begin, kept = Changes._offered, Changes._begin, {}
+@seeded_fault
+def a_waiting_change_keeps_the_snapshot_of_its_submission(patch):
+    offered, begin, kept = Changes._change_submitted, Changes._start_canary, {}
 
     def noted(self, now_us, event):
-        kept[event.change.id] = self._checked(event.change, None)[0]
+        kept[event.change.id] = self._build_and_check(event.change, None)[0]
         offered(self, now_us, event)
 
     def stale(self, now_us, facts, staged, after):
         old = kept.get(staged.change.id, after)
         begin(self, now_us, facts, staged, old.with_rows({}, after.version))
 
-    patch.setattr(Changes, "_offered", noted)
-    patch.setattr(Changes, "_begin", stale)
+    patch.setattr(Changes, "_change_submitted", noted)
+    patch.setattr(Changes, "_start_canary", stale)
 
 
-@bug
-def forgets_a_trial_over_a_restart(patch):
+@seeded_fault
+def forgets_a_canary_over_a_restart(patch):
     patch.setattr(
         records,
-        "_rest",
-        lambda kept, r, over, rest=records._rest: (
+        "_restore_others",
+        lambda kept, r, over, rest=records._restore_others: (
             rest(kept, r, over),
-            r.trials.clear(),
+            r.canaries.clear(),
             setattr(r, "version", r.snapshot.version),
         ),
     )
 
 
-@bug
+@seeded_fault
 def forgets_drains_over_a_restart(patch):
     patch.setattr(
-        records, "_rest", lambda kept, r, over, rest=records._rest: (rest(kept, r, over), r.drains.clear())
+        records,
+        "_restore_others",
+        lambda kept, r, over, rest=records._restore_others: (
+            rest(kept, r, over),
+            r.drain_heard_at_ms.clear(),
+        ),
     )
 
 
-@bug
+@seeded_fault
 def checks_nothing_of_a_snapshot(patch):
-    patch.setattr(machine, "whole", lambda snapshot, touched=(): [])
+    patch.setattr(machine, "validate", lambda snapshot, touched=(): [])
 
 
-@bug
-def settings_come_a_turn_later(patch):
-    settings = Applying._settings
+@seeded_fault
+def settings_are_applied_a_cycle_later(patch):
+    settings = SnapshotApplier._apply_settings
     patch.setattr(
-        Applying,
-        "_settings",
+        SnapshotApplier,
+        "_apply_settings",
         lambda self, snapshot: self.host.schedule(0.003, lambda: settings(self, snapshot)),
     )
 
 
-@pytest.mark.parametrize("name", BUGS)
-def test_planted_bugs_are_found(monkeypatch, name):
-    BUGS[name](monkeypatch)
+@pytest.mark.parametrize("name", SEEDED_FAULTS)
+def test_seeded_faults_are_found(monkeypatch, name):
+    SEEDED_FAULTS[name](monkeypatch)
     for seed in range(FOUND_BY):
         report, _ = changes.play(seed, 8.0)
         if report.line:
