--- a/bench/changes.py
+++ b/bench/changes.py
@@ -16,11 +16,11 @@
 from pathlib import Path
 from typing import Any
 
-from madderbeam.changes.events import Apply, Offered, Seen
-from madderbeam.changes.machine import Changes
-from madderbeam.changes.making import made
-from madderbeam.changes.records import Restored
-from madderbeam.changes.values import Change, Facts, Op, Settings, Snapshot
+from madderbeam.changes.events import Apply, ChangeSubmitted, RuntimeStateReported
+from madderbeam.changes.machine import ChangeStateMachine
+from madderbeam.changes.making import build
+from madderbeam.changes.records import RestoredState
+from madderbeam.changes.values import Change, Op, RuntimeState, Settings, Snapshot
 from madderbeam.config.platform import load_sidecar
 from madderbeam.config.rendered import seal
 from madderbeam.host.changes.reading import snapshot_of
@@ -135,8 +135,8 @@
             change = {("endpoint", u): op(u, n) for n, u in enumerate(uids[:count])}
             rows = []
             for _ in range(7):
-                making = spent(lambda c=change: made(base, c, 2))
-                after = made(base, change, 2).snapshot
+                making = spent(lambda c=change: build(base, c, 2))
+                after = build(base, change, 2).snapshot
                 rows.append((making, *applied(host, base, after)))
                 applied(host, after, base)
             made_ms, instant, turn = (statistics.median(r[k] for r in rows) for k in range(3))
@@ -152,7 +152,7 @@
     tracemalloc.start()
     kept, at = [base], tracemalloc.get_traced_memory()[0]
     for n in range(100):
-        kept.append(made(kept[-1], {("endpoint", uids[n]): Op("edit", {"per_s": float(n + 1)})}, n).snapshot)
+        kept.append(build(kept[-1], {("endpoint", uids[n]): Op("edit", {"per_s": float(n + 1)})}, n).snapshot)
     grown = (tracemalloc.get_traced_memory()[0] - at) / 100
     whole = [dict(base.endpoints.items()) for _ in range(10)]
     copied = (tracemalloc.get_traced_memory()[0] - at - 100 * grown) / len(whole)
@@ -165,12 +165,14 @@
 
 def on_disk(base: Snapshot, uid: str) -> None:
     """Bytes of the records of one change, from its stage to its end, and of a whole base."""
-    machine = Changes(Settings(), Restored(base, 1), lambda now: now // 1000)
+    machine = ChangeStateMachine(Settings(), RestoredState(base, 1), lambda now: now // 1000)
     whole = size(machine.start(0))
     change = Change("one", 1, {("endpoint", uid): Op("drain")})
-    actions = machine.handle(1, Offered(change, Facts())) + machine.handle(2, Seen(Facts()))
+    actions = machine.handle(1, ChangeSubmitted(change, RuntimeState())) + machine.handle(
+        2, RuntimeStateReported(RuntimeState())
+    )
     print(
-        f"on disk: {size(actions + machine.handle(40_000_000, Seen(Facts())))} bytes for a change of one "
+        f"on disk: {size(actions + machine.handle(40_000_000, RuntimeStateReported(RuntimeState())))} bytes for a change of one "
         f"endpoint, {whole} for the whole"
     )
 
--- a/madderbeam/changes/check.py
+++ b/madderbeam/changes/check.py
@@ -12,7 +12,7 @@
 
 from madderbeam.changes import errors
 from madderbeam.changes.document import short_list
-from madderbeam.changes.values import READY, Change, Endpoint, Facts, Key, Settings, Snapshot
+from madderbeam.changes.values import READY, Change, Endpoint, Key, RuntimeState, Settings, Snapshot
 
 MAX_ROWS = {"class": 64, "tenant": 1_000, "kind": 64, "endpoint": 100_000, "pool": 10_000, "name": 10_000}
 MAX_WINDOW_SHARE = 0.75  # of the call slots, for one destination
@@ -39,7 +39,7 @@
 def _check_endpoints(snapshot: Snapshot, touched: frozenset[Key]) -> Iterator[errors.ChangeError]:
     first_by_dest: dict[int, Endpoint] = {}
     first_by_address: dict[str, Endpoint] = {}
-    known_kinds = frozenset(snapshot.names("kind"))
+    known_kinds = frozenset(snapshot.active_names("kind"))
     for row in snapshot.endpoints.values():
         path = f"endpoint {row.uid}"
         if row.kind not in known_kinds:
@@ -75,7 +75,7 @@
 
 
 def _check_classes(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
-    names = snapshot.names("class")
+    names = snapshot.active_names("class")
     if not names:
         yield errors.Broken("classes", "none is left", "at least one")
     for name in names:
@@ -101,7 +101,7 @@
 
 
 def _check_tenants(snapshot: Snapshot) -> Iterator[errors.ChangeError]:
-    total_share = sum(snapshot.get(("tenant", name))["share"] for name in snapshot.names("tenant"))
+    total_share = sum(snapshot.get(("tenant", name))["share"] for name in snapshot.active_names("tenant"))
     if total_share > 1 + 1e-9:
         yield errors.Broken("tenants", f"shares add up to {total_share:.1%}", "at most 100%")
 
@@ -183,7 +183,7 @@
         return
     for number, node in enumerate(nodes):
         for table, section in (("tenants", "tenant"), ("classes", "class")):
-            known = snapshot.names(section)
+            known = snapshot.active_names(section)
             for name in node.get(table, ()):
                 if name not in known:
                     yield errors.Unknown(
@@ -220,7 +220,7 @@
 
 
 def runtime_errors(
-    before: Snapshot, after: Snapshot, change: Change, runtime_state: Facts, settings: Settings
+    before: Snapshot, after: Snapshot, change: Change, runtime_state: RuntimeState, settings: Settings
 ) -> list[errors.LiveError]:
     """Return the conflicts with the runtime state, without those that the change accepts."""
     return [
@@ -231,7 +231,7 @@
 
 
 def _all_runtime_errors(
-    before: Snapshot, after: Snapshot, change: Change, runtime_state: Facts, settings: Settings
+    before: Snapshot, after: Snapshot, change: Change, runtime_state: RuntimeState, settings: Settings
 ) -> Iterator[errors.LiveError]:
     touched_dests = {
         row.dest
--- a/madderbeam/changes/drains.py
+++ b/madderbeam/changes/drains.py
@@ -15,7 +15,7 @@
 
     def __init__(self, hold_us: int) -> None:
         self.hold_us = hold_us
-        self.heard: dict[str, int] = {}
+        self.began_at_us: dict[str, int] = {}
         self.removed: dict[str, None] = {}  # ids that recover with slow start if they return
 
     def snapshot_changed(
@@ -32,13 +32,15 @@
                     self.removed.pop(uid, None)
                     self.removed[uid] = None
                 if not self.is_held(uid, now_us):
-                    self.heard.pop(uid, None)
+                    self.began_at_us.pop(uid, None)
                 continue
             if new.state == DRAINING:
-                self.heard.setdefault(uid, now_us)
+                self.began_at_us.setdefault(uid, now_us)
             elif self.is_held(uid, now_us):
                 still_draining.add(uid)
-            elif uid in self.heard or uid in self.removed or (old is not None and old.state == DRAINING):
+            elif (
+                uid in self.began_at_us or uid in self.removed or (old is not None and old.state == DRAINING)
+            ):
                 slow_starting.add(uid)
                 self.forget(uid)
         while len(self.removed) > MAX_REMOVED_IDS:
@@ -47,17 +49,19 @@
 
     def is_held(self, uid: str, now_us: int) -> bool:
         """Whether an endpoint still drains, which it does also if the snapshot has it in service."""
-        return uid in self.heard and now_us < self.heard[uid] + self.hold_us
+        return uid in self.began_at_us and now_us < self.began_at_us[uid] + self.hold_us
 
     def expired(self, now_us: int, snapshot: Snapshot) -> tuple[list[str], list[str]]:
         """Forget expired drains. Returns the ids in service, which now recover, and the removed ids."""
         returned, removed = [], []
         for uid in [
-            heard_uid for heard_uid, began_at_us in self.heard.items() if now_us >= began_at_us + self.hold_us
+            heard_uid
+            for heard_uid, began_at_us in self.began_at_us.items()
+            if now_us >= began_at_us + self.hold_us
         ]:
             row = snapshot.get(("endpoint", uid))
             if row is None:
-                del self.heard[uid]
+                del self.began_at_us[uid]
                 removed.append(uid)
             elif row.state == READY:
                 self.forget(uid)
@@ -66,7 +70,7 @@
 
     def forget(self, uid: str) -> None:
         """Forget the drain and the removal of an endpoint."""
-        self.heard.pop(uid, None)
+        self.began_at_us.pop(uid, None)
         self.removed.pop(uid, None)
 
     def next_expiry_us(self, now_us: int) -> int | None:
@@ -74,7 +78,7 @@
         return min(
             (
                 began_at_us + self.hold_us
-                for began_at_us in self.heard.values()
+                for began_at_us in self.began_at_us.values()
                 if began_at_us + self.hold_us > now_us
             ),
             default=None,
--- a/madderbeam/changes/events.py
+++ b/madderbeam/changes/events.py
@@ -5,17 +5,17 @@
 
 from dataclasses import dataclass
 
-from madderbeam.changes.values import Change, Facts, Snapshot
+from madderbeam.changes.values import Change, RuntimeState, Snapshot
 
 # Events
 
 
 @dataclass(frozen=True)
-class Offered:
+class ChangeSubmitted:
     """A change was submitted: staged until approved, or with `approved` set, applied as soon as possible."""
 
     change: Change
-    runtime_state: Facts
+    runtime_state: RuntimeState
     approved: bool = True
 
 
@@ -24,7 +24,7 @@
     """A staged change may be applied."""
 
     id: str
-    runtime_state: Facts
+    runtime_state: RuntimeState
 
 
 @dataclass(frozen=True)
@@ -43,10 +43,10 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class RuntimeStateReported:
     """The runtime state that an action requested."""
 
-    runtime_state: Facts
+    runtime_state: RuntimeState
 
 
 @dataclass(frozen=True)
@@ -83,7 +83,7 @@
     after: Snapshot
     held_draining: frozenset[str] = frozenset()
     slow_starting: frozenset[str] = frozenset()
-    trial: bool = False
+    starts_canary: bool = False
 
 
 @dataclass(frozen=True)
--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -27,17 +27,17 @@
     ChangeApproved,
     ChangeCompleted,
     ChangeDropped,
+    ChangeSubmitted,
     FileProcessed,
-    Offered,
     Readmit,
     RequestRuntimeState,
     RollbackRequested,
-    Seen,
+    RuntimeStateReported,
 )
-from madderbeam.changes.making import inverse_of_rows, made, rollback_change
+from madderbeam.changes.making import build, inverse_of_rows, rollback_change
 from madderbeam.changes.records import (
     Outcome,
-    Restored,
+    RestoredState,
     RollbackRecord,
     StagedChange,
     base_records,
@@ -48,7 +48,15 @@
     encode_rows,
 )
 from madderbeam.changes.trial import Canary
-from madderbeam.changes.values import DRAINING, NUMBERED_SECTIONS, Change, Facts, Key, Settings, Snapshot
+from madderbeam.changes.values import (
+    DRAINING,
+    NUMBERED_SECTIONS,
+    Change,
+    Key,
+    RuntimeState,
+    Settings,
+    Snapshot,
+)
 from madderbeam.membership.values import LogLine, Persist, SetTimer, TimerDue, WriteFailed
 
 MAX_ROLLBACK_RECORDS = 16
@@ -57,7 +65,7 @@
 OBSERVE_TIMER, DRAIN_TIMER, WRITE_RETRY_TIMER = "look", "drain", "again"
 
 
-def active_snapshot(restored: Restored) -> Snapshot:
+def active_snapshot(restored: RestoredState) -> Snapshot:
     """Return the snapshot that is active on a courier that starts from these records."""
     return compose(restored.snapshot, restored.canaries, restored.version)
 
@@ -70,26 +78,26 @@
     return committed.with_rows(rows, version)
 
 
-class Changes:
+class ChangeStateMachine:
     """All changes of one courier. `to_wall_ms` converts the clock of the state machine to wall time in ms."""
 
     def __init__(
         self,
         settings: Settings,
-        restored: Restored,
+        restored: RestoredState,
         to_wall_ms: Callable[[int], int],
         fixed_rows: Mapping[Key, Any] | None = None,
     ) -> None:
         """`fixed_rows`: rows that always come from the file, whatever was committed."""
         self.settings, self.to_wall_ms, self.fixed_rows = settings, to_wall_ms, fixed_rows or {}
         self.committed = self._with_fixed(restored.snapshot)
-        self.trials = list(restored.canaries)  # in the order of their start; they touch disjoint rows
+        self.canaries = list(restored.canaries)  # in the order of their start; they touch disjoint rows
         self.version = restored.version  # the newest ever active
-        self.current = compose(self.committed, self.trials, self.version)
+        self.current = compose(self.committed, self.canaries, self.version)
         self.generation, self.part_count = restored.generation, restored.part_count
         self.base_record, self.last_record = restored.base_record, restored.last_record
         self.staged = list(restored.staged)
-        self.past = dict(sorted(restored.outcomes.items()))
+        self.outcomes = dict(sorted(restored.outcomes.items()))
         self.rollbacks = dict(sorted(restored.rollbacks.items()))
         self.processed_file = restored.processed_file and (
             restored.processed_file[0],
@@ -113,24 +121,24 @@
         caller must have activated the current snapshot, with the endpoints of recorded drains draining."""
         self.actions = []
         for uid, began_at_ms in self._restored_drains.items():
-            self.drains.heard[uid] = now_us - max(0, self.to_wall_ms(now_us) - began_at_ms) * 1000
+            self.drains.began_at_us[uid] = now_us - max(0, self.to_wall_ms(now_us) - began_at_ms) * 1000
         for uid, row in self.current.endpoints.items():
             if row.state == DRAINING:
-                self.drains.heard.setdefault(uid, now_us)
+                self.drains.began_at_us.setdefault(uid, now_us)
         if not self.generation:
             self._write_base()
-        for canary in self.trials:
+        for canary in self.canaries:
             canary.restart(now_us, now_us + self._canary_duration_us(canary.change))
             self._log(f"{canary.id} (version {canary.version}) restarts its canary period after a restart")
-        if self.trials or any(staged.go for staged in self.staged):
+        if self.canaries or any(staged.is_approved for staged in self.staged):
             self._set_timer(OBSERVE_TIMER, now_us + self.settings.look_ms * 1000)
-        if self.drains.heard:
+        if self.drains.began_at_us:
             self._set_timer(DRAIN_TIMER, now_us)  # some may have expired during the restart
         return self.actions
 
     # Queries
 
-    def check(self, change: Change, runtime_state: Facts | None) -> list[errors.ChangeError]:
+    def check(self, change: Change, runtime_state: RuntimeState | None) -> list[errors.ChangeError]:
         """Return all errors that the change would have if submitted now, without side effects. Without a
         runtime state the checks against it are skipped."""
         return self._admission_errors(change) + self._build_and_check(change, runtime_state)[1]
@@ -158,7 +166,7 @@
         ]
         later += [
             (canary.version, canary.id, canary.after.keys())
-            for canary in self.trials
+            for canary in self.canaries
             if canary.version > version
         ]
         for later_version, later_id, keys in later:
@@ -174,7 +182,9 @@
 
     def outcome(self, change_id: str) -> Outcome | None:
         """Return the newest outcome of a change, None if there is none."""
-        return next((outcome for outcome in reversed(self.past.values()) if outcome.id == change_id), None)
+        return next(
+            (outcome for outcome in reversed(self.outcomes.values()) if outcome.id == change_id), None
+        )
 
     def staged_change(self, change_id: str) -> StagedChange | None:
         """Return the staged change with this id, None if there is none."""
@@ -182,7 +192,7 @@
 
     def canary(self, change_id: str) -> Canary | None:
         """Return the running canary of this change, None if there is none."""
-        return next((canary for canary in self.trials if canary.id == change_id), None)
+        return next((canary for canary in self.canaries if canary.id == change_id), None)
 
     # Events
 
@@ -193,7 +203,7 @@
             self._write_failed(now_us, event)
             return self.actions
         self._starting = self._rollback_in_progress = None
-        if isinstance(event, Offered):
+        if isinstance(event, ChangeSubmitted):
             self._change_submitted(now_us, event)
         elif isinstance(event, ChangeApproved):
             self._change_approved(event)
@@ -202,7 +212,7 @@
         elif isinstance(event, RollbackRequested):
             if (canary := self.canary(event.id)) is not None:
                 self._roll_back(now_us, canary, event.reason)
-        elif isinstance(event, Seen):
+        elif isinstance(event, RuntimeStateReported):
             self._observe(now_us, event.runtime_state)
         elif isinstance(event, FileProcessed):
             self._record_file(event.digest, event.snapshot)
@@ -223,12 +233,12 @@
             if self.has_unwritten:
                 self._write_base()
             self.actions.append(RequestRuntimeState())
-        elif token == OBSERVE_TIMER and (self.trials or any(staged.go for staged in self.staged)):
+        elif token == OBSERVE_TIMER and (self.canaries or any(staged.is_approved for staged in self.staged)):
             self.actions.append(RequestRuntimeState())
 
     # Submission
 
-    def _change_submitted(self, now_us: int, event: Offered) -> None:
+    def _change_submitted(self, now_us: int, event: ChangeSubmitted) -> None:
         change = event.change
         runtime_state = event.runtime_state if event.approved else None
         after, found_errors = self._build_and_check(change, runtime_state)
@@ -240,7 +250,9 @@
         if (
             event.approved
             and self._only_drains(change, after)
-            and (change.source == "file" or any(change.keys & canary.after.keys() for canary in self.trials))
+            and (
+                change.source == "file" or any(change.keys & canary.after.keys() for canary in self.canaries)
+            )
         ):
             self._drain_now(now_us, change, after)
             return
@@ -253,7 +265,7 @@
             self.actions.append(RequestRuntimeState())
 
     def _change_approved(self, event: ChangeApproved) -> None:
-        if (staged := self.staged_change(event.id)) is None or staged.go:
+        if (staged := self.staged_change(event.id)) is None or staged.is_approved:
             return
         approved = replace(staged, go=True)
         self.staged[self.staged.index(staged)] = approved
@@ -273,9 +285,9 @@
         found_errors: list[errors.ChangeError] = []
         outcome = self.outcome(change.id)
         waiting = self.staged_change(change.id) or self.canary(change.id)
-        if waiting or (outcome is not None and outcome.what in ("kept", "undone")):
+        if waiting or (outcome is not None and outcome.result in ("kept", "undone")):
             state = (
-                f"{outcome.what}, version {outcome.version}"
+                f"{outcome.result}, version {outcome.version}"
                 if outcome and not waiting
                 else "it waits or is on trial"
             )
@@ -308,7 +320,7 @@
             record.ops.keys() for version, record in self.rollbacks.items() if version > change.base_version
         ]
         changed_since += [
-            canary.after.keys() for canary in self.trials if canary.version > change.base_version
+            canary.after.keys() for canary in self.canaries if canary.version > change.base_version
         ]
         if common := {key for keys in changed_since for key in change.keys & keys}:
             return [
@@ -321,12 +333,12 @@
         return []
 
     def _build_and_check(
-        self, change: Change, runtime_state: Facts | None
+        self, change: Change, runtime_state: RuntimeState | None
     ) -> tuple[Snapshot, list[errors.ChangeError]]:
         """Return the snapshot that results from the active one, and all its errors. Checks also against the
         runtime state if given, unless the change comes from the file, which takes precedence there."""
         current = self.current
-        result = made(current, change.ops, self.version + 1)
+        result = build(current, change.ops, self.version + 1)
         found_errors = [
             *result.found_errors,
             *restart_errors(current, change),
@@ -355,7 +367,7 @@
             key: replace(row, state=DRAINING) for key in rows if (row := self.committed.get(key)) is not None
         }
         self.committed = self.committed.with_rows(committed_rows, self.committed.version)
-        for canary in self.trials:
+        for canary in self.canaries:
             if canary.mark_draining(rows):
                 self.actions.append(Persist("trial", str(canary.version), encode_canary(canary)))
         self._append_record((), committed_rows)
@@ -373,17 +385,17 @@
 
     # Activation
 
-    def _start_next(self, now_us: int, runtime_state: Facts) -> None:
+    def _start_next(self, now_us: int, runtime_state: RuntimeState) -> None:
         """Activate the first approved change that conflicts with no running canary."""
-        blocked_keys: set[Key] = {key for canary in self.trials for key in canary.after}
+        blocked_keys: set[Key] = {key for canary in self.canaries for key in canary.after}
         for staged in sorted(
-            (queued for queued in self.staged if queued.go), key=lambda queued: queued.sequence
+            (queued for queued in self.staged if queued.is_approved), key=lambda queued: queued.sequence
         ):
             change = staged.change
             if change.source == "file":
                 self._end_older_file_canaries(now_us, change)
-                blocked_keys = {key for canary in self.trials for key in canary.after}
-            if change.keys & blocked_keys or len(self.trials) >= self.settings.queue:
+                blocked_keys = {key for canary in self.canaries for key in canary.after}
+            if change.keys & blocked_keys or len(self.canaries) >= self.settings.queue:
                 blocked_keys |= change.keys  # later changes that touch these rows wait as well
                 continue
             after, found_errors = self._build_and_check(change, runtime_state)
@@ -405,13 +417,15 @@
         """Keep the canaries of older files that a newer file touches, if they are valid by themselves."""
         for canary in [
             other
-            for other in self.trials
+            for other in self.canaries
             if other.change.source == "file" and change.keys & other.after.keys()
         ]:
             if not validate(compose(self.committed, [canary], self.version)):
                 self._keep(now_us, canary, "a newer file has other rows before its time was over")
 
-    def _start_canary(self, now_us: int, runtime_state: Facts, staged: StagedChange, after: Snapshot) -> None:
+    def _start_canary(
+        self, now_us: int, runtime_state: RuntimeState, staged: StagedChange, after: Snapshot
+    ) -> None:
         change, before = staged.change, self.current
         self.version = after.version
         rows = changed_rows(before, after)
@@ -425,8 +439,8 @@
             self.to_wall_ms(now_us),
             runtime_state,
         )
-        self._starting = canary, before, dict(self.drains.heard), dict(self.drains.removed)
-        self.trials.append(canary)
+        self._starting = canary, before, dict(self.drains.began_at_us), dict(self.drains.removed)
+        self.canaries.append(canary)
         self.staged.remove(staged)
         later_actions, self.actions = self.actions, []
         self.actions.append(Persist("trial", str(canary.version), encode_canary(canary)))
@@ -444,11 +458,11 @@
 
     def _apply(self, now_us: int, before: Snapshot, after: Snapshot, starts_canary: bool = False) -> None:
         """Activate a snapshot; the records of drains that it starts come first."""
-        uids = list(before.endpoints.differing(after.endpoints))
-        drains_before = dict(self.drains.heard)
+        uids = list(before.endpoints.differing_keys(after.endpoints))
+        drains_before = dict(self.drains.began_at_us)
         still_draining, slow_starting = self.drains.snapshot_changed(now_us, before, after, uids)
         self.current = after
-        heard = self.drains.heard
+        heard = self.drains.began_at_us
         begun = [
             Persist("drain", uid, self.to_wall_ms(heard[uid])) for uid in heard if uid not in drains_before
         ]
@@ -458,30 +472,30 @@
 
     # Canary period
 
-    def _observe(self, now_us: int, runtime_state: Facts) -> None:
+    def _observe(self, now_us: int, runtime_state: RuntimeState) -> None:
         for canary in reversed(
-            self.trials
+            self.canaries
         ):  # the newest is rolled back first: the others may recover by that
             if reason := canary.observe(now_us, runtime_state, self.settings, self.current):
                 self._roll_back(now_us, canary, reason)
-                for other in self.trials:
+                for other in self.canaries:
                     other.reset_baseline(runtime_state)
                 break
         else:  # each canary was observed before any is kept
-            while self.trials and now_us >= self.trials[0].ends_at_us:
-                canary = self.trials[0]
+            while self.canaries and now_us >= self.canaries[0].ends_at_us:
+                canary = self.canaries[0]
                 elapsed_ms = (now_us - canary.started_at_us) // 1000
                 self._keep(now_us, canary, f"nothing spoke against it for {elapsed_ms} ms")
             self._start_next(now_us, runtime_state)
-        if self.trials or any(staged.go for staged in self.staged):
+        if self.canaries or any(staged.is_approved for staged in self.staged):
             next_end_us = min(
-                (running.ends_at_us for running in self.trials if running.ends_at_us > now_us),
+                (running.ends_at_us for running in self.canaries if running.ends_at_us > now_us),
                 default=now_us + (1 << 40),
             )
             self._set_timer(OBSERVE_TIMER, min(next_end_us, now_us + self.settings.look_ms * 1000))
 
     def _keep(self, now_us: int, canary: Canary, reason: str) -> None:
-        self.trials.remove(canary)
+        self.canaries.remove(canary)
         self.committed = self.committed.with_rows(canary.after, max(self.committed.version, canary.version))
         self._record_rollback(
             canary.version, RollbackRecord(canary.id, inverse_of_rows(canary.before, canary.after).ops)
@@ -496,7 +510,7 @@
         """Activate the inverse, even if its record can't be written: a restart then resumes the canary, which
         is rolled back again. Later canaries that are invalid without this one are rolled back as well."""
         rolled_back = [(canary, reason)]
-        remaining = [other for other in self.trials if other is not canary]
+        remaining = [other for other in self.canaries if other is not canary]
         retired = _retired_rows(canary)
         while True:
             committed = self.committed.with_rows(retired, self.committed.version)
@@ -507,7 +521,12 @@
             remaining.remove(later[-1])
             rolled_back.append((later[-1], f"it does not hold without {canary.id}, which is undone"))
             retired |= _retired_rows(later[-1])
-        before, self.version, self.trials, self.committed = self.current, after.version, remaining, committed
+        before, self.version, self.canaries, self.committed = (
+            self.current,
+            after.version,
+            remaining,
+            committed,
+        )
         self._append_record([other.version for other, _ in rolled_back], retired)
         self._apply(now_us, before, after)
         inverse_ops: dict[Key, Any] = {}
@@ -525,7 +544,7 @@
         self._apply_even_if_unwritten()
 
     def _apply_failed(self, now_us: int, event: ApplyFailed) -> None:
-        for canary in self.trials:
+        for canary in self.canaries:
             if canary.version == event.version:
                 self._roll_back(now_us, canary, f"could not be brought into force: {event.reason}")
                 return
@@ -538,9 +557,9 @@
             self.staged.remove(staged)
             self._reject_unwritten(now_us, event.key)
         elif event.kind == "trial" and self._starting and event.key == str(self._starting[0].version):
-            canary, self.current, self.drains.heard, self.drains.removed = self._starting
+            canary, self.current, self.drains.began_at_us, self.drains.removed = self._starting
             self._starting = None
-            self.trials.remove(canary)
+            self.canaries.remove(canary)
             self.has_unwritten = True  # the records after it were not written either
             self._reject_unwritten(now_us, canary.id)
         elif event.kind in ("change", "base", "file", "trial", "back"):
@@ -574,12 +593,12 @@
                 self.generation,
                 self.last_record,
                 self.version,
-                [canary.version for canary in self.trials],
+                [canary.version for canary in self.canaries],
             )
         )
         self.part_count = len(rows) - 1
         self.actions += [
-            Persist("trial", str(canary.version), encode_canary(canary)) for canary in self.trials
+            Persist("trial", str(canary.version), encode_canary(canary)) for canary in self.canaries
         ]
         self.actions += [Persist(*row) for row in rows]
         self.actions += [
@@ -612,20 +631,20 @@
         self.actions.append(Persist("staged", staged.change.id, None))
 
     def _record_outcome(self, now_us: int, change_id: str, version: int, result: str, reason: str) -> None:
-        number = 1 + max(self.past, default=0)
-        self.past[number] = outcome = Outcome(
+        number = 1 + max(self.outcomes, default=0)
+        self.outcomes[number] = outcome = Outcome(
             change_id, version, result, reason[:4000], self.to_wall_ms(now_us)
         )
-        while len(self.past) > self.settings.history:
-            oldest = min(self.past)
-            del self.past[oldest]
+        while len(self.outcomes) > self.settings.history:
+            oldest = min(self.outcomes)
+            del self.outcomes[oldest]
             self.actions.append(Persist("past", str(oldest), None))
         self.actions.append(ChangeCompleted(change_id, result, reason))
         self.actions.append(
             Persist(
                 "past",
                 str(number),
-                [outcome.id, outcome.version, outcome.what, outcome.reason, outcome.recorded_at_ms],
+                [outcome.id, outcome.version, outcome.result, outcome.reason, outcome.recorded_at_ms],
             )
         )
         self._log(f"{change_id} is {result}: {reason}")
--- a/madderbeam/changes/making.py
+++ b/madderbeam/changes/making.py
@@ -32,7 +32,7 @@
     found_errors: list[errors.ChangeError]
 
 
-def made(snapshot: Snapshot, ops: Mapping[Key, Op], version: int) -> BuildResult:
+def build(snapshot: Snapshot, ops: Mapping[Key, Op], version: int) -> BuildResult:
     """Apply operations to a snapshot. Collects all errors; a row with an error stays as it was."""
     rows: dict[Key, Any] = {}
     found_errors: list[errors.ChangeError] = []
@@ -51,7 +51,7 @@
 
 
 def _unknown_row(snapshot: Snapshot, key: Key) -> errors.Unknown:
-    known = snapshot.names(key[0])
+    known = snapshot.active_names(key[0])
     return errors.Unknown(f"{key[0]} {key[1]}", f"is not there{suggestion(key[1], known)}", short_list(known))
 
 
@@ -130,7 +130,7 @@
     for section in old.sections:
         if section == "fixed":
             continue
-        for name in old.sections[section].differing(new.sections[section]):
+        for name in old.sections[section].differing_keys(new.sections[section]):
             key = (section, name)
             old_row, new_row = comparable_row(old, key), comparable_row(new, key)
             if old_row != new_row:
--- a/madderbeam/changes/records.py
+++ b/madderbeam/changes/records.py
@@ -46,7 +46,7 @@
     """A staged change: waits for its turn if `go` is set, else for approval."""
 
     change: Change
-    go: bool
+    is_approved: bool
     sequence: int
 
 
@@ -56,13 +56,13 @@
 
     id: str
     version: int
-    what: str
+    result: str
     reason: str
     recorded_at_ms: int
 
 
 @dataclass
-class Restored:
+class RestoredState:
     """The state read from the records. `snapshot`: committed rows; `version`: the newest ever active."""
 
     snapshot: Snapshot = field(default_factory=empty_snapshot)
@@ -88,7 +88,7 @@
         (section, name): new.get((section, name))
         for section in SECTION_NAMES
         if section != "fixed"
-        for name in old.sections[section].differing(new.sections[section])
+        for name in old.sections[section].differing_keys(new.sections[section])
     }
 
 
@@ -210,7 +210,7 @@
 # Restoring
 
 
-def restore(records: RecordMap) -> Restored | None:
+def restore(records: RecordMap) -> RestoredState | None:
     """Return the state that the records describe, or None if there is no complete base record."""
     base_record = records.get(("base", ""))
     if base_record is None:
@@ -222,7 +222,7 @@
         if part is None:
             return None
         base_snapshot_rows |= decode_rows(part)
-    restored = Restored(
+    restored = RestoredState(
         empty_snapshot().with_rows(base_snapshot_rows, version),
         version,
         generation,
@@ -252,7 +252,7 @@
     return restored
 
 
-def _restore_others(records: RecordMap, restored: Restored, ended_versions: set[int]) -> None:
+def _restore_others(records: RecordMap, restored: RestoredState, ended_versions: set[int]) -> None:
     for (kind, key), value in records.items():
         if kind == "trial" and int(key) not in ended_versions:
             change, at_ms, before, after = value
@@ -280,7 +280,7 @@
     )
 
 
-def obsolete_records(records: RecordMap, restored: Restored) -> list[tuple[str, str]]:
+def obsolete_records(records: RecordMap, restored: RestoredState) -> list[tuple[str, str]]:
     """Return the keys of records that newer records supersede."""
     obsolete = [
         key
--- a/madderbeam/changes/sharing.py
+++ b/madderbeam/changes/sharing.py
@@ -70,7 +70,7 @@
         copy.count = count
         return copy
 
-    def differing(self, other: ImmutableMap) -> Iterator[str]:
+    def differing_keys(self, other: ImmutableMap) -> Iterator[str]:
         """Yield the keys whose values differ."""
         return (key for key, _, _ in self.differences(other))
 
@@ -88,7 +88,7 @@
                     yield key, old, new
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, ImmutableMap) and next(self.differing(other), None) is None
+        return isinstance(other, ImmutableMap) and next(self.differing_keys(other), None) is None
 
     __hash__ = None  # type: ignore[assignment]
 
--- a/madderbeam/changes/trial.py
+++ b/madderbeam/changes/trial.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from madderbeam.changes.values import DRAINING, READY, Change, Facts, Key, Settings, Snapshot
+from madderbeam.changes.values import DRAINING, READY, Change, Key, RuntimeState, Settings, Snapshot
 
 MAX_EMPTY_OBSERVATIONS = 2  # in a row without a ready endpoint at a destination
 GROWTH_OBSERVATIONS = 6  # in a row, each with more pending messages than the last
@@ -27,7 +27,7 @@
     started_at_us: int
     ends_at_us: int
     started_at_ms: int  # wall time
-    baseline: Facts | None = None
+    baseline: RuntimeState | None = None
     observed_at_us: int = field(init=False)  # time of the newest observation
     empty_observations: dict[int, int] = field(default_factory=dict)  # in a row, by destination
     pending_counts: deque[int] = field(default_factory=lambda: deque(maxlen=GROWTH_OBSERVATIONS))
@@ -45,7 +45,7 @@
         self.started_at_us = self.observed_at_us = now_us
         self.ends_at_us = ends_at_us
 
-    def reset_baseline(self, runtime_state: Facts) -> None:
+    def reset_baseline(self, runtime_state: RuntimeState) -> None:
         """Restart the counts after another change was rolled back, which may have caused them so far."""
         if self.baseline is not None:
             self.baseline = replace(self.baseline, rejected=runtime_state.rejected)
@@ -86,7 +86,7 @@
             if key[0] == "endpoint" and row is not None
         }
 
-    def observe(self, now_us: int, runtime_state: Facts, settings: Settings, current: Snapshot) -> str:
+    def observe(self, now_us: int, runtime_state: RuntimeState, settings: Settings, current: Snapshot) -> str:
         """Evaluate the canary; return why to roll it back, or ''."""
         if now_us - self.observed_at_us < settings.look_ms * 500:
             return ""  # observations within half a period count as one
@@ -100,7 +100,7 @@
             or self._check_pending_growth(runtime_state, settings)
         )
 
-    def _check_failing_calls(self, runtime_state: Facts, settings: Settings) -> str:
+    def _check_failing_calls(self, runtime_state: RuntimeState, settings: Settings) -> str:
         assert self.baseline is not None
         ended = failed = 0
         for uid in self.new_endpoint_ids:
@@ -116,7 +116,7 @@
             )
         return ""
 
-    def _check_ready_endpoints(self, runtime_state: Facts, current: Snapshot) -> str:
+    def _check_ready_endpoints(self, runtime_state: RuntimeState, current: Snapshot) -> str:
         assert self.baseline is not None
         empty = [
             dest
@@ -137,7 +137,7 @@
                 )
         return ""
 
-    def _check_rejections(self, now_us: int, runtime_state: Facts, settings: Settings) -> str:
+    def _check_rejections(self, now_us: int, runtime_state: RuntimeState, settings: Settings) -> str:
         assert self.baseline is not None
         elapsed_s = max(MIN_REJECTION_SPAN_US, now_us - self.started_at_us) / 1e6
         rate_per_s = (runtime_state.rejected - self.baseline.rejected) / elapsed_s
@@ -148,7 +148,7 @@
             )
         return ""
 
-    def _check_pending_growth(self, runtime_state: Facts, settings: Settings) -> str:
+    def _check_pending_growth(self, runtime_state: RuntimeState, settings: Settings) -> str:
         self.pending_counts.append(runtime_state.total_pending)
         counts = list(self.pending_counts)
         if len(counts) < GROWTH_OBSERVATIONS or any(
--- a/madderbeam/changes/values.py
+++ b/madderbeam/changes/values.py
@@ -70,7 +70,7 @@
         row = self.get(key)
         return None if row is None or (key[0] in NUMBERED_SECTIONS and row["retired"]) else row
 
-    def names(self, section: str) -> list[str]:
+    def active_names(self, section: str) -> list[str]:
         """Return the sorted names in a section that new messages may use."""
         rows = self.sections[section].items()
         return sorted(n for n, row in rows if section not in NUMBERED_SECTIONS or not row["retired"])
@@ -150,7 +150,7 @@
 
 
 @dataclass(frozen=True)
-class Facts:
+class RuntimeState:
     """State of the running courier that no snapshot has. Counts are since its start."""
 
     ready_endpoints: Mapping[int, int] = field(default_factory=dict)  # by destination, without ejected ones
--- a/madderbeam/host/changes/calls.py
+++ b/madderbeam/host/changes/calls.py
@@ -8,10 +8,10 @@
 
 from madderbeam.changes import document
 from madderbeam.changes.errors import ChangeError
-from madderbeam.changes.events import ChangeApproved, ChangeDropped, Offered, RollbackRequested
-from madderbeam.changes.machine import Changes
-from madderbeam.changes.making import inverse, inverse_of_rows, made
-from madderbeam.changes.values import Change, Facts
+from madderbeam.changes.events import ChangeApproved, ChangeDropped, ChangeSubmitted, RollbackRequested
+from madderbeam.changes.machine import ChangeStateMachine
+from madderbeam.changes.making import build, inverse, inverse_of_rows
+from madderbeam.changes.values import Change, RuntimeState
 from madderbeam.transport.control import Answer
 
 MAX_CALL_BYTES = 4 << 20  # enough for a change of about ten thousand endpoints
@@ -24,8 +24,8 @@
 
     def __init__(
         self,
-        machine: Changes,
-        runtime_state: Callable[[], Facts],
+        machine: ChangeStateMachine,
+        runtime_state: Callable[[], RuntimeState],
         handle_event: Callable[[Any], None],
         clock: Callable[[], int],
         pending_by_version: Callable[[], dict[int, int]],
@@ -76,7 +76,7 @@
     def _submit_change(self, change: Change, approved: bool) -> Answer:
         if errors := self.machine.check(change, self.runtime_state() if approved else None):
             return _rejection(409, errors)
-        self.handle_event(Offered(change, self.runtime_state(), approved))
+        self.handle_event(ChangeSubmitted(change, self.runtime_state(), approved))
         return self._status_answer(change.id)
 
     def _approve(self, change_id: Any) -> Answer:
@@ -99,11 +99,12 @@
             )
         if staged is not None:
             return Answer(
-                202, f"{change_id}: staged; {'it waits for its turn' if staged.go else 'say apply'}\n"
+                202,
+                f"{change_id}: staged; {'it waits for its turn' if staged.is_approved else 'say apply'}\n",
             )
         if outcome is not None:
             return Answer(
-                200 if outcome.what == "kept" else 409, f"{change_id}: {outcome.what}: {outcome.reason}\n"
+                200 if outcome.result == "kept" else 409, f"{change_id}: {outcome.result}: {outcome.reason}\n"
             )
         return Answer(500, f"{change_id}: nothing is known of it\n")
 
@@ -123,7 +124,7 @@
             self.handle_event(RollbackRequested(change_id, "by an operator's word"))
             return Answer(200, _rollback_text(change_id, rollback.restores, rollback.not_restored))
         outcome = machine.outcome(change_id)
-        if outcome is None or outcome.what != "kept":
+        if outcome is None or outcome.result != "kept":
             return Answer(404, f"name: no change {change_id!r} waits, is on trial or kept\n")
         return self._roll_back_kept(change_id, outcome.version)
 
@@ -135,7 +136,7 @@
         answer = self._submit_change(change, True)
         if answer.status >= 300:
             return answer
-        rollback = inverse(made(machine.current, change.ops, 0).snapshot, machine.current)
+        rollback = inverse(build(machine.current, change.ops, 0).snapshot, machine.current)
         return Answer(
             answer.status, answer.text + _rollback_text(change_id, rollback.restores, rollback.not_restored)
         )
@@ -155,28 +156,28 @@
                 "left_ms": max(0, canary.ends_at_us - now_us) // 1000,
                 "touches": sorted(f"{section} {name}" for section, name in canary.after)[:100],
             }
-            for canary in machine.trials
+            for canary in machine.canaries
         ]
         return {
             "version": current.version,
             "on_trial": canaries,
             "waiting": [
-                {"name": staged.change.id, "go": staged.go, "base": staged.change.base_version}
+                {"name": staged.change.id, "go": staged.is_approved, "base": staged.change.base_version}
                 for staged in machine.staged
             ],
             "history": [
                 {
                     "name": outcome.id,
                     "version": outcome.version,
-                    "what": outcome.what,
+                    "what": outcome.result,
                     "why": outcome.reason,
                     "at_ms": outcome.recorded_at_ms,
                 }
-                for outcome in machine.past.values()
+                for outcome in machine.outcomes.values()
             ],
             "drains": {
                 uid: max(0, began_at_us + machine.drains.hold_us - now_us) // 1000
-                for uid, began_at_us in sorted(machine.drains.heard.items())
+                for uid, began_at_us in sorted(machine.drains.began_at_us.items())
             },
             "rows": {
                 staged: len(current.sections[staged]) for staged in current.sections if staged != "fixed"
--- a/madderbeam/host/changes/component.py
+++ b/madderbeam/host/changes/component.py
@@ -7,9 +7,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from madderbeam.changes.events import Apply, ApplyFailed, ChangeCompleted, Readmit, RequestRuntimeState, Seen
-from madderbeam.changes.machine import Changes, active_snapshot
-from madderbeam.changes.records import Restored, obsolete_records, restore
+from madderbeam.changes.events import (
+    Apply,
+    ApplyFailed,
+    ChangeCompleted,
+    Readmit,
+    RequestRuntimeState,
+    RuntimeStateReported,
+)
+from madderbeam.changes.machine import ChangeStateMachine, active_snapshot
+from madderbeam.changes.records import RestoredState, obsolete_records, restore
 from madderbeam.changes.values import Settings
 from madderbeam.host.changes.applying import SnapshotApplier
 from madderbeam.host.changes.calls import MAX_CALL_BYTES, AdminCalls
@@ -40,14 +47,14 @@
         restored = restore(self.store.map)
         if restored is None:
             snapshot = snapshot_of(host.config)
-            restored = Restored(snapshot, snapshot.version)
+            restored = RestoredState(snapshot, snapshot.version)
         settings = Settings(**host.config.changes)
-        self.machine = Changes(
+        self.machine = ChangeStateMachine(
             settings, restored, self._wall_ms, file_only_rows(host.config, active_snapshot(restored))
         )
         self.obsolete = obsolete_records(self.store.map, restored)
         self.runner = Runner(host.loop, host.clock, self.machine, self.store, self.perform, "changes")
-        self.applying = SnapshotApplier(host, ports)
+        self.applier = SnapshotApplier(host, ports)
         self.collector = RuntimeStateCollector(host)
         self.file = FileSource(
             ports.disk,
@@ -61,7 +68,7 @@
         self.calls = AdminCalls(
             self.machine, self.runtime_state, self.runner.post_event, host.clock, self._pending_by_version
         )
-        self.applying.start(self.machine.current)
+        self.applier.start(self.machine.current)
 
     def runtime_state(self) -> Any:
         """Return the runtime state of the courier."""
@@ -88,7 +95,7 @@
                 self.store.write((kind, key, None) for kind, key in self.obsolete)
             except OSError as error:
                 log.error("changes: obsolete records could not be deleted: %s", error)
-        self.collector.set_counting(bool(self.machine.trials))
+        self.collector.set_counting(bool(self.machine.canaries))
         log.info("changes: version %d is active", self.machine.current.version)
         self.file.check()
         self._sample()
@@ -113,10 +120,10 @@
 
     def metrics(self) -> dict[str, int]:
         """Return the metrics of changes by name."""
-        outcomes = Counter(outcome.what for outcome in self.machine.past.values())
+        outcomes = Counter(outcome.result for outcome in self.machine.outcomes.values())
         return {
             "changes.version": self.machine.current.version,
-            "changes.on_trial": len(self.machine.trials),
+            "changes.on_trial": len(self.machine.canaries),
             "changes.waiting": len(self.machine.staged),
             **{f"changes.{result}": outcomes[result] for result in ("kept", "undone", "refused")},
             "changes.unwritten": self.runner.unwritten_records,
@@ -149,17 +156,17 @@
         if isinstance(action, Apply):
             self._apply(action)
         elif isinstance(action, Readmit):
-            self.applying.readmit(action.uids, self.machine.current)
+            self.applier.readmit(action.uids, self.machine.current)
         elif isinstance(action, RequestRuntimeState):
-            self.runner.post_event(Seen(self.runtime_state()))
+            self.runner.post_event(RuntimeStateReported(self.runtime_state()))
         elif isinstance(action, ChangeCompleted):
-            self.collector.set_counting(bool(self.machine.trials))
+            self.collector.set_counting(bool(self.machine.canaries))
 
     def _apply(self, action: Apply) -> None:
-        if action.trial:
+        if action.starts_canary:
             self.collector.set_counting(True)
         try:
-            self.applying.apply(action)
+            self.applier.apply(action)
         except Exception as error:  # rolled back, so that no version stays half applied
             log.exception("changes: version %d could not be applied", action.after.version)
             self.runner.post_event(ApplyFailed(action.after.version, repr(error)))
--- a/madderbeam/host/changes/facts.py
+++ b/madderbeam/host/changes/facts.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from madderbeam.changes.values import Facts
+from madderbeam.changes.values import RuntimeState
 from madderbeam.host.host import Host
 from madderbeam.host.metrics import DECLINED
 from madderbeam.policy.events import AttemptResult, EndpointState
@@ -51,7 +51,7 @@
     def _rejected_count(self) -> int:
         return sum(self.host.metrics.completed[DECLINED])
 
-    def collect(self) -> Facts:
+    def collect(self) -> RuntimeState:
         """Return the current runtime state."""
         host, courier = self.host, self.host.courier
         ejected = set(courier.ejected_endpoints())
@@ -61,7 +61,7 @@
                 ready_by_dest[entry.destination] = ready_by_dest.get(entry.destination, 0) + 1
         sampled_at_s, rejected_then = self.samples[0]
         rejected_now = self._rejected_count()
-        return Facts(
+        return RuntimeState(
             ready_by_dest,
             {
                 destination.number: destination.in_flight
--- a/madderbeam/host/changes/file.py
+++ b/madderbeam/host/changes/file.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from madderbeam.changes import errors
-from madderbeam.changes.events import FileProcessed, Offered
-from madderbeam.changes.machine import Changes
+from madderbeam.changes.events import ChangeSubmitted, FileProcessed
+from madderbeam.changes.machine import ChangeStateMachine
 from madderbeam.changes.making import comparable_row, difference
-from madderbeam.changes.values import DRAINING, Change, Endpoint, Facts, Key, Op, Snapshot
+from madderbeam.changes.values import DRAINING, Change, Endpoint, Key, Op, RuntimeState, Snapshot
 from madderbeam.config.platform import ConfigError, load_sidecar
 from madderbeam.host.changes.reading import snapshot_of
 from madderbeam.ports import Disk
@@ -31,8 +31,8 @@
         self,
         disk: Disk,
         partner_list_path: str,
-        machine: Changes,
-        runtime_state: Callable[[], Facts],
+        machine: ChangeStateMachine,
+        runtime_state: Callable[[], RuntimeState],
         handle_event: Callable[[Any], None],
         schedule: Callable[[float, Callable[[], None]], None],
     ) -> None:
@@ -125,9 +125,9 @@
         machine = self.machine
         change = Change(change_id, machine.current.version, ops, source="file")
         if not (found_errors := machine.check(change, None)):
-            self.handle_event(Offered(change, self.runtime_state()))
+            self.handle_event(ChangeSubmitted(change, self.runtime_state()))
             outcome = machine.outcome(change_id)
-            return outcome is None or outcome.what != "refused"
+            return outcome is None or outcome.result != "refused"
         self._log_once(
             "the change of the files is rejected:\n" + "\n".join(error.line() for error in found_errors)
         )
--- a/madderbeam/host/changes/reading.py
+++ b/madderbeam/host/changes/reading.py
@@ -8,7 +8,7 @@
 
 from madderbeam.changes.check import routing_config
 from madderbeam.changes.machine import active_snapshot as newest
-from madderbeam.changes.records import Restored, restore
+from madderbeam.changes.records import RestoredState, restore
 from madderbeam.changes.values import DRAINING, Endpoint, Key, Snapshot, empty_snapshot
 from madderbeam.config.platform import Config
 from madderbeam.host.federation.durable_map import DurableMap
@@ -214,7 +214,7 @@
     return config if restored is None else config_of(config, restored)
 
 
-def config_of(config: Config, restored: Restored) -> Config:
+def config_of(config: Config, restored: RestoredState) -> Config:
     """Return a configuration with the restored snapshot. Endpoints with a recorded drain are draining."""
     snapshot = newest(restored)
     snapshot = snapshot.with_rows(file_only_rows(config, snapshot), snapshot.version)
--- a/madderbeam/simulation/changes.py
+++ b/madderbeam/simulation/changes.py
@@ -70,13 +70,13 @@
         if m.version < self.version:
             self.broken(f"after a restart version {m.version} is in force, and {self.version} was")
         self.version = m.version
-        apply, may_write = room.applying.apply, host.calls.hooks.may_write
+        apply, may_write = room.applier.apply, host.calls.hooks.may_write
 
         def applied(action: Apply) -> None:
             self._apply(room, action)
             apply(action)
 
-        room.applying.apply = applied  # type: ignore[method-assign]
+        room.applier.apply = applied  # type: ignore[method-assign]
 
         def writes(endpoint: int) -> bool:
             may = may_write(endpoint)
@@ -94,7 +94,7 @@
         if not _same(before, self.seen[self.version]):
             self.broken(f"version {after.version} is made of another one than was in force")
         changed = _differing(before, after)
-        if action.trial and not changed <= {key for t in m.trials for key in t.change.ops}:
+        if action.starts_canary and not changed <= {key for t in m.canaries for key in t.change.ops}:
             self.broken(f"version {after.version} has rows that its change does not name")
         now = self.world.now_us
         for section, uid in changed:
@@ -142,13 +142,13 @@
     def _draw(self) -> None:
         m, chance = self.room.machine, self.chance
         self.count += 1
-        names = [t.id for t in m.trials] + [o.id for o in m.past.values() if o.what == "kept"]
+        names = [t.id for t in m.canaries] + [o.id for o in m.outcomes.values() if o.result == "kept"]
         names += [s.change.id for s in m.staged]
         if names and chance.random() < UNDO:
             self.drawn["undo"] += 1
             self._call("/changes/undo", {"name": chance.choice(names)})
             return
-        waiting = [s.change.id for s in m.staged if not s.go]
+        waiting = [s.change.id for s in m.staged if not s.is_approved]
         if waiting and chance.random() < 0.5:
             self._call("/changes", {"do": "go", "name": chance.choice(waiting)})
             return
@@ -298,7 +298,7 @@
         (s, name)
         for s in one.sections
         if s != "fixed"
-        for name in one.sections[s].differing(other.sections[s])
+        for name in one.sections[s].differing_keys(other.sections[s])
     }
 
 
@@ -318,11 +318,11 @@
         place = "{}:{}".format(*host.calls.pools[entry.endpoint].address)
         if (entry.destination, place, entry.rate_per_s) != (row.dest, row.address, row.per_s):
             return f"{uid} is not as version {m.version} has it"
-        drains = row.state == DRAINING or uid in m.drains.heard
+        drains = row.state == DRAINING or uid in m.drains.began_at_us
         if (entry.state is EndpointState.DRAINING) != drains:
             return f"{uid} is {entry.state.value}, against version {m.version}"
     s = host.settings
-    present = {name: m.current.get(("class", name))["number"] for name in m.current.names("class")}
+    present = {name: m.current.get(("class", name))["number"] for name in m.current.active_names("class")}
     one = host.courier.state.settings is s and host.admission.settings is s
     if host.admission.classes != present or not one or s.max_pending != m.current.get(("limit", "max_held")):
         return f"settings are not those of version {m.version}"
--- a/tests/changes/pure.py
+++ b/tests/changes/pure.py
@@ -5,10 +5,17 @@
 from collections import deque
 
 from madderbeam.changes import document
-from madderbeam.changes.events import Apply, ChangeCompleted, Offered, Readmit, RequestRuntimeState, Seen
-from madderbeam.changes.machine import Changes, active_snapshot
-from madderbeam.changes.records import Restored, restore
-from madderbeam.changes.values import DRAINING, Endpoint, Facts, Settings, empty_snapshot
+from madderbeam.changes.events import (
+    Apply,
+    ChangeCompleted,
+    ChangeSubmitted,
+    Readmit,
+    RequestRuntimeState,
+    RuntimeStateReported,
+)
+from madderbeam.changes.machine import ChangeStateMachine, active_snapshot
+from madderbeam.changes.records import RestoredState, restore
+from madderbeam.changes.values import DRAINING, Endpoint, RuntimeState, Settings, empty_snapshot
 from madderbeam.membership.values import Persist, SetTimer, TimerDue, WriteFailed
 
 LIMITS = {
@@ -59,16 +66,16 @@
     def __init__(self, snapshot=None, settings=None, kept=None, now_us=0):
         self.kept = {} if kept is None else kept
         self.now_us, self.kill_at, self.full = now_us, None, False
-        restored = restore(self.kept) or Restored(snapshot or first(), 1)
+        restored = restore(self.kept) or RestoredState(snapshot or first(), 1)
         self.settings = settings or Settings(trial_ms=10_000)
         fixed = {k: first().get(k) for k in (("fixed", "slots"), ("fixed", "disk_bytes"))}
-        self.machine = Changes(self.settings, restored, lambda now: now // 1000, fixed)
+        self.machine = ChangeStateMachine(self.settings, restored, lambda now: now // 1000, fixed)
         self.shown = {
             uid: self._state(row.state, uid, restored)
             for uid, row in active_snapshot(restored).endpoints.items()
         }
         self.version, self.cold, self.settled = self.machine.version, [], {}
-        self.timers, self.facts, self.applied = {}, Facts(max_pending=200), []
+        self.timers, self.facts, self.applied = {}, RuntimeState(max_pending=200), []
         self.carry_out(self.machine.start(now_us))
 
     def _state(self, state, uid, restored):
@@ -112,7 +119,7 @@
         if isinstance(action, SetTimer):
             self.timers[action.token] = action.at_us
         elif isinstance(action, RequestRuntimeState):
-            events.append(Seen(self.facts))
+            events.append(RuntimeStateReported(self.facts))
         elif isinstance(action, Apply):
             self._apply(action)
         elif isinstance(action, Readmit):
@@ -145,7 +152,7 @@
         base = self.machine.current.version if base is None else base
         change, wrong = document.parse({"name": ident, "base": base, **parts})
         assert change is not None, [e.line() for e in wrong]
-        self.tell(Offered(change, self.facts, go))
+        self.tell(ChangeSubmitted(change, self.facts, go))
         return self.settled.get(ident)
 
     def again(self, now_us=None):
--- a/tests/changes/test_stages.py
+++ b/tests/changes/test_stages.py
@@ -12,13 +12,13 @@
     ApplyFailed,
     ChangeApproved,
     ChangeDropped,
-    Offered,
+    ChangeSubmitted,
     RollbackRequested,
-    Seen,
+    RuntimeStateReported,
 )
-from madderbeam.changes.making import difference, inverse, made
+from madderbeam.changes.making import build, difference, inverse
 from madderbeam.changes.sharing import ImmutableMap
-from madderbeam.changes.values import Facts, Settings
+from madderbeam.changes.values import RuntimeState, Settings
 from madderbeam.config import model
 
 
@@ -30,7 +30,7 @@
         like = {k: v for k, v in (like | rows).items() if v is not None}
         assert dict(fresh.items()) == like and len(fresh) == len(like)
         assert sum(a is not b for a, b in zip(shared.buckets, fresh.buckets, strict=True)) <= len(rows)
-        assert set(fresh.differing(shared)) <= set(rows)
+        assert set(fresh.differing_keys(shared)) <= set(rows)
         shared = fresh
 
 
@@ -42,7 +42,7 @@
     bench.passes(9.9)
     assert "one" not in bench.settled
     bench.passes(1)
-    assert bench.settled["one"][0] == "kept" and not bench.machine.trials
+    assert bench.settled["one"][0] == "kept" and not bench.machine.canaries
 
 
 def test_a_staged_change_waits_for_approval_and_can_be_dropped():
@@ -60,7 +60,7 @@
     bench.offer("one", edit=[{"uid": "a", "per_s": 7}, {"uid": "b", "per_s": 7}])
     bench.offer("beside", drain=["c"], accept=["nothing-ready"])
     bench.offer("behind", edit=[{"uid": "a", "per_s": 8}, {"uid": "b", "per_s": 8}])
-    assert [t.id for t in bench.machine.trials] == ["one", "beside"]
+    assert [t.id for t in bench.machine.canaries] == ["one", "beside"]
     assert bench.machine.current.endpoints.get("a").per_s == 7
     bench.passes(10.1)
     assert bench.settled["one"][0] == bench.settled["beside"][0] == "kept"
@@ -124,11 +124,11 @@
     assert [e.code for e in wrong] == ["built-upon"] and "two (version 3)" in wrong[0].line()
     change, wrong = bench.machine.rollback_of(3, "back-3")
     assert not wrong
-    bench.tell(Offered(change, bench.facts))
+    bench.tell(ChangeSubmitted(change, bench.facts))
     bench.passes(11)
     # The rollback touched d as well, so version 2 still has a later change; invert the rows directly.
     back = inverse(first(), bench.machine.current)
-    restored = made(bench.machine.current, back.ops, 9).snapshot
+    restored = build(bench.machine.current, back.ops, 9).snapshot
     assert not difference(restored, first()) and restored.get(("class", "new"))["retired"]
     assert any("b was taken away" in text for text in back.not_restored)
     assert any("keep its terms" in text for text in back.not_restored)
@@ -147,7 +147,7 @@
         }
         rows["endpoint", f"n{chance.randrange(99)}"] = endpoint("n", chance.randrange(4))
         after = snapshot.with_rows(rows, snapshot.version + 1)
-        back = made(after, inverse(snapshot, after).ops, 0).snapshot
+        back = build(after, inverse(snapshot, after).ops, 0).snapshot
         assert back.has_same_rows(snapshot)
         snapshot = after
 
@@ -216,7 +216,7 @@
     found = [e for e in wrong if (e.code, e.path) == (code, path)]
     assert found and allowed in found[0].line() and found[0].advice in found[0].line()
     if change is not None:
-        bench.tell(Offered(change, bench.facts))
+        bench.tell(ChangeSubmitted(change, bench.facts))
         assert bench.settled["x"][0] == "refused" and bench.version == 1 and not bench.applied
 
 
@@ -263,12 +263,14 @@
 
 def test_a_change_that_strands_pending_messages_needs_an_accepted_code():
     bench = Bench()
-    bench.facts = Facts(ready_endpoints={1: 2, 2: 1}, pending={2: 5}, in_flight={1: 9}, max_pending=200)
+    bench.facts = RuntimeState(
+        ready_endpoints={1: 2, 2: 1}, pending={2: 5}, in_flight={1: 9}, max_pending=200
+    )
     assert "(orphans: " in bench.offer("gone", remove=["c"])[1]
     assert "(nothing-ready: " in bench.offer("drained", drain=["c"])[1]
     assert bench.offer("accepted", remove=["c"], accept=["orphans"]) is None
     many = Bench(first(*(endpoint(f"e{n}") for n in range(10))))
-    many.facts = Facts(ready_endpoints={1: 10}, pending={1: 9}, in_flight={1: 9})
+    many.facts = RuntimeState(ready_endpoints={1: 10}, pending={1: 9}, in_flight={1: 9})
     assert "(little-left: " in many.offer("most", drain=[f"e{n}" for n in range(9)])[1]
     assert many.offer("fewer", drain=[f"e{n}" for n in range(7)]) is None
 
@@ -278,7 +280,9 @@
 
 def _undone(bench, **facts):
     for step in range(1, 9):
-        bench.facts = Facts(**{k: v(step) if callable(v) else v for k, v in facts.items()}, max_pending=200)
+        bench.facts = RuntimeState(
+            **{k: v(step) if callable(v) else v for k, v in facts.items()}, max_pending=200
+        )
         bench.passes(0.5)
         if found := bench.settled.get("one"):
             return found
@@ -296,21 +300,21 @@
 
 def test_a_destination_without_ready_endpoints_undoes_the_change_that_touched_it():
     bench = Bench()
-    bench.facts = Facts(ready_endpoints={1: 2, 2: 1}, max_pending=200)
+    bench.facts = RuntimeState(ready_endpoints={1: 2, 2: 1}, max_pending=200)
     bench.offer("other", edit=[{"uid": "c", "per_s": 9}])
     bench.offer("one", remove=["a", "b"], add=[add("d")])
     found = _undone(bench, ready_endpoints={1: 0, 2: 1})
     assert found[0] == "undone" and found[1].startswith("nothing-ready: ")
-    assert set(bench.shown) == {"a", "b", "c"} and [t.id for t in bench.machine.trials] == ["other"]
+    assert set(bench.shown) == {"a", "b", "c"} and [t.id for t in bench.machine.canaries] == ["other"]
 
 
 def test_observations_of_one_moment_count_once():
     bench = Bench()
-    bench.facts = Facts(ready_endpoints={1: 2, 2: 1})
+    bench.facts = RuntimeState(ready_endpoints={1: 2, 2: 1})
     bench.offer("one", remove=["a", "b"], add=[add("d")])
-    bench.facts = Facts(ready_endpoints={2: 1})
+    bench.facts = RuntimeState(ready_endpoints={2: 1})
     bench.passes(0.5)
-    bench.tell(Seen(bench.facts))
+    bench.tell(RuntimeStateReported(bench.facts))
     assert "one" not in bench.settled
     bench.passes(0.5)
     assert bench.settled["one"][0] == "undone"
@@ -319,7 +323,7 @@
 def test_rejections_over_the_bound_and_twice_the_rate_before_undo_a_change():
     for before, so in ((0.0, True), (150.0, False)):
         bench = Bench()
-        bench.facts = Facts(rejected_per_s_before=before)
+        bench.facts = RuntimeState(rejected_per_s_before=before)
         bench.offer("one", limits={"max_held": 20})
         found = _undone(bench, rejected=lambda step: 100 * step, rejected_per_s_before=before)
         assert (found is not None and found[1].startswith("refusals: ")) is so
@@ -405,7 +409,7 @@
     bench.offer("two", go=False, drain=["a"])
     bench.full = True
     bench.tell(ChangeApproved("two", bench.facts))
-    assert bench.shown["a"] == "in_service" and not bench.machine.trials
+    assert bench.shown["a"] == "in_service" and not bench.machine.canaries
 
 
 def test_an_undo_needs_no_disk_and_is_recorded_once_there_is_room():
@@ -465,11 +469,11 @@
             after = killed.again()
             assert _whole(after, seen), step
             assert after.version >= killed.version, step
-            on_trial = {t.id for t in after.machine.trials}
-            over = {o.id for o in after.machine.past.values()}
+            on_trial = {t.id for t in after.machine.canaries}
+            over = {o.id for o in after.machine.outcomes.values()}
             assert not {s.change.id for s in after.machine.staged} & (on_trial | over), step
             after.passes(30)
-            assert not after.machine.trials, step
+            assert not after.machine.canaries, step
             names = [
                 number for number in (r["number"] for r in after.machine.current.sections["class"].values())
             ]
--- a/tests/changes/test_thousand.py
+++ b/tests/changes/test_thousand.py
@@ -7,7 +7,7 @@
 
 from madderbeam.changes import machine, records
 from madderbeam.changes.drains import Drains
-from madderbeam.changes.machine import Changes
+from madderbeam.changes.machine import ChangeStateMachine
 from madderbeam.host.changes.applying import SnapshotApplier
 from madderbeam.simulation import changes
 
@@ -72,7 +72,7 @@
 
 @seeded_fault
 def a_waiting_change_keeps_the_snapshot_of_its_submission(patch):
-    offered, begin, kept = Changes._change_submitted, Changes._start_canary, {}
+    offered, begin, kept = ChangeStateMachine._change_submitted, ChangeStateMachine._start_canary, {}
 
     def noted(self, now_us, event):
         kept[event.change.id] = self._build_and_check(event.change, None)[0]
@@ -82,8 +82,8 @@
         old = kept.get(staged.change.id, after)
         begin(self, now_us, facts, staged, old.with_rows({}, after.version))
 
-    patch.setattr(Changes, "_change_submitted", noted)
-    patch.setattr(Changes, "_start_canary", stale)
+    patch.setattr(ChangeStateMachine, "_change_submitted", noted)
+    patch.setattr(ChangeStateMachine, "_start_canary", stale)
 
 
 @seeded_fault
