--- a/bench/changes.py
+++ b/bench/changes.py
@@ -113,7 +113,7 @@
 def applied(host: Host, before: Snapshot, after: Snapshot) -> tuple[float, float]:
     """ms of the instant, and of the turn that follows."""
     room = next(r for r in host.components if type(r).__name__ == "ChangesComponent")
-    instant = spent(lambda: room.applying.apply(Apply(before, after)))
+    instant = spent(lambda: room.applier.apply(Apply(before, after)))
     return instant, spent(host.run_cycle)
 
 
@@ -172,8 +172,8 @@
         2, RuntimeStateReported(RuntimeState())
     )
     print(
-        f"on disk: {size(actions + machine.handle(40_000_000, RuntimeStateReported(RuntimeState())))} bytes for a change of one "
-        f"endpoint, {whole} for the whole"
+        f"on disk: {size(actions + machine.handle(40_000_000, RuntimeStateReported(RuntimeState())))} bytes "
+        f"for a change of one endpoint, {whole} for the whole"
     )
 
 
--- a/bench/changes_load.py
+++ b/bench/changes_load.py
@@ -120,8 +120,8 @@
         loading = asyncio.ensure_future(load.run())
         began = time.monotonic()
         for number in range(args.changes):
-            if chance.random() < 0.1 and courier.machine.trials:
-                name = chance.choice(courier.machine.trials).id
+            if chance.random() < 0.1 and courier.machine.canaries:
+                name = chance.choice(courier.machine.canaries).id
                 statuses[f"undo {courier.do('POST', '/changes/undo', name=name)[0]}"] += 1
             else:
                 change, bad = drawn(chance, courier.machine, partners, number)
--- a/madderbeam/changes/events.py
+++ b/madderbeam/changes/events.py
@@ -76,8 +76,8 @@
 @dataclass(frozen=True)
 class Apply:
     """Activate a snapshot between two dispatch cycles. `held_draining`: ids in service there whose earlier
-    drain has not expired; `slow_starting`: ids that recover with slow start; `trial`: a canary period begins.
-    """
+    drain has not expired; `slow_starting`: ids that recover with slow start; `starts_canary`: a canary period
+    begins."""
 
     before: Snapshot
     after: Snapshot
--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -267,7 +267,7 @@
     def _change_approved(self, event: ChangeApproved) -> None:
         if (staged := self.staged_change(event.id)) is None or staged.is_approved:
             return
-        approved = replace(staged, go=True)
+        approved = replace(staged, is_approved=True)
         self.staged[self.staged.index(staged)] = approved
         self.actions.append(
             Persist("staged", event.id, [encode_change(approved.change), True, approved.sequence])
--- a/madderbeam/changes/records.py
+++ b/madderbeam/changes/records.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class StagedChange:
-    """A staged change: waits for its turn if `go` is set, else for approval."""
+    """A staged change: waits for its turn if `is_approved` is set, else for approval."""
 
     change: Change
     is_approved: bool
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """How a change ended. `what`: kept, undone, refused or dropped."""
+    """How a change ended. `result`: kept, undone, refused or dropped."""
 
     id: str
     version: int
--- a/tests/changes/test_changes_hard_cases.py
+++ b/tests/changes/test_changes_hard_cases.py
@@ -209,10 +209,10 @@
         await courier.client.put(f"m{n}", dest=1)
         n += 1
         await asyncio.sleep(0.01)
-    assert courier.machine.outcome("bad").what == "undone"
+    assert courier.machine.outcome("bad").result == "undone"
     assert "calls-fail" in courier.machine.outcome("bad").reason
     out = await courier.until_ended("next")
-    assert out.what == "refused" and "(unknown: " in out.reason
+    assert out.result == "refused" and "(unknown: " in out.reason
     assert state(courier, uid(1, a)) is EndpointState.READY and state(courier, "bad") is None
     await bad.stop()
 
@@ -221,9 +221,9 @@
 async def test_6_a_change_with_later_changes_of_its_rows_is_not_undone(courier, ones):
     [b] = await endpoints(1)
     courier.apply(name="one", add=[added("b", 1, b)])
-    assert (await courier.until_ended("one")).what == "kept"
+    assert (await courier.until_ended("one")).result == "kept"
     courier.apply(name="two", edit=[{"uid": "b", "zone": "b"}])
-    assert (await courier.until_ended("two")).what == "kept"
+    assert (await courier.until_ended("two")).result == "kept"
     status, text = courier.do("POST", "/changes/undo", name="one")
     assert status == 409 and "(built-upon: " in text and "two (version 3)" in text
     assert courier.do("POST", "/changes/undo", name="two")[0] == 202
@@ -297,7 +297,7 @@
             }
         a.release.set()
         async with Courier(made) as courier:
-            assert courier.machine.trials[0].id == "less"
+            assert courier.machine.canaries[0].id == "less"
             if how == "removed":
                 assert courier.host.admission.classes == {"unsafe": 1, "other": 2}
                 assert courier.host.settings.classes[0].name == "safe"
--- a/tests/changes/test_room.py
+++ b/tests/changes/test_room.py
@@ -46,7 +46,7 @@
         estate.write()
         courier.host.reload_files()
         await courier.until(
-            lambda: len(courier.machine.past) == 1
+            lambda: len(courier.machine.outcomes) == 1
         )  # two endpoints would have the same address
         assert courier.machine.current.get(("limit", "max_held")) == 200
         courier.do("POST", "/changes/undo", name="by-hand")
@@ -54,8 +54,8 @@
         estate.write()
         courier.host.reload_files()
         await courier.until(lambda: courier.host.settings.max_pending == 300)
-        assert any(t.change.source == "file" for t in courier.machine.trials)
-        await courier.until(lambda: not courier.machine.trials)
+        assert any(t.change.source == "file" for t in courier.machine.canaries)
+        await courier.until(lambda: not courier.machine.canaries)
     assert RealDisk().is_folder(str(estate.folder / "state-changes"))
 
 
@@ -75,7 +75,7 @@
         name = uid(1, a)
         entry = courier.host.registry.entries[courier.host.registry.uids[name]]
         assert entry.state.value == "draining"
-        assert [t.id for t in courier.machine.trials] == ["edit"]
+        assert [t.id for t in courier.machine.canaries] == ["edit"]
         courier.do("POST", "/changes/undo", name="edit")
         assert courier.machine.current.endpoints.get(name).state == "terminating"
 
@@ -90,7 +90,7 @@
         courier.host.reload_files()
         await courier.until(lambda: courier.host.settings.max_pending == 300)
         assert "more" in courier.machine.current.endpoints
-        await courier.until(lambda: not courier.machine.trials)
+        await courier.until(lambda: not courier.machine.canaries)
     async with Courier(estate) as courier:
         assert "more" in courier.host.registry.uids and courier.host.settings.max_pending == 300
 
--- a/tests/changes/test_stages.py
+++ b/tests/changes/test_stages.py
@@ -440,7 +440,7 @@
     """Whether the active snapshot equals one of the versions that were built."""
     rows = {uid: row for uid, row in bench.machine.current.endpoints.items()}
     rows["attempts"] = bench.machine.current.get(("limit", "attempts"))
-    rows["classes"] = tuple(bench.machine.current.names("class"))
+    rows["classes"] = tuple(bench.machine.current.active_names("class"))
     return rows in seen
 
 
@@ -453,7 +453,7 @@
         apply(action)
         rows = dict(action.after.endpoints.items())
         rows["attempts"] = action.after.get(("limit", "attempts"))
-        rows["classes"] = tuple(action.after.names("class"))
+        rows["classes"] = tuple(action.after.active_names("class"))
         seen.append(rows)
 
     bench._apply = noted
@@ -495,6 +495,6 @@
     assert kinds.count("change") <= 33 and kinds.count("back") <= 16 and kinds.count("past") <= 64
     assert kinds.count("base") == 2 and not kinds.count("trial") and not kinds.count("staged")
     again = bench.again()
-    for name in ("version", "past", "rollbacks"):
+    for name in ("version", "outcomes", "rollbacks"):
         assert getattr(again.machine, name) == getattr(bench.machine, name)
     assert again.machine.current.has_same_rows(bench.machine.current)
--- a/tests/changes/test_thousand.py
+++ b/tests/changes/test_thousand.py
@@ -63,8 +63,8 @@
     def anew(self, now_us, before, after, uids):
         uids = list(uids)
         for uid in uids:
-            if uid in self.heard:
-                self.heard[uid] = now_us - self.hold_us
+            if uid in self.began_at_us:
+                self.began_at_us[uid] = now_us - self.hold_us
         return changed(self, now_us, before, after, uids)
 
     patch.setattr(Drains, "snapshot_changed", anew)
