--- a/madderbeam/changes/drains.py
+++ b/madderbeam/changes/drains.py
@@ -54,18 +54,16 @@
     def expired(self, now_us: int, snapshot: Snapshot) -> tuple[list[str], list[str]]:
         """Forget expired drains. Returns the ids in service, which now recover, and the removed ids."""
         returned, removed = [], []
-        for uid in [
-            heard_uid
-            for heard_uid, began_at_us in self.began_at_us.items()
-            if now_us >= began_at_us + self.hold_us
+        for expired_uid in [
+            uid for uid, began_at_us in self.began_at_us.items() if now_us >= began_at_us + self.hold_us
         ]:
-            row = snapshot.get(("endpoint", uid))
+            row = snapshot.get(("endpoint", expired_uid))
             if row is None:
-                del self.began_at_us[uid]
-                removed.append(uid)
+                del self.began_at_us[expired_uid]
+                removed.append(expired_uid)
             elif row.state == READY:
-                self.forget(uid)
-                returned.append(uid)
+                self.forget(expired_uid)
+                returned.append(expired_uid)
         return returned, removed
 
     def forget(self, uid: str) -> None:
--- a/madderbeam/changes/events.py
+++ b/madderbeam/changes/events.py
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True)
 class ChangeSubmitted:
-    """A change was submitted: staged until approved, or with `approved` set, applied as soon as possible."""
+    """A change was submitted: staged until approved, or if `is_approved`, applied as soon as possible."""
 
     change: Change
     runtime_state: RuntimeState
-    approved: bool = True
+    is_approved: bool = True
 
 
 @dataclass(frozen=True)
--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -107,9 +107,9 @@
         self.has_unwritten = False  # the disk lacks some of the committed state
         self.actions: list[Any] = []
         # The key of the record, and the actions to carry out even if that can't be written.
-        self._rollback_in_progress: tuple[str, list[Any]] | None = None
+        self._unconditional_actions: tuple[str, list[Any]] | None = None
         self._starting: tuple[Canary, Snapshot, dict[str, int], dict[str, None]] | None = None
-        self._restored_drains = restored.drain_heard_at_ms
+        self._restored_drains = restored.drain_began_at_ms
 
     def _with_fixed(self, snapshot: Snapshot) -> Snapshot:
         return snapshot.with_rows(self.fixed_rows, snapshot.version) if self.fixed_rows else snapshot
@@ -202,7 +202,7 @@
         if isinstance(event, WriteFailed):
             self._write_failed(now_us, event)
             return self.actions
-        self._starting = self._rollback_in_progress = None
+        self._starting = self._unconditional_actions = None
         if isinstance(event, ChangeSubmitted):
             self._change_submitted(now_us, event)
         elif isinstance(event, ChangeApproved):
@@ -240,7 +240,7 @@
 
     def _change_submitted(self, now_us: int, event: ChangeSubmitted) -> None:
         change = event.change
-        runtime_state = event.runtime_state if event.approved else None
+        runtime_state = event.runtime_state if event.is_approved else None
         after, found_errors = self._build_and_check(change, runtime_state)
         if found_errors := [*self._admission_errors(change), *found_errors]:
             self._record_outcome(
@@ -248,7 +248,7 @@
             )
             return
         if (
-            event.approved
+            event.is_approved
             and self._only_drains(change, after)
             and (
                 change.source == "file" or any(change.keys & canary.after.keys() for canary in self.canaries)
@@ -257,11 +257,13 @@
             self._drain_now(now_us, change, after)
             return
         sequence = 1 + max((other.sequence for other in self.staged), default=0)
-        staged = StagedChange(change, event.approved, sequence)
+        staged = StagedChange(change, event.is_approved, sequence)
         self.staged.append(staged)
-        self.actions.append(Persist("staged", change.id, [encode_change(change), event.approved, sequence]))
+        self.actions.append(
+            Persist("staged", change.id, [encode_change(change), event.is_approved, sequence])
+        )
         self._log(f"{change.id} is staged on version {self.current.version}")
-        if event.approved:
+        if event.is_approved:
             self.actions.append(RequestRuntimeState())
 
     def _change_approved(self, event: ChangeApproved) -> None:
@@ -374,11 +376,11 @@
         self._apply(now_us, self.current, after)
         self._record_rollback(after.version, RollbackRecord(change.id, change.ops, is_irreversible=True))
         self._record_outcome(now_us, change.id, after.version, "kept", "drains wait for nothing")
-        self._apply_even_if_unwritten()
+        self._remember_actions()
 
-    def _apply_even_if_unwritten(self) -> None:
+    def _remember_actions(self) -> None:
         """Remember the actions, which are carried out even if the record can't be written."""
-        self._rollback_in_progress = (
+        self._unconditional_actions = (
             str(self.last_record),
             [action for action in self.actions if not isinstance(action, Persist)],
         )
@@ -462,11 +464,13 @@
         drains_before = dict(self.drains.began_at_us)
         still_draining, slow_starting = self.drains.snapshot_changed(now_us, before, after, uids)
         self.current = after
-        heard = self.drains.began_at_us
+        began_at_us = self.drains.began_at_us
         begun = [
-            Persist("drain", uid, self.to_wall_ms(heard[uid])) for uid in heard if uid not in drains_before
+            Persist("drain", uid, self.to_wall_ms(began_at_us[uid]))
+            for uid in began_at_us
+            if uid not in drains_before
         ]
-        ended = [Persist("drain", uid, None) for uid in drains_before if uid not in heard]
+        ended = [Persist("drain", uid, None) for uid in drains_before if uid not in began_at_us]
         self.actions += [*begun, Apply(before, after, still_draining, slow_starting, starts_canary), *ended]
         self._set_drain_timer(now_us)
 
@@ -541,7 +545,7 @@
             for text in inverse_of_rows(one.before, one.after).not_restored[:20]:
                 self._log(f"{one.id}: not restored: {text}")
         self.actions.append(RequestRuntimeState())
-        self._apply_even_if_unwritten()
+        self._remember_actions()
 
     def _apply_failed(self, now_us: int, event: ApplyFailed) -> None:
         for canary in self.canaries:
@@ -566,10 +570,10 @@
             self.has_unwritten = True  # all of it is written again later
             if (
                 event.kind == "change"
-                and self._rollback_in_progress is not None
-                and event.key == self._rollback_in_progress[0]
+                and self._unconditional_actions is not None
+                and event.key == self._unconditional_actions[0]
             ):
-                self.actions, self._rollback_in_progress = self._rollback_in_progress[1], None
+                self.actions, self._unconditional_actions = self._unconditional_actions[1], None
         self._set_timer(WRITE_RETRY_TIMER, now_us + WRITE_RETRY_US)
 
     def _reject_unwritten(self, now_us: int, change_id: str) -> None:
--- a/madderbeam/changes/records.py
+++ b/madderbeam/changes/records.py
@@ -75,7 +75,7 @@
     staged: list[StagedChange] = field(default_factory=list)
     outcomes: dict[int, Outcome] = field(default_factory=dict)
     rollbacks: dict[int, RollbackRecord] = field(default_factory=dict)
-    drain_heard_at_ms: dict[str, int] = field(default_factory=dict)  # wall time by uid
+    drain_began_at_ms: dict[str, int] = field(default_factory=dict)  # wall time by uid
     processed_file: tuple[str, Snapshot] | None = None
 
 
@@ -269,7 +269,7 @@
         elif kind == "back":
             restored.rollbacks[int(key)] = RollbackRecord(str(value[0]), decode_ops(value[1]), bool(value[2]))
         elif kind == "drain":
-            restored.drain_heard_at_ms[key] = int(value)
+            restored.drain_began_at_ms[key] = int(value)
     restored.canaries.sort(key=lambda canary: canary.version)
     known_ids = {outcome.id for outcome in restored.outcomes.values()} | {
         canary.id for canary in restored.canaries
--- a/madderbeam/host/changes/calls.py
+++ b/madderbeam/host/changes/calls.py
@@ -73,10 +73,10 @@
             return self._approve(change.id)
         return self._submit_change(change, action == "apply")
 
-    def _submit_change(self, change: Change, approved: bool) -> Answer:
-        if errors := self.machine.check(change, self.runtime_state() if approved else None):
+    def _submit_change(self, change: Change, is_approved: bool) -> Answer:
+        if errors := self.machine.check(change, self.runtime_state() if is_approved else None):
             return _rejection(409, errors)
-        self.handle_event(ChangeSubmitted(change, self.runtime_state(), approved))
+        self.handle_event(ChangeSubmitted(change, self.runtime_state(), is_approved))
         return self._status_answer(change.id)
 
     def _approve(self, change_id: Any) -> Answer:
--- a/madderbeam/host/changes/reading.py
+++ b/madderbeam/host/changes/reading.py
@@ -219,7 +219,7 @@
     snapshot = newest(restored)
     snapshot = snapshot.with_rows(file_only_rows(config, snapshot), snapshot.version)
     targets = [
-        target_of(row, DRAINING if uid in restored.drain_heard_at_ms else "")
+        target_of(row, DRAINING if uid in restored.drain_began_at_ms else "")
         for uid, row in snapshot.endpoints.items()
     ]
     routing = routing_config(snapshot)
--- a/tests/changes/pure.py
+++ b/tests/changes/pure.py
@@ -79,7 +79,7 @@
         self.carry_out(self.machine.start(now_us))
 
     def _state(self, state, uid, restored):
-        return DRAINING if uid in restored.drain_heard_at_ms else state
+        return DRAINING if uid in restored.drain_began_at_ms else state
 
     def tell(self, event):
         events = deque([event])
--- a/tests/changes/test_thousand.py
+++ b/tests/changes/test_thousand.py
@@ -106,7 +106,7 @@
         "_restore_others",
         lambda kept, r, over, rest=records._restore_others: (
             rest(kept, r, over),
-            r.drain_heard_at_ms.clear(),
+            r.drain_began_at_ms.clear(),
         ),
     )
 
