--- a/bench/changes.py
+++ b/bench/changes.py
@@ -16,14 +16,14 @@
 from pathlib import Path
 from typing import Any
 
+from madderbeam.changes.building import build
 from madderbeam.changes.events import Apply, ChangeSubmitted, RuntimeStateReported
 from madderbeam.changes.machine import ChangeStateMachine
-from madderbeam.changes.making import build
 from madderbeam.changes.records import RestoredState
 from madderbeam.changes.values import Change, Op, RuntimeState, Settings, Snapshot
 from madderbeam.config.platform import load_sidecar
 from madderbeam.config.rendered import seal
-from madderbeam.host.changes.reading import snapshot_of
+from madderbeam.host.changes.config_snapshot import snapshot_of
 from madderbeam.host.composition import assemble
 from madderbeam.host.host import Host
 from madderbeam.host.process import collector_paused
--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -19,7 +19,8 @@
 from typing import Any
 
 from madderbeam.changes import errors
-from madderbeam.changes.check import restart_errors, runtime_errors, validate
+from madderbeam.changes.building import build, inverse_of_rows, rollback_change
+from madderbeam.changes.canary import Canary
 from madderbeam.changes.drains import Drains
 from madderbeam.changes.events import (
     Apply,
@@ -34,7 +35,6 @@
     RollbackRequested,
     RuntimeStateReported,
 )
-from madderbeam.changes.making import build, inverse_of_rows, rollback_change
 from madderbeam.changes.records import (
     Outcome,
     RestoredState,
@@ -47,7 +47,7 @@
     encode_ops,
     encode_rows,
 )
-from madderbeam.changes.trial import Canary
+from madderbeam.changes.validation import restart_errors, runtime_errors, validate
 from madderbeam.changes.values import (
     DRAINING,
     NUMBERED_SECTIONS,
--- a/madderbeam/changes/records.py
+++ b/madderbeam/changes/records.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from madderbeam.changes.trial import Canary
+from madderbeam.changes.canary import Canary
 from madderbeam.changes.values import SECTION_NAMES, Change, Endpoint, Key, Op, Snapshot, empty_snapshot
 
 RecordMap = Mapping[tuple[str, str], Any]
--- a/madderbeam/changes/values.py
+++ b/madderbeam/changes/values.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from madderbeam.changes.sharing import ImmutableMap
+from madderbeam.changes.immutable_map import ImmutableMap
 
 Key = tuple[str, str]  # section, name
 NUMBERED_SECTIONS = ("class", "tenant", "kind")
--- a/madderbeam/host/changes/calls.py
+++ b/madderbeam/host/changes/admin_calls.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from madderbeam.changes import document
+from madderbeam.changes.building import build, inverse, inverse_of_rows
 from madderbeam.changes.errors import ChangeError
 from madderbeam.changes.events import ChangeApproved, ChangeDropped, ChangeSubmitted, RollbackRequested
 from madderbeam.changes.machine import ChangeStateMachine
-from madderbeam.changes.making import build, inverse, inverse_of_rows
 from madderbeam.changes.values import Change, RuntimeState
 from madderbeam.transport.control import Answer
 
--- a/madderbeam/host/changes/applying.py
+++ b/madderbeam/host/changes/applier.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from madderbeam.changes import fields
-from madderbeam.changes.check import routing_config
 from madderbeam.changes.events import Apply
+from madderbeam.changes.validation import routing_config
 from madderbeam.changes.values import DRAINING, Endpoint, Snapshot
 from madderbeam.changes.values import READY as IN_SERVICE
-from madderbeam.host.changes.reading import settings_of, target_of
+from madderbeam.host.changes.config_snapshot import settings_of, target_of
 from madderbeam.host.composition import key_retention_s
 from madderbeam.host.host import Host
 from madderbeam.host.metrics import Metrics
--- a/madderbeam/host/changes/component.py
+++ b/madderbeam/host/changes/component.py
@@ -18,11 +18,11 @@
 from madderbeam.changes.machine import ChangeStateMachine, active_snapshot
 from madderbeam.changes.records import RestoredState, obsolete_records, restore
 from madderbeam.changes.values import Settings
-from madderbeam.host.changes.applying import SnapshotApplier
-from madderbeam.host.changes.calls import MAX_CALL_BYTES, AdminCalls
-from madderbeam.host.changes.facts import SAMPLE_PERIOD_S, RuntimeStateCollector
-from madderbeam.host.changes.file import FileSource
-from madderbeam.host.changes.reading import file_only_rows, open_store, snapshot_of
+from madderbeam.host.changes.admin_calls import MAX_CALL_BYTES, AdminCalls
+from madderbeam.host.changes.applier import SnapshotApplier
+from madderbeam.host.changes.config_snapshot import file_only_rows, open_store, snapshot_of
+from madderbeam.host.changes.file_source import FileSource
+from madderbeam.host.changes.runtime_state import SAMPLE_PERIOD_S, RuntimeStateCollector
 from madderbeam.host.components import Component
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.host import Host
--- a/madderbeam/host/changes/reading.py
+++ b/madderbeam/host/changes/config_snapshot.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 from typing import Any
 
-from madderbeam.changes.check import routing_config
 from madderbeam.changes.machine import active_snapshot as newest
 from madderbeam.changes.records import RestoredState, restore
+from madderbeam.changes.validation import routing_config
 from madderbeam.changes.values import DRAINING, Endpoint, Key, Snapshot, empty_snapshot
 from madderbeam.config.platform import Config
 from madderbeam.host.federation.durable_map import DurableMap
--- a/madderbeam/host/changes/file.py
+++ b/madderbeam/host/changes/file_source.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 from madderbeam.changes import errors
+from madderbeam.changes.building import comparable_row, difference
 from madderbeam.changes.events import ChangeSubmitted, FileProcessed
 from madderbeam.changes.machine import ChangeStateMachine
-from madderbeam.changes.making import comparable_row, difference
 from madderbeam.changes.values import DRAINING, Change, Endpoint, Key, Op, RuntimeState, Snapshot
 from madderbeam.config.platform import ConfigError, load_sidecar
-from madderbeam.host.changes.reading import snapshot_of
+from madderbeam.host.changes.config_snapshot import snapshot_of
 from madderbeam.ports import Disk
 
 RETRYABLE_ERRORS = (errors.Full, errors.Stale)  # may pass on the next attempt
--- a/madderbeam/host/composition.py
+++ b/madderbeam/host/composition.py
@@ -38,7 +38,7 @@
     "standby": "madderbeam.host.standby.primary",
 }
 # Where changes are enabled, the configuration that was last active replaces the one from the file.
-ACTIVE_CONFIG_MODULE = "madderbeam.host.changes.reading"
+ACTIVE_CONFIG_MODULE = "madderbeam.host.changes.config_snapshot"
 
 
 def assemble(
--- a/tests/changes/test_stages.py
+++ b/tests/changes/test_stages.py
@@ -8,6 +8,7 @@
 from pure import Bench, add, endpoint, first
 
 from madderbeam.changes import document, fields
+from madderbeam.changes.building import build, difference, inverse
 from madderbeam.changes.events import (
     ApplyFailed,
     ChangeApproved,
@@ -16,8 +17,7 @@
     RollbackRequested,
     RuntimeStateReported,
 )
-from madderbeam.changes.making import build, difference, inverse
-from madderbeam.changes.sharing import ImmutableMap
+from madderbeam.changes.immutable_map import ImmutableMap
 from madderbeam.changes.values import RuntimeState, Settings
 from madderbeam.config import model
 
--- a/tests/changes/test_thousand.py
+++ b/tests/changes/test_thousand.py
@@ -8,7 +8,7 @@
 from madderbeam.changes import machine, records
 from madderbeam.changes.drains import Drains
 from madderbeam.changes.machine import ChangeStateMachine
-from madderbeam.host.changes.applying import SnapshotApplier
+from madderbeam.host.changes.applier import SnapshotApplier
 from madderbeam.simulation import changes
 
 SEEDS = range(8)
