--- a/madderbeam/changes/drains.py
+++ b/madderbeam/changes/drains.py
@@ -31,12 +31,12 @@
                 if old is not None:
                     self.removed.pop(uid, None)
                     self.removed[uid] = None
-                if not self.is_held(uid, now_us):
+                if not self.is_draining(uid, now_us):
                     self.began_at_us.pop(uid, None)
                 continue
             if new.state == DRAINING:
                 self.began_at_us.setdefault(uid, now_us)
-            elif self.is_held(uid, now_us):
+            elif self.is_draining(uid, now_us):
                 still_draining.add(uid)
             elif (
                 uid in self.began_at_us or uid in self.removed or (old is not None and old.state == DRAINING)
@@ -47,7 +47,7 @@
             del self.removed[next(iter(self.removed))]
         return frozenset(still_draining), frozenset(slow_starting)
 
-    def is_held(self, uid: str, now_us: int) -> bool:
+    def is_draining(self, uid: str, now_us: int) -> bool:
         """Whether an endpoint still drains, which it does also if the snapshot has it in service."""
         return uid in self.began_at_us and now_us < self.began_at_us[uid] + self.hold_us
 
--- a/madderbeam/changes/events.py
+++ b/madderbeam/changes/events.py
@@ -75,13 +75,13 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """Activate a snapshot between two dispatch cycles. `held_draining`: ids in service there whose earlier
+    """Activate a snapshot between two dispatch cycles. `still_draining`: ids in service there whose earlier
     drain has not expired; `slow_starting`: ids that recover with slow start; `starts_canary`: a canary period
     begins."""
 
     before: Snapshot
     after: Snapshot
-    held_draining: frozenset[str] = frozenset()
+    still_draining: frozenset[str] = frozenset()
     slow_starting: frozenset[str] = frozenset()
     starts_canary: bool = False
 
--- a/madderbeam/host/changes/applier.py
+++ b/madderbeam/host/changes/applier.py
@@ -79,7 +79,7 @@
         if routing != routing_config(action.before):
             host.routing.configure(routing or EMPTY_ROUTING)
         entries = [
-            self._put_endpoint(old, new, new.uid in action.held_draining) for old, new in added_or_changed
+            self._put_endpoint(old, new, new.uid in action.still_draining) for old, new in added_or_changed
         ]
         host.entries_changed([*removed, *entries])
         self._begin_slow_start(action.slow_starting)
--- a/madderbeam/host/changes/config_snapshot.py
+++ b/madderbeam/host/changes/config_snapshot.py
@@ -21,13 +21,13 @@
     "unsafe": Idempotency.NON_IDEMPOTENT,
 }
 NAME_BY_IDEMPOTENCY = {effect: name for name, effect in IDEMPOTENCY_BY_NAME.items()}
-# Sections that only a restart changes while a fixed setting is on; check.restart_errors has the same rules.
+# Sections that only a restart changes while a fixed setting is on, as in validation.restart_errors.
 RESTART_SECTIONS = (("kafka", ("class", "tenant")), ("share", ("whole",)))
 FIRST_VERSION = 1  # of the snapshot of the file, if there are no records
 
 
 def state_folder(config: Config) -> str:
-    """Return the folder of the records; it is not in the journal's folder, whose size is limited."""
+    """Return the folder of the records, outside the journal's, whose size limit is for the journal alone."""
     return config.state.rstrip("/") + "-changes"
 
 
--- a/tests/changes/pure.py
+++ b/tests/changes/pure.py
@@ -132,7 +132,7 @@
         self.version = action.after.version
         self.applied.append(action)
         self.shown = {
-            uid: DRAINING if uid in action.held_draining else row.state
+            uid: DRAINING if uid in action.still_draining else row.state
             for uid, row in action.after.endpoints.items()
         }
         self.cold += [(self.now_us, uid) for uid in action.slow_starting]
--- a/tests/changes/test_thousand.py
+++ b/tests/changes/test_thousand.py
@@ -52,7 +52,7 @@
 
 @seeded_fault
 def forgets_a_drains_time_as_it_is_undone(patch):
-    patch.setattr(Drains, "is_held", lambda self, uid, now_us: False)
+    patch.setattr(Drains, "is_draining", lambda self, uid, now_us: False)
 
 
 @seeded_fault
