--- a/madderbeam/host/standby/__init__.py
+++ b/madderbeam/host/standby/__init__.py
@@ -1,1 +1,1 @@
-"""The standby's part of a process: an owner's room, and the process that keeps another one's journal."""
+"""Replication in a courier process: the primary's component, and the standby's process."""
--- a/madderbeam/host/standby/journal.py
+++ b/madderbeam/host/standby/journal.py
@@ -1,8 +1,8 @@
-"""The journal of a courier that has a standby: it tells what it writes, and what follows from a record waits.
+"""The journal of a courier that has a standby: effects outside the process wait until a record is replicated.
 
-The journal itself knows nothing of it: its disk tells of each write and removal, and `take`, `attempt` and
-`final` hand their `done` to the room, which calls it when the standby has the record. Effects are at once
-those of the journal: only what is said to the outside waits.
+The base class is unaware of replication: its disk reports each write and removal, and `accept`, `attempt` and
+`record_outcome` pass their `done` to the replication gate, which calls it once the standby has the record.
+The state in memory changes at once, as without a standby.
 """
 
 from __future__ import annotations
@@ -14,64 +14,70 @@
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.journal.segments import UnconfirmedError, segment_number
 from madderbeam.ports import Clock, Disk, File, Lock
-from madderbeam.replication.values import Sort
+from madderbeam.replication.values import WaitKind
 
-FINAL_S = 0.2  # past its message's time a notice waits no more: then it tells that nothing is promised
+NOTICE_MARGIN_S = 0.2  # after the message's deadline, then its notice reports an unknown outcome
 AppendListener = Callable[[int, int, bytes], None]  # segment, offset, bytes
 
 
 class ReplicationGate(Protocol):
-    """Who decides what may follow from a record."""
+    """Reports journal writes for replication and decides when operations may proceed."""
 
-    def ask(self, sort: Sort, go: Callable[[], None], deny: Callable[[], None], until: float) -> None:
-        """Call one of both once it is decided. `until`: of a final, how long it may wait."""
+    def await_ack(
+        self, kind: WaitKind, proceed: Callable[[], None], abort: Callable[[], None], deadline_s: float
+    ) -> None:
+        """Call `proceed` or `abort` once decided. `deadline_s`: until when an outcome may wait, else 0."""
         ...
 
     def may_attempt(self) -> bool:
-        """Whether an attempt would be let go, as things stand: else its record is spared."""
+        """Whether an attempt may be begun now; if not, its record need not be written."""
         ...
 
-    def appended(self, segment: int, at: int, data: bytes) -> None: ...
+    def on_appended(self, segment: int, offset: int, data: bytes) -> None:
+        """Data was written to a segment at an offset."""
+        ...
 
-    def dropped(self, segment: int) -> None: ...
+    def on_removed(self, segment: int) -> None:
+        """A segment was removed."""
+        ...
 
 
 class _File:
-    """A segment that tells what was written to it, once that is whole or will not be cut off any more."""
+    """A segment's file that reports each write once it is complete or can no longer be truncated."""
 
-    def __init__(self, file: File, segment: int, size: int, told: AppendListener) -> None:
-        self.file, self.segment, self.size, self.told = file, segment, size, told
-        self.part = b""  # of a record that the disk did not take whole
+    def __init__(self, file: File, segment: int, size: int, on_appended: AppendListener) -> None:
+        self.file, self.segment, self.size, self.on_appended = file, segment, size, on_appended
+        self.partial_write = b""  # the written part of a record that the disk did not accept completely
 
     def append(self, data: bytes) -> int:
         written = self.file.append(data)
         if written == len(data):
-            at, self.size = self.size, self.size + written
-            self.told(self.segment, at, data)
+            offset, self.size = self.size, self.size + written
+            self.on_appended(self.segment, offset, data)
         else:
-            self.part = data[:written]
+            self.partial_write = data[:written]
         return written
 
     def truncate(self, size: int) -> None:
         self.file.truncate(size)
-        self.size, self.part = size, b""
+        self.size, self.partial_write = size, b""
 
     def sync(self) -> None:
         self.file.sync()
 
     def close(self) -> None:
-        if self.part:  # it stands there for good
-            self.told(self.segment, self.size, self.part)
+        if self.partial_write:  # it can no longer be truncated
+            self.on_appended(self.segment, self.size, self.partial_write)
         self.file.close()
 
 
 class ReportingDisk:
-    """A disk that tells of each write to a journal's segments and of their removal."""
+    """A disk that reports writes to a journal's segments and their removal; other files pass unreported."""
 
     def __init__(self, disk: Disk, folder: str) -> None:
         self.disk, self.prefix = disk, f"{folder}/"
-        self.appended: AppendListener | None = None
-        self.dropped: Callable[[int], None] | None = None
+        self.on_appended: AppendListener | None = None
+        self.on_removed: Callable[[int], None] | None = None
         self.read, self.stamp, self.rename, self.names = disk.read, disk.stamp, disk.rename, disk.names
         self.is_folder, self.make_folder = disk.is_folder, disk.make_folder
 
@@ -79,137 +85,174 @@
         return segment_number(path.removeprefix(self.prefix)) if path.startswith(self.prefix) else 0
 
     def open(self, path: str, *, empty: bool = False) -> File:
+        """Open a file; a segment's reports its writes."""
         file, segment = self.disk.open(path, empty=empty), self._segment(path)
         if not segment:
             return file
-        return _File(file, segment, 0 if empty else self.disk.stamp(path)[1], self._appended)
+        return _File(file, segment, 0 if empty else self.disk.stamp(path)[1], self._report_appended)
 
-    def _appended(self, segment: int, at: int, data: bytes) -> None:
-        if self.appended is not None:
-            self.appended(segment, at, data)
+    def _report_appended(self, segment: int, offset: int, data: bytes) -> None:
+        if self.on_appended is not None:
+            self.on_appended(segment, offset, data)
 
     def unlink(self, path: str) -> None:
+        """Remove a file and report the removal of a segment."""
         self.disk.unlink(path)
-        if (segment := self._segment(path)) and self.dropped is not None:
-            self.dropped(segment)
+        if (segment := self._segment(path)) and self.on_removed is not None:
+            self.on_removed(segment)
 
     def lock(self, path: str) -> Lock:
+        """Lock a file, as the underlying disk does."""
         return self.disk.lock(path)
 
 
 class ReplicatedJournal(Journal):
-    """A journal whose room decides when what its records make true may be said."""
+    """A journal that asks the replication gate before an operation takes effect outside the process."""
 
-    room: ReplicationGate | None = None
-    safe: frozenset[int] = frozenset()  # classes whose attempts may be repeated
-    windows: Mapping[int, float] = {}  # of keyed classes, in seconds from the first attempt that may have run
-    fenced = False  # another courier has taken over: nothing more is written
+    gate: ReplicationGate | None = None
+    repeatable_classes: frozenset[int] = frozenset()  # class indices whose attempts may be repeated
+    key_windows_s: Mapping[int, float] = {}  # by class index, from the first possibly executed attempt
+    is_fenced = False  # another courier has taken over: nothing is written any more
 
-    def __init__(self, disk: Disk, clock: Clock, folder: str, *more: Any) -> None:
-        self.watched = ReportingDisk(disk, folder)
-        self.taking: set[int] = set()  # messages whose `+OK` waits
-        self.told_later: dict[str, list[tuple[Callable[[], None], Callable[[], None]]]] = {}
-        super().__init__(self.watched, clock, folder, *more)
+    def __init__(self, disk: Disk, clock: Clock, folder: str, *options: Any) -> None:
+        self.reporting_disk = ReportingDisk(disk, folder)
+        self.unacknowledged_accepts: set[int] = set()  # numbers of messages whose `+OK` waits
+        self.deferred_callbacks: dict[str, list[tuple[Callable[[], None], Callable[[], None]]]] = {}
+        super().__init__(self.reporting_disk, clock, folder, *options)
+
+    def attach(
+        self, gate: ReplicationGate, repeatable_classes: frozenset[int], key_windows_s: Mapping[int, float]
+    ) -> None:
+        """Begin to replicate through this gate; until then the journal works without a standby.
 
-    def attach(self, room: ReplicationGate, safe: frozenset[int], windows: Mapping[int, float]) -> None:
-        self.room, self.safe, self.windows = room, safe, windows
-        self.watched.appended, self.watched.dropped = room.appended, room.dropped
+        `repeatable_classes`: class indices whose attempts may be repeated. `key_windows_s`: by class index,
+        how long after the first attempt a call with the same key may be repeated.
+        """
+        self.gate, self.repeatable_classes, self.key_windows_s = gate, repeatable_classes, key_windows_s
+        self.reporting_disk.on_appended, self.reporting_disk.on_removed = gate.on_appended, gate.on_removed
 
     def fence(self) -> None:
-        """Nothing more is written, also not what is staged."""
-        self.fenced = True
+        """Discard staged records and write nothing from now on."""
+        self.is_fenced = True
         self.staged, self.staged_bytes = [], 0
         self.unwritten.clear()
 
     def commit(self) -> None:
-        if self.fenced:
+        """Write the staged records, none once fenced."""
+        if self.is_fenced:
             self.staged = []
         super().commit()
 
     def step(self) -> bool:
-        return not self.fenced and super().step()
+        """Perform a compaction step, none once fenced."""
+        return not self.is_fenced and super().step()
 
     def accept(
         self,
-        m: PendingMessage,
+        message: PendingMessage,
         done: Callable[[], None] = _do_nothing,
         failed: Callable[[OSError], None] | None = None,
     ) -> None:
-        room = self.room
-        if room is None:
-            super().accept(m, done, failed)
+        """Accept a message; `done` is called once the standby has its record.
+
+        `failed` gets UnconfirmedError if the standby does not acknowledge: the record may survive.
+        """
+        gate = self.gate
+        if gate is None:
+            super().accept(message, done, failed)
             return
 
-        def sure() -> None:
-            self.taking.discard(m.number)
+        def acknowledged() -> None:
+            self.unacknowledged_accepts.discard(message.number)
             done()
-            for told, _ in self.told_later.pop(m.id, ()):
-                told()
+            for on_written, _ in self.deferred_callbacks.pop(message.id, ()):
+                on_written()
 
-        def unsure() -> None:
-            self.taking.discard(m.number)
+        def not_acknowledged() -> None:
+            self.unacknowledged_accepts.discard(message.number)
             (failed or _raise)(UnconfirmedError("the standby does not confirm it"))
-            for _, lost in self.told_later.pop(m.id, ()):
-                lost()
+            for _, on_lost in self.deferred_callbacks.pop(message.id, ()):
+                on_lost()
 
-        def refused(error: OSError) -> None:
-            self.taking.discard(m.number)
+        def write_failed(error: OSError) -> None:
+            self.unacknowledged_accepts.discard(message.number)
             (failed or _raise)(error)
-            for _, lost in self.told_later.pop(m.id, ()):
-                lost()
+            for _, on_lost in self.deferred_callbacks.pop(message.id, ()):
+                on_lost()
 
-        self.taking.add(m.number)
+        self.unacknowledged_accepts.add(message.number)
         try:
-            super().accept(m, lambda: room.ask(Sort.TAKE, sure, unsure, m.deadline_s), refused)
+            super().accept(
+                message,
+                lambda: gate.await_ack(WaitKind.ACCEPT, acknowledged, not_acknowledged, message.deadline_s),
+                write_failed,
+            )
         except OSError:
-            self.taking.discard(m.number)
+            self.unacknowledged_accepts.discard(message.number)
             raise
 
-    def call_when_written(self, ident: str, told: Callable[[], None], lost: Callable[[], None]) -> None:
-        if self.numbers_by_id.get(ident) in self.taking:
-            self.told_later.setdefault(ident, []).append((told, lost))
+    def call_when_written(
+        self, ident: str, on_written: Callable[[], None], on_lost: Callable[[], None]
+    ) -> None:
+        """Call `on_written` once the acceptance of this id is acknowledged, `on_lost` if it never will be."""
+        if self.numbers_by_id.get(ident) in self.unacknowledged_accepts:
+            self.deferred_callbacks.setdefault(ident, []).append((on_written, on_lost))
         else:
-            told()
+            on_written()
 
     def attempt(
         self,
         numbers: list[int],
-        at: float,
+        started_at: float,
         done: Callable[[], None] = _do_nothing,
         failed: Callable[[OSError], None] | None = None,
     ) -> None:
-        room = self.room
-        if room is None:
-            super().attempt(numbers, at, done, failed)
+        """Record an attempt; `done` is called once it may be sent.
+
+        An attempt that may be repeated, of messages whose acceptance is acknowledged, need not wait for the
+        standby. `failed` gets UnconfirmedError if the attempt must not be sent.
+        """
+        gate = self.gate
+        if gate is None:
+            super().attempt(numbers, started_at, done, failed)
             return
-        if not room.may_attempt():
+        if not gate.may_attempt():
             (failed or _raise)(UnconfirmedError("the standby is silent"))
             return
-        held = [self.pending.get(n) for n in numbers]
-        light = all(m is None or (m.class_index in self.safe and m.number not in self.taking) for m in held)
+        messages = [self.pending.get(number) for number in numbers]
+        is_repeatable = all(
+            message is None
+            or (
+                message.class_index in self.repeatable_classes
+                and message.number not in self.unacknowledged_accepts
+            )
+            for message in messages
+        )
 
-        closes = min(
+        window_end_s = min(
             (
-                m.possibly_executed_at + self.windows[m.class_index]
-                for m in held
-                if m is not None and m.class_index in self.windows and m.possibly_executed_at
+                message.possibly_executed_at + self.key_windows_s[message.class_index]
+                for message in messages
+                if message is not None
+                and message.class_index in self.key_windows_s
+                and message.possibly_executed_at
             ),
             default=0.0,
         )
 
-        def deny(why: str = "the standby does not confirm it") -> None:
-            for n in numbers:
-                self.attempt_not_executed(n)
-            (failed or _raise)(UnconfirmedError(why))
+        def abort(reason: str = "the standby does not confirm it") -> None:
+            for number in numbers:
+                self.attempt_not_executed(number)
+            (failed or _raise)(UnconfirmedError(reason))
 
-        def go() -> None:
-            if closes and self.wall() >= closes:
-                deny("the window of a key has passed while the standby was waited for")
+        def proceed() -> None:
+            if window_end_s and self.wall() >= window_end_s:
+                abort("the window of an idempotency key passed while waiting for the standby")
             else:
                 done()
 
-        sort = Sort.LIGHT if light else Sort.ATTEMPT
-        super().attempt(numbers, at, lambda: room.ask(sort, go, deny, 0.0), failed)
+        kind = WaitKind.REPEATABLE_ATTEMPT if is_repeatable else WaitKind.ATTEMPT
+        super().attempt(numbers, started_at, lambda: gate.await_ack(kind, proceed, abort, 0.0), failed)
 
     def record_outcome(
         self,
@@ -219,15 +262,23 @@
         done: Callable[[], None] = _do_nothing,
         failed: Callable[[OSError], None] | None = None,
     ) -> None:
-        room, m = self.room, self.pending.get(number)
-        if room is None or m is None:
+        """Record an outcome; its notice may be sent once `done` is called.
+
+        `failed` gets UnconfirmedError if the standby does not acknowledge it in time.
+        """
+        gate, message = self.gate, self.pending.get(number)
+        if gate is None or message is None:
             super().record_outcome(number, status, again_ms, done, failed)
             return
-        until = m.deadline_s + FINAL_S
+        deadline_s = message.deadline_s + NOTICE_MARGIN_S
 
-        def deny() -> None:
-            (failed or _raise)(UnconfirmedError("the standby does not confirm an end"))
+        def abort() -> None:
+            (failed or _raise)(UnconfirmedError("the standby does not acknowledge the outcome"))
 
         super().record_outcome(
-            number, status, again_ms, lambda: room.ask(Sort.FINAL, done, deny, until), failed
+            number,
+            status,
+            again_ms,
+            lambda: gate.await_ack(WaitKind.OUTCOME, done, abort, deadline_s),
+            failed,
         )
--- a/madderbeam/host/standby/keeper.py
+++ b/madderbeam/host/standby/keeper.py
@@ -1,4 +1,4 @@
-"""The standby at work: its machine, its copy, its port, and what those who run it ask."""
+"""The service of a standby process: state machine, copy, listener and admin calls."""
 
 from __future__ import annotations
 
@@ -10,101 +10,105 @@
 from madderbeam.config.platform import Config
 from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.federation.runner import Runner
-from madderbeam.host.standby.copy import Copy
-from madderbeam.host.standby.shared import kept_folder, read_keys, settings, told
+from madderbeam.host.standby.copy import JournalCopy
+from madderbeam.host.standby.shared import read_keys, records_folder, replication_settings, standby_config
 from madderbeam.ports import Ports
 from madderbeam.replication.standby import Standby
 from madderbeam.replication.values import (
-    Close,
-    Down,
-    Got,
-    Hello,
+    CloseConnection,
+    ConnectionLost,
+    HelloReceived,
+    MessageReceived,
     Promote,
-    Remove,
-    Removed,
-    Say,
+    RemoveResult,
+    RemoveSegment,
+    SendMessage,
     TakeOver,
-    Write,
-    Wrote,
+    WriteResult,
+    WriteSegment,
 )
 from madderbeam.transport.control import Answer
-from madderbeam.transport.replication import StandbyPort
+from madderbeam.transport.replication import ReplicationListener
 
 log = logging.getLogger(__name__)
 
 
-class Keeper:
-    """Keeps the copy until it is promoted; from then on tells those that come that they are fenced."""
+class StandbyService:
+    """Maintains the copy until promoted; from then on notifies connecting primaries that they are fenced."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, ports: Ports, config: Config) -> None:
-        """OSError if a folder can't be used."""
+        """Raises OSError if a folder cannot be used."""
         self.loop, self.ports, self.config, self.clock = loop, ports, config, ports.clock.monotonic_us
-        mine, sync = told(config), bool(config.sidecar and config.sidecar.sync)
-        self.kept = DurableMap(ports.disk, kept_folder(config), sync)
-        if self.kept.damaged:  # what was promised may be forgotten: the copy counts as never whole
-            log.error("standby: what was kept is damaged: the copy has to be whole again first")
-        self.copy = Copy(ports.disk, config.state, sync)
-        self.machine = Standby(settings(config), self.copy.sizes, self.copy.digests, self.kept.map)
-        self.runner = Runner(loop, self.clock, self.machine, self.kept, self._act, "standby")
-        self.port = StandbyPort(
+        standby, sync = standby_config(config), bool(config.sidecar and config.sidecar.sync)
+        self.kept = DurableMap(ports.disk, records_folder(config), sync)
+        if self.kept.damaged:  # promises may be lost: the copy counts as never complete
+            log.error("standby: the durable records are damaged: the copy must become complete again")
+        self.copy = JournalCopy(ports.disk, config.state, sync)
+        self.machine = Standby(
+            replication_settings(config), self.copy.sizes, self.copy.digests, self.kept.map
+        )
+        self.runner = Runner(loop, self.clock, self.machine, self.kept, self._perform, "standby")
+        self.listener = ReplicationListener(
             loop,
             ports.network,
-            max(1.0, mine.silent_ms / 1e3),
-            lambda: read_keys(ports.disk, mine.key_file),
-            self._hello,
-            self._got,
-            lambda link: self.runner.post_event(Down(link)),
+            max(1.0, standby.silent_ms / 1e3),
+            lambda: read_keys(ports.disk, standby.key_file),
+            self._on_hello,
+            self._on_message,
+            lambda link: self.runner.post_event(ConnectionLost(link)),
         )
-        self.taken: asyncio.Future[TakeOver] = loop.create_future()
-        self.heard_at = 0
-        self.closed = False
+        self.takeover: asyncio.Future[TakeOver] = loop.create_future()
+        self.last_received_us = 0
+        self.is_closed = False
 
-    def begin(self) -> int:
-        """Listen; the port. OSError if the address can't be had."""
-        listen = told(self.config).listen
+    def start(self) -> int:
+        """Start the service; returns the port. OSError if the address is not available."""
+        listen = standby_config(self.config).listen
         assert listen is not None
-        port = self.port.listen(listen)
+        port = self.listener.listen(listen)
         self.runner.run(self.machine.start(self.clock()))
         return port
 
-    def _hello(self, link: int, row: list[Any]) -> None:
-        self.runner.post_event(Hello(link, row))
+    def _on_hello(self, link: int, row: list[Any]) -> None:
+        self.runner.post_event(HelloReceived(link, row))
 
-    def _got(self, link: int, channel: str, row: list[Any]) -> None:
-        self.heard_at = self.clock()
-        self.runner.post_event(Got(channel, row, link))
+    def _on_message(self, link: int, channel: str, row: list[Any]) -> None:
+        self.last_received_us = self.clock()
+        self.runner.post_event(MessageReceived(channel, row, link))
 
-    def _act(self, action: Any) -> None:
+    def _perform(self, action: Any) -> None:
         match action:
-            case Say(channel=channel, row=row, link=link):
-                self.port.send(link, channel, row)
-            case Write():
+            case SendMessage(channel=channel, row=row, link=link):
+                self.listener.send(link, channel, row)
+            case WriteSegment():
                 self._write(action)
-            case Remove(segment=segment):
+            case RemoveSegment(segment=segment):
                 try:
                     self.copy.remove(segment)
-                except OSError as error:  # its file stands there in vain
+                except OSError as error:  # an unused file is left over
                     log.error("standby: segment %d: %s", segment, error)
-                self.runner.post_event(Removed(segment))
-            case Close(link=link):
-                self.port.drop(link, flush=True)
+                self.runner.post_event(RemoveResult(segment))
+            case CloseConnection(link=link):
+                self.listener.drop(link, flush=True)
             case TakeOver():
-                if not self.taken.done():
-                    self.taken.set_result(action)
+                if not self.takeover.done():
+                    self.takeover.set_result(action)
 
-    def _write(self, a: Write) -> None:
+    def _write(self, action: WriteSegment) -> None:
         try:
-            self.copy.write(a.segment, a.at, a.data)
-            ok = True
+            self.copy.write(action.segment, action.offset, action.data)
+            succeeded = True
         except OSError as error:
-            log.error("standby: segment %d: %s", a.segment, error)
-            ok = False
-        self.runner.post_event(Wrote(a.segment, a.at, a.data, a.before, ok))
+            log.error("standby: segment %d: %s", action.segment, error)
+            succeeded = False
+        self.runner.post_event(
+            WriteResult(action.segment, action.offset, action.data, action.digest_before, succeeded)
+        )
 
-    # What those who run it ask
+    # Admin calls
 
-    def act(self, method: str, path: str, body: bytes) -> Answer:
-        """Calls at the second address while it is a standby."""
+    def handle_call(self, method: str, path: str, body: bytes) -> Answer:
+        """Reply to a call at the admin address of a standby."""
         if path == "/standby" and method == "GET":
             return Answer(200, json.dumps(self.status()) + "\n")
         if path == "/standby/promote" and method == "PUT":
@@ -112,63 +116,66 @@
         if path == "/ready" and method == "GET":
             return Answer(503, "not ready: it is a standby\n")
         if path == "/metrics" and method == "GET":
-            return Answer(200, "".join(f"app.{name}={value}\n" for name, value in self.figures().items()))
+            return Answer(200, "".join(f"app.{name}={value}\n" for name, value in self.metrics().items()))
         return Answer(404, "no such call; there are /metrics, /ready, /standby, /standby/promote\n")
 
     def promote(self) -> Answer:
-        """A person's word. A second one changes nothing."""
-        if (error := self.machine.refusal()) is not None:
+        """Handle an operator's request for promotion; a repeated request has no effect."""
+        if (error := self.machine.promotion_refusal()) is not None:
             return Answer(409, error.line() + "\n")
-        if self.machine.over is not None:
+        if self.machine.takeover_doubt is not None:
             return Answer(200, f"it was promoted, with fence {self.machine.fence}\n")
         self.runner.post_event(Promote())
-        if self.machine.over is not None:
+        if self.machine.takeover_doubt is not None:
             return Answer(200, f"promoted, with fence {self.machine.fence}\n")
-        what = (
+        progress = (
             "the owner is asked to end in order"
-            if self.machine.yielded
+            if self.machine.is_shutdown_requested
             else ("the owner's lease is waited for")
         )
-        return Answer(200, f"promoting: {what}\n")
+        return Answer(200, f"promoting: {progress}\n")
 
-    def figures(self) -> dict[str, int]:
-        m = self.machine
+    def metrics(self) -> dict[str, int]:
+        """Return the metrics by name."""
+        machine = self.machine
         return {
-            "standby_connected": int(bool(m.link)),
-            "standby_whole": int(m.whole),
-            "standby_sure": int(m.sure),
-            "standby_bytes": sum(m.sizes.values()),
-            "standby_fence": m.fence,
+            "standby_connected": int(bool(machine.link)),
+            "standby_whole": int(machine.was_complete),
+            "standby_sure": int(machine.has_all_records),
+            "standby_bytes": sum(machine.sizes.values()),
+            "standby_fence": machine.fence,
         }
 
     def status(self) -> dict[str, Any]:
-        m, now = self.machine, self.clock()
+        """Return the reply to GET /standby."""
+        machine, now_us = self.machine, self.clock()
         return {
             "role": "standby",
-            "state": m.state,
-            "fence": m.fence,
-            "owner": m.name,
-            "whole": m.whole,
-            "midway": m.midway,
-            "sure": m.sure,
-            "strict": m.strict,
-            "segments": len(m.sizes),
-            "bytes": sum(m.sizes.values()),
-            "records": m.position,
-            "heard_s": round((now - self.heard_at) / 1e6, 3) if self.heard_at else None,
-            "lease_s": round(max(0, m.lease_end() - now) / 1e6, 3),
-            "trouble": m.trouble.line() if m.trouble else "",
+            "state": machine.state,
+            "fence": machine.fence,
+            "owner": machine.primary_name,
+            "whole": machine.was_complete,
+            "midway": machine.is_midway,
+            "sure": machine.has_all_records,
+            "strict": machine.primary_is_strict,
+            "segments": len(machine.sizes),
+            "bytes": sum(machine.sizes.values()),
+            "records": machine.position,
+            "heard_s": round((now_us - self.last_received_us) / 1e6, 3) if self.last_received_us else None,
+            "lease_s": round(max(0, machine.lease_end_us() - now_us) / 1e6, 3),
+            "trouble": machine.last_error.line() if machine.last_error else "",
         }
 
-    def promoted(self) -> None:
-        """The folder is a courier's now: only its port stays, to tell owners that come that they are
+    def release_folder(self) -> None:
+        """Leave the folder to the courier; the listener stays, to notify connecting primaries that they are
         fenced."""
         self.copy.close()
-        if not self.closed:
-            self.closed = True
+        if not self.is_closed:
+            self.is_closed = True
             self.kept.close()
 
     def close(self) -> None:
+        """Release all resources."""
         self.runner.close()
-        self.port.close()
-        self.promoted()
+        self.listener.close()
+        self.release_folder()
--- a/madderbeam/host/standby/primary.py
+++ b/madderbeam/host/standby/primary.py
@@ -1,4 +1,4 @@
-"""The owner's room: its journal goes to a standby, and what must wait for that one's word waits."""
+"""The primary's component: replicates the journal and delays operations until they are acknowledged."""
 
 from __future__ import annotations
 
@@ -14,255 +14,284 @@
 from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.host import Host
 from madderbeam.host.standby.journal import ReplicatedJournal
-from madderbeam.host.standby.shared import Watched, kept_folder, read_keys, settings, told
+from madderbeam.host.standby.shared import (
+    ObservedRunner,
+    read_keys,
+    records_folder,
+    replication_settings,
+    standby_config,
+)
 from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
 from madderbeam.quota.admission import QuotaVerdict
-from madderbeam.replication.owner import Owner
+from madderbeam.replication.owner import Primary
 from madderbeam.replication.values import (
+    Abort,
     Appended,
-    Block,
-    Check,
-    Checked,
-    Close,
-    Deny,
-    Down,
-    Dropped,
-    Ended,
-    Go,
-    Got,
-    Read,
-    Released,
-    Say,
-    Sort,
+    AwaitAck,
+    CloseConnection,
+    ComputeDigest,
+    ConnectionLost,
+    DigestResult,
+    HandoverCompleted,
+    MessageReceived,
+    Proceed,
+    ReadResult,
+    ReadSegment,
+    SegmentRemoved,
+    SendMessage,
+    ShutdownCompleted,
     Stop,
-    Wait,
+    WaitKind,
 )
 from madderbeam.transport.control import Answer
-from madderbeam.transport.replication import OwnerLink
+from madderbeam.transport.replication import PrimaryLink
 
-BACK_US = 500_000  # when a client that is refused since the standby is silent comes again
-LOOK_S = 0.02  # an end that hands over is looked for so often
-PASSED = QuotaVerdict(True)
+SILENT_RETRY_AFTER_US = 500_000  # Retry-After of a client that is rejected because the standby is silent
+EXIT_CHECK_INTERVAL_S = 0.02  # interval of the checks whether a shutdown with handover can complete
+ADMITTED = QuotaVerdict(True)
 log = logging.getLogger(__name__)
 
 
 class PrimaryComponent(Component):
-    """Joins the machine to the journal, the link and the host."""
+    """Connects the primary's state machine with the journal, the connection and the host."""
 
     def __init__(self, host: Host, ports: Ports) -> None:
-        """OSError if the folder of what is kept can't be used."""
+        """Raises OSError if the folder of the durable records cannot be used."""
         assert isinstance(host.journal, ReplicatedJournal)
         self.host, self.ports, self.journal = host, ports, host.journal
-        mine, self.loop, self.clock = told(host.config), host.loop, ports.clock.monotonic_us
-        self.kept = DurableMap(ports.disk, kept_folder(host.config), host.journal.sync)
-        sizes = {n: s.size for n, s in host.journal.files.segments.items()}
-        self.machine = Owner(settings(host.config), host.config.name, sizes, self.kept.map)
-        self.runner = Watched(self.loop, self.clock, self.machine, self.kept, self._act, "standby")
-        assert mine.to is not None
-        self.link = OwnerLink(
+        standby, self.loop, self.clock = standby_config(host.config), host.loop, ports.clock.monotonic_us
+        self.kept = DurableMap(ports.disk, records_folder(host.config), host.journal.sync)
+        sizes = {index: segment.size for index, segment in host.journal.files.segments.items()}
+        self.machine = Primary(replication_settings(host.config), host.config.name, sizes, self.kept.map)
+        self.runner = ObservedRunner(self.loop, self.clock, self.machine, self.kept, self._perform, "standby")
+        assert standby.to is not None
+        self.link = PrimaryLink(
             self.loop,
             ports.network,
-            mine.to,
-            mine.silent_ms / 1e3,
-            lambda: read_keys(ports.disk, mine.key_file),
-            self.machine.hello,
-            lambda channel, row: self.tell(Got(channel, row)),
-            lambda: self.tell(Down()),
+            standby.to,
+            standby.silent_ms / 1e3,
+            lambda: read_keys(ports.disk, standby.key_file),
+            self.machine.hello_row,
+            lambda channel, row: self.post_event(MessageReceived(channel, row)),
+            lambda: self.post_event(ConnectionLost()),
         )
         self.tokens = itertools.count(1)
-        self.waiting: dict[int, tuple[Callable[[], None], Callable[[], None]]] = {}
-        self.settled: asyncio.Future[bool] = self.loop.create_future()  # False: it was taken over
-        self.released: asyncio.Future[None] = self.loop.create_future()
-        self.file: tuple[int, bytes] = 0, b""  # the segment that is being read
-        self.moving = self.fenced = False
-        safe = frozenset(
-            n for n, c in enumerate(host.settings.classes) if c.idempotency is Idempotency.IDEMPOTENT
+        self.callbacks: dict[int, tuple[Callable[[], None], Callable[[], None]]] = {}
+        self.ready: asyncio.Future[bool] = self.loop.create_future()  # False: this courier was taken over
+        self.handover_completed: asyncio.Future[None] = self.loop.create_future()
+        self.cached_segment: tuple[int, bytes] = 0, b""  # the segment read last, and its content
+        self.is_handing_over = self.is_fenced = False
+        repeatable_classes = frozenset(
+            index
+            for index, message_class in enumerate(host.settings.classes)
+            if message_class.idempotency is Idempotency.IDEMPOTENT
         )
-        windows = {
-            n: (c.key_window_us - host.settings.tick_us) / 1e6
-            for n, c in enumerate(host.settings.classes)
-            if c.idempotency is Idempotency.WITH_KEY
+        key_windows_s = {
+            index: (message_class.key_window_us - host.settings.tick_us) / 1e6
+            for index, message_class in enumerate(host.settings.classes)
+            if message_class.idempotency is Idempotency.WITH_KEY
         }
-        self.runner.after = self._look
-        host.journal.attach(self, safe, windows)
+        self.runner.after_run = self._check_ready
+        host.journal.attach(self, repeatable_classes, key_windows_s)
 
-    def begin(self) -> None:
-        """Connect; work begins once `settled` is done."""
+    def start(self) -> None:
+        """Connect to the standby; work may begin once the future `ready` is done."""
         self.runner.run(self.machine.start(self.clock()))
-        if not self.fenced:
+        if not self.is_fenced:
             self.link.start()
 
-    def tell(self, event: Any) -> None:
+    def post_event(self, event: Any) -> None:
+        """Pass an event to the state machine."""
         self.runner.post_event(event)
 
-    def _look(self) -> None:
-        if self.machine.settled and not self.settled.done():
-            self.settled.set_result(True)
+    def _check_ready(self) -> None:
+        if self.machine.is_ready and not self.ready.done():
+            self.ready.set_result(True)
 
-    # What the journal tells and asks
+    # ReplicationGate
 
-    def appended(self, segment: int, at: int, data: bytes) -> None:
-        self.tell(Appended(segment, at, data))
+    def on_appended(self, segment: int, offset: int, data: bytes) -> None:
+        """The journal wrote data to a segment."""
+        self.post_event(Appended(segment, offset, data))
 
-    def dropped(self, segment: int) -> None:
-        self.tell(Dropped(segment))
+    def on_removed(self, segment: int) -> None:
+        """The journal removed a segment."""
+        self.post_event(SegmentRemoved(segment))
 
     def may_attempt(self) -> bool:
-        return not self.fenced and self.machine.open(self.clock())
-
-    def ask(self, sort: Sort, go: Callable[[], None], deny: Callable[[], None], until: float) -> None:
-        if not self.runner.is_running and self.machine.passes(sort):
-            go()
+        """Whether an attempt may be begun now."""
+        return not self.is_fenced and self.machine.may_start_work(self.clock())
+
+    def await_ack(
+        self, kind: WaitKind, proceed: Callable[[], None], abort: Callable[[], None], deadline_s: float
+    ) -> None:
+        """Call `proceed` or `abort`, at once or when the standby has replied or the time is over."""
+        if not self.runner.is_running and self.machine.needs_no_ack(kind):
+            proceed()
             return
         token = next(self.tokens)
-        self.waiting[token] = go, deny
-        end = self.host.journal.wall.monotonic_us_at(until) if until else 0
-        self.tell(Wait(token, sort, max(0, end)))
-
-    # What the front asks
-
-    def gate(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
-        """A message is not begun where it would wait in vain."""
-        return PASSED if self.machine.open(self.clock()) else QuotaVerdict(False, retry_after_us=BACK_US)
+        self.callbacks[token] = proceed, abort
+        deadline_us = self.host.journal.wall.monotonic_us_at(deadline_s) if deadline_s else 0
+        self.post_event(AwaitAck(token, kind, max(0, deadline_us)))
+
+    # Admission
+
+    def check_admission(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
+        """Reject a message whose acceptance the standby could not acknowledge now."""
+        return (
+            ADMITTED
+            if self.machine.may_start_work(self.clock())
+            else QuotaVerdict(False, retry_after_us=SILENT_RETRY_AFTER_US)
+        )
 
-    # What the machine wants done
+    # Actions
 
-    def _act(self, action: Any) -> None:
+    def _perform(self, action: Any) -> None:
         match action:
-            case Say(channel=channel, row=row):
+            case SendMessage(channel=channel, row=row):
                 self.link.send(channel, row)
-            case Go(token=token):
-                self.waiting.pop(token)[0]()
-            case Deny(token=token):
-                self.waiting.pop(token)[1]()
-            case Read() | Check():
-                self.loop.call_soon(self._look_up, action)
-            case Close():
+            case Proceed(token=token):
+                self.callbacks.pop(token)[0]()
+            case Abort(token=token):
+                self.callbacks.pop(token)[1]()
+            case ReadSegment() | ComputeDigest():
+                self.loop.call_soon(self._read_segment, action)
+            case CloseConnection():
                 self.loop.call_soon(self.link.drop)
-            case Stop(fenced=True):
-                self._fence()
+            case Stop(is_fenced=True):
+                self._stop_fenced()
             case Stop():
-                self.moving = True
+                self.is_handing_over = True
                 self.host.terminate()
-                self._ends()
-            case Released():
-                if not self.released.done():
-                    self.released.set_result(None)
+                self._exit_when_idle()
+            case HandoverCompleted():
+                if not self.handover_completed.done():
+                    self.handover_completed.set_result(None)
 
-    def _look_up(self, action: Read | Check) -> None:
-        """Read from a segment's file, one part in a turn of the loop."""
+    def _read_segment(self, action: ReadSegment | ComputeDigest) -> None:
+        """Read from a segment's file; one read per event loop iteration, to let other work run between."""
         if self.runner.closed:
             return
         try:
-            if isinstance(action, Check):
-                digest = zlib.crc32(self._content(action.segment, action.size)[: action.size])
-                self.tell(Checked(action.segment, action.size, digest))
+            if isinstance(action, ComputeDigest):
+                digest = zlib.crc32(self._segment_content(action.segment, action.size)[: action.size])
+                self.post_event(DigestResult(action.segment, action.size, digest))
             else:
-                whole = self._content(action.segment, action.at + action.most)
-                self.tell(Block(action.segment, action.at, whole[action.at : action.at + action.most]))
+                content = self._segment_content(action.segment, action.offset + action.max_bytes)
+                self.post_event(
+                    ReadResult(
+                        action.segment,
+                        action.offset,
+                        content[action.offset : action.offset + action.max_bytes],
+                    )
+                )
         except OSError as error:
             log.error("standby: segment %d: %s", action.segment, error)
-            failed = (
-                Checked(action.segment, action.size, -1)
-                if isinstance(action, Check)
-                else (Block(action.segment, action.at, None))
+            failure = (
+                DigestResult(action.segment, action.size, -1)
+                if isinstance(action, ComputeDigest)
+                else (ReadResult(action.segment, action.offset, None))
             )
-            self.tell(failed)
+            self.post_event(failure)
 
-    def _content(self, segment: int, least: int) -> bytes:
-        """A segment's file; the one that was read last is kept, as long as it has all that is wanted."""
-        if self.file[0] != segment or len(self.file[1]) < least:
-            self.file = segment, self.ports.disk.read(self.journal.files.path(segment))
-        return self.file[1]
+    def _segment_content(self, segment: int, min_bytes: int) -> bytes:
+        """A segment's content, at least `min_bytes` if it has as many; the segment read last is cached."""
+        if self.cached_segment[0] != segment or len(self.cached_segment[1]) < min_bytes:
+            self.cached_segment = segment, self.ports.disk.read(self.journal.files.path(segment))
+        return self.cached_segment[1]
 
-    def _fence(self) -> None:
-        """Another courier has taken over: nothing is begun, told or written here any more."""
-        if self.fenced:
+    def _stop_fenced(self) -> None:
+        """Another courier has taken over: stop all attempts, notices and writes."""
+        if self.is_fenced:
             return
-        self.fenced = True
+        self.is_fenced = True
         self.journal.fence()
-        if not self.settled.done():
-            self.settled.set_result(False)
+        if not self.ready.done():
+            self.ready.set_result(False)
             return
-        self.loop.call_soon(self._let_go)
+        self.loop.call_soon(self._close_host)
         self.host.is_handed_over = True
 
-    def _let_go(self) -> None:
+    def _close_host(self) -> None:
         self.host.stop_after_handover()
         if not self.host.closed.done():
             self.host.closed.set_result(None)
 
-    # The end
+    # Shutdown
 
-    def _ends(self) -> None:
-        """Nothing is out any more: the standby need not wait until the longest time of an end is over."""
+    def _exit_when_idle(self) -> None:
+        """Exit as soon as the host is idle, so that the standby need not wait for the whole drain time."""
         if not self.host.closed.done():
             self.host.maybe_exit()
-            self.loop.call_later(LOOK_S, self._ends)
+            self.loop.call_later(EXIT_CHECK_INTERVAL_S, self._exit_when_idle)
 
-    async def release(self) -> None:
-        """The courier has ended in order and its journal is closed: hand over to the standby."""
-        self.tell(Ended())
-        await self.released
+    async def hand_over(self) -> None:
+        """Hand over to the standby; called after an orderly shutdown, with the journal closed."""
+        self.post_event(ShutdownCompleted())
+        await self.handover_completed
 
     def close(self) -> None:
-        """The host has let go. One that hands over goes on until it is released."""
-        if not self.moving:
-            self.end()
+        """Release all resources; if a handover is to follow, `release_resources` is called after it."""
+        if not self.is_handing_over:
+            self.release_resources()
 
-    def end(self) -> None:
+    def release_resources(self) -> None:
+        """Close the connection and the durable records."""
         self.runner.close()
         self.link.close(flush=True)
         self.kept.close()
 
-    # What those who run it see
+    # Metrics and status
 
     def metrics(self) -> dict[str, int]:
-        m = self.machine
+        """Return the replication metrics by name."""
+        machine = self.machine
         return {
-            "standby_in_step": int(m.in_step),
-            "standby_alone": int(m.alone),
-            "standby_lag_bytes": m.lag_bytes,
-            "standby_lag_ms": m.lag_us(self.clock()) // 1000,
-            "standby_waiting": len(m.waiting.all),
+            "standby_in_step": int(machine.in_sync),
+            "standby_alone": int(machine.runs_without_standby),
+            "standby_lag_bytes": machine.lag_bytes,
+            "standby_lag_ms": machine.lag_us(self.clock()) // 1000,
+            "standby_waiting": len(machine.wait_queue.entries),
         }
 
     def status(self) -> dict[str, Any]:
-        m, now = self.machine, self.clock()
+        """Return the reply to GET /standby at the admin address."""
+        machine, now_us = self.machine, self.clock()
         return {
             "role": "owner",
-            "state": "in step" if m.in_step else m.state,
-            "fence": m.fence,
-            "fenced": m.fenced,
-            "mode": m.s.mode,
-            "silent": m.s.silent,
-            "strict": m.strict,
-            "alone": m.alone,
-            "leased": m.leased(now) if m.strict else None,
-            "lag_records": m.position - m.confirmed,
-            "lag_bytes": m.lag_bytes,
-            "lag_s": round(m.lag_us(now) / 1e6, 3),
-            "waiting": len(m.waiting.all),
-            "trouble": m.trouble.line() if m.trouble else "",
+            "state": "in step" if machine.in_sync else machine.state,
+            "fence": machine.fence,
+            "fenced": machine.fenced_by,
+            "mode": machine.settings.mode,
+            "silent": machine.settings.silent,
+            "strict": machine.is_strict,
+            "alone": machine.runs_without_standby,
+            "leased": machine.has_lease(now_us) if machine.is_strict else None,
+            "lag_records": machine.position - machine.acked_position,
+            "lag_bytes": machine.lag_bytes,
+            "lag_s": round(machine.lag_us(now_us) / 1e6, 3),
+            "waiting": len(machine.wait_queue.entries),
+            "trouble": machine.last_error.line() if machine.last_error else "",
         }
 
 
 def join(host: Host, ports: Ports) -> None:
-    """A courier with a standby; one that was a standby itself and has none has nothing to add."""
-    if told(host.config).to is None:
+    """Add the component to a courier that has a standby; a promoted standby may have none."""
+    if standby_config(host.config).to is None:
         return
-    room = PrimaryComponent(host, ports)
-    host.components.append(room)
-    host.admission.checks.append(_Gate(room))
-    host.admin_service.calls["/standby"] = ("GET", lambda _: Answer(200, json.dumps(room.status()) + "\n"))
+    primary = PrimaryComponent(host, ports)
+    host.components.append(primary)
+    host.admission.checks.append(_ReplicationAdmission(primary))
+    host.admin_service.calls["/standby"] = ("GET", lambda _: Answer(200, json.dumps(primary.status()) + "\n"))
 
 
-class _Gate:
-    """The front's question, as a gate of admission."""
+class _ReplicationAdmission:
+    """Admission check that rejects messages while the standby cannot acknowledge them."""
 
-    def __init__(self, room: PrimaryComponent) -> None:
-        self.room = room
+    def __init__(self, primary: PrimaryComponent) -> None:
+        self.primary = primary
 
     def check(self, tenant: int, cls: int, size: int) -> QuotaVerdict:
-        return self.room.gate(tenant, cls, size)
+        """Reject a message whose acceptance the standby could not acknowledge now."""
+        return self.primary.check_admission(tenant, cls, size)
--- a/madderbeam/host/standby/process.py
+++ b/madderbeam/host/standby/process.py
@@ -1,4 +1,4 @@
-"""A process whose courier has a standby, or that is one: from its start to its end."""
+"""The process of a courier that has a standby or is one, from start to exit."""
 
 from __future__ import annotations
 
@@ -15,133 +15,137 @@
 from madderbeam.host.composition import assemble
 from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.standalone import STDIN, claim_resources, lock_folder
-from madderbeam.host.standby.copy import doubt
-from madderbeam.host.standby.keeper import Keeper
+from madderbeam.host.standby.copy import mark_possibly_executed
+from madderbeam.host.standby.keeper import StandbyService
 from madderbeam.host.standby.primary import PrimaryComponent
-from madderbeam.host.standby.shared import kept_folder, told
+from madderbeam.host.standby.shared import records_folder, standby_config
 from madderbeam.ports import Ports
 from madderbeam.ports.real import real_ports
 from madderbeam.replication.errors import Fenced
 from madderbeam.transport.control import ControlServer
 
-FENCED = 3  # the exit code of a courier that was taken over
+EXIT_FENCED = 3  # exit code of a courier that was taken over
 log = logging.getLogger(__name__)
 
 
-class Gone(Exception):
-    """A signal came, or whoever started this process is gone."""
+class ShutdownRequested(Exception):
+    """A signal or the end of standard input requests a shutdown before the courier has started."""
 
 
 async def serve(config: Config, follow: bool) -> int:
-    """Run it to its end; the exit code. OSError, or Held with one line, if it can't begin."""
+    """Run the process until it ends and return the exit code; OSError or ResourceHeldError at the start."""
     loop = asyncio.get_running_loop()
-    ends: asyncio.Future[None] = loop.create_future()
+    shutdown: asyncio.Future[None] = loop.create_future()
 
-    def end() -> None:
-        if not ends.done():
-            ends.set_result(None)
+    def request_shutdown() -> None:
+        if not shutdown.done():
+            shutdown.set_result(None)
 
-    for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, end)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # there is nothing to read anew yet
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, request_shutdown)
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # nothing to reload yet
     if follow:
-        loop.add_reader(STDIN, _followed, loop, end)
+        loop.add_reader(STDIN, _on_stdin, loop, request_shutdown)
     ports = real_ports(loop)
     try:
-        if told(config).listen is None:
+        if standby_config(config).listen is None:
             ports, lock = claim_resources(config, ports)
             with contextlib.closing(lock):
-                return await _courier(loop, ports, config, None, ends)
+                return await _run_courier(loop, ports, config, None, shutdown)
         with contextlib.closing(lock_folder(config, ports.disk)):
-            return await _standby(loop, ports, config, ends)
-    except Gone:
+            return await _run_standby(loop, ports, config, shutdown)
+    except ShutdownRequested:
         return 0
 
 
-def _followed(loop: asyncio.AbstractEventLoop, end: Callable[[], None]) -> None:
+def _on_stdin(loop: asyncio.AbstractEventLoop, request_shutdown: Callable[[], None]) -> None:
     if not os.read(STDIN, 1):
         loop.remove_reader(STDIN)
-        log.warning("whoever started it is gone: a planned end")
-        end()
+        log.warning("the parent process has closed standard input: shutting down")
+        request_shutdown()
 
 
-async def _unless(ends: asyncio.Future[None], wanted: asyncio.Future[Any]) -> None:
-    """Wait for this; Gone if the process is to end first."""
-    await asyncio.wait({ends, wanted}, return_when=asyncio.FIRST_COMPLETED)
-    if not wanted.done():
-        raise Gone
+async def _wait_or_shutdown(shutdown: asyncio.Future[None], future: asyncio.Future[Any]) -> None:
+    """Wait for a future; ShutdownRequested if the process is to shut down first."""
+    await asyncio.wait({shutdown, future}, return_when=asyncio.FIRST_COMPLETED)
+    if not future.done():
+        raise ShutdownRequested
 
 
-async def _standby(
-    loop: asyncio.AbstractEventLoop, ports: Ports, config: Config, ends: asyncio.Future[None]
+async def _run_standby(
+    loop: asyncio.AbstractEventLoop, ports: Ports, config: Config, shutdown: asyncio.Future[None]
 ) -> int:
-    """Keep the copy; once promoted, be a courier on it."""
-    keeper = Keeper(loop, ports, config)
-    control = ControlServer(loop, ports.network, keeper.act)
+    """Maintain the copy; once promoted, run a courier on it."""
+    service = StandbyService(loop, ports, config)
+    control = ControlServer(loop, ports.network, service.handle_call)
     try:
         if config.control:
             control.listen(config.control)
-        port = keeper.begin()
+        port = service.start()
         log.info(
-            "%s is a standby on port %d with %d bytes", config.name, port, sum(keeper.copy.sizes.values())
+            "%s is a standby on port %d with %d bytes", config.name, port, sum(service.copy.sizes.values())
         )
-        await _unless(ends, keeper.taken)
-        taken = keeper.taken.result()
-        keeper.copy.close()
-        if taken.doubt:
-            count = doubt(ports.disk, ports.clock, config.state, config.disk_bytes, taken.exact)
-            log.warning("standby: each of %d open messages is taken for one that may have run", count)
-            keeper.kept.write([("over", "", False)])
-        keeper.promoted()
-        return await _courier(loop, ports, config, control, ends)
+        await _wait_or_shutdown(shutdown, service.takeover)
+        takeover = service.takeover.result()
+        service.copy.close()
+        if takeover.may_lack_records:
+            count = mark_possibly_executed(
+                ports.disk, ports.clock, config.state, config.disk_bytes, takeover.is_prefix
+            )
+            log.warning("standby: each of %d open messages is treated as possibly executed", count)
+            service.kept.write([("over", "", False)])
+        service.release_folder()
+        return await _run_courier(loop, ports, config, control, shutdown)
     finally:
-        keeper.close()
+        service.close()
         control.close()
 
 
-async def _courier(
+async def _run_courier(
     loop: asyncio.AbstractEventLoop,
     ports: Ports,
     config: Config,
     control: ControlServer | None,
-    ends: asyncio.Future[None],
+    shutdown: asyncio.Future[None],
 ) -> int:
-    """A courier, which begins work once its own standby is in step, where it has one."""
-    kept = DurableMap(ports.disk, kept_folder(config))
+    """Run a courier; if it has a standby, work begins once that one is in sync or is not waited for."""
+    kept = DurableMap(ports.disk, records_folder(config))
     fence = kept.map.get(("fenced", ""), 0)
     kept.close()
     if fence:
-        return _fenced(fence)
+        return _log_fenced(fence)
     with process.collector_paused():
         host = assemble(loop, ports, config, control)
-    room = next((r for r in host.components if isinstance(r, PrimaryComponent)), None)
-    if room is not None:
+    primary = next(
+        (component for component in host.components if isinstance(component, PrimaryComponent)), None
+    )
+    if primary is not None:
         if config.control and host.control.sock is None:
             host.control.listen(config.control)
-        room.begin()
+        primary.start()
         try:
-            await _unless(ends, room.settled)
-        except Gone:
+            await _wait_or_shutdown(shutdown, primary.ready)
+        except ShutdownRequested:
             host.close()
             raise
-        if not room.settled.result():
+        if not primary.ready.result():
             host.close()
-            return _fenced(room.machine.fenced)
+            return _log_fenced(primary.machine.fenced_by)
     process.start_host(loop, ports, {}, host)
-    ends.add_done_callback(lambda _: host.terminate())
-    if ends.done():
+    shutdown.add_done_callback(lambda _: host.terminate())
+    if shutdown.done():
         host.terminate()
     await host.closed
     host.close()
-    if room is not None and room.fenced:
-        return _fenced(room.machine.fenced)
-    if room is not None and room.moving:
-        await room.release()
-        room.end()
+    if primary is not None and primary.is_fenced:
+        return _log_fenced(primary.machine.fenced_by)
+    if primary is not None and primary.is_handing_over:
+        await primary.hand_over()
+        primary.release_resources()
         log.info("standby: handed over")
     return 0
 
 
-def _fenced(number: int) -> int:
-    log.error("%s", Fenced(f"the courier with fence {number} has its messages").line())
-    return FENCED
+def _log_fenced(fence: int) -> int:
+    log.error("%s", Fenced(f"the courier with fence {fence} has its messages").line())
+    return EXIT_FENCED
--- a/madderbeam/host/standby/shared.py
+++ b/madderbeam/host/standby/shared.py
@@ -1,4 +1,4 @@
-"""What an owner's room and a standby's process share."""
+"""Settings, keys and folders shared by the primary's component and the standby's process."""
 
 from __future__ import annotations
 
@@ -17,54 +17,64 @@
 from madderbeam.replication.values import Settings
 
 
-class Watched(Runner):
-    """A runner that calls `after` once all that waited is carried out, whatever began it."""
+class ObservedRunner(Runner):
+    """A runner that calls `after_run` whenever it has performed all waiting actions."""
 
-    after: Callable[[], None] | None = None
+    after_run: Callable[[], None] | None = None
 
     def run(self, actions: Iterable[Any]) -> None:
+        """Perform actions, process the waiting events, then call `after_run`."""
         super().run(actions)
-        if self.after is not None and not self.closed:
-            self.after()
+        if self.after_run is not None and not self.closed:
+            self.after_run()
 
 
-def kept_folder(config: Config) -> str:
-    """Beside the journal's, since that one holds nothing but what is streamed."""
+def records_folder(config: Config) -> str:
+    """The folder of the durable records, not the journal's: that one holds only replicated files."""
     return f"{config.state}-standby"
 
 
-def told(config: Config) -> Standby:
+def standby_config(config: Config) -> Standby:
+    """The standby's table of a configuration that has one."""
     assert config.standby is not None
     return config.standby
 
 
-def settings(config: Config) -> Settings:
-    """As the pure machines take them."""
-    t = told(config)
+def replication_settings(config: Config) -> Settings:
+    """The settings of the state machines."""
+    standby = standby_config(config)
     return Settings(
-        t.mode,
-        t.silent,
-        t.silent_ms * 1000,
-        int(t.lag_mb * 1e6),
-        t.takeover,
-        t.drift_ppm,
+        standby.mode,
+        standby.silent,
+        standby.silent_ms * 1000,
+        int(standby.lag_mb * 1e6),
+        standby.takeover,
+        standby.drift_ppm,
         config.disk_bytes,
-        form(config.settings, config.known),
+        settings_digest(config.settings, config.known),
     )
 
 
-def form(s: Policy, known: dict[str, Any]) -> str:
-    """What both couriers must have in common: records name classes, tenants and partners by number."""
+def settings_digest(policy: Policy, known: dict[str, Any]) -> str:
+    """Digest of what must be equal on both sides: records name classes, tenants and partners by number."""
     rows = [
-        [[c.name, c.idempotency.name, c.key_window_us, c.deadline_us] for c in s.classes],
-        [t.name for t in s.tenants],
-        sorted({t.get("pod_group", 0) for t in known.get("targets", ())}),
+        [
+            [
+                message_class.name,
+                message_class.idempotency.name,
+                message_class.key_window_us,
+                message_class.deadline_us,
+            ]
+            for message_class in policy.classes
+        ],
+        [tenant.name for tenant in policy.tenants],
+        sorted({tenant.get("pod_group", 0) for tenant in known.get("targets", ())}),
     ]
     return hashlib.sha256(json.dumps(rows).encode()).hexdigest()
 
 
 def read_keys(disk: Disk, path: str) -> dict[str, bytes]:
-    """The keys as the file has them now: it is read anew for each connection. KeyUnfit."""
+    """Read the key file, anew for each connection so that keys can be rotated; KeyUnfit if invalid."""
     try:
         return keys.read(disk.read(path).decode("utf-8", "replace"), path)
     except OSError as error:
--- a/madderbeam/replication/__init__.py
+++ b/madderbeam/replication/__init__.py
@@ -1,1 +1,1 @@
-"""What a courier has taken on, kept on another machine too: pure machines of owner and standby."""
+"""Replication of a courier's journal to another machine: state machines of primary and standby."""
--- a/madderbeam/replication/commands.py
+++ b/madderbeam/replication/commands.py
@@ -1,4 +1,4 @@
-"""`madderbeam standby`: run one, see how far it is, promote it, set an old owner's folder aside."""
+"""`madderbeam standby`: run a standby, show its status, promote it, set a former primary's folders aside."""
 
 from __future__ import annotations
 
@@ -11,31 +11,36 @@
 if TYPE_CHECKING:
     from madderbeam.config.platform import Config
 
-CALL_S = 10.0
+CALL_TIMEOUT_S = 10.0
 
 
 def add_commands(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add this package's subcommands to the `madderbeam` command. What they need is imported as they run."""
-    top = commands.add_parser("standby", help="keep another courier's journal, and take over")
-    parts = top.add_subparsers(dest="part", required=True)
+    """Add the `standby` subcommands to the `madderbeam` command; imports happen when they run."""
+    standby_parser = commands.add_parser(
+        "standby", help="replicate another courier's journal and take over from it"
+    )
+    subcommands = standby_parser.add_subparsers(dest="part", required=True)
     for name, text, action in (
-        ("run", "be a standby until it is promoted, then the courier", _run),
-        ("status", "who is owner, how far the copy is, who is fenced; of either side", _status),
-        ("promote", "the standby takes over: its owner ends in order, or its lease is waited for", _promote),
+        ("run", "run as a standby until promoted, then as the courier", _run),
+        ("status", "show role, replication progress and fencing, on either side", _status),
+        (
+            "promote",
+            "make the standby take over: the primary shuts down, or its lease is waited for",
+            _promote,
+        ),
         (
             "set-aside",
-            "put the folders of a courier that was taken over aside, so that it can be a "
-            "standby; it must not run",
+            "rename the folders of a stopped courier that was taken over, so that it can become a standby",
             _set_aside,
         ),
     ):
-        part = parts.add_parser(name, help=text)
-        part.add_argument("--config", metavar="FILE", required=True, help="its rendered file")
-        part.set_defaults(action=action)
+        subcommand = subcommands.add_parser(name, help=text)
+        subcommand.add_argument("--config", metavar="FILE", required=True, help="the courier's rendered file")
+        subcommand.set_defaults(action=action)
 
 
 def _config(path: str) -> Config | None:
-    """The courier's configuration; None, with one line told, if it has no standby."""
+    """The courier's configuration; None, after printing the error, if it is invalid or has no standby."""
     from madderbeam.config.platform import ConfigError, load_sidecar
     from madderbeam.ports.real import RealDisk
 
@@ -46,7 +51,7 @@
         return None
     if config.standby is None:
         print(
-            f"madderbeam standby: {path}: standby: lacks; write [application.standby] and render it",
+            f"madderbeam standby: {path}: standby: missing; add [application.standby] and render it",
             file=sys.stderr,
         )
         return None
@@ -59,7 +64,7 @@
         return 2
     if config.standby is None or config.standby.listen is None:
         print(
-            f"madderbeam standby: {args.config}: standby.listen: lacks: this courier is no standby",
+            f"madderbeam standby: {args.config}: standby.listen: missing: this courier is not a standby",
             file=sys.stderr,
         )
         return 2
@@ -68,27 +73,27 @@
     return main(args.config)
 
 
-def _call(args: argparse.Namespace, method: str, path: str) -> tuple[int, str]:
-    """Status and text of a call at its second address; (0, line) where there is none."""
+def _call_admin(args: argparse.Namespace, method: str, path: str) -> tuple[int, str]:
+    """Status and text of a call at the admin address; (0, error line) without one or without a reply."""
     config = _config(args.config)
     if config is None:
         return 0, ""
     if config.control is None:
-        return 0, f"{args.config}: control: lacks: it has no second address"
+        return 0, f"{args.config}: control: missing: it has no admin address"
     import http.client
 
     host, port = config.control
     try:
-        connection = http.client.HTTPConnection(host, port, timeout=CALL_S)
+        connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_S)
         connection.request(method, path)
-        answer = connection.getresponse()
-        return answer.status, answer.read().decode("utf-8", "replace").strip()
+        reply = connection.getresponse()
+        return reply.status, reply.read().decode("utf-8", "replace").strip()
     except OSError as error:
-        return 0, f"{host}:{port}: nobody answers: {error}"
+        return 0, f"{host}:{port}: no reply: {error}"
 
 
 def _status(args: argparse.Namespace) -> int:
-    status, text = _call(args, "GET", "/standby")
+    status, text = _call_admin(args, "GET", "/standby")
     if status != 200:
         print(f"madderbeam standby: {text}", file=sys.stderr)
         return 2
@@ -98,7 +103,7 @@
 
 
 def _promote(args: argparse.Namespace) -> int:
-    status, text = _call(args, "PUT", "/standby/promote")
+    status, text = _call_admin(args, "PUT", "/standby/promote")
     print(
         text if status == 200 else f"madderbeam standby: {text}",
         file=sys.stdout if status == 200 else sys.stderr,
@@ -114,20 +119,20 @@
 
     state = Path(config.state)
     if not state.is_dir():
-        print(f"{state}: is not there: nothing to set aside")
+        print(f"{state}: does not exist: nothing to set aside")
         return 0
     try:
         lock = RealDisk.lock(str(state / "lock"))
     except BlockingIOError:
-        print(f"madderbeam standby: {state}: is held by a courier that runs", file=sys.stderr)
+        print(f"madderbeam standby: {state}: is locked by a running courier", file=sys.stderr)
         return 2
-    number = 1
-    while Path(f"{state}.aside-{number}").exists():
-        number += 1
+    suffix = 1
+    while Path(f"{state}.aside-{suffix}").exists():
+        suffix += 1
     for folder in (state, Path(f"{state}-standby")):
         if folder.is_dir():
-            aside = Path(f"{state}.aside-{number}{folder.name.removeprefix(state.name)}")
-            folder.rename(aside)
-            print(f"{folder} is {aside} now")
+            renamed_folder = Path(f"{state}.aside-{suffix}{folder.name.removeprefix(state.name)}")
+            folder.rename(renamed_folder)
+            print(f"renamed {folder} to {renamed_folder}")
     lock.close()
     return 0
--- a/madderbeam/replication/errors.py
+++ b/madderbeam/replication/errors.py
@@ -1,13 +1,13 @@
-"""What can go wrong between an owner and its standby: each has a code, what happened, what to do about it.
+"""Replication errors: each has a code, a text and advice for the operator.
 
-A leaf. Logged and answered in the same words; docs/operators/standby.md lists all codes.
+This module imports no other. Logs and replies use the same texts; docs/operators/standby.md lists all codes.
 """
 
 from __future__ import annotations
 
 
 class StandbyError(Exception):
-    """What happened is the text; `code` is stable, `advice` one sentence on what an operator can do."""
+    """Base of all errors here; `code` is stable, `advice` one sentence on what an operator can do."""
 
     code = "standby"
     advice = ""
@@ -17,33 +17,33 @@
         self.what = what
 
     def line(self) -> str:
-        """As it is logged and answered."""
+        """The line that is logged and sent in replies."""
         return f"{type(self).__name__} ({self.code}): {self.what}; {self.advice}"
 
 
 class KeyUnfit(StandbyError):
-    """The file of keys can't be used."""
+    """The key file cannot be used."""
 
     code = "key-unfit"
     advice = "write lines of a name and at least 32 hex digits, the key to speak with first"
 
 
 class NotProven(StandbyError):
-    """The other side does not know a key that this side has."""
+    """The other side did not authenticate with a key of this side."""
 
     code = "not-proven"
     advice = "bring a key that both have into both files of keys"
 
 
 class Unlike(StandbyError):
-    """The two couriers' settings differ where a message's record depends on them."""
+    """The two couriers differ in settings that the journal's records depend on."""
 
     code = "unlike"
     advice = "give both couriers the same classes, tenants and partners, and the standby as much disk_mb"
 
 
 class Ahead(StandbyError):
-    """The standby holds records that the owner lacks."""
+    """The standby has records that the primary lacks."""
 
     code = "ahead"
     advice = (
@@ -53,42 +53,42 @@
 
 
 class Diverged(StandbyError):
-    """The standby's folder is no earlier state of the owner's."""
+    """The standby's copy is not an earlier state of the primary's journal."""
 
     code = "diverged"
     advice = "stop the standby, set its state folder aside, and start it: it catches up from nothing"
 
 
 class Gap(StandbyError):
-    """Records that the standby was sent do not follow on those that it has."""
+    """Received records do not continue those that the standby has."""
 
     code = "gap"
     advice = "nothing, if it does not repeat: the stream begins anew from what the standby has"
 
 
 class Silent(StandbyError):
-    """No word of the standby came in time."""
+    """No message of the standby arrived in time."""
 
     code = "silent"
     advice = "look whether the standby runs, its disk has room, and the network between the two is whole"
 
 
 class Fenced(StandbyError):
-    """The standby was promoted: this courier may do nothing more."""
+    """The standby was promoted: this courier must stop all effects."""
 
     code = "fenced"
     advice = "its messages are the other courier's now: set the state folder aside before it is used again"
 
 
 class NeverWhole(StandbyError):
-    """The standby has not yet had all that its owner held."""
+    """The standby's copy has never been complete."""
 
     code = "never-whole"
     advice = "let it catch up with its owner once; what it has by now is not all that was taken on"
 
 
 class DiskFull(StandbyError):
-    """The standby's disk does not take what it is sent."""
+    """The standby's disk rejects the replicated data."""
 
     code = "standby-disk"
     advice = "make room on the standby's disk; the owner goes by its setting `silent` until then"
--- a/madderbeam/replication/standby.py
+++ b/madderbeam/replication/standby.py
@@ -1,8 +1,10 @@
-"""The standby's machine: keeps the copy, confirms what its disk has, takes over on a word or a lease's end.
+"""The standby's state machine: maintains the copy, acknowledges written data, takes over on request or on
+expiry of the primary's lease.
 
-While the owner's lease may run nothing is taken over: each confirmation grants the owner `silent_us` from
-when it asked, by its clock, and this side waits that long from when it answered, and the drift of both clocks
-more. From a word of promotion on none is granted but to an owner that ends in order.
+There is no takeover while the primary's lease may be valid. Each acknowledgement grants a lease of
+`silent_us` from when the primary requested it, on the primary's clock; the standby waits that long from when
+it replied, plus the drift of both clocks and a margin. Once promotion is requested, a lease is granted only
+to a primary that was asked to shut down.
 """
 
 from __future__ import annotations
@@ -14,31 +16,35 @@
 from madderbeam.membership.values import LogLine, Persist, Row, SetTimer, TimerDue, WriteFailed
 from madderbeam.replication import errors, messages
 from madderbeam.replication.values import (
-    Close,
-    Down,
-    Got,
-    Hello,
+    CloseConnection,
+    ConnectionLost,
+    HelloReceived,
+    MessageReceived,
     Promote,
-    Remove,
-    Removed,
-    Say,
+    RemoveResult,
+    RemoveSegment,
+    SendMessage,
     Settings,
     TakeOver,
-    Write,
-    Wrote,
+    WriteResult,
+    WriteSegment,
 )
 
-YIELD_US = 8_000_000  # an owner that is asked to end in order is confirmed for so long at most
-LOOK_US = 200_000  # a lease's end is looked for so often
-FULL_US = 1_000_000  # a disk that was full is tried again after this
+SHUTDOWN_GRACE_US = 8_000_000  # how long a primary that was asked to shut down is acknowledged
+LEASE_CHECK_INTERVAL_US = 200_000  # interval of the checks whether the lease has expired
+DISK_FULL_RETRY_US = 1_000_000  # connections are accepted again this long after a full disk
 
 
 class Standby:
-    """`sizes`, `digests`: the copy's segments; `kept`: fence, owner ([strict, silent_us] as it told last),
-    whole, midway, sure, over (this one has taken over; True while the doubt is not yet in the folder).
+    """The standby's side of one replication pair.
 
-    `sure`: in strict mode and with all that ever counted: then nothing is taken for having run that may not
-    have. `whole`: the copy had all that the owner held, once.
+    `sizes`, `digests`: the copy's segments; `kept`: the durable records fence, owner (the primary's last
+    [strict, silent_us]), whole, midway, sure, over (see `takeover_doubt`).
+
+    `has_all_records`: the primary is strict and the copy has every record that allowed an effect, so that a
+    takeover need not treat open messages as possibly executed. `was_complete`: the copy once had all of the
+    primary's journal. `takeover_doubt`: None before a takeover; True while the folder does not yet say that
+    its open messages count as possibly executed, else False.
     """
 
     def __init__(
@@ -48,245 +54,303 @@
         digests: Mapping[int, int],
         kept: Mapping[tuple[str, str], Any],
     ) -> None:
-        self.s = settings
+        self.settings = settings
         self.sizes, self.digests = dict(sizes), dict(digests)
         self.fence: int = kept.get(("fence", ""), 0)
-        strict, lease = kept.get(("owner", ""), [False, settings.silent_us])
-        self.strict, self.lease_us = bool(strict), int(lease)
-        self.whole = bool(kept.get(("whole", ""), False))
-        self.midway = bool(kept.get(("midway", ""), False))
-        self.sure = bool(kept.get(("sure", ""), False))
-        self.over: bool | None = kept.get(("over", ""))
-        self.link, self.name = 0, ""  # the owner's connection, 0 if there is none
-        self.position = self.got = self.stamp = 0
-        self.writing = 0  # writes whose outcome is not known yet
-        self.granted_at = 0
-        self.promoting = self.yielded = False
-        self.yield_until = 0
-        self.full_until = 0
-        self.trouble: errors.StandbyError | None = None
+        is_strict, lease_us = kept.get(("owner", ""), [False, settings.silent_us])
+        self.primary_is_strict, self.lease_us = bool(is_strict), int(lease_us)
+        self.was_complete = bool(kept.get(("whole", ""), False))
+        self.is_midway = bool(kept.get(("midway", ""), False))
+        self.has_all_records = bool(kept.get(("sure", ""), False))
+        self.takeover_doubt: bool | None = kept.get(("over", ""))
+        self.link, self.primary_name = 0, ""  # the primary's connection, 0 if there is none
+        self.position = self.received_bytes = self.latest_stamp = 0
+        self.pending_operations = 0  # operations on the copy without a result yet
+        self.lease_granted_at_us = 0
+        self.is_promoting = self.is_shutdown_requested = False
+        self.shutdown_deadline_us = 0
+        self.disk_full_until_us = 0
+        self.last_error: errors.StandbyError | None = None
 
     @property
     def state(self) -> str:
-        if self.over is not None:
+        """The state as the admin address reports it."""
+        if self.takeover_doubt is not None:
             return "promoted"
-        if self.promoting:
+        if self.is_promoting:
             return "promoting"
-        if not self.whole:
+        if not self.was_complete:
             return "catching up" if self.link else "waiting"
         return "following" if self.link else "alone"
 
-    def lease_end(self) -> int:
-        """From then on no owner of before does anything, by this clock."""
-        return self.granted_at + self.s.standby_lease_us(self.lease_us)
+    def lease_end_us(self) -> int:
+        """When, on this clock, the lease of any earlier primary has certainly expired."""
+        return self.lease_granted_at_us + self.settings.standby_lease_us(self.lease_us)
 
-    def start(self, now: int) -> list[Any]:
-        """A lease may have been granted a moment before this process began."""
-        self.granted_at = now
-        if self.over is not None:
-            return [TakeOver(self.fence, self.over, not self.midway)]
-        return [SetTimer(now + LOOK_US, "look")]
+    def start(self, now_us: int) -> list[Any]:
+        """Begin; a lease counts as granted now, since an earlier process may just have granted one."""
+        self.lease_granted_at_us = now_us
+        if self.takeover_doubt is not None:
+            return [TakeOver(self.fence, self.takeover_doubt, not self.is_midway)]
+        return [SetTimer(now_us + LEASE_CHECK_INTERVAL_US, "look")]
 
     # Events
 
-    def handle(self, now: int, event: Any) -> list[Any]:
+    def handle(self, now_us: int, event: Any) -> list[Any]:
+        """Process an event; returns the actions to perform, in order."""
         match event:
-            case Got():
-                return self._got(now, event) if event.link == self.link else []
-            case Wrote():
-                return self._wrote(now, event)
-            case Hello():
-                return self._hello(now, event.link, event.row)
-            case Down():
+            case MessageReceived():
+                return self._on_message(now_us, event) if event.link == self.link else []
+            case WriteResult():
+                return self._on_write_result(now_us, event)
+            case HelloReceived():
+                return self._on_hello(now_us, event.link, event.row)
+            case ConnectionLost():
                 if event.link == self.link:
                     self.link = 0
-                return self._look(now)
-            case Removed():
-                return self._done(now)
+                return self._take_over_if_due(now_us)
+            case RemoveResult():
+                return self._finish_operation(now_us)
             case Promote():
-                return self._promote(now)
+                return self._on_promote(now_us)
             case TimerDue(token="look"):
-                if self.over is not None:
+                if self.takeover_doubt is not None:
                     return []
-                # The timer first: what stands behind a record that is not written is dropped.
-                return [SetTimer(now + LOOK_US, "look"), *self._look(now)]
-            case WriteFailed(kind="over"):  # nothing was done: it is tried again
-                self.over = None
+                # The timer first: actions behind a record that cannot be written are dropped.
+                return [SetTimer(now_us + LEASE_CHECK_INTERVAL_US, "look"), *self._take_over_if_due(now_us)]
+            case WriteFailed(kind="over"):  # no action was performed: the takeover is retried
+                self.takeover_doubt = None
                 self.fence -= 1
-            case WriteFailed():  # nothing was said: the owner comes again
+            case WriteFailed():  # nothing was sent: the primary connects again
                 link, self.link = self.link, 0
-                return [Close(link)] if link else []
+                return [CloseConnection(link)] if link else []
         return []
 
-    # A connection
+    # Connections
 
-    def _hello(self, now: int, link: int, row: Row) -> list[Any]:
+    def _on_hello(self, now_us: int, link: int, row: Row) -> list[Any]:
         try:
-            fence, form, strict, lease_us, limit, name = messages.check("hello", row)
-        except messages.Odd as error:
-            return [LogLine(f"an owner says what is no message: {error}"), Close(link)]
-        if self.over is not None or fence < self.fence:
-            return [Say("fenced", [self.fence], link), LogLine(f"{name} is told that it was taken over")]
-        if self.promoting and not self.yielded:
-            return [Close(link)]  # its lease runs out
-        if form != self.s.form or limit > self.s.limit:
-            what = (
+            fence, settings_digest, is_strict, lease_us, limit_bytes, primary_name = messages.check(
+                "hello", row
+            )
+        except messages.InvalidMessage as error:
+            return [LogLine(f"invalid hello from a primary: {error}"), CloseConnection(link)]
+        if self.takeover_doubt is not None or fence < self.fence:
+            return [
+                SendMessage("fenced", [self.fence], link),
+                LogLine(f"notified {primary_name} that it is fenced"),
+            ]
+        if self.is_promoting and not self.is_shutdown_requested:
+            return [CloseConnection(link)]  # its lease has to expire
+        if settings_digest != self.settings.settings_digest or limit_bytes > self.settings.limit_bytes:
+            difference = (
                 "the settings of classes, tenants or partners differ"
-                if form != self.s.form
-                else (f"the owner's folder may take {limit} bytes, here it is {self.s.limit}")
+                if settings_digest != self.settings.settings_digest
+                else (
+                    f"the owner's folder may take {limit_bytes} bytes, here it is {self.settings.limit_bytes}"
+                )
             )
-            self.trouble = errors.Unlike(what)
-            return [LogLine("", self.trouble), Say("refused", [errors.Unlike.code, what], link)]
-        if now < self.full_until:
-            return [Say("full", [], link)]
-        return self._followed(link, fence, strict, lease_us, name)
-
-    def _followed(self, link: int, fence: int, strict: bool, lease_us: int, name: str) -> list[Any]:
-        before = self.link
-        self.link, self.name = link, name
-        self.position = self.got = self.stamp = 0
-        # One that may go on alone has perhaps done so: what it did is not known here.
-        self.sure = self.sure and strict and self.strict
-        self.strict, self.lease_us, self.fence = strict, max(lease_us, 1), fence
+            self.last_error = errors.Unlike(difference)
+            return [
+                LogLine("", self.last_error),
+                SendMessage("refused", [errors.Unlike.code, difference], link),
+            ]
+        if now_us < self.disk_full_until_us:
+            return [SendMessage("full", [], link)]
+        return self._accept_primary(link, fence, is_strict, lease_us, primary_name)
+
+    def _accept_primary(
+        self, link: int, fence: int, is_strict: bool, lease_us: int, primary_name: str
+    ) -> list[Any]:
+        previous_link = self.link
+        self.link, self.primary_name = link, primary_name
+        self.position = self.received_bytes = self.latest_stamp = 0
+        # A primary that may continue alone may have done so: its records may be missing here.
+        self.has_all_records = self.has_all_records and is_strict and self.primary_is_strict
+        self.primary_is_strict, self.lease_us, self.fence = is_strict, max(lease_us, 1), fence
         rows = [
-            Persist("sure", "", self.sure),
-            Persist("owner", "", [strict, self.lease_us]),
+            Persist("sure", "", self.has_all_records),
+            Persist("owner", "", [is_strict, self.lease_us]),
             Persist("fence", "", fence),
         ]
-        copy = [[n, size, self.digests.get(n, 0)] for n, size in sorted(self.sizes.items())]
-        again = [Say("yield", [], link)] if self.yielded else []
-        return [*([Close(before)] if before else []), *rows, Say("welcome", [copy, self.whole], link), *again]
+        segments = [
+            [segment, size, self.digests.get(segment, 0)] for segment, size in sorted(self.sizes.items())
+        ]
+        yield_requests = [SendMessage("yield", [], link)] if self.is_shutdown_requested else []
+        return [
+            *([CloseConnection(previous_link)] if previous_link else []),
+            *rows,
+            SendMessage("welcome", [segments, self.was_complete], link),
+            *yield_requests,
+        ]
 
-    # The stream
+    # Stream
 
-    def _got(self, now: int, e: Got) -> list[Any]:
+    def _on_message(self, now_us: int, event: MessageReceived) -> list[Any]:
         try:
-            row = messages.check(e.channel, e.row)
-        except messages.Odd as error:
-            return self._end(f"the owner says what is no message: {error}")
-        if e.channel == "block":
-            return self._block(*row)
-        if e.channel == "beat":
-            self.stamp = max(self.stamp, row[0])
-            return self._confirm(now)
-        if e.channel == "drop":
-            segment, position, out, stamp, fence = row
+            row = messages.check(event.channel, event.row)
+        except messages.InvalidMessage as error:
+            return self._close_link(f"invalid message from the primary: {error}")
+        if event.channel == "block":
+            return self._on_block(*row)
+        if event.channel == "beat":
+            self.latest_stamp = max(self.latest_stamp, row[0])
+            return self._acknowledge(now_us)
+        if event.channel == "drop":
+            segment, position, sent_bytes, stamp, fence = row
             if fence != self.fence or segment not in self.sizes:
-                return self._gap(f"segment {segment} is to be removed, and is not here")
-            self._told(position, out, stamp)
+                return self._report_gap(f"segment {segment} is to be removed, and is not here")
+            self._note_progress(position, sent_bytes, stamp)
             del self.sizes[segment]
             self.digests.pop(segment, None)
-            self.writing += 1
-            return [Remove(segment)]
-        if e.channel == "midway":
-            self.midway, self.sure = True, False
+            self.pending_operations += 1
+            return [RemoveSegment(segment)]
+        if event.channel == "midway":
+            self.is_midway, self.has_all_records = True, False
             return [Persist("sure", "", False), Persist("midway", "", True)]
-        if e.channel == "whole":
-            return self._made_whole(now, *row)
-        if e.channel == "released" and self.promoting:
+        if event.channel == "whole":
+            return self._on_complete(now_us, *row)
+        if event.channel == "released" and self.is_promoting:
             return self._take_over()
         return []
 
-    def _told(self, position: int, out: int, stamp: int) -> None:
-        self.position, self.got = max(self.position, position), max(self.got, out)
-        self.stamp = max(self.stamp, stamp)
+    def _note_progress(self, position: int, sent_bytes: int, stamp: int) -> None:
+        self.position, self.received_bytes = (
+            max(self.position, position),
+            max(self.received_bytes, sent_bytes),
+        )
+        self.latest_stamp = max(self.latest_stamp, stamp)
 
-    def _block(
-        self, segment: int, at: int, data: bytes, digest: int, position: int, out: int, stamp: int, fence: int
+    def _on_block(
+        self,
+        segment: int,
+        offset: int,
+        data: bytes,
+        digest: int,
+        position: int,
+        sent_bytes: int,
+        stamp: int,
+        fence: int,
     ) -> list[Any]:
-        have = self.sizes.get(segment, 0)
-        if at != have or fence != self.fence or segment < 1:
-            return self._gap(f"byte {at} of segment {segment} came, and {have} bytes are here")
+        held_bytes = self.sizes.get(segment, 0)
+        if offset != held_bytes or fence != self.fence or segment < 1:
+            return self._report_gap(
+                f"byte {offset} of segment {segment} came, and {held_bytes} bytes are here"
+            )
         if zlib.crc32(data, self.digests.get(segment, 0)) != digest:
-            return self._gap(f"the digest of segment {segment} at byte {at + len(data)} differs")
-        before = self.digests.get(segment, 0)
-        self.sizes[segment], self.digests[segment] = have + len(data), digest
-        self._told(position, out, stamp)
-        self.writing += 1
-        return [Write(segment, at, data, before)]
-
-    def _gap(self, what: str) -> list[Any]:
-        self.trouble = errors.Gap(what)
-        return [LogLine("", self.trouble), *self._end("")]
-
-    def _end(self, why: str) -> list[Any]:
+            return self._report_gap(f"the digest of segment {segment} at byte {offset + len(data)} differs")
+        digest_before = self.digests.get(segment, 0)
+        self.sizes[segment], self.digests[segment] = held_bytes + len(data), digest
+        self._note_progress(position, sent_bytes, stamp)
+        self.pending_operations += 1
+        return [WriteSegment(segment, offset, data, digest_before)]
+
+    def _report_gap(self, reason: str) -> list[Any]:
+        self.last_error = errors.Gap(reason)
+        return [LogLine("", self.last_error), *self._close_link("")]
+
+    def _close_link(self, reason: str) -> list[Any]:
         link, self.link = self.link, 0
-        return [*([LogLine(why)] if why else []), Close(link)]
-
-    def _wrote(self, now: int, e: Wrote) -> list[Any]:
-        if e.ok:
-            return self._done(now)
-        self.writing = 0
-        if e.at < self.sizes.get(e.segment, 0):  # what came behind it in the file is not there either
-            self.sizes[e.segment], self.digests[e.segment] = e.at, e.before
-        self.trouble = errors.DiskFull(f"{len(e.data)} bytes of segment {e.segment} are not written")
-        self.full_until = now + FULL_US
+        return [*([LogLine(reason)] if reason else []), CloseConnection(link)]
+
+    def _on_write_result(self, now_us: int, event: WriteResult) -> list[Any]:
+        if event.succeeded:
+            return self._finish_operation(now_us)
+        self.pending_operations = 0
+        if event.offset < self.sizes.get(event.segment, 0):  # nothing behind it in the file is written either
+            self.sizes[event.segment], self.digests[event.segment] = event.offset, event.digest_before
+        self.last_error = errors.DiskFull(
+            f"{len(event.data)} bytes of segment {event.segment} are not written"
+        )
+        self.disk_full_until_us = now_us + DISK_FULL_RETRY_US
         link = self.link
-        return [LogLine("", self.trouble), Say("full", [], link), *self._end("")]
-
-    def _done(self, now: int) -> list[Any]:
-        self.writing = max(0, self.writing - 1)
-        return self._confirm(now)
-
-    def _made_whole(self, now: int, position: int, out: int, stamp: int) -> list[Any]:
-        self._told(position, out, stamp)
-        self.whole, self.midway, self.sure, self.trouble = True, False, self.strict, None
+        return [LogLine("", self.last_error), SendMessage("full", [], link), *self._close_link("")]
+
+    def _finish_operation(self, now_us: int) -> list[Any]:
+        self.pending_operations = max(0, self.pending_operations - 1)
+        return self._acknowledge(now_us)
+
+    def _on_complete(self, now_us: int, position: int, sent_bytes: int, stamp: int) -> list[Any]:
+        self._note_progress(position, sent_bytes, stamp)
+        self.was_complete, self.is_midway, self.has_all_records, self.last_error = (
+            True,
+            False,
+            self.primary_is_strict,
+            None,
+        )
         return [
             Persist("whole", "", True),
             Persist("midway", "", False),
-            Persist("sure", "", self.sure),
-            *self._confirm(now),
+            Persist("sure", "", self.has_all_records),
+            *self._acknowledge(now_us),
         ]
 
-    def _confirm(self, now: int) -> list[Any]:
-        """All that came is on the disk. While it takes over nothing is granted, but to one that ends."""
-        if self.writing or not self.link or self.over is not None:
+    def _acknowledge(self, now_us: int) -> list[Any]:
+        """Acknowledge everything received, once it is on the disk.
+
+        During promotion this would extend the lease: only a primary that is shutting down gets it then.
+        """
+        if self.pending_operations or not self.link or self.takeover_doubt is not None:
             return []
-        if self.promoting and not (self.yielded and now < self.yield_until):
+        if self.is_promoting and not (self.is_shutdown_requested and now_us < self.shutdown_deadline_us):
             return []
-        self.granted_at = now
-        return [Say("ack", [self.position, self.got, self.stamp], self.link)]
+        self.lease_granted_at_us = now_us
+        return [SendMessage("ack", [self.position, self.received_bytes, self.latest_stamp], self.link)]
 
-    # Taking over
+    # Takeover
 
-    def refusal(self) -> errors.StandbyError | None:
-        """Why it can't be promoted."""
-        if not self.whole:
+    def promotion_refusal(self) -> errors.StandbyError | None:
+        """Why it cannot be promoted, None if it can."""
+        if not self.was_complete:
             return errors.NeverWhole("the copy never had all that the owner held")
         return None
 
-    def _promote(self, now: int) -> list[Any]:
-        if self.over is not None or self.promoting or self.refusal():
+    def _on_promote(self, now_us: int) -> list[Any]:
+        if self.takeover_doubt is not None or self.is_promoting or self.promotion_refusal():
             return []
-        self.promoting = True
-        if self.link:  # its owner may live: it ends in order, and hands over
-            self.yielded, self.yield_until = True, now + YIELD_US
-            return [LogLine("promoted: the owner is asked to end in order"), Say("yield", [], self.link)]
-        return [LogLine("promoted: the owner's lease is waited for"), *self._look(now)]
-
-    def _look(self, now: int) -> list[Any]:
-        """Whether the owner's lease is over. An owner that is not strict has none, and may go on: its unsafe
-        messages are taken for having run here."""
-        if self.over is not None:
+        self.is_promoting = True
+        if self.link:  # the primary may be running: it shuts down and hands over
+            self.is_shutdown_requested, self.shutdown_deadline_us = True, now_us + SHUTDOWN_GRACE_US
+            return [
+                LogLine("promotion requested: asking the primary to shut down"),
+                SendMessage("yield", [], self.link),
+            ]
+        return [
+            LogLine("promotion requested: waiting for the primary's lease to expire"),
+            *self._take_over_if_due(now_us),
+        ]
+
+    def _take_over_if_due(self, now_us: int) -> list[Any]:
+        """Take over if that is wanted and the primary's lease has expired.
+
+        A primary that is not strict needs no lease and may continue: its open messages count as possibly
+        executed here.
+        """
+        if self.takeover_doubt is not None:
             return []
-        if not self.promoting and self.s.takeover == "lease" and self.sure and not self.link:
-            self.promoting = now >= self.lease_end()
-        if not self.promoting or now < self.lease_end():
+        if (
+            not self.is_promoting
+            and self.settings.takeover == "lease"
+            and self.has_all_records
+            and not self.link
+        ):
+            self.is_promoting = now_us >= self.lease_end_us()
+        if not self.is_promoting or now_us < self.lease_end_us():
             return []
         return self._take_over()
 
     def _take_over(self) -> list[Any]:
-        doubt = not self.sure
-        self.over, link, self.link = doubt, self.link, 0
+        may_lack_records = not self.has_all_records
+        self.takeover_doubt, link, self.link = may_lack_records, self.link, 0
         self.fence += 1
-        close = [Close(link)] if link else []
+        close_actions = [CloseConnection(link)] if link else []
         return [
-            Persist("over", "", doubt),
+            Persist("over", "", may_lack_records),
             Persist("fence", "", self.fence),
-            *close,
+            *close_actions,
             LogLine(
                 f"this courier takes over with fence {self.fence}"
-                + ("; what may have run is taken for having run" if doubt else "")
+                + ("; its open messages count as possibly executed" if may_lack_records else "")
             ),
-            TakeOver(self.fence, doubt, not self.midway),
+            TakeOver(self.fence, may_lack_records, not self.is_midway),
         ]
--- a/madderbeam/replication/values.py
+++ b/madderbeam/replication/values.py
@@ -1,5 +1,8 @@
-"""Settings, events and actions of both machines. Times are the monotonic clock's microseconds, each machine's
-own; what travels is a stamp that only the one who made it reads."""
+"""Settings, events and actions of the primary's and the standby's state machine.
+
+Times are microseconds of the local monotonic clock. Timestamps on the wire are interpreted only by the side
+that made them.
+"""
 
 from __future__ import annotations
 
@@ -8,85 +11,87 @@
 
 from madderbeam.membership.values import Row
 
-CHUNK = 1 << 16  # bytes of one block of the stream at most
-WINDOW = 1 << 20  # bytes that may be sent and unconfirmed; what comes beyond is read from the files later
-BLOCK_MOST = 1 << 17  # of a block as it is taken
-MARGIN_US = 100_000  # between an owner's lease's end and the standby's, beside the drift
+MAX_CHUNK_BYTES = 1 << 16  # of one block of the stream
+SEND_WINDOW_BYTES = 1 << 20  # sent, not acknowledged; data beyond it is read from the files later
+MAX_BLOCK_BYTES = 1 << 17  # of a received block
+LEASE_MARGIN_US = 100_000  # the standby waits for the lease, the drift and this time
 
 
 @dataclass(frozen=True)
 class Settings:
-    """Of one pair; the owner's count for the stream, the standby's for taking over."""
+    """Settings of one side: the primary's govern the stream, the standby's the takeover."""
 
     mode: str = "before"  # after, before
     silent: str = "refuse"  # refuse, alone
-    silent_us: int = 2_000_000  # without a word for so long the other side counts as silent
-    lag_bytes: int = 8_000_000  # after: unconfirmed beyond this, answers wait as with before
+    silent_us: int = 2_000_000  # the other side counts as silent after this long without a message
+    max_lag_bytes: int = 8_000_000  # mode after: replies wait if more is unacknowledged
     takeover: str = "person"  # person, lease
-    drift_ppm: int = 1_000  # how far the two clocks may run apart
-    limit: int = 0  # bytes that the journal's folder may take
-    form: str = ""  # what both couriers must have in common
+    drift_ppm: int = 1_000  # maximum relative drift of the two clocks
+    limit_bytes: int = 0  # maximum size of the journal's folder
+    settings_digest: str = ""  # digest of the settings that must be equal on both couriers
 
     @property
-    def strict(self) -> bool:
-        """Nothing that counts is done without the standby's word."""
+    def is_strict(self) -> bool:
+        """Whether accepts, unsafe attempts and notices always need the standby's acknowledgement."""
         return self.mode == "before" and self.silent == "refuse"
 
     def standby_lease_us(self, lease_us: int) -> int:
-        """How long a lease that ends for its owner after `lease_us` has to be waited for here."""
-        return lease_us + 2 * lease_us * self.drift_ppm // 1_000_000 + MARGIN_US
+        """How long the standby waits, in microseconds, for a lease that lasts `lease_us` at the primary."""
+        return lease_us + 2 * lease_us * self.drift_ppm // 1_000_000 + LEASE_MARGIN_US
 
 
-class Sort(IntEnum):
-    """What waits for the standby's word."""
+class WaitKind(IntEnum):
+    """What waits for the standby's acknowledgement."""
 
-    TAKE = 0  # a message's `+OK`
-    ATTEMPT = 1  # the first byte of an attempt that may not be repeated
-    LIGHT = 2  # of one that may
-    FINAL = 3  # a notice; once its message's time is over it can but say that nothing is promised
+    ACCEPT = 0  # the `+OK` reply to a message
+    ATTEMPT = 1  # the first byte of an attempt that must not be repeated
+    REPEATABLE_ATTEMPT = 2  # the first byte of an attempt that may be repeated
+    OUTCOME = 3  # a notice; past the message's deadline it can only report an unknown outcome
 
 
-# Events of the owner
+# Events of the primary
 
 
 @dataclass(frozen=True)
 class Appended:
-    """So much was written to a segment of the owner's, at this offset."""
+    """The primary's journal wrote `data` to a segment at this offset."""
 
     segment: int
-    at: int
+    offset: int
     data: bytes
 
 
 @dataclass(frozen=True)
-class Dropped:
-    """A segment of the owner's was removed."""
+class SegmentRemoved:
+    """The primary's journal removed a segment."""
 
     segment: int
 
 
 @dataclass(frozen=True)
-class Wait:
-    """Something waits for the word on all that was written so far. Answered by Go or Deny with its token.
-    `until_us`: of a FINAL, how long it may wait."""
+class AwaitAck:
+    """Wait until everything written so far is acknowledged; answered by Proceed or Abort with this token.
+
+    `deadline_us`: until when an OUTCOME may wait.
+    """
 
     token: int
-    sort: Sort
-    until_us: int = 0
+    kind: WaitKind
+    deadline_us: int = 0
 
 
 @dataclass(frozen=True)
-class Block:
-    """What `Read` asked for; None if the file can't be read now."""
+class ReadResult:
+    """The result of ReadSegment; `data` is None if the file cannot be read now."""
 
     segment: int
-    at: int
+    offset: int
     data: bytes | None
 
 
 @dataclass(frozen=True)
-class Checked:
-    """What `Check` asked for; the digest is -1 if the file can't be read."""
+class DigestResult:
+    """The result of ComputeDigest; the digest is -1 if the file cannot be read."""
 
     segment: int
     size: int
@@ -94,50 +99,50 @@
 
 
 @dataclass(frozen=True)
-class Ended:
-    """The courier has ended in order, and writes nothing more."""
+class ShutdownCompleted:
+    """The courier has shut down in an orderly way and writes nothing more."""
 
 
 # Events of the standby
 
 
 @dataclass(frozen=True)
-class Hello:
-    """An owner that has proven its key says who it is. `link` names the connection."""
+class HelloReceived:
+    """An authenticated primary has introduced itself on the connection `link`."""
 
     link: int
     row: Row
 
 
 @dataclass(frozen=True)
-class Wrote:
-    """A `Write` was carried out, or the disk did not take it, and nothing of it stands there."""
+class WriteResult:
+    """The result of WriteSegment; after a failure none of its data is in the file."""
 
     segment: int
-    at: int
+    offset: int
     data: bytes
-    before: int
-    ok: bool
+    digest_before: int
+    succeeded: bool
 
 
 @dataclass(frozen=True)
-class Removed:
-    """A `Remove` was carried out."""
+class RemoveResult:
+    """The result of RemoveSegment."""
 
     segment: int
 
 
 @dataclass(frozen=True)
 class Promote:
-    """A person's word."""
+    """An operator requests promotion."""
 
 
 # Events of both
 
 
 @dataclass(frozen=True)
-class Got:
-    """A message of the other side's; at the owner `link` means nothing."""
+class MessageReceived:
+    """A message of the other side has arrived; the primary ignores `link`."""
 
     channel: str
     row: Row
@@ -145,8 +150,8 @@
 
 
 @dataclass(frozen=True)
-class Down:
-    """The connection is over."""
+class ConnectionLost:
+    """The connection has ended."""
 
     link: int = 0
 
@@ -155,8 +160,8 @@
 
 
 @dataclass(frozen=True)
-class Say:
-    """Send a message. The standby names the connection."""
+class SendMessage:
+    """Send a message, at the standby on the connection `link`."""
 
     channel: str
     row: Row
@@ -164,77 +169,80 @@
 
 
 @dataclass(frozen=True)
-class Close:
-    """End the connection; the owner makes a new one."""
+class CloseConnection:
+    """Close the connection; the primary opens a new one."""
 
     link: int = 0
 
 
 @dataclass(frozen=True)
-class Read:
-    """Read a part of a segment's file: answered by Block."""
+class ReadSegment:
+    """Read part of a segment's file; answered by ReadResult."""
 
     segment: int
-    at: int
-    most: int
+    offset: int
+    max_bytes: int
 
 
 @dataclass(frozen=True)
-class Check:
-    """The digest of the first `size` bytes of a segment's file: answered by Checked."""
+class ComputeDigest:
+    """Compute the digest of the first `size` bytes of a segment's file; answered by DigestResult."""
 
     segment: int
     size: int
 
 
 @dataclass(frozen=True)
-class Go:
-    """What waited may be done."""
+class Proceed:
+    """The operation that waited may proceed."""
 
     token: int
 
 
 @dataclass(frozen=True)
-class Deny:
-    """It must not be done: nobody knows whether the standby has its record."""
+class Abort:
+    """The operation must not happen: it is unknown whether the standby has its record."""
 
     token: int
 
 
 @dataclass(frozen=True)
 class Stop:
-    """fenced: do and write nothing more, at once. Otherwise end in order, then tell `Ended`."""
+    """If fenced, stop all effects and writes at once; otherwise shut down and post ShutdownCompleted."""
 
-    fenced: bool
+    is_fenced: bool
 
 
 @dataclass(frozen=True)
-class Released:
-    """All is said: the process may end."""
+class HandoverCompleted:
+    """The handover is complete or has timed out: the process may exit."""
 
 
 @dataclass(frozen=True)
-class Write:
-    """Write to a segment of the copy, at its end, whose digest was `before`: answered by Wrote."""
+class WriteSegment:
+    """Append to a segment of the copy, whose digest was `digest_before`; answered by WriteResult."""
 
     segment: int
-    at: int
+    offset: int
     data: bytes
-    before: int
+    digest_before: int
 
 
 @dataclass(frozen=True)
-class Remove:
-    """Remove a segment of the copy: answered by Removed."""
+class RemoveSegment:
+    """Remove a segment of the copy; answered by RemoveResult."""
 
     segment: int
 
 
 @dataclass(frozen=True)
 class TakeOver:
-    """Start a courier from the copy. `doubt`: records may lack, so each open message may have run; where the
-    copy is `exact`, an earlier state of the owner's, not before the newest time that it tells."""
+    """Start a courier on the copy.
+
+    `may_lack_records`: each open message counts as possibly executed. If the copy `is_prefix`, an earlier
+    state of the primary's journal, then from its newest recorded time on, else from the oldest.
+    """
 
     fence: int
-    doubt: bool
-    exact: bool
+    may_lack_records: bool
+    is_prefix: bool
--- a/madderbeam/replication/waiting.py
+++ b/madderbeam/replication/waiting.py
@@ -1,55 +1,60 @@
-"""What waits for the standby's word, in the order in which it came."""
+"""A queue of operations that wait for the standby's acknowledgement."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from madderbeam.replication.values import Sort, Wait
+from madderbeam.replication.values import AwaitAck, WaitKind
 
 
 @dataclass(frozen=True, slots=True)
-class Waiter:
-    """`position`: what the standby must have; `due_us`: when it is decided without its word."""
+class PendingWait:
+    """`position`: what the standby must acknowledge; `due_us`: when the decision is made without it."""
 
     token: int
-    sort: Sort
+    kind: WaitKind
     position: int
     due_us: int
 
 
-class Waiting:
-    """Bounded by what its owner holds: each message waits once for each of take, attempt and final."""
+class WaitQueue:
+    """Waiting operations in the order of their positions.
+
+    Bounded by the primary's pending messages: each waits at most once per accept, attempt and outcome.
+    """
 
     def __init__(self) -> None:
-        self.all: OrderedDict[int, Waiter] = OrderedDict()
+        self.entries: OrderedDict[int, PendingWait] = OrderedDict()
 
-    def add(self, wait: Wait, position: int, due_us: int) -> None:
-        self.all[wait.token] = Waiter(wait.token, wait.sort, position, due_us)
+    def add(self, wait: AwaitAck, position: int, due_us: int) -> None:
+        """Append an operation; `position` must not be less than that of its predecessor."""
+        self.entries[wait.token] = PendingWait(wait.token, wait.kind, position, due_us)
 
-    def confirmed(self, position: int) -> list[Waiter]:
-        """Those whose records the standby has, which wait no more. Positions only grow in the order."""
-        found = []
-        while self.all:
-            first = next(iter(self.all.values()))
+    def pop_acknowledged(self, position: int) -> list[PendingWait]:
+        """Remove and return the operations whose records the standby has acknowledged, up to `position`."""
+        removed = []
+        while self.entries:
+            first = next(iter(self.entries.values()))
             if first.position > position:
                 break
-            found.append(first)
-            del self.all[first.token]
-        return found
-
-    def due(self, now_us: int) -> list[Waiter]:
-        """Those whose time is over, which wait no more."""
-        found = [w for w in self.all.values() if w.due_us <= now_us]
-        for w in found:
-            del self.all[w.token]
-        return found
-
-    def next_us(self) -> int | None:
-        return min((w.due_us for w in self.all.values()), default=None)
-
-    def clear(self) -> list[Waiter]:
-        """All of them, which wait no more."""
-        found = list(self.all.values())
-        self.all.clear()
-        return found
+            removed.append(first)
+            del self.entries[first.token]
+        return removed
+
+    def pop_due(self, now_us: int) -> list[PendingWait]:
+        """Remove and return the operations that are due."""
+        removed = [entry for entry in self.entries.values() if entry.due_us <= now_us]
+        for entry in removed:
+            del self.entries[entry.token]
+        return removed
+
+    def next_due_us(self) -> int | None:
+        """When the next operation is due, None if none waits."""
+        return min((entry.due_us for entry in self.entries.values()), default=None)
+
+    def pop_all(self) -> list[PendingWait]:
+        """Remove and return all operations."""
+        removed = list(self.entries.values())
+        self.entries.clear()
+        return removed
--- a/madderbeam/transport/replication.py
+++ b/madderbeam/transport/replication.py
@@ -1,10 +1,10 @@
-"""The connection between an owner and its standby: the owner makes it, each side proves its key.
+"""The connection between a primary and its standby: the primary opens it, each side proves its key.
 
     standby  nonce   [version, its nonce]
-    owner    hello   [version, key's name, its nonce, row, proof]
-    standby  welcome, fenced, refused or full: [row, proof], the first message behind the hello
+    primary  hello   [version, key's name, its nonce, row, proof]
+    standby  welcome, fenced, refused or full: [key's name, row, proof], the first reply to the hello
 
-From there on frames are those of the mesh: [channel, row], behind their length (transport/mesh/frames.py).
+All further frames are [channel, row] in the mesh's framing (transport/mesh/frames.py).
 """
 
 from __future__ import annotations
@@ -24,35 +24,41 @@
 from madderbeam.transport.mesh.counters import Counters
 from madderbeam.transport.mesh.frames import InvalidFrame, pack_link_frame, unpack_link_frame
 
-UNSENT = 4 << 20  # bytes that wait to be sent on one connection; what does not fit ends it
-FIRST_S = 2.0  # for each side's first word
-BACKOFF_S, BACKOFF_MOST_S = 0.05, 1.0  # before the owner's second attempt; doubled before each further one
-ARRIVALS = 8  # connections that have not proven a key yet
-OWNER, STANDBY = "owner", "standby"
-Read = Callable[[], keys.Keys]  # the keys as the file has them now; KeyUnfit, OSError
+MAX_UNSENT_BYTES = 4 << 20  # queued on one connection; any more closes it
+HANDSHAKE_TIMEOUT_S = 2.0  # for each side's first message
+BASE_BACKOFF_S, MAX_BACKOFF_S = (
+    0.05,
+    1.0,
+)  # the delay before a new attempt is the first * 2**attempts, at most the second
+MAX_UNAUTHENTICATED = 8  # connections; a further one closes the oldest of them
+PRIMARY, STANDBY = "owner", "standby"
+ReadKeys = Callable[[], keys.Keys]  # the key file's current content; KeyUnfit, OSError
 log = logging.getLogger(__name__)
 
 
-def _short(data: bytes) -> tuple[str, Row]:
-    """Channel and row; the mesh's stamp says nothing here."""
+def _unpack(data: bytes) -> tuple[str, Row]:
+    """Channel and row of a frame; the mesh's timestamp is not used here."""
     channel, row, _ = unpack_link_frame(data)
     return channel, row
 
 
-def _fields(row: Row, count: int) -> Row:
+def _require_fields(row: Row, count: int) -> Row:
     if len(row) != count:
-        raise InvalidFrame("broken", f"{len(row)} fields where {count} are due")
+        raise InvalidFrame("broken", f"{len(row)} fields, expected {count}")
     return row
 
 
-def _version(told: object) -> None:
-    if told != VERSION:
-        raise InvalidFrame("version", f"version: must be {VERSION}, not {told!r:.40}")
+def _require_version(version: object) -> None:
+    if version != VERSION:
+        raise InvalidFrame("version", f"version: must be {VERSION}, not {version!r:.40}")
 
 
-class OwnerLink:
-    """Kept up for good. `hello` gives the row to say; `got(channel, row)` takes what comes, `down()` is
-    called once the connection is over."""
+class PrimaryLink:
+    """The primary's connection, reopened whenever it is lost.
+
+    `hello_row()` returns the row of the hello, `on_message(channel, row)` gets each message, `on_down()` is
+    called when an authenticated connection has ended.
+    """
 
     def __init__(
         self,
@@ -60,37 +66,44 @@
         network: Network,
         address: Address,
         silent_s: float,
-        read: Read,
-        hello: Callable[[], Row],
-        got: Callable[[str, Row], None],
-        down: Callable[[], None],
+        read_keys: ReadKeys,
+        hello_row: Callable[[], Row],
+        on_message: Callable[[str, Row], None],
+        on_down: Callable[[], None],
     ) -> None:
-        """silent_s: without a byte for so long the connection is given up."""
+        """`silent_s`: without a byte received for this long the connection is closed."""
         self.loop, self.network, self.address, self.silent_s = loop, network, address, silent_s
-        self.read, self.hello, self.got, self.down = read, hello, got, down
-        self.counts = Counters(loop)
+        self.read_keys, self.hello_row, self.on_message, self.on_down = (
+            read_keys,
+            hello_row,
+            on_message,
+            on_down,
+        )
+        self.counters = Counters(loop)
         self.connection: Connection | None = None
-        self.up = self.told = self.closed = False
-        self.tries = 0
-        self.heard = -1
+        self.is_up = self.is_failure_logged = self.is_closed = False
+        self.attempts = 0
+        self.checked_bytes = -1
         self.timer: asyncio.TimerHandle | None = None
         self.nonce = self.challenge = b""
 
     def start(self) -> None:
+        """Begin to connect."""
         self.timer = self.loop.call_soon(self._dial)  # type: ignore[assignment]
 
     def send(self, channel: str, row: Row) -> None:
-        """In order; nothing is sent where no connection is up."""
-        if self.up and self.connection is not None:
+        """Send a message in order; without an authenticated connection it is dropped."""
+        if self.is_up and self.connection is not None:
             self.connection.send(pack_link_frame(channel, row))
 
-    def drop(self, why: str = "") -> None:
-        """End the connection and make a new one."""
+    def drop(self, reason: str = "") -> None:
+        """Close the connection and open a new one."""
         if self.connection is not None:
-            self._lost(why)
+            self._on_lost(reason)
 
     def close(self, flush: bool = False) -> None:
-        self.closed = True
+        """Close the connection for good; with `flush`, after sending what is queued."""
+        self.is_closed = True
         if self.timer is not None:
             self.timer.cancel()
         if self.connection is not None:
@@ -98,205 +111,228 @@
             self.connection = None
 
     def _dial(self) -> None:
-        self.tries += 1
-        self.timer = self.loop.call_later(FIRST_S, self._lost, f"no answer within {FIRST_S:g} s")
+        self.attempts += 1
+        self.timer = self.loop.call_later(
+            HANDSHAKE_TIMEOUT_S, self._on_lost, f"no reply within {HANDSHAKE_TIMEOUT_S:g} s"
+        )
         try:
-            self.connection = Connection(self.loop, self.network, self.address, self.counts, UNSENT)
+            self.connection = Connection(
+                self.loop, self.network, self.address, self.counters, MAX_UNSENT_BYTES
+            )
         except OSError as error:
-            self._lost(f"no socket: {error.strerror}")
+            self._on_lost(f"cannot create a socket: {error.strerror}")
             return
-        self.connection.on_frame, self.connection.on_lost = self._challenged, self._lost
+        self.connection.on_frame, self.connection.on_lost = self._on_challenge, self._on_lost
         self.connection.dial()
 
-    def _challenged(self, data: bytes) -> None:
+    def _on_challenge(self, data: bytes) -> None:
         assert self.connection is not None
         try:
-            channel, row = _short(data)
-            version, challenge = _fields(row, 2)
-            _version(version)
-            if channel != "nonce" or not isinstance(challenge, bytes) or len(challenge) != keys.NONCE:
-                raise InvalidFrame("broken", "no nonce")
-            name, key = next(iter(self.read().items()))
+            channel, row = _unpack(data)
+            version, challenge = _require_fields(row, 2)
+            _require_version(version)
+            if channel != "nonce" or not isinstance(challenge, bytes) or len(challenge) != keys.NONCE_BYTES:
+                raise InvalidFrame("broken", "expected a nonce")
+            name, key = next(iter(self.read_keys().items()))
         except (InvalidFrame, KeyUnfit, OSError) as error:
-            self._lost(error.line() if isinstance(error, KeyUnfit) else str(error))
+            self._on_lost(error.line() if isinstance(error, KeyUnfit) else str(error))
             return
-        self.challenge, self.nonce = challenge, os.urandom(keys.NONCE)
-        said = self.hello()
-        told = keys.proof(key, OWNER, challenge, self.nonce, "hello", said)
-        self.connection.on_frame = self._answered
-        self.connection.send(pack_link_frame("hello", [VERSION, name, self.nonce, said, told]))
+        self.challenge, self.nonce = challenge, os.urandom(keys.NONCE_BYTES)
+        hello_row = self.hello_row()
+        proof = keys.compute_proof(key, PRIMARY, challenge, self.nonce, "hello", hello_row)
+        self.connection.on_frame = self._on_reply
+        self.connection.send(pack_link_frame("hello", [VERSION, name, self.nonce, hello_row, proof]))
 
-    def _answered(self, data: bytes) -> None:
+    def _on_reply(self, data: bytes) -> None:
         assert self.connection is not None
         try:
-            channel, both = _short(data)
-            name, row, told = _fields(both, 3)
+            channel, fields = _unpack(data)
+            name, row, proof = _require_fields(fields, 3)
             if not isinstance(row, list):
                 raise InvalidFrame("broken", "row: must be a list")
-            keys.proven(self.read(), name, STANDBY, self.challenge, self.nonce, channel, row, told)
+            keys.verify_proof(
+                self.read_keys(), name, STANDBY, self.challenge, self.nonce, channel, row, proof
+            )
         except (InvalidFrame, KeyUnfit, NotProven, OSError) as error:
-            self._lost(error.line() if isinstance(error, (KeyUnfit, NotProven)) else str(error))
+            self._on_lost(error.line() if isinstance(error, (KeyUnfit, NotProven)) else str(error))
             return
-        self.up, self.told, self.tries = True, False, 0
-        self.connection.on_frame = self._came
-        self.heard = -1
-        self._watch()
+        self.is_up, self.is_failure_logged, self.attempts = True, False, 0
+        self.connection.on_frame = self._on_frame
+        self.checked_bytes = -1
+        self._check_silence()
         if channel == "welcome":
             log.info("standby: connected to %s:%d", *self.address)
-        self.got(channel, row)
+        self.on_message(channel, row)
 
-    def _came(self, data: bytes) -> None:
+    def _on_frame(self, data: bytes) -> None:
         try:
-            channel, row = _short(data)
+            channel, row = _unpack(data)
         except InvalidFrame as error:
-            self._lost(str(error))
+            self._on_lost(str(error))
             return
-        self.got(channel, row)
+        self.on_message(channel, row)
 
-    def _watch(self) -> None:
-        """Nothing came in a whole turn: the other side is gone without a word."""
+    def _check_silence(self) -> None:
+        """Close the connection if no byte was received since the last check."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.connection is None or self.closed:
+        if self.connection is None or self.is_closed:
             return
-        if self.connection.received_bytes == self.heard:
-            self._lost(f"nothing came for {self.silent_s:g} s")
+        if self.connection.received_bytes == self.checked_bytes:
+            self._on_lost(f"no data received for {self.silent_s:g} s")
             return
-        self.heard = self.connection.received_bytes
-        self.timer = self.loop.call_later(self.silent_s, self._watch)
+        self.checked_bytes = self.connection.received_bytes
+        self.timer = self.loop.call_later(self.silent_s, self._check_silence)
 
-    def _lost(self, why: str) -> None:
+    def _on_lost(self, reason: str) -> None:
         if self.connection is not None:
             self.connection.close()
             self.connection = None
         if self.timer is not None:
             self.timer.cancel()
-        if self.closed:
+        if self.is_closed:
             return
-        if why and not self.told:
-            log.warning("standby: no connection to %s:%d: %s; tried again", *self.address, why)
-            self.told = True
-        pause = min(BACKOFF_MOST_S, BACKOFF_S * 2 ** min(self.tries, 10))
-        self.timer = self.loop.call_later(pause, self._dial)
-        if self.up:
-            self.up = False
-            self.down()
-
-
-class _Arrival:
-    """One connection to the standby."""
-
-    def __init__(self, port: StandbyPort, sock: Socket, number: int) -> None:
-        self.port, self.number = port, number
-        self.connection = Connection(port.loop, port.network, ("(came)", 0), port.counts, UNSENT, sock)
-        self.connection.on_frame, self.connection.on_lost = self._first, self._lost
-        self.challenge, self.nonce, self.key = os.urandom(keys.NONCE), b"", ("", b"")
-        self.proven = self.answered = False
-        self.heard = -1
+        if reason and not self.is_failure_logged:
+            log.warning("standby: no connection to %s:%d: %s; retrying", *self.address, reason)
+            self.is_failure_logged = True
+        backoff_s = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2 ** min(self.attempts, 10))
+        self.timer = self.loop.call_later(backoff_s, self._dial)
+        if self.is_up:
+            self.is_up = False
+            self.on_down()
+
+
+class _AcceptedConnection:
+    """One connection accepted by the standby."""
+
+    def __init__(self, listener: ReplicationListener, sock: Socket, link: int) -> None:
+        self.listener, self.link = listener, link
+        self.connection = Connection(
+            listener.loop, listener.network, ("(came)", 0), listener.counters, MAX_UNSENT_BYTES, sock
+        )
+        self.connection.on_frame, self.connection.on_lost = self._on_hello, self._on_lost
+        self.challenge, self.nonce, self.key = os.urandom(keys.NONCE_BYTES), b"", ("", b"")
+        self.is_authenticated = self.has_replied = False
+        self.checked_bytes = -1
         self.connection.send(pack_link_frame("nonce", [VERSION, self.challenge]))
-        self.timer = port.loop.call_later(FIRST_S, self._lost, f"no hello within {FIRST_S:g} s")
+        self.timer = listener.loop.call_later(
+            HANDSHAKE_TIMEOUT_S, self._on_lost, f"no hello within {HANDSHAKE_TIMEOUT_S:g} s"
+        )
 
-    def _first(self, data: bytes) -> None:
+    def _on_hello(self, data: bytes) -> None:
         try:
-            channel, fields = _short(data)
-            version, name, nonce, row, told = _fields(fields, 5)
-            _version(version)
-            if channel != "hello" or not isinstance(nonce, bytes) or len(nonce) != keys.NONCE:
-                raise InvalidFrame("broken", "no hello")
+            channel, fields = _unpack(data)
+            version, name, nonce, row, proof = _require_fields(fields, 5)
+            _require_version(version)
+            if channel != "hello" or not isinstance(nonce, bytes) or len(nonce) != keys.NONCE_BYTES:
+                raise InvalidFrame("broken", "expected a hello")
             if not isinstance(row, list):
                 raise InvalidFrame("broken", "row: must be a list")
-            known = self.port.read()
-            keys.proven(known, name, OWNER, self.challenge, nonce, channel, row, told)
+            known_keys = self.listener.read_keys()
+            keys.verify_proof(known_keys, name, PRIMARY, self.challenge, nonce, channel, row, proof)
         except (InvalidFrame, KeyUnfit, NotProven, OSError) as error:
-            self.port.counts.anomaly(
+            self.listener.counters.anomaly(
                 "refused", error.line() if isinstance(error, (KeyUnfit, NotProven)) else str(error)
             )
-            self._lost("")
+            self._on_lost("")
             return
-        self.nonce, self.key, self.proven = nonce, (name, known[name]), True
-        self.connection.on_frame = self._came
-        self._watch()
-        self.port.hello(self.number, row)
+        self.nonce, self.key, self.is_authenticated = nonce, (name, known_keys[name]), True
+        self.connection.on_frame = self._on_frame
+        self._check_silence()
+        self.listener.on_hello(self.link, row)
 
     def send(self, channel: str, row: Row) -> None:
-        if self.answered:
+        """Send a message; the first one carries the proof of the standby's key."""
+        if self.has_replied:
             self.connection.send(pack_link_frame(channel, row))
             return
-        self.answered = True
+        self.has_replied = True
         name, key = self.key
-        told = keys.proof(key, STANDBY, self.challenge, self.nonce, channel, row)
-        self.connection.send(pack_link_frame(channel, [name, row, told]))
+        proof = keys.compute_proof(key, STANDBY, self.challenge, self.nonce, channel, row)
+        self.connection.send(pack_link_frame(channel, [name, row, proof]))
 
-    def _came(self, data: bytes) -> None:
+    def _on_frame(self, data: bytes) -> None:
         try:
-            channel, row = _short(data)
+            channel, row = _unpack(data)
         except InvalidFrame as error:
-            self._lost(str(error))
+            self._on_lost(str(error))
             return
-        self.port.got(self.number, channel, row)
+        self.listener.on_message(self.link, channel, row)
 
-    def _watch(self) -> None:
+    def _check_silence(self) -> None:
         self.timer.cancel()
-        if self.connection.received_bytes == self.heard:
-            self._lost(f"nothing came for {self.port.silent_s:g} s")
+        if self.connection.received_bytes == self.checked_bytes:
+            self._on_lost(f"no data received for {self.listener.silent_s:g} s")
             return
-        self.heard = self.connection.received_bytes
-        self.timer = self.port.loop.call_later(self.port.silent_s, self._watch)
+        self.checked_bytes = self.connection.received_bytes
+        self.timer = self.listener.loop.call_later(self.listener.silent_s, self._check_silence)
 
-    def _lost(self, why: str) -> None:
-        if why and self.proven:
-            log.warning("standby: the owner's connection is over: %s", why)
+    def _on_lost(self, reason: str) -> None:
+        if reason and self.is_authenticated:
+            log.warning("standby: the primary's connection has ended: %s", reason)
         self.close()
-        if self.proven:
-            self.port.down(self.number)
+        if self.is_authenticated:
+            self.listener.on_down(self.link)
 
     def close(self, flush: bool = False) -> None:
+        """Close the connection; with `flush`, after sending what is queued."""
         self.timer.cancel()
         (self.connection.finish if flush else self.connection.close)()
-        self.port.links.pop(self.number, None)
+        self.listener.links.pop(self.link, None)
+
 
+class ReplicationListener:
+    """The standby's listening socket and its connections, each known by a number, `link`.
 
-class StandbyPort:
-    """Listens. `hello(link, row)` tells of an owner that has proven a key, `got(link, channel, row)` what it
-    says, `down(link)` that its connection is over."""
+    `on_hello(link, row)` reports an authenticated primary, `on_message(link, channel, row)` each of its
+    messages, `on_down(link)` the end of its connection.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         network: Network,
         silent_s: float,
-        read: Read,
-        hello: Callable[[int, Row], None],
-        got: Callable[[int, str, Row], None],
-        down: Callable[[int], None],
+        read_keys: ReadKeys,
+        on_hello: Callable[[int, Row], None],
+        on_message: Callable[[int, str, Row], None],
+        on_down: Callable[[int], None],
     ) -> None:
         self.loop, self.network, self.silent_s = loop, network, silent_s
-        self.read, self.hello, self.got, self.down = read, hello, got, down
-        self.counts = Counters(loop)
-        self.links: dict[int, _Arrival] = {}
-        self.number = 0
-        self.accepting = Accepting(loop, network, self._took, lambda: False, "standby's owner")
+        self.read_keys, self.on_hello, self.on_message, self.on_down = (
+            read_keys,
+            on_hello,
+            on_message,
+            on_down,
+        )
+        self.counters = Counters(loop)
+        self.links: dict[int, _AcceptedConnection] = {}
+        self.last_link = 0
+        self.accepting = Accepting(loop, network, self._on_accepted, lambda: False, "standby's owner")
 
     def listen(self, address: Address) -> int:
-        """The port; OSError if the address can't be had."""
+        """Start listening; returns the port. OSError if the address is not available."""
         return self.accepting.listen(address)
 
-    def _took(self, sock: Socket) -> None:
-        waiting = [link for link in self.links.values() if not link.proven]
-        if len(waiting) >= ARRIVALS:
-            waiting[0].close()
-        self.number += 1
-        self.links[self.number] = _Arrival(self, sock, self.number)
+    def _on_accepted(self, sock: Socket) -> None:
+        unauthenticated = [link for link in self.links.values() if not link.is_authenticated]
+        if len(unauthenticated) >= MAX_UNAUTHENTICATED:
+            unauthenticated[0].close()
+        self.last_link += 1
+        self.links[self.last_link] = _AcceptedConnection(self, sock, self.last_link)
 
     def send(self, link: int, channel: str, row: Row) -> None:
-        if (found := self.links.get(link)) is not None:
-            found.send(channel, row)
+        """Send a message on a connection, if it still exists."""
+        if (connection := self.links.get(link)) is not None:
+            connection.send(channel, row)
 
     def drop(self, link: int, flush: bool = False) -> None:
-        if (found := self.links.get(link)) is not None:
-            found.close(flush)
+        """Close a connection without reporting its end; with `flush`, after sending what is queued."""
+        if (connection := self.links.get(link)) is not None:
+            connection.close(flush)
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         self.accepting.close()
         for link in list(self.links.values()):
             link.close()
--- a/tests/standby/pair.py
+++ b/tests/standby/pair.py
@@ -1,4 +1,4 @@
-"""An owner and its standby as real processes, faulty links between them, a partner that notes calls."""
+"""A primary and its standby as real processes, faulty links between them, a partner that records calls."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     """One courier of the pair."""
 
     async def start(self, until="is ready on port", largest=0):
-        """Ready when this returns: as a courier, or `until` another line is said; None: at once. `largest`:
-        bytes of a file that its disk takes, 0: any."""
+        """Start and wait for the log line `until`, None: return at once. `largest`: the maximum size of a
+        file in bytes, 0: unlimited."""
 
         def limit():
             if largest:
@@ -59,20 +59,20 @@
         assert status == 200, text
         return json.loads(text)
 
-    async def until_status(self, so, limit=LIMIT):
-        """GET /standby once this holds of it."""
-        told = {}
+    async def until_status(self, condition, limit=LIMIT):
+        """The reply to GET /standby once `condition` holds for it."""
+        status = {}
 
         async def inner():
-            nonlocal told
-            while not so(told := await self.status()):
-                await asyncio.sleep(0.02)  # nobody is told when it changes
-            return told
+            nonlocal status
+            while not condition(status := await self.status()):
+                await asyncio.sleep(0.02)  # a change is not reported
+            return status
 
         try:
             return await asyncio.wait_for(inner(), limit)
         except TimeoutError:
-            raise TimeoutError(f"{self.name} tells {told}") from None
+            raise TimeoutError(f"{self.name} tells {status}") from None
 
     async def promote(self):
         return await call(self.control, "PUT", "/standby/promote", host=self.host)
@@ -82,7 +82,7 @@
 
 
 class Pair:
-    """`a` owns, `b` stands by. `told`: settings of both tables; `more`: of the applications."""
+    """`a` is the primary, `b` the standby. `told`, `more`: settings of standby and application tables."""
 
     def __init__(self, folder, more=None, **told):
         self.folder, self.told, self.more = folder, told, more or {}
@@ -111,7 +111,7 @@
         await self.links.__aexit__()
 
     def render(self, side, **more):
-        """Its files; `more`: settings of its table that differ."""
+        """Write the files of a side; `more`: settings that differ in its table."""
         table = {"key_file": str(self.folder / "keys"), "silent_ms": 1000, **self.told, **more}
         if side is self.a:
             table["to"] = "{}:{}".format(*self.links.address("s/a", "s/b"))
@@ -139,21 +139,21 @@
         write(render(report.loaded), side.folder / "rendered")
 
     async def start(self):
-        """Both, in step; a client of the owner."""
+        """Start both and wait until they are in sync; returns a client of the primary."""
         await self.b.standing()
         await self.a.start()
         await self.a.until_status(lambda told: told["state"] == "in step")
         return await self.a.client()
 
     async def moved(self):
-        """The standby is promoted by hand and works."""
+        """Promote the standby and wait until it is ready as a courier."""
         status, text = await self.b.promote()
         assert status == 200, text
         await self.b.until("is ready on port", LIMIT)
 
     async def load(self, stop, kinds=("safe", "unsafe"), life=8000):
-        """One message after the other, at whichever side takes clients, until `stop` is set: the answer to
-        each id, "" where there was none."""
+        """Submit messages one after the other, to whichever side accepts clients, until `stop` is set: the
+        reply for each id, "" without one."""
         answers, client, n = {}, None, 0
         while not stop.is_set():
             for side in (self.b, self.a) if client is None else ():
@@ -169,12 +169,12 @@
                 answers[ident] = await client.put(ident, kind=kinds[n % len(kinds)], life=life)
                 n += 1
             except (OSError, asyncio.IncompleteReadError):
-                client = None  # what became of it is not known
+                client = None  # its outcome is unknown
                 n += 1
         return answers
 
     async def all_end(self, answers, limit=LIMIT):
-        """Each message that was taken on is delivered, or its end is told."""
+        """Wait until each accepted message is delivered or its outcome is reported."""
         taken = {ident for ident, text in answers.items() if text == "+OK"}
 
         async def inner():
@@ -187,7 +187,7 @@
         await asyncio.wait_for(inner(), limit)
 
     def delivered(self, ident):
-        """The calls with this id, in their order."""
+        """The calls with this id, in order."""
         return [c for c in self.partner.calls if c.ident == ident]
 
 
--- a/tests/standby/plants.py
+++ b/tests/standby/plants.py
@@ -1,196 +1,222 @@
-"""Bugs planted in the pure machines and the journal's waits: each must be found by drawn schedules."""
+"""Seeded faults in the state machines and the replicated journal; random schedules must find each of them."""
 
 import contextlib
 
-from madderbeam.host.standby import journal as waits
+from madderbeam.host.standby import journal as replicated_journal
 from madderbeam.replication import cursor, owner, standby, values
-from madderbeam.replication.values import Go, Say, Sort, TakeOver
+from madderbeam.replication.values import Proceed, SendMessage, TakeOver, WaitKind
 
 
 @contextlib.contextmanager
-def put(place, name, value):
-    before = getattr(place, name)
-    setattr(place, name, value)
+def patched(target, name, value):
+    before = getattr(target, name)
+    setattr(target, name, value)
     try:
         yield
     finally:
-        setattr(place, name, before)
+        setattr(target, name, before)
 
 
 @contextlib.contextmanager
-def no_fence():
-    """The standby that took over goes on confirming what its old owner sends."""
+def missing_fence():
+    """A promoted standby continues to acknowledge the former primary's data."""
 
-    def hello(self, now, link, row):
-        if self.over is None:
-            return real(self, now, link, row)
+    def on_hello(self, now_us, link, row):
+        if self.takeover_doubt is None:
+            return real_on_hello(self, now_us, link, row)
         self.link = link
-        return [Say("welcome", [[[n, s, self.digests.get(n, 0)] for n, s in self.sizes.items()], True], link)]
-
-    def got(self, now, e):
-        if self.over is None:
-            return heard(self, now, e)
-        at = {"block": 4, "drop": 1, "whole": 0}.get(e.channel)
-        told = [self.position, self.got, e.row[0]] if at is None else e.row[at : at + 3]
-        self.position, self.got = told[:2]
-        return [Say("ack", told, self.link)]
-
-    real, heard = standby.Standby._hello, standby.Standby._got
-    with put(standby.Standby, "_hello", hello), put(standby.Standby, "_got", got):
+        return [
+            SendMessage(
+                "welcome",
+                [
+                    [[segment, size, self.digests.get(segment, 0)] for segment, size in self.sizes.items()],
+                    True,
+                ],
+                link,
+            )
+        ]
+
+    def on_message(self, now_us, event):
+        if self.takeover_doubt is None:
+            return real_on_message(self, now_us, event)
+        first_index = {"block": 4, "drop": 1, "whole": 0}.get(event.channel)
+        progress = (
+            [self.position, self.received_bytes, event.row[0]]
+            if first_index is None
+            else event.row[first_index : first_index + 3]
+        )
+        self.position, self.received_bytes = progress[:2]
+        return [SendMessage("ack", progress, self.link)]
+
+    real_on_hello, real_on_message = standby.Standby._on_hello, standby.Standby._on_message
+    with patched(standby.Standby, "_on_hello", on_hello), patched(standby.Standby, "_on_message", on_message):
         yield
 
 
-def early_lease():
-    return put(values.Settings, "standby_lease_us", lambda self, lease_us: lease_us // 5)
+def standby_lease_too_short():
+    return patched(values.Settings, "standby_lease_us", lambda self, lease_us: lease_us // 5)
 
 
-def lease_by_answer():
-    """The owner counts its lease from when the answer came, not from when it asked."""
+def lease_counted_from_reply():
+    """The primary counts its lease from the reply instead of from its request."""
 
-    def ack(self, now, position, acked, stamp):
-        return real(self, now, position, acked, now if stamp <= now else stamp)
+    def ack(self, now_us, position, acked_bytes, stamp):
+        return real(self, now_us, position, acked_bytes, now_us if stamp <= now_us else stamp)
 
-    real = owner.Owner._ack
-    return put(owner.Owner, "_ack", ack)
+    real = owner.Primary._on_ack
+    return patched(owner.Primary, "_on_ack", ack)
 
 
-def lease_forgotten():
-    """What the standby has confirmed goes, however long ago."""
-    return put(owner.Owner, "leased", lambda self, now: True)
+def lease_never_expires():
+    """An acknowledgement counts forever: the lease never expires."""
+    return patched(owner.Primary, "has_lease", lambda self, now_us: True)
 
 
-def lost_tail():
-    """The copy is said to be whole with its last part not sent."""
+def tail_not_sent():
+    """The copy is declared complete although its last part was not sent."""
 
-    def lacking(self):
-        part = real(self)
-        return None if part is not None and part[0] == max(self.sizes) and part[1] else part
+    def next_missing(self):
+        missing_part = real(self)
+        return (
+            None
+            if missing_part is not None and missing_part[0] == max(self.sizes) and missing_part[1]
+            else missing_part
+        )
 
-    real = cursor.Cursor.lacking
-    return put(cursor.Cursor, "lacking", lacking)
+    real = cursor.Cursor.next_missing
+    return patched(cursor.Cursor, "next_missing", next_missing)
 
 
-def confirmed_unwritten():
-    """What the standby's disk did not take is confirmed."""
-    return put(standby.Standby, "_wrote", lambda self, now, e: self._done(now))
+def unwritten_data_acknowledged():
+    """The standby acknowledges data that its disk rejected."""
+    return patched(
+        standby.Standby, "_on_write_result", lambda self, now_us, event: self._finish_operation(now_us)
+    )
 
 
-def _passes(sort):
-    def passes(self, asked):
-        return asked is sort or real(self, asked)
+def _kind_not_awaited(kind):
+    def needs_no_ack(self, requested_kind):
+        return requested_kind is kind or real(self, requested_kind)
 
-    real = owner.Owner.passes
-    return put(owner.Owner, "passes", passes)
+    real = owner.Primary.needs_no_ack
+    return patched(owner.Primary, "needs_no_ack", needs_no_ack)
 
 
-def wait_forgotten_take():
-    return _passes(Sort.TAKE)
+def accept_not_awaited():
+    return _kind_not_awaited(WaitKind.ACCEPT)
 
 
-def wait_forgotten_attempt():
-    return _passes(Sort.ATTEMPT)
+def attempt_not_awaited():
+    return _kind_not_awaited(WaitKind.ATTEMPT)
 
 
-def wait_forgotten_final():
-    return _passes(Sort.FINAL)
+def outcome_not_awaited():
+    return _kind_not_awaited(WaitKind.OUTCOME)
 
 
-def final_goes_when_due():
-    """A notice whose time to wait is over says what it said."""
+def overdue_outcome_proceeds():
+    """An overdue outcome is reported as it was, without an acknowledgement."""
 
-    def overdue(self, now):
-        due = [w for w in self.waiting.all.values() if w.due_us <= now and w.sort is Sort.FINAL]
-        for w in due:
-            del self.waiting.all[w.token]
-        return [*(Go(w.token) for w in due), *real(self, now)]
+    def overdue(self, now_us):
+        due = [
+            wait
+            for wait in self.wait_queue.entries.values()
+            if wait.due_us <= now_us and wait.kind is WaitKind.OUTCOME
+        ]
+        for wait in due:
+            del self.wait_queue.entries[wait.token]
+        return [*(Proceed(wait.token) for wait in due), *real(self, now_us)]
 
-    real = owner.Owner._overdue
-    return put(owner.Owner, "_overdue", overdue)
+    real = owner.Primary._decide_overdue
+    return patched(owner.Primary, "_decide_overdue", overdue)
 
 
-def doubt_forgotten():
-    """What an owner that goes on alone may have done is not thought of."""
+def takeover_ignores_missing_records():
+    """A takeover ignores what a primary without its standby may have done."""
 
     def take_over(self):
-        return [TakeOver(a.fence, False, a.exact) if isinstance(a, TakeOver) else a for a in real(self)]
+        return [
+            TakeOver(action.fence, False, action.is_prefix) if isinstance(action, TakeOver) else action
+            for action in real(self)
+        ]
 
     real = standby.Standby._take_over
-    return put(standby.Standby, "_take_over", take_over)
+    return patched(standby.Standby, "_take_over", take_over)
 
 
-def sure_too_soon():
-    """A copy counts as sure as its owner says that it is strict, before it is whole again."""
+def all_records_assumed_early():
+    """A strict primary's copy counts as having all records before it is complete again."""
 
-    def followed(self, link, fence, strict, lease_us, name):
-        self.sure = self.strict = strict
-        return real(self, link, fence, strict, lease_us, name)
+    def accept_primary(self, link, fence, is_strict, lease_us, name):
+        self.has_all_records = self.primary_is_strict = is_strict
+        return real(self, link, fence, is_strict, lease_us, name)
 
-    real = standby.Standby._followed
-    return put(standby.Standby, "_followed", followed)
+    real = standby.Standby._accept_primary
+    return patched(standby.Standby, "_accept_primary", accept_primary)
 
 
-def grant_forgotten():
-    """The standby does not note that it has granted a lease anew."""
+def grant_not_recorded():
+    """The standby does not record the time of a new lease."""
 
-    def confirm(self, now):
-        was = self.granted_at
-        found = real(self, now)
-        self.granted_at = was
-        return found
+    def acknowledge(self, now_us):
+        previous = self.lease_granted_at_us
+        actions = real(self, now_us)
+        self.lease_granted_at_us = previous
+        return actions
 
-    real = standby.Standby._confirm
-    return put(standby.Standby, "_confirm", confirm)
+    real = standby.Standby._acknowledge
+    return patched(standby.Standby, "_acknowledge", acknowledge)
 
 
-def weaker_at_once():
-    """An owner that may go on alone by its new settings does, before the standby has heard of them."""
+def weaker_setting_applied_early():
+    """A primary applies weaker settings before the standby has received them."""
 
-    def owned(self, settings, name, sizes, kept):
+    def init(self, settings, name, sizes, kept):
         real(self, settings, name, sizes, kept)
         self.agreed_strict = False
 
-    real = owner.Owner.__init__
-    return put(owner.Owner, "__init__", owned)
+    real = owner.Primary.__init__
+    return patched(owner.Primary, "__init__", init)
 
 
-def attempt_waits_for_nothing():
-    """The journal calls each attempt one that may be repeated."""
+def attempts_treated_as_repeatable():
+    """The journal treats every attempt as repeatable."""
 
-    def attach(self, room, safe, windows):
-        real(self, room, frozenset(range(9)), windows)
+    def attach(self, gate, repeatable_classes, key_windows_s):
+        real(self, gate, frozenset(range(9)), key_windows_s)
 
-    real = waits.ReplicatedJournal.attach
-    return put(waits.ReplicatedJournal, "attach", attach)
+    real = replicated_journal.ReplicatedJournal.attach
+    return patched(replicated_journal.ReplicatedJournal, "attach", attach)
 
 
-def window_forgotten():
-    """A key's window is not looked at once the word is there."""
+def key_window_ignored():
+    """A key's window is not checked after waiting for the acknowledgement."""
 
-    def attach(self, room, safe, windows):
-        real(self, room, safe, {})
+    def attach(self, gate, repeatable_classes, key_windows_s):
+        real(self, gate, repeatable_classes, {})
 
-    real = waits.ReplicatedJournal.attach
-    return put(waits.ReplicatedJournal, "attach", attach)
+    real = replicated_journal.ReplicatedJournal.attach
+    return patched(replicated_journal.ReplicatedJournal, "attach", attach)
 
 
 ALL = {
-    f.__name__: f
-    for f in (
-        no_fence,
-        early_lease,
-        lease_by_answer,
-        lease_forgotten,
-        grant_forgotten,
-        lost_tail,
-        confirmed_unwritten,
-        wait_forgotten_take,
-        wait_forgotten_attempt,
-        wait_forgotten_final,
-        final_goes_when_due,
-        doubt_forgotten,
-        sure_too_soon,
-        weaker_at_once,
-        attempt_waits_for_nothing,
-        window_forgotten,
+    fault.__name__: fault
+    for fault in (
+        missing_fence,
+        standby_lease_too_short,
+        lease_counted_from_reply,
+        lease_never_expires,
+        grant_not_recorded,
+        tail_not_sent,
+        unwritten_data_acknowledged,
+        accept_not_awaited,
+        attempt_not_awaited,
+        outcome_not_awaited,
+        overdue_outcome_proceeds,
+        takeover_ignores_missing_records,
+        all_records_assumed_early,
+        weaker_setting_applied_early,
+        attempts_treated_as_repeatable,
+        key_window_ignored,
     )
 }
--- a/tests/standby/test_moves.py
+++ b/tests/standby/test_moves.py
@@ -1,4 +1,4 @@
-"""Real processes: a planned move, a silent standby, one whose disk is full, two promotions."""
+"""Real processes: planned moves, a silent standby, a standby with a full disk, repeated promotion."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 def unsafe_once(p):
     for ident in {c.ident for c in p.partner.calls}:
         calls = p.delivered(ident)
-        if int(ident[1:]) % 2:  # of the unsafe class
+        if int(ident[1:]) % 2:  # unsafe class
             assert len(calls) == 1, (ident, calls)
 
 
-def test_the_owner_is_killed_under_load(tmp_path):
+def test_the_primary_is_killed_under_load(tmp_path):
     async def inner(p):
         await p.start()
         stop = asyncio.Event()
@@ -30,7 +30,7 @@
     pair(inner, tmp_path)
 
 
-def test_a_planned_move_under_load_refuses_nothing(tmp_path):
+def test_a_planned_move_under_load_rejects_nothing(tmp_path):
     async def inner(p):
         await p.start()
         stop = asyncio.Event()
@@ -48,18 +48,18 @@
         unsafe_once(p)
         assert not any(status == "undeliverable" for _, status in p.a.finals() + p.b.finals())
         assert "over" not in (await p.b.call("GET", "/ready"))[1]
-        await p.a.start(None)  # it gave its messages away
+        await p.a.start(None)  # its messages belong to the standby
         assert await asyncio.wait_for(p.a.process.wait(), LIMIT) == 3
 
     pair(inner, tmp_path)
 
 
-def test_with_refuse_nothing_is_taken_on_while_the_standby_is_silent(tmp_path):
+def test_with_refuse_nothing_is_accepted_while_the_standby_is_silent(tmp_path):
     async def inner(p):
         client = await p.start()
         assert await client.put("m0") == "+OK"
-        p.links["s/b", "s/a"].cut()  # one way only
-        waiting = await client.put("m1", kind="unsafe")  # caught between
+        p.links["s/b", "s/a"].cut()  # one direction only
+        waiting = await client.put("m1", kind="unsafe")  # cut off while waiting
         assert waiting.startswith(("-ERR", "-BUSY")), waiting
         assert (await client.put("m2")).startswith("-BUSY")
         told = await p.a.status()
@@ -73,7 +73,7 @@
     pair(inner, tmp_path)
 
 
-def test_with_alone_work_goes_on_and_is_said(tmp_path):
+def test_with_alone_work_continues_and_is_reported(tmp_path):
     async def inner(p):
         client = await p.start()
         await p.b.kill()
@@ -82,19 +82,19 @@
         assert (await p.a.status())["alone"]
         await p.b.standing()
         await p.a.until_status(lambda told: told["state"] == "in step" and not told["alone"])
-        assert not (await p.b.status())["sure"]  # what was done alone is taken for having run
+        assert not (await p.b.status())["sure"]  # work without the standby counts as possibly executed
         assert await client.put("m2", kind="unsafe") == "+OK"
 
     pair(inner, tmp_path, silent="alone")
 
 
 def test_a_standby_whose_disk_is_full(tmp_path):
-    """The setting acts, memory is bounded, and with room it is in step again."""
+    """The setting `silent` applies, and with free space the standby is in sync again."""
 
     async def inner(p):
         await p.b.standing(largest=30_000)
         await p.a.start()
-        await p.a.until_status(lambda told: told["state"] == "in step")  # until then it says -BUSY
+        await p.a.until_status(lambda told: told["state"] == "in step")  # until then replies are -BUSY
         client, answers = await p.a.client(), []
         for n in range(200):
             answers.append(await client.put(f"m{2 * n}", body=b"x" * 1000))
@@ -121,14 +121,14 @@
         await p.b.until("is ready on port", LIMIT)
         assert sum("takes over with fence" in line for line in p.b.lines) == 1
         await p.b.kill()
-        await p.b.start()  # it stays the owner
+        await p.b.start()  # it stays promoted
         assert sum("takes over with fence" in line for line in p.b.lines) == 1
         assert len(p.delivered("m1")) <= 1
 
     pair(inner, tmp_path)
 
 
-def test_a_lease_that_ends_is_enough(tmp_path):
+def test_an_expired_lease_is_enough(tmp_path):
     async def inner(p):
         client = await p.start()
         assert await client.put("m1", kind="unsafe") == "+OK"
@@ -141,7 +141,7 @@
     pair(inner, tmp_path, takeover="lease")
 
 
-def test_one_that_never_had_all_is_not_promoted(tmp_path):
+def test_a_copy_that_was_never_complete_is_not_promoted(tmp_path):
     async def inner(p):
         await p.b.standing()
         status, text = await p.b.promote()
@@ -150,7 +150,7 @@
     pair(inner, tmp_path)
 
 
-def test_a_key_that_is_not_known_is_not_heard_and_keys_rotate(tmp_path):
+def test_an_unknown_key_is_rejected_and_keys_rotate(tmp_path):
     async def inner(p):
         keys = p.folder / "keys.a"
         keys.write_text("two " + "7b" * 32 + "\n")
--- a/tests/standby/test_taken_over.py
+++ b/tests/standby/test_taken_over.py
@@ -1,16 +1,16 @@
-"""Real processes: the owner dies, is paused, cut off; the standby takes over."""
+"""Real processes: the primary is killed or paused; the standby takes over."""
 
 import asyncio
 
 from pair import LIMIT, pair
 
 
-def test_what_was_taken_on_is_ended_by_the_standby(tmp_path):
-    """The owner is killed with messages held; each ends once, and what may have run is not sent again."""
+def test_pending_messages_are_completed_by_the_standby(tmp_path):
+    """The primary is killed: each pending message completes once, possibly executed ones are not repeated."""
 
     async def inner(p):
         client = await p.start()
-        p.partner.script.extend(["hold"] * 16)  # all slots: the rest waits untried
+        p.partner.script.extend(["hold"] * 16)  # occupies all slots: the others stay unattempted
         for n in range(40):
             kind = ("safe", "unsafe")[n % 2]
             assert await client.put(f"m{n}", kind=kind, life=20000) == "+OK"
@@ -26,12 +26,12 @@
                 assert len(p.delivered(f"m{n}")) == 1
         await p.all_end({f"m{n}": "+OK" for n in range(40)})
         assert all(len(p.delivered(f"m{n}")) <= 1 for n in range(1, 40, 2))
-        assert sum(c.member == "s/b" for c in p.partner.calls) >= 20  # nearly all were untried
+        assert sum(c.member == "s/b" for c in p.partner.calls) >= 20  # nearly all were unattempted
 
     pair(inner, tmp_path)
 
 
-def test_an_owner_that_was_paused_amid_calls_is_fenced_as_it_wakes(tmp_path):
+def test_a_primary_paused_during_calls_is_fenced_when_it_resumes(tmp_path):
     async def inner(p):
         client = await p.start()
         p.partner.script.extend(["hold"] * 16)
@@ -49,7 +49,7 @@
         assert len([c for c in p.partner.calls if c.member == "s/a"]) == before
         await p.all_end({f"m{n}": "+OK" for n in range(40)})
         assert all(len(p.delivered(f"m{n}")) <= 1 for n in range(40))
-        await p.a.start(None)  # its folder comes back a day later
+        await p.a.start(None)  # a restart on its old folder
         assert await asyncio.wait_for(p.a.process.wait(), LIMIT) == 3
 
     pair(inner, tmp_path)
