--- a/madderbeam/config/standbys.py
+++ b/madderbeam/config/standbys.py
@@ -81,9 +81,9 @@
         )
         return
     from madderbeam.replication.errors import KeyUnfit
-    from madderbeam.replication.keys import read
+    from madderbeam.replication.keys import parse_keys
 
     try:
-        read(text, str(path))
+        parse_keys(text, str(path))
     except KeyUnfit as error:
         report.add(source, (*at, "key_file"), error.what, "lines NAME HEX, 32 to 256 hex digits")
--- a/madderbeam/host/standby/shared.py
+++ b/madderbeam/host/standby/shared.py
@@ -76,6 +76,6 @@
 def read_keys(disk: Disk, path: str) -> dict[str, bytes]:
     """Read the key file, anew for each connection so that keys can be rotated; KeyUnfit if invalid."""
     try:
-        return keys.read(disk.read(path).decode("utf-8", "replace"), path)
+        return keys.parse_keys(disk.read(path).decode("utf-8", "replace"), path)
     except OSError as error:
         raise KeyUnfit(f"{path}: cannot be read: {error.strerror}") from None
--- a/madderbeam/replication/keys.py
+++ b/madderbeam/replication/keys.py
@@ -22,7 +22,7 @@
 Keys = Mapping[str, bytes]
 
 
-def read(text: str, displayed_path: str) -> dict[str, bytes]:
+def parse_keys(text: str, displayed_path: str) -> dict[str, bytes]:
     """Keys by name, in the file's order; KeyUnfit names the invalid line. `displayed_path` is for errors."""
     keys_by_name: dict[str, bytes] = {}
     for number, line in enumerate(text.splitlines(), 1):
--- a/tests/standby/test_machines.py
+++ b/tests/standby/test_machines.py
@@ -142,7 +142,7 @@
             keys.verify_proof(ONE, *wrong, told)
     for text in ("", "one 12", "one " + "5a" * 16 + "\none " + "6a" * 16, "one " + "g" * 32):
         with pytest.raises(KeyUnfit):
-            keys.read(text, "keys")
+            keys.parse_keys(text, "keys")
 
 
 @given(
