--- a/madderbeam/host/standby/primary.py
+++ b/madderbeam/host/standby/primary.py
@@ -24,7 +24,7 @@
 from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
 from madderbeam.quota.admission import QuotaVerdict
-from madderbeam.replication.owner import Primary
+from madderbeam.replication.primary import Primary
 from madderbeam.replication.values import (
     Abort,
     Appended,
--- a/madderbeam/host/standby/process.py
+++ b/madderbeam/host/standby/process.py
@@ -16,8 +16,8 @@
 from madderbeam.host.federation.durable_map import DurableMap
 from madderbeam.host.standalone import STDIN, claim_resources, lock_folder
 from madderbeam.host.standby.copy import mark_possibly_executed
-from madderbeam.host.standby.keeper import StandbyService
 from madderbeam.host.standby.primary import PrimaryComponent
+from madderbeam.host.standby.service import StandbyService
 from madderbeam.host.standby.shared import records_folder, standby_config
 from madderbeam.ports import Ports
 from madderbeam.ports.real import real_ports
--- a/madderbeam/replication/owner.py
+++ b/madderbeam/replication/primary.py
@@ -36,7 +36,7 @@
     Stop,
     WaitKind,
 )
-from madderbeam.replication.waiting import PendingWait, WaitQueue
+from madderbeam.replication.wait_queue import PendingWait, WaitQueue
 
 HEARTBEATS_PER_SILENCE = 4  # sent per `silent_us`
 MAX_HANDOVER_US = 3_000_000  # a shutdown waits at most this long for the last acknowledgement
--- a/tests/standby/plants.py
+++ b/tests/standby/plants.py
@@ -3,7 +3,7 @@
 import contextlib
 
 from madderbeam.host.standby import journal as replicated_journal
-from madderbeam.replication import cursor, owner, standby, values
+from madderbeam.replication import cursor, primary, standby, values
 from madderbeam.replication.values import Proceed, SendMessage, TakeOver, WaitKind
 
 
@@ -63,13 +63,13 @@
     def ack(self, now_us, position, acked_bytes, stamp):
         return real(self, now_us, position, acked_bytes, now_us if stamp <= now_us else stamp)
 
-    real = owner.Primary._on_ack
-    return patched(owner.Primary, "_on_ack", ack)
+    real = primary.Primary._on_ack
+    return patched(primary.Primary, "_on_ack", ack)
 
 
 def lease_never_expires():
     """An acknowledgement counts forever: the lease never expires."""
-    return patched(owner.Primary, "has_lease", lambda self, now_us: True)
+    return patched(primary.Primary, "has_lease", lambda self, now_us: True)
 
 
 def tail_not_sent():
@@ -98,8 +98,8 @@
     def needs_no_ack(self, requested_kind):
         return requested_kind is kind or real(self, requested_kind)
 
-    real = owner.Primary.needs_no_ack
-    return patched(owner.Primary, "needs_no_ack", needs_no_ack)
+    real = primary.Primary.needs_no_ack
+    return patched(primary.Primary, "needs_no_ack", needs_no_ack)
 
 
 def accept_not_awaited():
@@ -127,8 +127,8 @@
             del self.wait_queue.entries[wait.token]
         return [*(Proceed(wait.token) for wait in due), *real(self, now_us)]
 
-    real = owner.Primary._decide_overdue
-    return patched(owner.Primary, "_decide_overdue", overdue)
+    real = primary.Primary._decide_overdue
+    return patched(primary.Primary, "_decide_overdue", overdue)
 
 
 def takeover_ignores_missing_records():
@@ -175,8 +175,8 @@
         real(self, settings, name, sizes, kept)
         self.agreed_strict = False
 
-    real = owner.Primary.__init__
-    return patched(owner.Primary, "__init__", init)
+    real = primary.Primary.__init__
+    return patched(primary.Primary, "__init__", init)
 
 
 def attempts_treated_as_repeatable():
--- a/tests/standby/world.py
+++ b/tests/standby/world.py
@@ -21,8 +21,8 @@
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.journal.segments import UnconfirmedError
 from madderbeam.journal.steady_clock import BOOT_ID_PATH
-from madderbeam.replication import cursor, owner
-from madderbeam.replication.owner import Primary
+from madderbeam.replication import cursor, primary
+from madderbeam.replication.primary import Primary
 from madderbeam.replication.standby import Standby
 from madderbeam.replication.values import (
     Abort,
@@ -58,7 +58,7 @@
 WINDOW_S = 2.5  # how long the partner remembers a key, from its first byte
 LATENCY_US = (200, 3_000)
 # Small chunks, so that catching up takes many steps.
-cursor.MAX_CHUNK_BYTES, owner.MAX_CHUNK_BYTES, owner.SEND_WINDOW_BYTES = 512, 512, 4096
+cursor.MAX_CHUNK_BYTES, primary.MAX_CHUNK_BYTES, primary.SEND_WINDOW_BYTES = 512, 512, 4096
 
 
 class Clock:
