--- a/madderbeam/replication/standby.py
+++ b/madderbeam/replication/standby.py
@@ -165,7 +165,7 @@
         previous_link = self.link
         self.link, self.primary_name = link, primary_name
         self.position = self.received_bytes = self.latest_stamp = 0
-        # A primary that may continue alone may have done so: its records may be missing here.
+        # A primary that may work without its standby may have done so: records may be missing here.
         self.has_all_records = self.has_all_records and is_strict and self.primary_is_strict
         self.primary_is_strict, self.lease_us, self.fence = is_strict, max(lease_us, 1), fence
         rows = [
--- a/madderbeam/transport/replication.py
+++ b/madderbeam/transport/replication.py
@@ -26,10 +26,8 @@
 
 MAX_UNSENT_BYTES = 4 << 20  # queued on one connection; any more closes it
 HANDSHAKE_TIMEOUT_S = 2.0  # for each side's first message
-BASE_BACKOFF_S, MAX_BACKOFF_S = (
-    0.05,
-    1.0,
-)  # the delay before a new attempt is the first * 2**attempts, at most the second
+# The delay before a new attempt to connect is BASE_BACKOFF_S * 2**attempts, at most MAX_BACKOFF_S.
+BASE_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0
 MAX_UNAUTHENTICATED = 8  # connections; a further one closes the oldest of them
 PRIMARY, STANDBY = "owner", "standby"
 ReadKeys = Callable[[], keys.Keys]  # the key file's current content; KeyUnfit, OSError
