--- a/madderbeam/routing/__init__.py
+++ b/madderbeam/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: which pool a message goes to, and its servers in their order of preference. Pure."""
+"""Routing: selects the pool of a message, and orders the pool's servers by preference; does no I/O."""
--- a/madderbeam/routing/hosts.py
+++ b/madderbeam/routing/hosts.py
@@ -1,9 +1,9 @@
-"""Which of several groups a host name belongs to, in nginx's order of server names.
+"""Matches a host name to a group of names, with the precedence of nginx's server names.
 
-ngx_http_core_module, `server_name`, and "Server names": the exact name; the longest wildcard that begins with
-an asterisk; the longest that ends with one; the first expression (`~`) in their order; else the default. A
-name that begins with a dot stands for itself and all below. Here the default is the group that names "*", or
-none.
+The precedence (ngx_http_core_module, `server_name`, and "Server names") is: the exact name; the longest
+wildcard name that starts with an asterisk; the longest that ends with one; the first matching regular
+expression (`~`) in the order written; else the default. A name that starts with a dot matches the domain
+itself and its subdomains. Here the default is the group that contains "*"; there may be none.
 """
 
 from __future__ import annotations
@@ -15,23 +15,25 @@
 
 
 class HostError(ValueError):
-    """Names that can't be used; one line."""
+    """An invalid host name pattern; the message is one line."""
 
 
 class Hosts:
-    """Groups of names, compiled once; a look-up goes over the labels of the host and over the expressions."""
+    """Compiled groups of names; a lookup costs the labels of the host plus the regular expressions."""
 
     def __init__(self, groups: Sequence[Sequence[str]]) -> None:
-        """HostError for an expression that RE2 can't run, or a wildcard within a name. Where a name stands in
-        two groups the first one counts, as in nginx."""
+        """Compile the groups; a name that is in two groups belongs to the first, as in nginx.
+
+        Raises HostError for an expression that RE2 rejects, or a wildcard within a name.
+        """
         self.exact: dict[str, int] = {}
-        self.leading: dict[str, int] = {}  # ".example.org" of *.example.org
-        self.trailing: dict[str, int] = {}  # "www." of www.*
+        self.leading: dict[str, int] = {}  # ".example.org" for *.example.org
+        self.trailing: dict[str, int] = {}  # "www." for www.*
         self.patterns: list[tuple[Any, int]] = []
         self.default = -1
-        for n, names in enumerate(groups):
+        for group, names in enumerate(groups):
             for name in names:
-                self._add(name, n)
+                self._add(name, group)
 
     def _add(self, name: str, group: int) -> None:
         if name == ANY:
@@ -61,16 +63,16 @@
                 self.exact.setdefault(name, group)
 
     def find(self, host: str) -> int:
-        """The number of the group, -1 if there is none."""
+        """Return the index of the group that the host belongs to, -1 if there is none."""
         host = host.lower().rstrip(".")
         if host in self.exact:
             return self.exact[host]
         labels = host.split(".")
-        for n in range(1, len(labels)):
-            if (found := self.leading.get("." + ".".join(labels[n:]))) is not None:
+        for split in range(1, len(labels)):
+            if (found := self.leading.get("." + ".".join(labels[split:]))) is not None:
                 return found
-        for n in range(len(labels) - 1, 0, -1):
-            if (found := self.trailing.get(".".join(labels[:n]) + ".")) is not None:
+        for split in range(len(labels) - 1, 0, -1):
+            if (found := self.trailing.get(".".join(labels[:split]) + ".")) is not None:
                 return found
         for pattern, group in self.patterns:
             if pattern.search(host):
--- a/madderbeam/routing/marks.py
+++ b/madderbeam/routing/marks.py
@@ -1,9 +1,9 @@
-"""Servers that are out for their failures: `max_fails` within `fail_timeout`, and back by a probe.
+"""Passive health checks: ejects a server after `max_fails` failures, and probes it with a live call.
 
-By the documentation (ngx_http_upstream_module, `server`; "Using nginx as HTTP load balancer", health checks):
-so many unsuccessful attempts within fail_timeout make a server unavailable for fail_timeout; after that a
-live request probes it, and a success brings it back, its weight rising from nothing over slow_start. A
-group's only server is never out.
+As nginx documents it (ngx_http_upstream_module, `server`; "Using nginx as HTTP load balancer", health
+checks): `max_fails` unsuccessful attempts within fail_timeout make a server unavailable for fail_timeout;
+after that a live request probes it, and a success restores it, its weight rising from zero over slow_start.
+A group's only server is never ejected.
 """
 
 from __future__ import annotations
@@ -11,62 +11,73 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-STEPS = 16  # of the rise over slow_start
+STEPS = 16  # steps in which a weight rises during slow_start
 
 
 @dataclass(slots=True)
 class Mark:
-    """One server's account of failures. Times are microseconds."""
+    """The failures of one server, and whether they eject it. Times are microseconds."""
 
     max_fails: int
     fail_timeout_us: int
     slow_start_us: int
-    fails: deque[int] = field(default_factory=deque)  # when, the newest max_fails at most
-    until: int = 0  # out until then, 0 if it is not
-    probing: bool = False  # it was out, and no call since has told how it is
+    failure_times_us: deque[int] = field(default_factory=deque)  # the newest max_fails at most
+    ejected_until_us: int = 0  # ejected until then, 0 if it was not
+    needs_probe: bool = False  # was ejected, and no call has succeeded since
     probe_out: bool = False
-    rising_from: int = -1  # start of the slow start
+    slow_start_since_us: int = -1  # -1: not in slow start
 
-    def usable(self, now: int) -> bool:
-        return now >= self.until and not self.probe_out
+    def is_usable(self, now_us: int) -> bool:
+        """Whether calls may be sent: not ejected, and no probe in flight."""
+        return now_us >= self.ejected_until_us and not self.probe_out
 
-    def begun(self, now: int) -> bool:
-        """A call goes there; whether it is the probe."""
-        if self.probing and not self.probe_out:
+    def call_started(self, now_us: int) -> bool:
+        """Record the start of a call; return whether the call is the probe."""
+        if self.needs_probe and not self.probe_out:
             self.probe_out = True
             return True
         return False
 
-    def ended(self, failed: bool, succeeded: bool, now: int) -> bool:
-        """A call has ended; whether the server is out from now on. Neither: it told nothing."""
+    def ended(self, failed: bool, succeeded: bool, now_us: int) -> bool:
+        """Record the end of a call; return whether it ejected the server.
+
+        A call that neither failed nor succeeded says nothing about the server's health.
+        """
         probe, self.probe_out = self.probe_out, False
-        if succeeded and self.probing:
-            self.probing = False
-            self.fails.clear()
-            self.rising_from = now if self.slow_start_us else -1
-        if not failed or not self.max_fails or now < self.until:
+        if succeeded and self.needs_probe:
+            self.needs_probe = False
+            self.failure_times_us.clear()
+            self.slow_start_since_us = now_us if self.slow_start_us else -1
+        if not failed or not self.max_fails or now_us < self.ejected_until_us:
             return False
-        self.fails.append(now)
-        while self.fails[0] <= now - self.fail_timeout_us or len(self.fails) > self.max_fails:
-            self.fails.popleft()
-        if len(self.fails) < self.max_fails and not (probe or self.probing):
+        self.failure_times_us.append(now_us)
+        while (
+            self.failure_times_us[0] <= now_us - self.fail_timeout_us
+            or len(self.failure_times_us) > self.max_fails
+        ):
+            self.failure_times_us.popleft()
+        if len(self.failure_times_us) < self.max_fails and not (probe or self.needs_probe):
             return False
-        self.until, self.probing, self.rising_from = now + self.fail_timeout_us, True, -1
-        self.fails.clear()
+        self.ejected_until_us, self.needs_probe, self.slow_start_since_us = (
+            now_us + self.fail_timeout_us,
+            True,
+            -1,
+        )
+        self.failure_times_us.clear()
         return True
 
-    def share(self, now: int) -> int:
-        """Of its weight, in STEPS-ths: all but during a slow start."""
-        if self.rising_from < 0:
+    def weight_steps(self, now_us: int) -> int:
+        """Return the fraction of its weight that the server has now, in STEPS-ths."""
+        if self.slow_start_since_us < 0:
             return STEPS
-        step = (now - self.rising_from) * STEPS // max(1, self.slow_start_us)
+        step = (now_us - self.slow_start_since_us) * STEPS // max(1, self.slow_start_us)
         if step >= STEPS:
-            self.rising_from = -1
+            self.slow_start_since_us = -1
         return max(1, min(STEPS, step))
 
-    def next_step_us(self, now: int) -> int:
-        """When its share rises next, 0 if it does not."""
-        if self.rising_from < 0:
+    def next_step_us(self, now_us: int) -> int:
+        """Return when the weight rises next, 0 if it does not."""
+        if self.slow_start_since_us < 0:
             return 0
-        step = (now - self.rising_from) * STEPS // max(1, self.slow_start_us) + 1
-        return self.rising_from + -(-step * self.slow_start_us // STEPS)
+        step = (now_us - self.slow_start_since_us) * STEPS // max(1, self.slow_start_us) + 1
+        return self.slow_start_since_us + -(-step * self.slow_start_us // STEPS)
--- a/madderbeam/routing/paths.py
+++ b/madderbeam/routing/paths.py
@@ -1,4 +1,4 @@
-"""A request's path in the form in which nginx holds locations against it.
+"""Normalizes a request path as nginx does before it matches locations.
 
 ngx_http_core_module, `location`: "The matching is performed against a normalized URI, after decoding the text
 encoded in the %XX form, resolving references to relative path components . and .., and possible compression
@@ -10,40 +10,40 @@
 import re
 
 ENCODED = re.compile(rb"%([0-9A-Fa-f]{2})")
-LONGEST = 4096  # bytes of a path as it is handed in
+MAX_PATH_CHARS = 4096  # of a path as received
 
 
 class PathError(ValueError):
-    """A path that can't be used; one line."""
+    """An invalid path; the message is one line."""
 
 
 def normalized(text: str) -> str:
-    """The path alone, without its query: decoded, with . and .. resolved, adjacent slashes as one.
+    """Return the path without its query: percent-decoded, . and .. resolved, adjacent slashes merged.
 
-    PathError for one that does not begin with a slash, is too long, leads above the root, is no UTF-8 or
-    holds a zero byte once it is decoded.
+    Raises PathError if the path does not begin with a slash, is too long, leads above the root, or once
+    decoded is not UTF-8 or contains a zero byte.
     """
     if not text.startswith("/"):
         raise PathError("must begin with /")
-    if len(text) > LONGEST:
-        raise PathError(f"must be {LONGEST} characters at most")
+    if len(text) > MAX_PATH_CHARS:
+        raise PathError(f"must be {MAX_PATH_CHARS} characters at most")
     data = re.split("[?#]", text, maxsplit=1)[0].encode()
     if re.search(rb"%(?![0-9A-Fa-f]{2})", data):
         raise PathError("holds a % that two hex digits must follow")
     try:
-        plain = ENCODED.sub(lambda found: bytes([int(found[1], 16)]), data).decode()
+        decoded = ENCODED.sub(lambda match: bytes([int(match[1], 16)]), data).decode()
     except UnicodeDecodeError:
         raise PathError("must be UTF-8 once it is decoded") from None
-    if "\0" in plain:
+    if "\0" in decoded:
         raise PathError("must not hold a zero byte")
-    parts: list[str] = []
-    pieces = plain.split("/")[1:]
-    for piece in pieces:
-        if piece == "..":
-            if not parts:
+    resolved: list[str] = []
+    segments = decoded.split("/")[1:]
+    for segment in segments:
+        if segment == "..":
+            if not resolved:
                 raise PathError("leads above the root")
-            parts.pop()
-        elif piece not in ("", "."):
-            parts.append(piece)
-    ends = pieces[-1] in ("", ".", "..")
-    return "/" + "/".join(parts) + ("/" if ends and parts else "")
+            resolved.pop()
+        elif segment not in ("", "."):
+            resolved.append(segment)
+    ends_with_slash = segments[-1] in ("", ".", "..")
+    return "/" + "/".join(resolved) + ("/" if ends_with_slash and resolved else "")
--- a/madderbeam/routing/pool.py
+++ b/madderbeam/routing/pool.py
@@ -1,9 +1,9 @@
-"""A partner's servers in their order of preference: weights, backups, marks, limits, zones, and six methods.
+"""Orders a partner's servers by preference: weights, backups, ejections, limits, zones, and six methods.
 
-Pure: the time comes in with each call. The decision module takes the first server that its own checks admit
-(`madderbeam.policy.endpoint_preference.EndpointPreference`); a pool never sends anything by itself, and never
-opens what the module holds back. Terms and their meaning are nginx's (ngx_http_upstream_module);
-docs/design/routing.md says where not.
+Does no I/O: each call passes the time in. The engine uses the first server that its own checks admit
+(`madderbeam.policy.endpoint_preference.EndpointPreference`); a pool never sends anything itself, and can't
+override the engine's checks. Terms and their meaning are nginx's (ngx_http_upstream_module);
+docs/design/routing.md lists the exceptions.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from sortedcontainers import SortedDict
 
 from madderbeam.policy.events import AttemptResult
-from madderbeam.routing.hashing import Ring, Weighted, plain, spread
+from madderbeam.routing.hashing import Ring, WeightedSlots, memcached_slots, uniform_hash
 from madderbeam.routing.marks import STEPS, Mark
-from madderbeam.routing.wheel import Wheel
+from madderbeam.routing.wheel import SmoothRoundRobin
 
-MOST_STEPS = 4096  # by which a pool's first choice is moved, so that couriers are not in step
-DRAWS = 20  # of the random methods, before the rest in turn
-PEEKS = 256  # messages whose passed-over servers are remembered until they are sent
+MAX_START_OFFSET = 4096  # bound of the random start offset that keeps couriers from choosing in lockstep
+MAX_DRAWS = 20  # random draws, before the remaining servers follow in round-robin order
+MAX_PEEKED_MESSAGES = 256  # bound of `passed_over`, which keeps rows until the message is sent
 
 
 class Method(Enum):
     """How a server is chosen; the values are those of the setting `method`."""
 
     ROUND_ROBIN = "round_robin"  # smooth, by weight
-    LEAST_CONN = "least_conn"  # fewest calls out by weight; among equals in turn by weight
-    HASH = "hash"  # as Cache::Memcached
+    LEAST_CONN = "least_conn"  # fewest calls in flight per weight; round robin among equals
+    HASH = "hash"  # compatible with Cache::Memcached
     CONSISTENT = "consistent_hash"  # Ketama
-    RANDOM = "random"  # by weight
-    RANDOM_TWO = "random_two"  # the less busy one of two drawn
+    RANDOM = "random"  # weighted
+    RANDOM_TWO = "random_two"  # the less loaded of two random servers
 
 
 HASHES = (Method.HASH, Method.CONSISTENT)
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One endpoint of a pool. `id`: its number at the courier; `name`: its address."""
+    """One endpoint of a pool. `id` is its number in the courier, `name` its address."""
 
     id: int
     name: str
     weight: int = 1
     backup: bool = False
     down: bool = False
-    max_conns: int = 0  # calls out at once, 0: no limit
+    max_conns: int = 0  # concurrent calls, 0: no limit
     max_fails: int = 0  # 0: failures are not counted
     fail_timeout_us: int = 10_000_000
     slow_start_us: int = 0
@@ -65,8 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """How a pool is used. `zone`: of the courier, '' for no preference; below `spill` of the zone's weight
-    that can be used, the rest of the messages goes to other zones. `fails_on`: what counts for max_fails."""
+    """How a pool is used.
+
+    `zone` is the courier's zone, '' for no preference. If less than the fraction `spill` of that zone's
+    weight is usable, part of the messages goes to other zones. `fails_on` names the outcomes that
+    max_fails counts.
+    """
 
     method: Method = Method.ROUND_ROBIN
     zone: str = ""
@@ -74,9 +78,9 @@
     fails_on: frozenset[str] = frozenset({"error", "timeout", "invalid_header"})
 
 
-def failure(result: AttemptResult, spoilt: bool) -> str:
-    """Which of FAILS_ON an outcome is, '' if none."""
-    if spoilt:
+def failure_kind(result: AttemptResult, malformed: bool) -> str:
+    """Return the key of FAILS_ON that an outcome belongs to, '' if none."""
+    if malformed:
         return "invalid_header"
     return {
         AttemptResult.CONNECT_FAILED: "error",
@@ -88,269 +92,307 @@
 
 
 class Tier:
-    """Servers that are tried before those of the next tier, in the order of one method."""
+    """Servers that are preferred to those of the next tier, ordered by one method."""
 
-    def __init__(self, method: Method, members: Sequence[Server], seed: int, old: Tier | None = None) -> None:
-        """`old`: the tier whose place it takes; who was there keeps its place in the turns."""
-        levels = old.kept() if old else {}
+    def __init__(
+        self, method: Method, members: Sequence[Server], seed: int, previous: Tier | None = None
+    ) -> None:
+        """Create a tier; servers that were in the tier `previous` keep their round-robin levels."""
+        levels = previous.current_levels() if previous else {}
         self.method, self.seed = method, seed
         self.servers = {s.id: s for s in members}
         self.rank = {s.id: n for n, s in enumerate(members)}
         self.ids = [s.id for s in members]
         self.scale = STEPS if any(s.slow_start_us for s in members) else 1
-        self.wheels: SortedDict = SortedDict()  # by calls out for each weight; one wheel but for least_conn
-        self.levels = {n: level for n, level in levels.items() if n in self.servers}  # of those that are out
-        self.at: dict[int, float] = {}  # whose wheel each is in
+        self.rotations: SortedDict = SortedDict()  # by calls per weight; one unless least_conn
+        self.levels = {n: level for n, level in levels.items() if n in self.servers}  # unusable ones'
+        self.rotation_keys: dict[int, float] = {}  # key in `rotations` of each usable server
         self.usable_weight = 0
         self.weight = sum(s.weight for s in members)
-        self.table = Weighted([s.weight for s in members])
+        self.table = WeightedSlots([s.weight for s in members])
         self.ring: Ring | None = None
         if method is Method.CONSISTENT:
-            self.ring = Ring(((s.id, s.name, s.weight) for s in members), old.ring if old else None)
+            self.ring = Ring(((s.id, s.name, s.weight) for s in members), previous.ring if previous else None)
 
-    def enter(self, ident: int, conns: int, share: int = STEPS) -> None:
-        """A server can be used, with so many calls out; `share` of its weight in STEPS-ths."""
-        weight = self.servers[ident].weight
+    def set_usable(self, endpoint: int, conns: int, share: int = STEPS) -> None:
+        """Make a server usable with `conns` calls in flight and `share` STEPS-ths of its weight."""
+        weight = self.servers[endpoint].weight
         key = conns / weight if self.method is Method.LEAST_CONN else 0.0
-        turns = max(1, weight * self.scale * share // STEPS)
-        if self.at.get(ident) == key and self.wheels[key].weights[self.rank[ident]] == turns:
+        weight_now = max(1, weight * self.scale * share // STEPS)
+        if (
+            self.rotation_keys.get(endpoint) == key
+            and self.rotations[key].weights[self.rank[endpoint]] == weight_now
+        ):
             return
-        self.leave(ident)
-        if key not in self.wheels:
-            self.wheels[key] = Wheel()
-        level = self.levels.pop(ident, 0)
-        self.wheels[key].add(self.rank[ident], turns, level)
-        self.at[ident] = key
+        self.set_unusable(endpoint)
+        if key not in self.rotations:
+            self.rotations[key] = SmoothRoundRobin()
+        level = self.levels.pop(endpoint, 0)
+        self.rotations[key].add(self.rank[endpoint], weight_now, level)
+        self.rotation_keys[endpoint] = key
         self.usable_weight += weight
 
-    def leave(self, ident: int) -> None:
-        """It can't be used."""
-        key = self.at.pop(ident, None)
+    def set_unusable(self, endpoint: int) -> None:
+        """Make a server unusable."""
+        key = self.rotation_keys.pop(endpoint, None)
         if key is None:
             return
-        wheel = self.wheels[key]
-        self.levels[ident] = wheel.remove(self.rank[ident])
-        if not wheel:
-            del self.wheels[key]
-        self.usable_weight -= self.servers[ident].weight
-
-    def kept(self) -> dict[int, int]:
-        """The level of each server in the turns, for a tier that takes this one's place."""
-        return self.levels | {n: self.wheels[key].level(self.rank[n]) for n, key in self.at.items()}
+        rotation = self.rotations[key]
+        self.levels[endpoint] = rotation.remove(self.rank[endpoint])
+        if not rotation:
+            del self.rotations[key]
+        self.usable_weight -= self.servers[endpoint].weight
+
+    def current_levels(self) -> dict[int, int]:
+        """Return the round-robin level of each server, for the tier that replaces this one."""
+        return self.levels | {
+            n: self.rotations[key].level(self.rank[n]) for n, key in self.rotation_keys.items()
+        }
 
     def order(self, message: int, affinity: str, conns: dict[int, int]) -> Iterator[int]:
-        """The servers that can be used, best first, each once."""
+        """Yield the usable servers, best first, each once."""
         if self.method in (Method.ROUND_ROBIN, Method.LEAST_CONN):
-            return self._turns()
-        return self._once(self._drawn(message, affinity, conns))
+            return self._round_robin()
+        return self._deduplicated(self._candidates(message, affinity, conns))
 
-    def _turns(self) -> Iterator[int]:
-        for wheel in self.wheels.values():
-            for rank in wheel.order():
+    def _round_robin(self) -> Iterator[int]:
+        for rotation in self.rotations.values():
+            for rank in rotation.order():
                 yield self.ids[rank]
 
-    def _once(self, drawn: Iterator[int]) -> Iterator[int]:
+    def _deduplicated(self, candidates: Iterator[int]) -> Iterator[int]:
         seen = set()
-        for ident in drawn:
-            if ident in self.at and ident not in seen:
-                seen.add(ident)
-                yield ident
-        for ident in self._turns():
-            if ident not in seen:
-                yield ident
-
-    def _drawn(self, message: int, affinity: str, conns: dict[int, int]) -> Iterator[int]:
-        """Servers, also such as can't be used, and more than once."""
-        if not self.at:
+        for endpoint in candidates:
+            if endpoint in self.rotation_keys and endpoint not in seen:
+                seen.add(endpoint)
+                yield endpoint
+        for endpoint in self._round_robin():
+            if endpoint not in seen:
+                yield endpoint
+
+    def _candidates(self, message: int, affinity: str, conns: dict[int, int]) -> Iterator[int]:
+        """Yield the method's candidates, possibly unusable or repeated."""
+        if not self.rotation_keys:
             return
         if self.method is Method.HASH:
-            yield from (self.ids[place] for place in plain(self.table, affinity))
+            yield from (self.ids[slot] for slot in memcached_slots(self.table, affinity))
             return
         if self.ring is not None:
             yield from self.ring.order(affinity)
             return
         draws = (
-            self.ids[self.table.place(int(spread(self.seed, message, n) * self.table.total))]
-            for n in range(DRAWS)
+            self.ids[self.table.slot(int(uniform_hash(self.seed, message, n) * self.table.total))]
+            for n in range(MAX_DRAWS)
         )
         if self.method is Method.RANDOM_TWO:
             pair: list[int] = []
-            for ident in draws:
-                if ident not in pair and ident in self.at:
-                    pair.append(ident)
+            for endpoint in draws:
+                if endpoint not in pair and endpoint in self.rotation_keys:
+                    pair.append(endpoint)
                 if len(pair) == 2:
                     break
             yield from sorted(pair, key=lambda n: conns.get(n, 0) / self.servers[n].weight)
         yield from draws
 
-    def choose(self, ident: int, passed: Iterable[int]) -> None:
-        """This one is sent a message; those were passed over."""
-        if (key := self.at.get(ident)) is not None:
-            ranks = [self.rank[p] for p in passed if self.at.get(p) == key]
-            self.wheels[key].choose(self.rank[ident], ranks)
+    def choose(self, endpoint: int, passed_over_servers: Iterable[int]) -> None:
+        """Record that a message is sent to one server, and that others were passed over."""
+        if (key := self.rotation_keys.get(endpoint)) is not None:
+            ranks = [self.rank[p] for p in passed_over_servers if self.rotation_keys.get(p) == key]
+            self.rotations[key].choose(self.rank[endpoint], ranks)
 
-    def turn_on(self, steps: int) -> None:
-        """Begin elsewhere than at the first server."""
+    def advance(self, steps: int) -> None:
+        """Advance the round robin by so many choices."""
         for _ in range(steps):
-            ident = next(self._turns(), None)
-            if ident is not None:
-                self.choose(ident, ())
+            endpoint = next(self._round_robin(), None)
+            if endpoint is not None:
+                self.choose(endpoint, ())
 
 
 class Pool:
-    """The servers of one destination. `chance` says where the turns begin, if `apart` from other
-    couriers'."""
+    """The servers of one destination.
+
+    With `randomize_start` the round robin starts at a position drawn from `rng`, so that couriers don't
+    choose in lockstep.
+    """
 
     def __init__(
-        self, policy: Policy, servers: Sequence[Server], chance: random.Random, apart: bool = False
+        self, policy: Policy, servers: Sequence[Server], rng: random.Random, randomize_start: bool = False
     ) -> None:
-        self.policy, self.apart = policy, apart
-        self.seed = chance.getrandbits(63)
+        self.policy, self.randomize_start = policy, randomize_start
+        self.seed = rng.getrandbits(63)
         self.conns: dict[int, int] = {}
-        self.most: dict[int, int] = {}  # in place of max_conns, where couriers share a server's places
+        self.conn_limits: dict[int, int] = {}  # override max_conns where couriers share a limit
         self.marks: dict[int, Mark] = {}
-        self.events: list[tuple[int, int]] = []  # when a server's mark ends or its share rises
-        self.due: dict[int, int] = {}  # the newest of these by server
-        self.peeked: dict[int, list[int]] = {}  # by message: servers that were passed over
+        self.events: list[
+            tuple[int, int]
+        ] = []  # heap: (when an ejection ends or a slow start advances, server)
+        self.due: dict[int, int] = {}  # the newest of these times by server
+        self.passed_over: dict[int, list[int]] = {}  # servers passed over, by message
         self.servers: dict[int, Server] = {}
-        self.near = self.far = self.backup = Tier(policy.method, (), 0)
-        self.replace(servers, 0, chance)
+        self.local_tier = self.remote_tier = self.backup_tier = Tier(policy.method, (), 0)
+        self.replace(servers, 0, rng)
 
-    def replace(self, servers: Sequence[Server], now: int, chance: random.Random) -> None:
-        """The list has changed. Who stays keeps its marks, its calls and its place in the turns."""
-        begun = not self.servers
+    def replace(self, servers: Sequence[Server], now_us: int, rng: random.Random) -> None:
+        """Replace the servers; those that stay keep failures, calls in flight and round-robin levels."""
+        is_new = not self.servers
         self.servers = {s.id: s for s in servers}
         self.conns = {n: c for n, c in self.conns.items() if n in self.servers}
-        self.most = {n: most for n, most in self.most.items() if n in self.servers}
-        alone = sum(not s.down for s in servers) == 1
+        self.conn_limits = {n: limit for n, limit in self.conn_limits.items() if n in self.servers}
+        is_only_server = sum(not s.down for s in servers) == 1
         marks, self.marks = self.marks, {}
         for s in servers:
-            if not s.max_fails or alone:
+            if not s.max_fails or is_only_server:
                 continue
             mark = marks.get(s.id) or Mark(s.max_fails, s.fail_timeout_us, s.slow_start_us)
             mark.max_fails, mark.fail_timeout_us = s.max_fails, s.fail_timeout_us
             mark.slow_start_us = s.slow_start_us
             self.marks[s.id] = mark
-        up = [s for s in servers if not s.down]
-        primary, zone = [s for s in up if not s.backup], self.policy.zone
+        enabled = [s for s in servers if not s.down]
+        primary, zone = [s for s in enabled if not s.backup], self.policy.zone
         local = [s for s in primary if zone and s.zone == zone]
         others = [s for s in primary if not zone or s.zone != zone]
-        self.near, self.far, self.backup = (
-            Tier(self.policy.method, members, self.seed, old)
-            for members, old in zip((local, others, [s for s in up if s.backup]), self._tiers(), strict=True)
+        self.local_tier, self.remote_tier, self.backup_tier = (
+            Tier(self.policy.method, members, self.seed, previous)
+            for members, previous in zip(
+                (local, others, [s for s in enabled if s.backup]), self._tiers(), strict=True
+            )
         )
         self.events, self.due = [], {}
-        for s in up:
-            self._settle(s.id, now)
-        if self.apart and begun:
+        for s in enabled:
+            self._update(s.id, now_us)
+        if self.randomize_start and is_new:
             for tier in self._tiers():
-                tier.turn_on(chance.randrange(max(1, min(tier.weight * tier.scale, MOST_STEPS))))
+                tier.advance(rng.randrange(max(1, min(tier.weight * tier.scale, MAX_START_OFFSET))))
 
     def _tiers(self) -> tuple[Tier, Tier, Tier]:
-        return self.near, self.far, self.backup
+        return self.local_tier, self.remote_tier, self.backup_tier
 
-    def _settle(self, ident: int, now: int) -> None:
-        """Bring a server into the wheels that it belongs to, by its mark and its calls."""
-        server, conns, mark = self.servers[ident], self.conns.get(ident, 0), self.marks.get(ident)
+    def _update(self, endpoint: int, now_us: int) -> None:
+        """Update whether a server is usable, and its weight, from its failures and its calls in flight."""
+        server, conns, mark = self.servers[endpoint], self.conns.get(endpoint, 0), self.marks.get(endpoint)
         if server.down:
             return
-        most = self.most.get(ident) if self.most else None
-        full = conns >= most if most is not None else bool(server.max_conns) and conns >= server.max_conns
-        usable = (mark is None or mark.usable(now)) and not full
-        share = mark.share(now) if mark else STEPS
+        limit = self.conn_limits.get(endpoint) if self.conn_limits else None
+        is_full = (
+            conns >= limit if limit is not None else bool(server.max_conns) and conns >= server.max_conns
+        )
+        is_usable = (mark is None or mark.is_usable(now_us)) and not is_full
+        share = mark.weight_steps(now_us) if mark else STEPS
         for tier in self._tiers():
-            if ident in tier.servers:
-                if usable:
-                    tier.enter(ident, conns, share)
+            if endpoint in tier.servers:
+                if is_usable:
+                    tier.set_usable(endpoint, conns, share)
                 else:
-                    tier.leave(ident)
+                    tier.set_unusable(endpoint)
         if (
             mark
-            and (at := mark.until if now < mark.until else mark.next_step_us(now))
-            and self.due.get(ident) != at
+            and (
+                due_us := mark.ejected_until_us
+                if now_us < mark.ejected_until_us
+                else mark.next_step_us(now_us)
+            )
+            and self.due.get(endpoint) != due_us
         ):
-            self.due[ident] = at
-            heapq.heappush(self.events, (at, ident))
+            self.due[endpoint] = due_us
+            heapq.heappush(self.events, (due_us, endpoint))
 
-    def allow(self, ident: int, most: int | None, now: int) -> None:
-        """So many calls at once from now on, None: max_conns. Those that are out go on."""
-        if most is None:
-            self.most.pop(ident, None)
+    def allow(self, endpoint: int, max_calls: int | None, now_us: int) -> None:
+        """Limit concurrent calls to a server, None: to max_conns. Calls in flight are not cancelled."""
+        if max_calls is None:
+            self.conn_limits.pop(endpoint, None)
         else:
-            self.most[ident] = most
-        if ident in self.servers:
-            self._settle(ident, now)
+            self.conn_limits[endpoint] = max_calls
+        if endpoint in self.servers:
+            self._update(endpoint, now_us)
 
-    def _pass_time(self, now: int) -> None:
-        while self.events and self.events[0][0] <= now:
-            _, ident = heapq.heappop(self.events)
-            if ident in self.servers:
-                self._settle(ident, now)
+    def _process_due_events(self, now_us: int) -> None:
+        while self.events and self.events[0][0] <= now_us:
+            _, endpoint = heapq.heappop(self.events)
+            if endpoint in self.servers:
+                self._update(endpoint, now_us)
 
     def tiers(
-        self, message: int, affinity: str, tried: Collection[int], now: int
+        self, message: int, affinity: str, attempted: Collection[int], now_us: int
     ) -> Iterator[tuple[bool, Iterator[int]]]:
-        """As Preference.tiers: primaries (the own zone's first), then backups; the tried ones last."""
-        self._pass_time(now)
-        again = [s for s in tried if s in self.servers]
-        passed = list(again)
-        self.peeked.pop(message, None)
-        if len(self.peeked) >= PEEKS:
-            self.peeked.clear()
-        self.peeked[message] = passed
-        waited = self.policy.method in HASHES
-        wanted = [self.near, self.far] if self._stays_near(message) else [self.far, self.near]
-        wanted = [tier for tier in (*wanted, self.backup) if tier.servers]
-        for tier in wanted:
-            fresh = self._fresh(tier, message, affinity, again, passed)
-            yield waited and not again, fresh
-        if again:
-            for tier in wanted:
-                yield False, (s for s in tier.order(message, affinity, self.conns) if s in again)
-
-    def _fresh(
-        self, tier: Tier, message: int, affinity: str, tried: Collection[int], passed: list[int]
+        """See EndpointPreference.tiers: primaries (local zone first), backups, then attempted ones."""
+        self._process_due_events(now_us)
+        already_attempted = [s for s in attempted if s in self.servers]
+        passed_over_servers = list(already_attempted)
+        self.passed_over.pop(message, None)
+        if len(self.passed_over) >= MAX_PEEKED_MESSAGES:
+            self.passed_over.clear()
+        self.passed_over[message] = passed_over_servers
+        waits_for_first = self.policy.method in HASHES
+        ordered = (
+            [self.local_tier, self.remote_tier]
+            if self._prefers_local_zone(message)
+            else [self.remote_tier, self.local_tier]
+        )
+        ordered = [tier for tier in (*ordered, self.backup_tier) if tier.servers]
+        for tier in ordered:
+            unattempted = self._unattempted(tier, message, affinity, already_attempted, passed_over_servers)
+            yield waits_for_first and not already_attempted, unattempted
+        if already_attempted:
+            for tier in ordered:
+                yield False, (s for s in tier.order(message, affinity, self.conns) if s in already_attempted)
+
+    def _unattempted(
+        self,
+        tier: Tier,
+        message: int,
+        affinity: str,
+        attempted: Collection[int],
+        passed_over_servers: list[int],
     ) -> Iterator[int]:
-        for ident in tier.order(message, affinity, self.conns):
-            if ident not in tried:
-                yield ident
-                passed.append(ident)  # asked for the next: this one was not taken
-
-    def _stays_near(self, message: int) -> bool:
-        if not self.near.weight:
+        for endpoint in tier.order(message, affinity, self.conns):
+            if endpoint not in attempted:
+                yield endpoint
+                # The caller asked for the next server, so this one was not used.
+                passed_over_servers.append(endpoint)
+
+    def _prefers_local_zone(self, message: int) -> bool:
+        if not self.local_tier.weight:
             return False
-        share = self.near.usable_weight / self.near.weight
-        return share >= self.policy.spill or spread(self.seed, message) * self.policy.spill < share
+        share = self.local_tier.usable_weight / self.local_tier.weight
+        return share >= self.policy.spill or uniform_hash(self.seed, message) * self.policy.spill < share
 
-    def begun(self, message: int, ident: int, now: int) -> bool:
-        """A call goes to this server; whether it is the first since it was out for its failures."""
-        passed = self.peeked.pop(message, [])
-        if ident not in self.servers:
+    def begun(self, message: int, endpoint: int, now_us: int) -> bool:
+        """Record the start of a call; return whether it is the first since the server was ejected."""
+        passed_over_servers = self.passed_over.pop(message, [])
+        if endpoint not in self.servers:
             return False
         for tier in self._tiers():
-            tier.choose(ident, passed)
-        self.conns[ident] = self.conns.get(ident, 0) + 1
-        mark = self.marks.get(ident)
-        probe = mark.begun(now) if mark else False
-        self._settle(ident, now)
-        return probe
-
-    def ended(self, ident: int, result: AttemptResult, spoilt: bool, now: int) -> None:
-        """A call there has ended."""
-        if ident not in self.servers:
+            tier.choose(endpoint, passed_over_servers)
+        self.conns[endpoint] = self.conns.get(endpoint, 0) + 1
+        mark = self.marks.get(endpoint)
+        is_probe = mark.call_started(now_us) if mark else False
+        self._update(endpoint, now_us)
+        return is_probe
+
+    def ended(self, endpoint: int, result: AttemptResult, malformed: bool, now_us: int) -> None:
+        """Record the end of a call."""
+        if endpoint not in self.servers:
             return
-        self.conns[ident] = max(0, self.conns.get(ident, 0) - 1)
-        if mark := self.marks.get(ident):
-            failed = failure(result, spoilt) in self.policy.fails_on
+        self.conns[endpoint] = max(0, self.conns.get(endpoint, 0) - 1)
+        if mark := self.marks.get(endpoint):
+            failed = failure_kind(result, malformed) in self.policy.fails_on
             mark.ended(
-                failed, result is AttemptResult.OK or (not failed and result is AttemptResult.ERROR), now
+                failed, result is AttemptResult.OK or (not failed and result is AttemptResult.ERROR), now_us
             )
-        self._settle(ident, now)
+        self._update(endpoint, now_us)
 
-    def reopens_us(self, now: int) -> int:
-        """When the first server may be used again, if all are out for their failures; else 0."""
-        self._pass_time(now)
-        if any(tier.at for tier in self._tiers()) or not self.marks:
+    def recovers_at_us(self, now_us: int) -> int:
+        """Return when the first server may be used again if all are ejected, else 0."""
+        self._process_due_events(now_us)
+        if any(tier.rotation_keys for tier in self._tiers()) or not self.marks:
             return 0
-        ends = [m.until for n, m in self.marks.items() if now < m.until and not self.servers[n].down]
-        return min(ends) if len(ends) == sum(not s.down for s in self.servers.values()) else 0
+        ejection_ends_us = [
+            m.ejected_until_us
+            for n, m in self.marks.items()
+            if now_us < m.ejected_until_us and not self.servers[n].down
+        ]
+        return (
+            min(ejection_ends_us)
+            if len(ejection_ends_us) == sum(not s.down for s in self.servers.values())
+            else 0
+        )
--- a/madderbeam/routing/router.py
+++ b/madderbeam/routing/router.py
@@ -1,8 +1,8 @@
-"""All of a courier's routing: from what a client names to a destination, and the pools of destinations.
+"""The router of a courier: resolves what a client names to a destination, and owns the destinations' pools.
 
-The plain data that it is made from stands beside the partner list (`routing` in docs/operators/routing.md):
-so a new list changes endpoints, weights and routes in one step. What can't be read is one line, and leaves
-the old in force.
+Its configuration is part of the partner list (`routing` in docs/operators/routing.md), so a new list changes
+endpoints, weights and routes in one step. An invalid one raises a one-line error, and the previous one stays
+active.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class On(Enum):
-    """What of a message a route is held against."""
+    """Which property of a message a route is matched against."""
 
     PATH = "path"
     NAME = "name"
@@ -31,21 +31,21 @@
 
 
 class RoutingError(ValueError):
-    """Routing that can't be used; one line that names the field."""
+    """Invalid routing configuration; the message is one line that names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSpec:
-    """A destination's pool as it is written; see Policy. `subset`: servers that one courier uses, 0: all."""
+    """The configuration of a destination's pool; `subset` is how many servers one courier uses, 0: all."""
 
     policy: Policy
     hash_on: str
     subset: int
-    servers: Mapping[str, Mapping[str, Any]]  # by address, in their order: settings of Server
+    servers: Mapping[str, Mapping[str, Any]]  # arguments of Server by address, in the order written
 
 
 HASH_ON = ("tenant", "key", "order", "id")
-NUMBERS = {
+NUMBER_RANGES = {
     "weight": (1, 1_000_000),
     "max_conns": (0, 1_000_000),
     "max_fails": (0, 1000),
@@ -56,7 +56,7 @@
 
 
 def read_pool(raw: Any, zone: str, at: str) -> PoolSpec:
-    """RoutingError names what can't be used."""
+    """Return the checked configuration of a pool; RoutingError names the invalid field."""
     if not isinstance(raw, dict):
         raise RoutingError(f"{at}: must be a table")
     try:
@@ -96,50 +96,50 @@
         if key in FLAGS:
             if type(value) is not bool:
                 raise RoutingError(f"{at}.{key}: must be true or false")
-        elif key in NUMBERS:
-            least, most = NUMBERS[key]
+        elif key in NUMBER_RANGES:
+            least, most = NUMBER_RANGES[key]
             if type(value) is not int or not least <= value <= most:
                 raise RoutingError(f"{at}.{key}: must be a whole number from {least} to {most}")
         else:
-            raise RoutingError(f"{at}.{key}: no such setting; allowed: {', '.join((*FLAGS, *NUMBERS))}")
+            raise RoutingError(f"{at}.{key}: no such setting; allowed: {', '.join((*FLAGS, *NUMBER_RANGES))}")
 
 
-NOWHERE = -1  # where a route leads whose messages are turned down
+NOWHERE = -1  # destination of a route whose messages are rejected
 
 
 @dataclass(frozen=True, slots=True)
-class Table:
-    """Routes by what they are held against; those on paths in groups by host."""
+class RouteTable:
+    """The routes that match one property of a message, in groups by host."""
 
     hosts: Hosts
-    groups: tuple[Callable[[str], Any], ...]  # from a text to its route
+    groups: tuple[Callable[[str], Any], ...]  # each returns the route that a text matches
 
     def find(self, host: str, text: str) -> int:
-        """A destination's number, NOWHERE if no route leads to one."""
+        """Return the destination's number, NOWHERE if no route leads to one."""
         group = self.hosts.find(host)
         route = self.groups[group](text) if group >= 0 else None
         return int(route.pool) if route else NOWHERE
 
 
 class Router:
-    """Implements policy.endpoint_preference for the pools, and resolves names to destinations.
+    """Implements EndpointPreference with the pools, and resolves names to destinations.
 
-    `me` of `couriers` says which subset is this courier's; `zone` is where it stands.
+    `courier_index` of `couriers` selects this courier's subset; `zone` is the courier's zone.
     """
 
-    def __init__(self, seed: int, me: int = 0, couriers: int = 1, zone: str = "") -> None:
+    def __init__(self, seed: int, courier_index: int = 0, couriers: int = 1, zone: str = "") -> None:
         self.random = random.Random(f"routing {seed}")
-        self.me, self.couriers, self.zone = me, couriers, zone
-        self.raw: Any = None
+        self.courier_index, self.couriers, self.zone = courier_index, couriers, zone
+        self.configuration: Any = None
         self.specs: dict[int, PoolSpec] = {}
         self.pools: dict[int, Pool] = {}
-        self.members: dict[int, tuple[Server, ...]] = {}
-        self.numbers: dict[str, int] = {}  # destinations by name
-        self.tables: dict[On, Table] = {}
+        self.listed_servers: dict[int, tuple[Server, ...]] = {}
+        self.numbers: dict[str, int] = {}  # of destinations, by name
+        self.tables: dict[On, RouteTable] = {}
 
     def configure(self, raw: dict[str, Any]) -> None:
-        """Take a new form of all but the endpoints; RoutingError, and the old stays, if it can't be used."""
-        if raw == self.raw:
+        """Replace all but the endpoints; RoutingError if invalid, and the previous configuration stays."""
+        if raw == self.configuration:
             return
         if raw.get("form") != FORM:
             raise RoutingError(f"routing.form: must be {FORM}")
@@ -150,132 +150,140 @@
         numbers = {str(name): int(number) for name, number in raw.get("names", {}).items()}
         tables = _tables(raw.get("routes", []), set(numbers.values()))
         changed = [n for n in {*specs, *self.specs} if specs.get(n) != self.specs.get(n)]
-        self.raw, self.specs, self.numbers, self.tables = raw, specs, numbers, tables
+        self.configuration, self.specs, self.numbers, self.tables = raw, specs, numbers, tables
         for number in changed:
-            self.members.pop(number, None)
+            self.listed_servers.pop(number, None)
             if number in self.pools and number in specs:
                 self.pools[number].policy = specs[number].policy
             else:
                 self.pools.pop(number, None)
 
     def listed(self, endpoints: Iterable[tuple[int, int, str, str]], now_us: int) -> None:
-        """The endpoints that want something new: number, destination, address, zone."""
+        """Apply a new list of usable endpoints: number, destination, address, zone."""
         rows: dict[int, list[tuple[int, str, str]]] = {number: [] for number in self.specs}
-        for ident, destination, address, zone in endpoints:
+        for endpoint, destination, address, zone in endpoints:
             if destination in rows:
-                rows[destination].append((ident, address, zone))
+                rows[destination].append((endpoint, address, zone))
         for number, spec in self.specs.items():
             servers = self._servers(spec, rows[number])
-            if self.members.get(number) == servers:
+            if self.listed_servers.get(number) == servers:
                 continue
-            self.members[number] = servers
+            self.listed_servers[number] = servers
             if number in self.pools:
                 self.pools[number].replace(servers, now_us, self.random)
             else:
                 self.pools[number] = Pool(spec.policy, servers, self.random, self.couriers > 1)
 
     def _servers(self, spec: PoolSpec, rows: list[tuple[int, str, str]]) -> tuple[Server, ...]:
-        """In the order in which they are written, those that are not written last; the courier's part
-        alone."""
-        place = {name: n for n, name in enumerate(spec.servers)}
-        rows = sorted(rows, key=lambda row: (place.get(row[1], len(place)), row[1]))
+        """Return this courier's subset, in the configured order, with unconfigured servers last."""
+        configured_order = {name: n for n, name in enumerate(spec.servers)}
+        rows = sorted(rows, key=lambda row: (configured_order.get(row[1], len(configured_order)), row[1]))
         servers = [
-            Server(ident, address, zone=zone, **spec.servers.get(address, {}))
-            for ident, address, zone in rows
+            Server(endpoint, address, zone=zone, **spec.servers.get(address, {}))
+            for endpoint, address, zone in rows
         ]
         if not spec.subset:
             return tuple(servers)
-        used: set[str] = set()
-        for group in (
+        subset_names: set[str] = set()
+        for is_in_group in (
             lambda s: s.backup,
             lambda s: not s.backup and s.zone == spec.policy.zone,
             lambda s: not s.backup and s.zone != spec.policy.zone,
         ):
-            names = [s.name for s in servers if group(s) and not s.down]
-            used.update(part(names, self.me, self.couriers, spec.subset))
-        return tuple(s for s in servers if s.name in used)
+            names = [s.name for s in servers if is_in_group(s) and not s.down]
+            subset_names.update(part(names, self.courier_index, self.couriers, spec.subset))
+        return tuple(s for s in servers if s.name in subset_names)
 
-    # From what a client names to a destination
+    # Resolving a message to a destination
 
-    def destination(self, name: str, path: str, cls: str) -> int | None:
-        """By path if there is one (`name` is its host then), else by name, else by class; None if there is no
-        route. PathError for a path that can't be read."""
+    def destination(self, name: str, path: str, class_name: str) -> int | None:
+        """Return the destination by path if given (`name` is then the host), else by name, else by class.
+
+        Returns None if no route matches; raises PathError for an invalid path.
+        """
         if path:
-            return self._found(On.PATH, name, normalized(path))
+            return self._resolve(On.PATH, name, normalized(path))
         if name:
-            found = self._found(On.NAME, "", name)
+            found = self._resolve(On.NAME, "", name)
             return self.numbers.get(name) if found is None else found
-        return self._found(On.CLASS, "", cls)
+        return self._resolve(On.CLASS, "", class_name)
 
-    def _found(self, on: On, host: str, text: str) -> int | None:
+    def _resolve(self, on: On, host: str, text: str) -> int | None:
         found = self.tables[on].find(host, text) if on in self.tables else NOWHERE
         return None if found == NOWHERE else found
 
-    def affinity(self, destination: int, tenant: str, key: str, order: int, ident: str) -> str:
-        """What the messages share that are to go to one server; '' where no pool asks."""
+    def affinity(self, destination: int, tenant: str, key: str, order: int, message_id: str) -> str:
+        """Return the key that selects the server of a hash method, '' for other methods."""
         spec = self.specs.get(destination)
         if spec is None or spec.policy.method not in (Method.HASH, Method.CONSISTENT):
             return ""
-        return {"tenant": tenant, "key": key, "order": str(order or ""), "id": ident}[spec.hash_on] or ident
+        return {"tenant": tenant, "key": key, "order": str(order or ""), "id": message_id}[
+            spec.hash_on
+        ] or message_id
 
-    # Places that couriers share
+    # Concurrency limits that couriers share
 
     def places(self) -> Iterator[tuple[int, int, int]]:
-        """Servers whose calls out are limited: destination, server, max_conns."""
+        """Yield the servers with a limit on concurrent calls: destination, server, max_conns."""
         for number, pool in self.pools.items():
             for server in pool.servers.values():
                 if server.max_conns:
                     yield number, server.id, server.max_conns
 
-    def allow(self, destination: int, endpoint: int, most: int | None, now_us: int) -> None:
-        """So many calls at once there in place of its max_conns."""
+    def allow(self, destination: int, endpoint: int, max_calls: int | None, now_us: int) -> None:
+        """Limit concurrent calls to an endpoint; None restores its max_conns."""
         if pool := self.pools.get(destination):
-            pool.allow(endpoint, most, now_us)
+            pool.allow(endpoint, max_calls, now_us)
 
-    # As the decision module asks (policy.endpoint_preference.EndpointPreference)
+    # EndpointPreference
 
     def covers(self, destination: int) -> bool:
+        """See EndpointPreference: whether the destination has a pool."""
         return destination in self.pools
 
     def tiers(
-        self, destination: int, message: int, affinity: str, tried: Iterable[int], now_us: int
+        self, destination: int, message: int, affinity: str, attempted: Iterable[int], now_us: int
     ) -> Iterator[tuple[bool, Iterator[int]]]:
-        found: Collection[int] = tuple(tried)
-        return self.pools[destination].tiers(message, affinity, found, now_us)
+        """See EndpointPreference: yield the pool's tiers, best first."""
+        attempted_endpoints: Collection[int] = tuple(attempted)
+        return self.pools[destination].tiers(message, affinity, attempted_endpoints, now_us)
 
     def attempt_started(self, destination: int, message: int, endpoint: int, now_us: int) -> bool:
+        """See EndpointPreference: whether the call is the first since the endpoint was ejected."""
         pool = self.pools.get(destination)
         return pool.begun(message, endpoint, now_us) if pool else False
 
     def attempt_ended(
-        self, destination: int, endpoint: int, result: AttemptResult, spoilt: bool, now_us: int
+        self, destination: int, endpoint: int, result: AttemptResult, malformed: bool, now_us: int
     ) -> None:
+        """See EndpointPreference: count the outcome."""
         if pool := self.pools.get(destination):
-            pool.ended(endpoint, result, spoilt, now_us)
+            pool.ended(endpoint, result, malformed, now_us)
 
     def recovers_at_us(self, destination: int, now_us: int) -> int:
+        """See EndpointPreference: when an endpoint may be used again if all are ejected, else 0."""
         pool = self.pools.get(destination)
-        return pool.reopens_us(now_us) if pool else 0
+        return pool.recovers_at_us(now_us) if pool else 0
 
     def figures(self) -> dict[str, int]:
-        """Counts for the second address."""
-        marked = sum(m.probing for pool in self.pools.values() for m in pool.marks.values())
+        """Return the routing metrics by name, for the admin address."""
+        ejected = sum(m.needs_probe for pool in self.pools.values() for m in pool.marks.values())
         return {
             "route.pools": len(self.pools),
-            "route.marked": marked,
+            "route.marked": ejected,
             "route.servers": sum(len(pool.servers) for pool in self.pools.values()),
         }
 
 
-def _tables(rows: Any, known: set[int]) -> dict[On, Table]:
-    """The routes, compiled by what they are held against. RE2 is loaded only where there is a route."""
+def _tables(rows: Any, known: set[int]) -> dict[On, RouteTable]:
+    """Compile the routes by the property they match. RE2 is imported only if there is a route."""
     if not rows:
         return {}
     from madderbeam.routing.routes import Match, Route, RouteError, Routes
 
     if not isinstance(rows, list):
         raise RoutingError("routing.routes: must be a list")
-    found: dict[On, dict[tuple[str, ...], list[Route]]] = {}
+    routes_by_property: dict[On, dict[tuple[str, ...], list[Route]]] = {}
     for n, row in enumerate(rows):
         at = f"routing.routes[{n}]"
         try:
@@ -286,11 +294,11 @@
             raise RoutingError(f"{at}: can't be used: {error}") from None
         if to != NOWHERE and to not in known:
             raise RoutingError(f"{at}.to: must be the number of a partner, or {NOWHERE}, not {to}")
-        found.setdefault(on, {}).setdefault(hosts, []).append(route)
+        routes_by_property.setdefault(on, {}).setdefault(hosts, []).append(route)
     try:
         return {
-            on: Table(Hosts(list(groups)), tuple(Routes(routes).find for routes in groups.values()))
-            for on, groups in found.items()
+            on: RouteTable(Hosts(list(groups)), tuple(Routes(routes).find for routes in groups.values()))
+            for on, groups in routes_by_property.items()
         }
     except (RouteError, HostError) as error:
         raise RoutingError(f"routing.routes: {error}") from None
--- a/madderbeam/routing/routes.py
+++ b/madderbeam/routing/routes.py
@@ -1,8 +1,8 @@
-"""From a name (a destination's, a class's, a path header's) to a route, in nginx's order of matches.
+"""Matches a name (of a destination or a class) or a path to a route, with nginx's precedence.
 
-The order is that of the public documentation, ngx_http_core_module, directive `location`: an exact match ends
-the search; else the longest prefix is remembered; unless that one is preferential (`^~`), regular expressions
-are tried as they were written, and the first that matches counts; else the remembered prefix does.
+The precedence is that of the public documentation, ngx_http_core_module, directive `location`: an exact match
+ends the search; else the longest prefix is remembered; unless that one is preferential (`^~`), the regular
+expressions are tried in the order written, and the first match is used; else the remembered prefix is.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 import re2
 
-LONGEST_PATTERN = 1000  # characters
-PATTERN_BYTES = 1 << 20  # of memory that one compiled pattern may take
+MAX_PATTERN_CHARS = 1000  # characters
+MAX_PATTERN_BYTES = 1 << 20  # memory limit of one compiled pattern
 
 
 class RouteError(ValueError):
-    """A route that can't be used; one line that names it."""
+    """An invalid route; the message is one line that names it."""
 
 
 class Match(Enum):
-    """How a route's text is held against a name; the values are nginx's modifiers."""
+    """How a route's text is compared with a name; the values are nginx's modifiers."""
 
     EXACT = "="
     PREFIX = ""
-    PREFERENTIAL = "^~"  # a prefix: where it is the longest, no regular expression is tried
+    PREFERENTIAL = "^~"  # a prefix; if it is the longest match, no regular expression is tried
     REGEX = "~"
     REGEX_ANY_CASE = "~*"
 
@@ -37,8 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What matches `text` in this way goes to `pool`. RouteError for an empty pool, or an empty text that
-    is not a prefix."""
+    """Sends the names that match `text` to `pool`.
+
+    Raises RouteError for an empty pool, or an empty text that is not a plain prefix.
+    """
 
     match: Match
     text: str
@@ -52,12 +54,14 @@
 
 
 class Routes:
-    """Routes, compiled once. A look-up's cost grows with the prefixes' different lengths and with the regular
-    expressions, not with the other routes; each expression takes time linear in the name (RE2), so that none
-    can hang the loop."""
+    """Compiled routes.
+
+    The cost of a lookup grows with the number of distinct prefix lengths and of regular expressions, not with
+    the other routes. Each expression takes time linear in the name (RE2), so none can stall the event loop.
+    """
 
     def __init__(self, routes: Iterable[Route]) -> None:
-        """RouteError for two that match alike, and for a pattern that RE2 can't run in linear time."""
+        """Compile the routes; RouteError for a duplicate, or a pattern that RE2 can't run."""
         self.exact: dict[str, Route] = {}
         self.prefixes: dict[str, Route] = {}
         self.patterns: list[tuple[Any, Route]] = []
@@ -75,7 +79,7 @@
         self.lengths = sorted({len(text) for text in self.prefixes}, reverse=True)
 
     def find(self, name: str) -> Route | None:
-        """The route that the name takes, None if it has none."""
+        """Return the route that the name matches, None if there is none."""
         if route := self.exact.get(name):
             return route
         prefix = self._longest(name)
@@ -94,18 +98,20 @@
 
 
 def compiled(route: Route) -> Any:
-    """The expression of a route; RouteError if RE2 can't run it."""
-    if len(route.text) > LONGEST_PATTERN:
-        raise RouteError(f"route {route.text[:40]!r}...: text: must be {LONGEST_PATTERN} characters at most")
+    """Return the compiled expression of a route; RouteError if RE2 can't run it."""
+    if len(route.text) > MAX_PATTERN_CHARS:
+        raise RouteError(
+            f"route {route.text[:40]!r}...: text: must be {MAX_PATTERN_CHARS} characters at most"
+        )
     options = re2.Options()
     options.case_sensitive = route.match is Match.REGEX
-    options.max_mem = PATTERN_BYTES
+    options.max_mem = MAX_PATTERN_BYTES
     options.log_errors = False
     try:
         return re2.compile(route.text, options)
     except re2.error as error:
-        why = error.args[0].decode() if isinstance(error.args[0], bytes) else str(error)
+        reason = error.args[0].decode() if isinstance(error.args[0], bytes) else str(error)
         raise RouteError(
             f"route {route.text!r}: text: must be an expression of RE2 (no look-around, no "
-            f"references back): {why}"
+            f"references back): {reason}"
         ) from None
--- a/madderbeam/routing/subset.py
+++ b/madderbeam/routing/subset.py
@@ -1,11 +1,11 @@
-"""Which part of a large pool a courier uses: bounded, the same at each start, and all parts evenly spread.
+"""Deterministic subsetting: selects the servers of a large pool that one courier uses.
 
-Servers stand on a circle in the order of a digest of their names, which says nothing of who they are and does
-not change as others come and go. Courier j of c begins at place j * n / c and takes the next `most`: each
-server is in as many parts as any other, give or take one, and a server that goes moves each part by one place
-at most. (Shuffling anew for each group of couriers, as in the SRE book's chapter on load balancing, is as
-even only where the sizes divide, and a server that goes moves all parts: docs/design/routing.md has the
-figures.)
+Subsets are bounded, the same after each restart, and spread evenly over the servers. Servers are ordered on a
+circle by a digest of their names, which doesn't change as other servers come and go. Courier j of c begins at
+position j * n / c and uses the next `max_size` servers: any two servers are in equally many subsets, give or
+take one, and removing a server shifts each subset by at most one position. (Reshuffling for each group of
+couriers, as in the SRE book's chapter on load balancing, is as even only if the sizes divide, and removing a
+server changes all subsets: docs/design/routing.md has the measurements.)
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from collections.abc import Iterable
 
 
-def part(names: Iterable[str], me: int, couriers: int, most: int) -> list[str]:
-    """At most `most` of the names for courier `me`, counted from 0, of `couriers`. 0 for `most`: all."""
+def part(names: Iterable[str], courier_index: int, couriers: int, max_size: int) -> list[str]:
+    """Return at most `max_size` names (0: all) for the courier `courier_index`, from 0, of `couriers`."""
     circle = sorted(set(names), key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
-    n = len(circle)
-    if not most or most >= n:
+    count = len(circle)
+    if not max_size or max_size >= count:
         return circle
-    start = me % max(1, couriers) * n // max(1, couriers)
-    return [circle[(start + at) % n] for at in range(most)]
+    start = courier_index % max(1, couriers) * count // max(1, couriers)
+    return [circle[(start + offset) % count] for offset in range(max_size)]
--- a/tests/routing/oracle.py
+++ b/tests/routing/oracle.py
@@ -1,6 +1,6 @@
-"""A plain model of what nginx's public documentation says of choice, written for tests alone.
+"""A reference model of server selection as nginx's public documentation describes it, for tests only.
 
-No care is taken of speed: every rule is a loop over all servers, with the page that it is from.
+It favours clarity over speed: every rule is a loop over all servers and cites the page that it is from.
 
   [up]  nginx.org/en/docs/http/ngx_http_upstream_module.html
   [lb]  nginx.org/en/docs/http/load_balancing.html
@@ -13,7 +13,7 @@
 import zlib
 from dataclasses import dataclass, field
 
-ANY = object()  # some server that can be used
+ANY = object()  # an unspecified usable server
 
 
 @dataclass
@@ -29,7 +29,7 @@
     conns: int = 0
     failures: list = field(default_factory=list)
     out_until: float = -1.0
-    suspect: bool = False  # it was out, and nothing has told that it is well
+    suspect: bool = False  # was ejected, and no call has succeeded since
     probed: bool = False
 
 
@@ -54,7 +54,7 @@
         return sum(not p.down for p in self.peers) == 1  # `down`: "permanently unavailable"
 
     def choose(self, now, tried=(), key=""):
-        """The next server of a request that was tried at these already; None where there is none left."""
+        """Return the next server of a request already passed to `tried`; None if there is none left."""
         # [up] backup: "passed requests when the primary servers are unavailable"
         for backups in (False, True):
             rows = [p for p in self.peers if p.backup is backups and not p.down]
@@ -109,8 +109,9 @@
 
 
 def request(upstream, now, fails, tries=0, key=""):
-    """The servers that one request is passed to, in their order. `fails`: names that fail now; `tries`: the
-    limit of proxy_next_upstream_tries, 0 for none.
+    """Return the servers that one request is passed to, in order.
+
+    `fails` are the names that fail now; `tries` is the limit of proxy_next_upstream_tries, 0 for none.
 
     [up] "If an error occurs during communication with a server, the request will be passed to the next
     server, and so on until all of the functioning servers will be tried."
@@ -132,7 +133,7 @@
 
 
 def location(rows, path):
-    """[co] rows of (modifier, text, target) in their order; the target or None."""
+    """Return the target of a path, or None; [co] `rows` are (modifier, text, target) in order."""
     for how, text, where in rows:
         if how == "=" and text == path:
             return where
@@ -147,8 +148,11 @@
 
 
 def virtual_server(servers, host):
-    """[co] server_name: exact, the longest wildcard with a leading asterisk, the longest with a trailing one,
-    the first expression; else the default server, which is the first. `servers`: lists of names."""
+    """Return the index of the server of a host; `servers` are lists of names.
+
+    [co] server_name: exact, the longest wildcard with a leading asterisk, the longest with a trailing one,
+    the first expression; else the default server, which is the first.
+    """
     host = host.lower()
     for n, names in enumerate(servers):
         if host in (name.lower() for name in names):
--- a/tests/routing/test_pool.py
+++ b/tests/routing/test_pool.py
@@ -1,4 +1,4 @@
-"""Pools against a plain model of nginx's documentation, and the hard cases by name."""
+"""Tests of pools against a reference model of nginx's documentation, and of single rules."""
 
 import random
 import time
@@ -18,12 +18,12 @@
 METHODS = {"round_robin": Method.ROUND_ROBIN, "least_conn": Method.LEAST_CONN, "hash": Method.HASH}
 
 
-def pool(*servers, method=Method.ROUND_ROBIN, apart=False, seed=1, **policy):
-    return Pool(Policy(method, **policy), servers, random.Random(seed), apart)
+def pool(*servers, method=Method.ROUND_ROBIN, randomize_start=False, seed=1, **policy):
+    return Pool(Policy(method, **policy), servers, random.Random(seed), randomize_start)
 
 
 def first(p, now=0, message=1, tried=(), key=""):
-    """What the decision module would take if its gate lets all through."""
+    """Return the server that the engine would use if its checks admit all."""
     for _, tier in p.tiers(message, key, tried, now):
         for ident in tier:
             return ident
@@ -48,10 +48,10 @@
     assert [send(p) for _ in range(14)] == [1, 1, 2, 1, 3, 1, 1] * 2
 
 
-def test_all_primaries_failed_then_one_comes_back():
+def test_all_primaries_are_ejected_then_one_recovers():
     p = pool(a(1, max_fails=1), a(2, max_fails=1), a(3, backup=True))
     assert [send(p, 0, result=AttemptResult.RESET), send(p, 1, result=AttemptResult.RESET)] == [1, 2]
-    assert [send(p, 2), send(p, 3)] == [3, 3]  # backups alone, while the marks last
+    assert [send(p, 2), send(p, 3)] == [3, 3]  # backups only, while the primaries are ejected
     assert send(p, 10 * S + 1) in (1, 2) and send(p, 10 * S + 2) != 3
 
 
@@ -60,35 +60,35 @@
     assert Counter(send(p) for _ in range(30)) == {1: 10, 2: 20}
 
 
-def test_the_one_server_left_is_never_out():
+def test_the_only_enabled_server_is_never_ejected():
     p = pool(a(1, max_fails=1), a(2, down=True))
     assert [send(p, n, result=AttemptResult.CONNECT_FAILED) for n in range(5)] == [1] * 5
-    assert p.reopens_us(6) == 0
+    assert p.recovers_at_us(6) == 0
 
 
-def test_weight_with_max_fails_counts_within_the_time_only():
+def test_max_fails_counts_failures_within_fail_timeout_only():
     p = pool(a(1, weight=3, max_fails=2, fail_timeout_us=S), a(2))
     p.ended(1, AttemptResult.TIMEOUT, False, 0)
-    p.ended(1, AttemptResult.TIMEOUT, False, 2 * S)  # the first one is forgotten
+    p.ended(1, AttemptResult.TIMEOUT, False, 2 * S)  # the first failure has expired
     assert first(p, 2 * S) == 1
     p.ended(1, AttemptResult.TIMEOUT, False, 2 * S + 10)
     assert [send(p, 2 * S + 20) for _ in range(4)] == [2] * 4
     assert first(p, 3 * S + 11) == 1
 
 
-def test_what_was_out_is_probed_by_one_call_and_told_as_returning():
+def test_an_ejected_server_is_probed_by_one_call_and_reported_as_recovering():
     p = pool(a(1, max_fails=1, fail_timeout_us=S, weight=100), a(2))
     assert send(p, 0, result=AttemptResult.RESET) == 1
-    assert first(p, S + 1) == 1 and p.begun(7, 1, S + 1) is True  # it comes back: the module starts slowly
-    assert first(p, S + 2) == 2  # no second call while the probe is out
+    assert first(p, S + 1) == 1 and p.begun(7, 1, S + 1) is True  # recovering: the engine begins a slow start
+    assert first(p, S + 2) == 2  # no second call while the probe is in flight
     p.ended(1, AttemptResult.RESET, False, S + 3)
-    assert first(p, S + 4) == 2 and first(p, 2 * S + 4) == 1  # out for as long again
+    assert first(p, S + 4) == 2 and first(p, 2 * S + 4) == 1  # ejected for the same time again
     assert p.begun(8, 1, 2 * S + 4) is True
     p.ended(1, AttemptResult.OK, False, 2 * S + 5)
     assert p.begun(9, 1, 2 * S + 6) is False
 
 
-def test_slow_start_rises_from_little_to_its_weight():
+def test_slow_start_raises_the_share_to_the_full_weight():
     p = pool(a(1, max_fails=1, fail_timeout_us=S, slow_start_us=8 * S), a(2))
     send(p, 0, result=AttemptResult.RESET)
     p.begun(1, 1, 2 * S)
@@ -100,26 +100,26 @@
     assert shares[0] < 0.15 and shares == sorted(shares) and 0.47 < shares[-1] < 0.53
 
 
-def test_max_conns_passes_on_and_comes_back():
+def test_a_server_at_max_conns_is_skipped_until_a_call_ends():
     p = pool(a(1, weight=9, max_conns=1), a(2))
     assert [send(p, result=None), send(p, result=None), send(p, result=None)] == [1, 2, 2]
     p.ended(1, AttemptResult.OK, False, 1)
     assert first(p) == 1
 
 
-def test_a_failed_one_is_not_tried_again_while_another_is_untried():
+def test_an_attempted_server_is_used_again_only_after_all_others():
     p = pool(a(1, weight=9), a(2), a(3, backup=True))
     assert first(p, tried=(1,)) == 2 and first(p, tried=(1, 2)) == 3
-    assert first(p, tried=(1, 2, 3)) == 1  # then from the start
+    assert first(p, tried=(1, 2, 3)) == 1  # then the first one again
 
 
-def test_backups_open_only_where_no_primary_can_be_used():
+def test_backups_are_a_tier_of_their_own():
     p = pool(a(1, max_fails=1), a(2, backup=True))
     tiers = [[*ids] for _, ids in p.tiers(1, "", (), 0)]
-    assert tiers == [[1], [2]]  # the module decides between tiers
+    assert tiers == [[1], [2]]  # the engine decides when to go to the next tier
 
 
-def test_what_fails_is_a_setting():
+def test_fails_on_selects_the_outcomes_that_count():
     for result, names, out in (
         (AttemptResult.ERROR, {"http_500"}, True),
         (AttemptResult.ERROR, {"error"}, False),
@@ -133,22 +133,22 @@
         assert (first(p, 1) == 2) is out, (result, names)
 
 
-def test_all_out_tells_when_the_first_may_be_used_again():
+def test_recovery_time_if_all_servers_are_ejected():
     p = pool(a(1, max_fails=1, fail_timeout_us=5 * S), a(2, max_fails=1, fail_timeout_us=3 * S))
     send(p, 0, result=AttemptResult.RESET)
-    assert p.reopens_us(1) == 0
+    assert p.recovers_at_us(1) == 0
     send(p, 10, result=AttemptResult.RESET)
-    assert p.reopens_us(11) == 10 + 3 * S and first(p, 11) is None
-    assert first(p, 10 + 3 * S) == 2 and p.reopens_us(10 + 3 * S) == 0
+    assert p.recovers_at_us(11) == 10 + 3 * S and first(p, 11) is None
+    assert first(p, 10 + 3 * S) == 2 and p.recovers_at_us(10 + 3 * S) == 0
 
 
-def test_a_list_that_changes_keeps_marks_calls_and_turns():
+def test_a_changed_list_keeps_ejections_calls_and_rotation():
     p = pool(a(1, max_fails=1), a(2, max_conns=1), a(3))
     assert [send(p, result=AttemptResult.RESET), send(p, result=None), send(p)] == [1, 2, 3]
     p.replace([a(1, max_fails=1), a(2, max_conns=1), a(3), a(4)], 5, random.Random(1))
     assert {send(p, 6 + n) for n in range(8)} == {3, 4}
     p.replace([a(4)], 20, random.Random(1))
-    p.ended(2, AttemptResult.OK, False, 21)  # of one that has gone
+    p.ended(2, AttemptResult.OK, False, 21)  # of a removed server
     assert first(p, 22) == 4
 
 
@@ -212,7 +212,7 @@
         for _ in range(3 if what == "retry" else 1):
             peer = model.choose(now, [f"s{t}" for t in tried], key)
             got = next((ident for _, ids in _untried(mine, n, key, tried, now) for ident in ids), None)
-            if peer is oracle.ANY:  # which one is not documented
+            if peer is oracle.ANY:  # the documentation does not say which server
                 return
             assert got == (int(peer.name[1:]) if peer else None), (what, now, tried)
             if peer is None:
@@ -229,7 +229,7 @@
 
 
 def _untried(mine, message, key, tried, now):
-    """The tiers of servers that were not tried: nginx stops there, the courier goes round once more."""
+    """Return the tiers of servers not attempted yet: nginx stops there, the courier retries the others."""
     whole = list(mine.tiers(message, key, tried, now))
     return whole[: len(whole) // 2] if tried else whole
 
@@ -252,12 +252,12 @@
     before, after = pool(*old, method=Method.CONSISTENT), pool(*new, method=Method.CONSISTENT)
     keys = [f"ensemble-{n}" for n in range(4000)]
     moved = sum(first(before, key=k) != first(after, key=k) for k in keys) / len(keys)
-    assert 0.58 <= moved < 0.58 + 0.2  # the ideal: those of the servers that went
+    assert 0.58 <= moved < 0.58 + 0.2  # the minimum is the keys of the removed servers
     plain = [pool(*servers, method=Method.HASH) for servers in (old, new[1:])]
     assert sum(first(plain[0], key=k) != first(plain[1], key=k) for k in keys) / len(keys) > 0.9
 
 
-def test_with_a_hash_the_busy_server_is_waited_for():
+def test_hash_methods_wait_for_a_busy_server():
     p = pool(a(1), a(2), method=Method.CONSISTENT)
     assert [waited for waited, _ in p.tiers(1, "k", (), 0)][0] is True
     assert [waited for waited, _ in p.tiers(1, "k", (1,), 0)][0] is False
@@ -266,26 +266,28 @@
 # Random, zones, subsets
 
 
-def test_random_methods_keep_shares_and_two_prefers_the_less_busy():
+def test_random_methods_follow_weights_and_random_two_prefers_the_less_loaded():
     p = pool(a(1, weight=3), a(2), method=Method.RANDOM)
     counts = Counter(send(p, message=n) for n in range(4000))
     assert 0.71 < counts[1] / 4000 < 0.79
     p = pool(*(a(n) for n in range(1, 11)), method=Method.RANDOM_TWO)
     for n in range(200):
-        send(p, message=n, result=None)  # all are held
-    assert max(p.conns.values()) - min(p.conns.values()) <= 6  # 200 in ten; one draw alone spreads over 15
+        send(p, message=n, result=None)  # all calls stay in flight
+    assert (
+        max(p.conns.values()) - min(p.conns.values()) <= 6
+    )  # 200 calls on 10 servers; a single draw gives a spread above 15
 
 
-def test_shares_hold_in_sum_over_couriers_and_none_is_in_step():
+def test_couriers_together_follow_the_weights_and_do_not_choose_in_lockstep():
     servers = [a(1, weight=5), a(2, weight=3), a(3, weight=2)]
-    pools = [pool(*servers, apart=True, seed=n) for n in range(40)]
+    pools = [pool(*servers, randomize_start=True, seed=n) for n in range(40)]
     rounds = [Counter(send(p) for p in pools) for _ in range(50)]
     whole = sum(rounds, Counter())
     assert abs(whole[1] - 1000) <= 40 and abs(whole[2] - 600) <= 40 and abs(whole[3] - 400) <= 40
-    assert max(row[1] for row in rounds) < 32  # in step all forty would go to the heaviest at once
+    assert max(row[1] for row in rounds) < 32  # in lockstep all 40 would choose the heaviest at once
 
 
-def test_zone_first_and_spill_over():
+def test_local_zone_is_preferred_and_spills_over():
     servers = [a(n, zone="here", max_fails=1) for n in (1, 2, 3, 4)]
     servers += [a(n, zone="there") for n in (5, 6, 7, 8)]
     p = pool(*servers, zone="here", spill=0.8)
@@ -294,13 +296,13 @@
         p.ended(ident, AttemptResult.RESET, False, 100)
     picks = Counter(send(p, 200, message=n) for n in range(1000))
     near = (picks[3] + picks[4]) / 1000
-    assert abs(near - 0.5 / 0.8) < 0.05 and not picks[1]  # the rest goes to the other zone
+    assert abs(near - 0.5 / 0.8) < 0.05 and not picks[1]  # the others go to the other zone
     for ident in (3, 4):
         p.ended(ident, AttemptResult.RESET, False, 300)
     assert {send(p, 400, message=n) for n in range(40)} == {5, 6, 7, 8}
 
 
-def test_subsets_are_even_bounded_and_move_little():
+def test_subsets_are_even_and_bounded_and_change_little():
     names = [f"10.1.{n // 250}.{n % 250}:80" for n in range(1000)]
     parts = [part(names, me, 100, 30) for me in range(100)]
     counts = Counter(name for each in parts for name in each)
@@ -312,8 +314,8 @@
     assert part(names[:5], 3, 100, 30) == part(names[:5], 9, 100, 0)
 
 
-def test_a_choice_does_not_grow_with_the_pool():
-    def took(count, method):
+def test_cost_of_a_choice_does_not_grow_with_the_pool():
+    def cpu_seconds(count, method):
         p = pool(
             *(Server(n, f"10.{n // 250}.1.{n % 250}:80", 1 + n % 3, max_fails=1) for n in range(count)),
             method=method,
@@ -327,7 +329,7 @@
         return best
 
     for method in Method:
-        assert took(5000, method) < 6 * took(50, method), method
+        assert cpu_seconds(5000, method) < 6 * cpu_seconds(50, method), method
 
 
 # The router
@@ -338,7 +340,7 @@
     return whole | more
 
 
-def test_names_paths_and_classes_lead_to_destinations():
+def test_names_paths_and_classes_resolve_to_destinations():
     r = Router(1)
     r.configure(
         raw(
@@ -378,7 +380,7 @@
         ({"routes": [{"on": "path", "match": "~", "text": "(", "to": 1}]}, "text"),
     ],
 )
-def test_routing_that_cannot_be_used_leaves_the_old_in_force(change, field):
+def test_invalid_routing_keeps_the_previous_configuration(change, field):
     r = Router(1)
     r.configure(raw())
     r.listed([(1, 1, "10.0.0.1:80", "")], 0)
@@ -388,7 +390,7 @@
     assert r.covers(1) and r.destination("venue", "", "") == 1
 
 
-def test_servers_stand_as_they_are_written_and_gone_pools_go():
+def test_servers_keep_the_configured_order_and_removed_pools_are_dropped():
     r = Router(1)
     servers = [{"address": "10.0.0.9:80"}, {"address": "10.0.0.1:80", "weight": 2}]
     r.configure(raw(pools={"1": {"servers": servers}}))
@@ -396,10 +398,10 @@
     assert [s.id for s in r.pools[1].servers.values()] == [2, 1] and not r.covers(2)
     r.configure(raw(pools={}))
     r.listed([(1, 1, "10.0.0.1:80", "")], 1)
-    assert not r.covers(1) and not r.pools and not r.members
+    assert not r.covers(1) and not r.pools and not r.listed_servers
 
 
-def test_a_policy_that_changes_takes_the_pool_s_marks_along():
+def test_a_changed_policy_keeps_the_ejections_of_the_pool():
     r = Router(1)
     servers = [{"address": "a:1", "max_fails": 1}, {"address": "b:1", "max_fails": 1}]
     r.configure(raw(pools={"1": {"servers": servers}}))
--- a/tests/routing/test_pooled_courier.py
+++ b/tests/routing/test_pooled_courier.py
@@ -1,5 +1,4 @@
-"""A courier with pools and routes on loopback: the choices of the documented model, and the rules all the
-same."""
+"""Tests of a courier with pools and routes on loopback: it chooses as the model, within its own rules."""
 
 import asyncio
 import json
@@ -38,7 +37,7 @@
 
 
 class Pooled:
-    """Endpoints of partners, and a courier beside them."""
+    """Endpoints of partners, and the courier that calls them."""
 
     def __init__(self, folder):
         self.folder, self.endpoints, self.calls = folder, {}, []
@@ -52,7 +51,7 @@
         return f"127.0.0.1:{self.endpoints[name].port}"
 
     def partner(self, number, name, rows, pool=""):
-        """TOML of one: `rows` of endpoints' names and further settings."""
+        """Return the TOML of a partner; `rows` are the endpoints' names and further settings."""
         tables = ", ".join(f'{{ address = "{self.address(n)}"{more and ", " + more} }}' for n, more in rows)
         pool = f"pool = {{ {pool} }}\n" if pool else ""
         return (
@@ -78,23 +77,23 @@
         for endpoint in self.endpoints.values():
             await endpoint.stop()
 
-    def met(self):
-        """The endpoints that were called since the last look, in the order of their calls."""
+    def called_endpoints(self):
+        """Return the endpoints called since the last check, in call order."""
         found = []
         for name, endpoint in self.endpoints.items():
             while not endpoint.calls.empty():
                 found.append((endpoint.calls.get_nowait()[3], name))
         return [name for _, name in sorted(found)]
 
-    async def settled(self):
+    async def all_completed(self):
         while self.host.journal.pending:
             await asyncio.sleep(0.002)
 
-    async def one(self, client, ident, **more):
-        """Hand one message in and wait for its end; the endpoints that it met."""
+    async def deliver(self, client, ident, **more):
+        """Send one message and wait for its completion; return the endpoints that were called."""
         assert await client.put(ident, **{"dest": 1, **more}) == "+OK"
-        await bounded(self.settled())
-        return self.met()
+        await bounded(self.all_completed())
+        return self.called_endpoints()
 
 
 def pooled(test):
@@ -112,7 +111,7 @@
 
 
 def fails(*names):
-    """The endpoints in this state break each call."""
+    """Return the scripts of endpoints that reset each call."""
     return dict.fromkeys(names, "reset")
 
 
@@ -127,7 +126,7 @@
         ([("a", "weight = 2"), ("b", ""), ("c", "weight = 3")], "hash"),
     ],
 )
-def test_the_same_choices_as_the_model(tmp_path, rows, method):
+def test_choices_equal_those_of_the_model(tmp_path, rows, method):
     @pooled
     async def play(made):
         for name, _ in rows:
@@ -142,13 +141,13 @@
         model = oracle.Upstream(peers, method)
         for n in range(24):
             wanted = oracle.request(model, n, (), key=f"m{n}")
-            assert await made.one(client, f"m{n}") == wanted, n
+            assert await made.deliver(client, f"m{n}") == wanted, n
 
     play(tmp_path)
 
 
 @pooled
-async def test_failures_go_on_to_the_next_server_as_in_the_model(made):
+async def test_failures_are_passed_to_the_next_server_as_in_the_model(made):
     rows = [
         ("a", "weight = 3, max_fails = 2, fail_timeout_ms = 60000"),
         ("b", "max_fails = 1"),
@@ -165,32 +164,32 @@
             made.endpoints[name].script.append("reset")
         before = {name: len(e.script) for name, e in made.endpoints.items()}
         wanted = oracle.request(model, n / 100, bad)
-        assert await made.one(client, f"m{n}") == wanted, (n, before)
-    assert model.peers[0].suspect and model.peers[1].suspect  # backups alone, in the end
+        assert await made.deliver(client, f"m{n}") == wanted, (n, before)
+    assert model.peers[0].suspect and model.peers[1].suspect  # only the backup is left
 
 
 @pooled
-async def test_a_server_that_was_out_comes_back_by_one_call_and_cold(made):
+async def test_an_ejected_server_recovers_by_one_call_and_starts_cold(made):
     for name in "ab":
         await made.endpoint(name)
     client = await made.start(
         made.partner(1, "venue", [("a", "max_fails = 1, fail_timeout_ms = 1500, weight = 9"), ("b", "")])
     )
     made.endpoints["a"].script.append("reset")
-    assert await made.one(client, "m1") == ["a", "b"]
-    assert [await made.one(client, f"n{n}") for n in range(3)] == [["b"]] * 3
+    assert await made.deliver(client, "m1") == ["a", "b"]
+    assert [await made.deliver(client, f"n{n}") for n in range(3)] == [["b"]] * 3
     await asyncio.sleep(1.6)
-    assert await made.one(client, "m2") == ["a"]
+    assert await made.deliver(client, "m2") == ["a"]
     a = next(e for e in made.host.courier.state.endpoints.values() if e.circuit.slow_start_since_us >= 0)
     assert made.host.calls.pools[a.id].address[1] == made.endpoints["a"].port  # its slow start has begun
 
 
 @pooled
-async def test_a_wait_told_by_a_primary_keeps_backups_closed(made):
-    wait = answer(429, Retry_After="0.6")
+async def test_the_retry_after_of_a_primary_also_applies_to_backups(made):
+    busy_reply = answer(429, Retry_After="0.6")
     for name in "ab":
         await made.endpoint(name)
-    made.endpoints["a"].script.append(wait)
+    made.endpoints["a"].script.append(busy_reply)
     client = await made.start(
         made.partner(1, "venue", [("a", "max_fails = 1"), ("b", "backup = true")], 'fails_on = ["overload"]')
     )
@@ -198,41 +197,43 @@
     assert await client.put("m1", dest=1) == "+OK"
     assert (await made.endpoints["a"].call())[0] == "/events"
     assert await client.put("m2", dest=1) == "+OK"
-    await bounded(made.settled())
-    met = made.met()
-    assert met == ["b"] and asyncio.get_running_loop().time() - begin >= 0.6  # a is out, b waits as told
+    await bounded(made.all_completed())
+    called = made.called_endpoints()
+    assert (
+        called == ["b"] and asyncio.get_running_loop().time() - begin >= 0.6
+    )  # a is ejected, b is called after the Retry-After
 
 
 @pooled
-async def test_a_primary_that_is_busy_does_not_open_a_backup(made):
+async def test_a_busy_primary_does_not_activate_a_backup(made):
     for name in "ab":
         await made.endpoint(name)
     made.endpoints["a"].script += ["hold"]
     client = await made.start(made.partner(1, "venue", [("a", ""), ("b", "backup = true")]))
     assert await client.put("m1", dest=1) == "+OK"
     await made.endpoints["a"].call()
-    assert await client.put("m2", dest=1) == "+OK"  # the window of a new destination is one wide
+    assert await client.put("m2", dest=1) == "+OK"  # a new destination has a window of one call
     await asyncio.sleep(0.1)
-    assert made.met() == []
+    assert made.called_endpoints() == []
     made.endpoints["a"].release.set()
-    await bounded(made.settled())
-    assert made.met() == ["a"]
+    await bounded(made.all_completed())
+    assert made.called_endpoints() == ["a"]
 
 
 @pooled
-async def test_an_unsafe_message_is_not_passed_on_where_it_may_have_run(made):
+async def test_a_non_idempotent_message_is_not_passed_on_if_possibly_executed(made):
     for name in "ab":
         await made.endpoint(name)
     made.endpoints["a"].script.append("reset")
     client = await made.start(made.partner(1, "venue", [("a", "max_fails = 1"), ("b", "backup = true")]))
-    assert await made.one(client, "m1", kind="unsafe") == ["a"]
+    assert await made.deliver(client, "m1", kind="unsafe") == ["a"]
     while not (made.folder / "finals.jsonl").exists():
         await asyncio.sleep(0.01)
     assert json.loads((made.folder / "finals.jsonl").read_text())["status"] == "undeliverable"
 
 
 @pooled
-async def test_what_would_outlive_its_time_behind_marks_is_handed_back_at_once(made):
+async def test_a_message_whose_deadline_precedes_the_recovery_is_rejected_at_once(made):
     for name in "ab":
         await made.endpoint(name)
         made.endpoints[name].script += ["reset"] * 3
@@ -247,9 +248,9 @@
         )
     )
     begin = asyncio.get_running_loop().time()
-    assert await made.one(client, "m1") == ["a", "b"]
+    assert await made.deliver(client, "m1") == ["a", "b"]
     assert (await client.put("m2", dest=1)).startswith("-BUSY ")
-    assert asyncio.get_running_loop().time() - begin < 2.0 and made.met() == []
+    assert asyncio.get_running_loop().time() - begin < 2.0 and made.called_endpoints() == []
 
 
 ROUTES = """
@@ -294,8 +295,8 @@
     ):
         cls = "unsafe" if not fields else "safe"
         assert await client.send(named(f"m{n}", f"c={cls},t=t,d=3000,{fields}")) == "+OK"
-        await bounded(made.settled())
-        assert made.met() == [wanted], fields
+        await bounded(made.all_completed())
+        assert made.called_endpoints() == [wanted], fields
     assert await client.send(named("z1", "c=safe,t=t,d=3000,path=/none")) == "-ERR path: no route"
     client = await Client().open(made.host.clients.sock.getsockname()[1])
     assert await client.send(named("z2", "c=safe,t=t,d=3000,to=nobody")) == "-ERR to: no route"
@@ -304,11 +305,11 @@
 
 
 @pooled
-async def test_weights_change_while_it_runs_and_a_list_that_cannot_be_used_does_not_count(made):
+async def test_weights_change_at_run_time_and_an_invalid_list_is_ignored(made):
     for name in "ab":
         await made.endpoint(name)
     client = await made.start(made.partner(1, "venue", [("a", "weight = 9"), ("b", "")]))
-    assert await made.one(client, "m1") == ["a"]
+    assert await made.deliver(client, "m1") == ["a"]
     path = made.folder / "out" / "n.partners.json"
     broken = json.loads(path.read_text())
     broken["routing"]["pools"]["1"]["method"] = "magic"
@@ -316,15 +317,15 @@
 
     path.write_text(json.dumps(seal(broken)))
     made.host.watch.look()
-    assert await made.one(client, "m2") == ["a"]
+    assert await made.deliver(client, "m2") == ["a"]
     made.write(made.partner(1, "venue", [("a", "down = true"), ("b", "")]))
     os.utime(path)
     made.host.watch.look()
-    assert [await made.one(client, f"n{n}") for n in range(3)] == [["b"]] * 3
+    assert [await made.deliver(client, f"n{n}") for n in range(3)] == [["b"]] * 3
 
 
 @pooled
-async def test_without_any_such_setting_there_is_no_routing_at_all(made):
+async def test_without_routing_settings_there_is_no_router(made):
     await made.endpoint("a")
     client = await made.start(
         f'[[partner]]\nname = "venue"\nnumber = 1\nper_s = 50\nendpoints = ["{made.address("a")}"]\n'
@@ -332,11 +333,11 @@
     assert (
         made.host.courier.state.endpoint_preference is None and "route.pools" not in made.host.metrics_text()
     )
-    assert await made.one(client, "m1") == ["a"]
+    assert await made.deliver(client, "m1") == ["a"]
 
 
 @pooled
-async def test_the_small_client_names_a_path(made):
+async def test_the_client_library_sends_path_and_name(made):
     from madderbeam.client import Courier
 
     for name in "ab":
@@ -344,7 +345,7 @@
     await made.start(made.partner(1, "venue", [("a", "")]) + made.partner(2, "choir", [("b", "")]) + ROUTES)
     port = made.host.clients.sock.getsockname()[1]
 
-    def hand_in():
+    def send_messages():
         courier = Courier(f"redis://127.0.0.1:{port}")
         courier.put("safe", None, b"x", 3000, tenant="t", path="/rooms/%2C")
         courier.put("safe", None, b"x", 3000, tenant="t", to="choir")
@@ -354,6 +355,6 @@
             courier.put("safe", None, b"x", 3000, tenant="t", path="/none")
         courier.close()
 
-    await asyncio.to_thread(hand_in)
-    await bounded(made.settled())
-    assert sorted(made.met()) == ["a", "b"]
+    await asyncio.to_thread(send_messages)
+    await bounded(made.all_completed())
+    assert sorted(made.called_endpoints()) == ["a", "b"]
--- a/tests/routing/test_routes.py
+++ b/tests/routing/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes in nginx's order, held against a plain model of its documentation."""
+"""Tests of routes against a reference model of nginx's documented precedence."""
 
 import time
 
@@ -40,17 +40,17 @@
         ("/documents/1.JPG", "E"),
     ],
 )
-def test_the_documentation_s_example(name, expected):
+def test_the_example_of_the_documentation(name, expected):
     assert pool(DOCUMENTED, name) == expected
 
 
-def test_a_preferential_prefix_counts_only_where_it_is_the_longest():
+def test_a_preferential_prefix_is_used_only_if_it_is_the_longest():
     table = routes(("^~", "/rooms/", "near"), ("", "/rooms/late/", "late"), ("~", r"\.json$", "regex"))
     assert pool(table, "/rooms/a.json") == "near"
     assert pool(table, "/rooms/late/a.json") == "regex"
 
 
-def test_the_first_expression_that_matches_counts_not_the_longest():
+def test_the_first_matching_expression_is_used_not_the_longest():
     table = routes(("~", "room", "first"), ("~", "rooms/late", "second"))
     assert pool(table, "/rooms/late") == "first"
 
@@ -59,7 +59,7 @@
     assert pool(routes(("^~", "/a", "prefix"), ("=", "/a", "exact")), "/a") == "exact"
 
 
-def test_what_matches_nothing_has_no_route():
+def test_a_name_without_a_match_has_no_route():
     assert routes(("=", "/a", "p"), ("", "/b", "q"), ("~", "^c", "r")).find("/z") is None
 
 
@@ -77,13 +77,13 @@
         ([("~", "((a{100}){100}){100}", "p")], "text"),
     ],
 )
-def test_a_route_that_cannot_be_used_is_told_in_one_line(rows, field):
+def test_an_invalid_route_raises_a_one_line_error(rows, field):
     with pytest.raises(RouteError) as error:
         routes(*rows)
     assert f"{field}:" in str(error.value) and "\n" not in str(error.value)
 
 
-def test_no_pattern_can_hang_the_loop():
+def test_no_pattern_can_stall_the_event_loop():
     table = routes(("~", "^(a+)+$", "p"), ("~", "(x*)*(y*)*z$", "q"))
     start = time.process_time()
     assert table.find("a" * 20_000 + "!") is None
@@ -97,7 +97,7 @@
 
 
 def usable(rows):
-    """Without empty texts that aren't allowed, and without those that stand twice."""
+    """Drop the empty texts that aren't allowed, and duplicates."""
     found, seen = [], set()
     for n, (how, text) in enumerate(rows):
         same = (how == "=", text)
@@ -116,8 +116,8 @@
     assert pool(routes(*rows), name) == oracle.location(rows, name)
 
 
-def test_a_look_up_does_not_grow_with_the_routes():
-    def took(count):
+def test_lookup_cost_does_not_grow_with_the_routes():
+    def seconds_per_lookup(count):
         table = routes(*(("", f"/partner-{n:05}/", f"p{n}") for n in range(count)))
         assert len(table.lengths) == 1 and not any(r.match in REGEXES for r in table.prefixes.values())
         best = 1e9
@@ -128,4 +128,4 @@
             best = min(best, (time.perf_counter() - start) / 500)
         return best
 
-    assert took(20_000) < 8 * took(500)
+    assert seconds_per_lookup(20_000) < 8 * seconds_per_lookup(500)
