--- a/madderbeam/__init__.py
+++ b/madderbeam/__init__.py
@@ -1,4 +1,4 @@
-"""madderbeam: a message courier that hands messages on to destinations outside its control."""
+"""madderbeam: a message courier that delivers messages to destinations outside its control."""
 
 from madderbeam.policy.engine import DeliveryEngine
 from madderbeam.policy.settings import Settings
--- a/madderbeam/__main__.py
+++ b/madderbeam/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m madderbeam`: with no arguments one courier, as the environment has it; else a command."""
+"""`python -m madderbeam`: without arguments runs a courier configured by the environment, else a command."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
         from madderbeam.cli import main as command
 
         sys.exit(command())
-    # A SIGHUP before there is a handler would end the process: it waits until there is one (host/process.py).
+    # SIGHUP would end the process until its handler is installed (host/process.py): block it until then.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    # The courier alone: nothing of the commands is loaded, it starts in 32 MB.
+    # The commands are not imported here, so that a courier starts in 32 MB.
     from madderbeam.host.process import main
 
     sys.exit(main())
--- a/madderbeam/cli.py
+++ b/madderbeam/cli.py
@@ -1,4 +1,4 @@
-"""The `madderbeam` command: subcommands thin over the packages."""
+"""The `madderbeam` command: its subcommands are defined by the packages."""
 
 from __future__ import annotations
 
@@ -17,9 +17,12 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """Return the parser of the command and all its subcommands."""
     top = argparse.ArgumentParser(prog="madderbeam", description="A message courier.")
     commands = top.add_subparsers(dest="command", required=True)
-    run = commands.add_parser("run", help="one courier, as LB_CONFIG and the environment have it, or as FILE")
+    run = commands.add_parser(
+        "run", help="run a courier configured by LB_CONFIG and the environment, or by FILE"
+    )
     run.add_argument("--config", metavar="FILE", help="a rendered file (madderbeam config render)")
     run.set_defaults(action=_run)
     add_sidecar(commands)
@@ -35,14 +38,15 @@
 
 def _run(args: argparse.Namespace) -> int:
     if args.config:
-        from madderbeam.host.standalone import main as beside
+        from madderbeam.host.standalone import main as run_standalone
 
-        return beside(args.config)
-    from madderbeam.host.process import main as serve
+        return run_standalone(args.config)
+    from madderbeam.host.process import main as run_process
 
-    return serve()
+    return run_process()
 
 
 def main(argv: Sequence[str] | None = None) -> int:
+    """Run the command with `argv`, by default that of the process; return the exit status."""
     args = parser().parse_args(sys.argv[1:] if argv is None else argv)
     return args.action(args)
--- a/madderbeam/client.py
+++ b/madderbeam/client.py
@@ -1,12 +1,13 @@
-"""A small client for programs beside a courier, on redis-py (the extra `client`).
+"""A client library for programs that use a courier, based on redis-py (the extra `client`).
 
     courier = Courier("unix:///run/notices.sock", feed="state/notices-finals.jsonl")
     ident = courier.put("status-notice", dest=7, body=b"rehearsal moved", within_ms=6000)
     for final in courier.finals():
         print(final.id, final.status)
 
-A message that `put` returned for is the courier's: it is delivered, or a final of it comes. A courier that
-has no room raises Refused, which tells when to come again; handing the message in anew then is harmless.
+Once `put` has returned, the courier is responsible for the message: it is delivered, or a final reports that
+it was not. If the courier rejects the message for lack of capacity, `put` raises Refused with the time after
+which to retry; submitting the same message again is safe.
 """
 
 from __future__ import annotations
@@ -22,30 +23,33 @@
 
 import redis
 
-ANSWER_S = 0.4  # a courier answers within this
+ANSWER_S = 0.4  # timeout of a reply in seconds; a courier replies within this
 NO_ORDER = "0"
 
 
 class Refused(Exception):
-    """The courier did not take the message on: come again after `after_ms` ms (0: it did not say when)."""
+    """The courier rejected the message: retry after `after_ms` ms (0: the courier gave no time)."""
 
     def __init__(self, after_ms: int) -> None:
-        super().__init__(f"come again after {after_ms} ms")
+        super().__init__(f"message rejected; retry after {after_ms} ms")
         self.after_ms = after_ms
 
 
 class Unknown(Exception):
-    """No answer came: the courier may have taken the message on under this id, or not."""
+    """No reply was received: the courier may or may not have accepted the message with this id."""
 
     def __init__(self, ident: str) -> None:
-        super().__init__(f"no answer for {ident}")
+        super().__init__(f"no reply for message {ident}")
         self.id = ident
 
 
 @dataclass(frozen=True)
 class Final:
-    """The end of a message that was not delivered. `deferred`: handed back, may be handed in again, after
-    `again_ms` if that is not 0. `undeliverable`: it failed, and may have taken effect."""
+    """The completion of a message that was not delivered.
+
+    Status `deferred`: returned undelivered; it may be submitted again, after `again_ms` unless that is 0.
+    Status `undeliverable`: it failed, and may have taken effect.
+    """
 
     id: str
     status: str
@@ -53,7 +57,10 @@
 
 
 class Courier:
-    """One program's courier. `url` is redis://HOST:PORT or unix://PATH; `feed` the file of its finals."""
+    """A connection to a courier.
+
+    `url` is redis://HOST:PORT or unix://PATH; `feed` is the file to which the courier writes finals.
+    """
 
     def __init__(self, url: str, feed: str | Path = "", connections: int = 32) -> None:
         pool = redis.BlockingConnectionPool.from_url(
@@ -81,14 +88,15 @@
         to: str = "",
         path: str = "",
     ) -> str:
-        """Hand a message in; its id.
-
-        `within_ms`: for how long it may still be delivered. `key`: needed in a keyed class, the same each
-        time that this message is handed in. `order`: messages of an ordered class that share it go one at a
-        time. `to` (a partner's name, or a host) and `path` name the destination where `dest` is None, by the
-        courier's routes; neither may hold a comma.
-        Refused, with a time to come back; Unknown if no answer came (do not hand an unsafe message in again);
-        ValueError if the courier can't use it.
+        """Submit a message; return its id.
+
+        `within_ms` is the delivery deadline from now. `key` is required in a class that is idempotent with
+        key, and must be the same each time that this message is submitted. Messages of an ordered class with
+        the same `order` are delivered one at a time. If `dest` is None, the courier's routes resolve the
+        destination from `to` (a partner's name, or a host) and `path`; neither may contain a comma.
+
+        Raises Refused with the time after which to retry; Unknown if no reply was received (don't submit a
+        non-idempotent message again then); ValueError if the message is invalid.
         """
         ident = ident or secrets.token_hex(8)
         if "," in to + path:
@@ -110,10 +118,10 @@
         return ident
 
     def finals(self, wait: bool = True, poll_s: float = 0.1) -> Iterator[Final]:
-        """The ends of messages that were not delivered, from the feed's beginning on.
+        """Yield the finals of messages that were not delivered, from the beginning of the feed.
 
-        Goes on for ever, or with `wait` off until all that is there has been read. One may come twice, after
-        the courier was killed. The feed that was set aside as .1 is read first, if it is there.
+        Never ends, unless `wait` is false: then it stops at the end of the feed. A final may be repeated
+        after the courier was killed. The rotated feed (suffix .1) is read first, if it exists.
         """
         if self.feed is None:
             raise ValueError("feed: no file was given")
@@ -127,14 +135,14 @@
                 time.sleep(poll_s)
                 continue
             with file:
-                if first:  # looked for once this one is open: what is set aside from now on is this one
-                    yield from self._aside(file.fileno())
+                if first:  # looked up once the feed is open: what is rotated from now on is this file
+                    yield from self._rotated_finals(file.fileno())
                     first = False
                 while True:
                     text = file.read()
                     if text:
-                        whole, newline, tail = (tail + text).rpartition("\n")
-                        yield from _lines(whole + newline)
+                        complete_lines, newline, tail = (tail + text).rpartition("\n")
+                        yield from _lines(complete_lines + newline)
                         continue
                     if not wait:
                         return
@@ -142,8 +150,8 @@
                         break
                     time.sleep(poll_s)
 
-    def _aside(self, descriptor: int) -> Iterator[Final]:
-        """What was set aside before the feed that is open."""
+    def _rotated_finals(self, descriptor: int) -> Iterator[Final]:
+        """Yield the finals of the feed that was rotated before the open one."""
         assert self.feed is not None
         with (
             contextlib.suppress(FileNotFoundError),
@@ -153,7 +161,7 @@
                 yield from _lines(old.read())
 
     def _replaced(self, descriptor: int) -> bool:
-        """Whether the feed was set aside and another has begun."""
+        """Whether the feed was rotated and a new one exists."""
         assert self.feed is not None
         try:
             return os.stat(self.feed).st_ino != os.fstat(descriptor).st_ino
@@ -161,6 +169,7 @@
             return False
 
     def close(self) -> None:
+        """Close the connections."""
         self.redis.close()
 
 
@@ -168,6 +177,6 @@
     for line in text.splitlines():
         try:
             row = json.loads(line)
-        except ValueError:  # torn by a kill: it comes again, whole
+        except ValueError:  # truncated by a kill; the courier writes it again
             continue
         yield Final(row["id"], row["status"], row.get("again_ms", 0))
--- a/madderbeam/ports/__init__.py
+++ b/madderbeam/ports/__init__.py
@@ -1,8 +1,8 @@
-"""What the courier needs of the outside: a clock, a network and a disk, behind small typed ports.
+"""Interfaces to the outside world: a clock, a network and a disk.
 
-Nothing outside the real ports (madderbeam/ports/real.py) reads the time, opens a socket or touches a file,
-so the same host runs on real sockets and in the simulation. Timers are not here: they
-go through asyncio's own interface (`call_later`, `call_soon`), which the simulation's loop has as well.
+Only the real implementation (madderbeam/ports/real.py) reads the time, opens a socket or accesses a file, so
+the same host runs on real sockets and in the simulation. Timers are not part of this: they use asyncio's own
+interface (`call_later`, `call_soon`), which the simulation's event loop implements too.
 """
 
 from __future__ import annotations
@@ -15,74 +15,131 @@
 
 
 class Socket(Protocol):
-    """A non-blocking stream or listening socket: socket.socket's methods of the same names, which raise
-    OSError as that does (BlockingIOError where nothing can be done now)."""
-
-    def recv(self, size: int, flags: int = 0, /) -> bytes: ...
-    def recv_into(self, buffer: bytearray, /) -> int: ...
-    def send(self, data: Any, /) -> int: ...
-    def connect_ex(self, address: Address, /) -> int: ...
-    def getsockopt(self, level: int, option: int, /) -> int: ...
-    def setsockopt(self, level: int, option: int, value: int | bytes, /) -> None: ...
-    def getsockname(self) -> Any: ...
-    def setblocking(self, on: bool, /) -> None: ...
-    def accept(self) -> tuple[Any, Any]: ...
-    def shutdown(self, how: int, /) -> None: ...
-    def close(self) -> None: ...
+    """A non-blocking stream or listening socket, a subset of socket.socket.
+
+    The methods raise OSError as socket.socket's do (BlockingIOError if the operation would block).
+    """
+
+    def recv(self, size: int, flags: int = 0, /) -> bytes:
+        """Receive up to `size` bytes; b'' at the end of the stream."""
+        ...
+
+    def recv_into(self, buffer: bytearray, /) -> int:
+        """Receive into a buffer; return the number of bytes."""
+        ...
+
+    def send(self, data: Any, /) -> int:
+        """Send data; return the number of bytes sent, possibly fewer."""
+        ...
+
+    def connect_ex(self, address: Address, /) -> int:
+        """Start to connect; return the errno, 0 on success."""
+        ...
+
+    def getsockopt(self, level: int, option: int, /) -> int:
+        """Return a socket option."""
+        ...
+
+    def setsockopt(self, level: int, option: int, value: int | bytes, /) -> None:
+        """Set a socket option."""
+        ...
+
+    def getsockname(self) -> Any:
+        """Return the local address."""
+        ...
+
+    def setblocking(self, on: bool, /) -> None:
+        """Set blocking or non-blocking mode."""
+        ...
+
+    def accept(self) -> tuple[Any, Any]:
+        """Accept a connection; return its socket and the peer's address."""
+        ...
+
+    def shutdown(self, how: int, /) -> None:
+        """Shut down one or both directions."""
+        ...
+
+    def close(self) -> None:
+        """Release the descriptor."""
+        ...
 
 
 class Datagrams(Protocol):
-    """A non-blocking socket for datagrams, bound to an address: socket.socket's methods of the same names,
-    which raise OSError as that does (BlockingIOError where nothing can be done now)."""
+    """A non-blocking datagram socket that is bound to an address, a subset of socket.socket.
+
+    The methods raise OSError as socket.socket's do (BlockingIOError if the operation would block).
+    """
+
+    def recvfrom(self, size: int, /) -> tuple[bytes, Any]:
+        """Receive a datagram; return it and the sender's address."""
+        ...
 
-    def recvfrom(self, size: int, /) -> tuple[bytes, Any]: ...
-    def sendto(self, data: bytes, address: Address, /) -> int: ...
-    def getsockname(self) -> Any: ...
-    def close(self) -> None: ...
+    def sendto(self, data: bytes, address: Address, /) -> int:
+        """Send a datagram; return the number of bytes sent."""
+        ...
+
+    def getsockname(self) -> Any:
+        """Return the local address."""
+        ...
+
+    def close(self) -> None:
+        """Release the descriptor."""
+        ...
 
 
 class Clock(Protocol):
-    """Monotonic time runs evenly; wall time outlasts the process and may step."""
+    """Monotonic time never goes back; wall time is comparable across processes and may jump."""
 
     def monotonic_us(self) -> int:
-        """Microseconds since any fixed moment, never less than before."""
+        """Return microseconds since an arbitrary fixed moment; never decreases."""
         ...
 
     def wall(self) -> float:
-        """Unix time in seconds."""
+        """Return Unix time in seconds."""
         ...
 
 
 class Network(Protocol):
-    """TCP and UDP sockets and when they are ready. A callback is called again and again while its socket is
-    ready."""
+    """Creates TCP and UDP sockets and reports when they are ready.
+
+    Readiness is level-triggered: a callback is called repeatedly while its socket is ready.
+    """
 
     @property
     def on_readable(self) -> Callable[..., Any]:
-        """(socket, callback, *args): replaces the callback before."""
+        """Register a read callback, as (socket, callback, *args); it replaces an earlier one."""
 
     @property
-    def on_writable(self) -> Callable[..., Any]: ...
+    def on_writable(self) -> Callable[..., Any]:
+        """Register a write callback, as (socket, callback, *args); it replaces an earlier one."""
+        ...
 
     @property
     def off_readable(self) -> Callable[..., Any]:
-        """(socket): none of its callbacks is called any more."""
+        """Remove the read callback of a socket."""
 
     @property
-    def off_writable(self) -> Callable[..., Any]: ...
+    def off_writable(self) -> Callable[..., Any]:
+        """Remove the write callback of a socket."""
+        ...
 
     def listen(self, address: Address, backlog: int) -> Socket:
-        """A listening socket; OSError if the address can't be had. A host that begins with / is the path of
-        a Unix socket; its port means nothing."""
+        """Return a listening socket; OSError if the address is unavailable.
+
+        A host that starts with / is the path of a Unix socket; its port is ignored.
+        """
         ...
 
     def stream(self, address: Address) -> Socket:
-        """A socket that can connect to this address; OSError if none is to be had."""
+        """Return a socket that can connect to this address; OSError if none can be created."""
         ...
 
     def datagram(self, address: Address) -> Datagrams:
-        """A socket that sends and takes datagrams at this address; OSError if it can't be had. What it sends
-        may be lost, come twice, late or in another order."""
+        """Return a datagram socket bound to this address; OSError if it is unavailable.
+
+        Datagrams may be lost, duplicated, delayed or reordered.
+        """
         ...
 
 
@@ -90,61 +147,73 @@
     """A file open for appending."""
 
     def append(self, data: bytes) -> int:
-        """Write at the end; how much was written, which may be less. OSError if nothing was."""
+        """Append data; return the number of bytes written, possibly fewer. OSError if none were."""
         ...
 
     def truncate(self, size: int) -> None:
-        """Cut the file to so many bytes."""
+        """Truncate the file to `size` bytes."""
         ...
 
     def sync(self) -> None:
-        """What was written outlasts a loss of power."""
+        """Flush written data to stable storage, so that it survives a power failure."""
         ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Release the descriptor."""
+        ...
 
 
 class Lock(Protocol):
-    """Held until it is closed or the process ends, in whatever way."""
+    """A file lock, held until it is closed or the process ends for any reason."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Release the descriptor."""
+        ...
 
 
 class Disk(Protocol):
-    """Files by path. What was written outlasts the process. Each raises OSError."""
+    """The file system. Written data survives the process; every method raises OSError."""
 
     def open(self, path: str, *, empty: bool = False) -> File:
-        """Open for appending, made if it is not there; emptied on request."""
+        """Open for appending, creating the file if needed; `empty` truncates it."""
         ...
 
-    def read(self, path: str) -> bytes: ...
+    def read(self, path: str) -> bytes:
+        """Return the content of a file."""
+        ...
 
     def stamp(self, path: str) -> tuple[int, ...]:
-        """Something that changes whenever the file is replaced or written to."""
+        """Return a value that changes whenever the file is replaced or written to."""
         ...
 
-    def rename(self, old: str, new: str) -> None: ...
+    def rename(self, old: str, new: str) -> None:
+        """Rename a file, replacing an existing one."""
+        ...
 
     def unlink(self, path: str) -> None:
-        """Remove a file; none there is no error."""
+        """Remove a file; a missing file is no error."""
         ...
 
     def names(self, path: str) -> list[str]:
-        """What a folder holds."""
+        """Return the names in a directory."""
         ...
 
-    def is_folder(self, path: str) -> bool: ...
-    def make_folder(self, path: str) -> None: ...
+    def is_folder(self, path: str) -> bool:
+        """Whether the path is an existing directory."""
+        ...
+
+    def make_folder(self, path: str) -> None:
+        """Create a directory and its parents; an existing one is no error."""
+        ...
 
     def lock(self, path: str) -> Lock:
-        """Hold a file, made if it is not there, for as long as the process lives; BlockingIOError if another
-        process holds it."""
+        """Lock a file, creating it if needed; BlockingIOError if another process holds the lock."""
         ...
 
 
 @dataclass(frozen=True)
 class Ports:
-    """All that one courier has of the outside."""
+    """The clock, network and disk of one courier."""
 
     clock: Clock
     network: Network
--- a/madderbeam/ports/real.py
+++ b/madderbeam/ports/real.py
@@ -1,4 +1,4 @@
-"""The real ports: the system's clocks, sockets on asyncio's loop, files."""
+"""Ports of a real process: the system's clocks, sockets on the asyncio event loop, and files."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from madderbeam.ports import Address, Ports
 
 
-def open_at_most(told: int) -> int:
-    """Descriptors that this process may have open: as many as it was told, or fewer by the system's limit."""
+def open_at_most(max_descriptors: int) -> int:
+    """Return how many descriptors the process may open: `max_descriptors`, or the system's limit if lower."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return told if limit == resource.RLIM_INFINITY else min(told, limit)
+    return max_descriptors if limit == resource.RLIM_INFINITY else min(max_descriptors, limit)
 
 
 def _family(address: Address) -> socket.AddressFamily:
@@ -32,11 +32,12 @@
 
     @staticmethod
     def monotonic_us() -> int:
+        """See Clock."""
         return time.monotonic_ns() // 1000
 
 
 class RealNetwork:
-    """Sockets of the system; the loop's own methods tell when they are ready, with nothing in between."""
+    """System sockets; readiness callbacks are the event loop's own methods, to avoid an extra call."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.on_readable, self.off_readable = loop.add_reader, loop.remove_reader
@@ -44,6 +45,7 @@
 
     @staticmethod
     def listen(address: Address, backlog: int) -> socket.socket:
+        """See Network."""
         if address[0].startswith("/"):
             return _listen_unix(address[0], backlog)
         sock = socket.create_server(address, backlog=backlog, family=_family(address))
@@ -52,12 +54,14 @@
 
     @staticmethod
     def stream(address: Address) -> socket.socket:
+        """See Network."""
         sock = socket.socket(_family(address), socket.SOCK_STREAM)
         sock.setblocking(False)
         return sock
 
     @staticmethod
     def datagram(address: Address) -> socket.socket:
+        """See Network."""
         sock = socket.socket(_family(address), socket.SOCK_DGRAM)
         try:
             sock.bind(address)
@@ -69,13 +73,13 @@
 
 
 def _listen_unix(path: str, backlog: int) -> socket.socket:
-    """Listen at a path. A socket that a process which died has left there goes; one that answers stays."""
+    """Listen on a Unix socket; replace a stale socket of a dead process, but not one in use."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
         try:
             sock.bind(path)
         except OSError as error:
-            if error.errno != errno.EADDRINUSE or not _deserted(path):
+            if error.errno != errno.EADDRINUSE or not _is_stale_socket(path):
                 raise
             os.unlink(path)
             sock.bind(path)
@@ -87,8 +91,8 @@
     return sock
 
 
-def _deserted(path: str) -> bool:
-    """Whether a socket stands there at which nobody listens."""
+def _is_stale_socket(path: str) -> bool:
+    """Whether the path is a socket on which no process listens."""
     if not stat.S_ISSOCK(os.stat(path).st_mode):
         return False
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
@@ -97,26 +101,30 @@
 
 
 class RealFile:
-    """A descriptor; writes go straight to the system, so what was written outlasts SIGKILL with no sync."""
+    """A file written without buffering in the process, so that written data survives SIGKILL without sync."""
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
 
     def append(self, data: bytes) -> int:
+        """See File."""
         return os.write(self.descriptor, data)
 
     def truncate(self, size: int) -> None:
+        """See File."""
         os.ftruncate(self.descriptor, size)
 
     def sync(self) -> None:
+        """See File."""
         os.fdatasync(self.descriptor)
 
     def close(self) -> None:
+        """Close the descriptor."""
         os.close(self.descriptor)
 
 
 class RealLock:
-    """A lock of the system's on a file; it goes with the process."""
+    """A flock on a file; the kernel releases it when the process ends."""
 
     def __init__(self, path: str) -> None:
         self.descriptor = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
@@ -127,6 +135,7 @@
             raise
 
     def close(self) -> None:
+        """Close the descriptor."""
         os.close(self.descriptor)
 
 
@@ -135,54 +144,66 @@
 
     @staticmethod
     def open(path: str, *, empty: bool = False) -> RealFile:
+        """See Disk."""
         flags = os.O_RDWR | os.O_CREAT | os.O_APPEND | (os.O_TRUNC if empty else 0)
         return RealFile(os.open(path, flags, 0o600))
 
     @staticmethod
     def read(path: str) -> bytes:
+        """See Disk."""
         with open(path, "rb") as file:
             return file.read()
 
     @staticmethod
     def stamp(path: str) -> tuple[int, ...]:
-        found = os.stat(path)
-        return found.st_mtime_ns, found.st_size, found.st_ino
+        """See Disk: modification time, size and inode."""
+        status = os.stat(path)
+        return status.st_mtime_ns, status.st_size, status.st_ino
 
     @staticmethod
     def rename(old: str, new: str) -> None:
+        """See Disk."""
         os.rename(old, new)
 
     @staticmethod
     def unlink(path: str) -> None:
+        """See Disk."""
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)
 
     @staticmethod
     def names(path: str) -> list[str]:
+        """See Disk."""
         return os.listdir(path)
 
     @staticmethod
     def is_folder(path: str) -> bool:
+        """See Disk."""
         return os.path.isdir(path)
 
     @staticmethod
     def make_folder(path: str) -> None:
+        """See Disk."""
         os.makedirs(path, mode=0o700, exist_ok=True)
 
     @staticmethod
     def lock(path: str) -> RealLock:
+        """See Disk."""
         return RealLock(path)
 
 
 class InheritedNetwork(RealNetwork):
-    """As the real one, but one address is that of a listening socket which came as an open descriptor. It
-    stays open: each listen has one of its own."""
+    """A real network in which one address is served by an inherited listening socket.
+
+    The inherited descriptor stays open: each `listen` duplicates it.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, descriptor: int) -> None:
         super().__init__(loop)
         self.address, self.descriptor = address, descriptor
 
     def listen(self, address: Address, backlog: int) -> socket.socket:  # type: ignore[override]
+        """See Network; the inherited address uses the inherited socket."""
         if address != self.address:
             return RealNetwork.listen(address, backlog)
         sock = socket.socket(fileno=os.dup(self.descriptor))
@@ -192,6 +213,6 @@
 
 
 def real_ports(loop: asyncio.AbstractEventLoop, listen: Address = ("", 0), descriptor: int = -1) -> Ports:
-    """The ports of a process that runs this loop; `descriptor`: a socket that listens there already."""
+    """Return the ports of a process; `descriptor`, unless negative, is a socket that listens on `listen`."""
     network = RealNetwork(loop) if descriptor < 0 else InheritedNetwork(loop, listen, descriptor)
     return Ports(RealClock(), network, RealDisk())
--- a/madderbeam/simhost.py
+++ b/madderbeam/simhost.py
@@ -1,4 +1,4 @@
-"""Runs couriers on the simulator's wire: one Courier for each instance, nothing shared between them."""
+"""Runs delivery engines on the simulator's protocol, one per instance, without shared state."""
 
 from __future__ import annotations
 
@@ -14,34 +14,36 @@
 
 
 class List:
-    """An instance's list of endpoints, with the rates that answers tell where it has none."""
+    """The endpoint list of an instance, with rates from load reports if the list has none."""
 
     def __init__(self, settings: Settings) -> None:
-        self.s, self.limits = settings, ReportedRates()
+        self.settings, self.limits = settings, ReportedRates()
         self.entries: dict[int, EndpointEntry] = {}
 
     def heard(self, event: Any) -> list[Any]:
-        """What the courier is told of it."""
-        if not self.s.load_report_fields:
+        """Return the events that the engine gets for an event of the simulator."""
+        if not self.settings.load_report_fields:
             return [] if isinstance(event, wire.LoadReport) else [event]
         if isinstance(event, EndpointListUpdate):
-            event = replace(event, entries=tuple(map(self._rated, event.entries)))
+            event = replace(event, entries=tuple(map(self._with_rate, event.entries)))
             self.entries.update({e.endpoint: e for e in event.entries})
         elif isinstance(event, wire.LoadReport):
             entry = self.entries.get(event.endpoint)
             if entry is None or not self.limits.update(
-                self._key(entry), reported_rate(self.s.load_report_fields, event.values)
+                self._rate_limit_key(entry), reported_rate(self.settings.load_report_fields, event.values)
             ):
                 return []
-            event = EndpointListUpdate(ListUpdateKind.DELTA, (self._rated(entry),))
+            event = EndpointListUpdate(ListUpdateKind.DELTA, (self._with_rate(entry),))
         return [event]
 
-    def _rated(self, entry: EndpointEntry) -> EndpointEntry:
-        return replace(entry, rate_per_s=self.limits[self._key(entry)])
+    def _with_rate(self, entry: EndpointEntry) -> EndpointEntry:
+        return replace(entry, rate_per_s=self.limits[self._rate_limit_key(entry)])
 
-    def _key(self, entry: EndpointEntry) -> tuple[int, int]:
-        apart = self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].limits_per_endpoint
-        return (entry.destination, entry.endpoint if apart else -1)
+    def _rate_limit_key(self, entry: EndpointEntry) -> tuple[int, int]:
+        is_per_endpoint = self.settings.kinds[
+            min(entry.kind, len(self.settings.kinds) - 1)
+        ].limits_per_endpoint
+        return (entry.destination, entry.endpoint if is_per_endpoint else -1)
 
 
 def answer(
@@ -53,10 +55,10 @@
     pages: dict[int, Any],
     lists: dict[int, List],
 ) -> bytes:
-    """The reply to one batch."""
-    inbox: dict[int, list[Any]] = {}
+    """Process one batch of events; return the reply frame."""
+    events_by_instance: dict[int, list[Any]] = {}
     for instance, event in wire.read_events(body, count, pages):
-        events = inbox.setdefault(instance, [])
+        events = events_by_instance.setdefault(instance, [])
         if isinstance(event, wire.Begin):
             couriers[instance] = DeliveryEngine(event.settings, event.seed)
         elif isinstance(event, wire.Shutdown):
@@ -66,13 +68,13 @@
         elif instance in couriers:
             events += lists.setdefault(instance, List(couriers[instance].state.settings)).heard(event)
     reply = wire.Reply()
-    for instance, events in inbox.items():
+    for instance, events in events_by_instance.items():
         courier = couriers.get(instance)
         if courier is None:
             continue
         try:
             actions = courier.handle(now_us, events)
-        except Exception as error:  # the bench wants the text, whatever went wrong
+        except Exception as error:  # the simulator reports the text of any failure
             reply.instance(instance)
             reply.fault(f"{type(error).__name__}: {error}")
             continue
@@ -84,7 +86,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every batch until the input ends."""
+    """Reply to every batch until the input ends."""
     couriers: dict[int, DeliveryEngine] = {}
     pages: dict[int, Any] = {}
     lists: dict[int, List] = {}
@@ -98,9 +100,10 @@
 
 
 def main() -> int:
+    """Serve on standard input and output; return the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except ValueError as error:  # a malformed frame or settings that cannot be
+    except ValueError as error:  # a malformed frame or invalid settings
         print(f"madderbeam.simhost: {error}", file=sys.stderr)
         return 2
     return 0
--- a/madderbeam/standins/__init__.py
+++ b/madderbeam/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what is outside: partners."""
+"""Fakes of external systems for demos and benchmarks."""
--- a/madderbeam/standins/partner.py
+++ b/madderbeam/standins/partner.py
@@ -1,4 +1,4 @@
-"""A stand-in partner on a real socket: takes calls, runs them, and can be shut."""
+"""A fake partner endpoint on a real socket: runs calls, and can reject them for a while."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 import random
 from collections import Counter
 
-MAX_BODY = 1 << 20
-MAX_HEAD = 1 << 15
+MAX_BODY_BYTES = 1 << 20
+MAX_HEAD_BYTES = 1 << 15
 
 
 class Partner:
-    """One endpoint that answers as PROTOCOL's 'Couriers to endpoints' has it; `runs` counts effects by id."""
+    """An endpoint that follows PROTOCOL, 'Couriers to endpoints'; `runs` counts executions by message id."""
 
     def __init__(self, chance: random.Random, service_s: float = 0.05) -> None:
         self.chance, self.service_s = chance, service_s
-        self.open_at = 0.0  # loop time until which it is shut
+        self.open_at = 0.0  # event loop time until which calls are rejected
         self.runs: Counter[str] = Counter()
         self.refused = 0
         self.server: asyncio.Server | None = None
@@ -25,21 +25,23 @@
 
     @property
     def address(self) -> str:
+        """The address that it listens on, as HOST:PORT."""
         assert self.server is not None
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     async def start(self) -> None:
-        """Listen on a free port of loopback."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=MAX_HEAD)
+        """Listen on a free loopback port."""
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=MAX_HEAD_BYTES)
 
     async def stop(self) -> None:
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
             writer.close()
 
     def shut(self, seconds: float) -> None:
-        """Turn all calls away for so long, and tell when it opens."""
+        """Reject all calls for so long, with a Retry-After."""
         self.open_at = asyncio.get_running_loop().time() + seconds
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -47,16 +49,19 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-                headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:])}
+                headers = {
+                    name.lower(): value.strip()
+                    for name, _, value in (line.partition(":") for line in head[1:])
+                }
                 size = int(headers.get("content-length", "0"))
-                if size > MAX_BODY:
+                if size > MAX_BODY_BYTES:
                     break
                 body = await reader.readexactly(size)
-                writer.write(await self._answer(head[0].split(" ")[1], headers, body))
+                writer.write(await self._response(head[0].split(" ")[1], headers, body))
         self.writers.discard(writer)
         writer.close()
 
-    async def _answer(self, path: str, headers: dict[str, str], body: bytes) -> bytes:
+    async def _response(self, path: str, headers: dict[str, str], body: bytes) -> bytes:
         now = asyncio.get_running_loop().time()
         if now < self.open_at:
             self.refused += 1
@@ -71,5 +76,5 @@
         return _http(200, json.dumps([{"id": row["id"], "state": "done"} for row in rows]).encode())
 
 
-def _http(status: int, body: bytes, more: str = "") -> bytes:
-    return f"HTTP/1.1 {status} x\r\n{more}Content-Length: {len(body)}\r\n\r\n".encode() + body
+def _http(status: int, body: bytes, extra_headers: str = "") -> bytes:
+    return f"HTTP/1.1 {status} x\r\n{extra_headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
--- a/madderbeam/wire.py
+++ b/madderbeam/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's binary frames and settings JSON, to and from the interface types. No decisions here."""
+"""Codec of the simulator's binary frames and its settings JSON."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 BATCH_HEADER = struct.Struct(">IIQI")
 REPLY_HEADER = struct.Struct(">III")
 EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 40, 16, 24
-ANSWER = 8  # an event's code
+ANSWER = 8  # event code of the end of an attempt
 ALL_PEERS = 0xFFFFFFFF
 MAX_U32 = 0xFFFFFFFF
 
@@ -56,7 +56,7 @@
 }
 FORMS = (ListUpdateKind.DELTA, ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED, ListUpdateKind.FAILED)
 STATES = (EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING)
-RATE = "x1"  # of a load report: the calls a second that a destination takes from all couriers together
+RATE = "x1"  # load report field: calls per second that a destination accepts from all couriers together
 EFFECTS = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.WITH_KEY,
@@ -76,11 +76,11 @@
 
 
 class Malformed(ValueError):
-    """A frame that does not follow the wire's description."""
+    """A frame that violates the protocol."""
 
 
 class Begin:
-    """An instance begins with these settings and this seed."""
+    """Starts an instance with these settings and this seed."""
 
     __slots__ = ("seed", "settings")
 
@@ -90,19 +90,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint told of its load, in the order of the settings' fields."""
+    """The load that an endpoint reported, in the order of the fields in the settings."""
 
     endpoint: int
     values: tuple[float, ...]
 
 
 class Shutdown:
-    """An instance was killed."""
+    """Stops an instance, as if it was killed."""
 
     __slots__ = ()
 
 
 def endpoint_id(address: int, port: int) -> int:
+    """Return the endpoint number of an IPv4 address and a port."""
     return address << 16 | port
 
 
@@ -115,12 +116,12 @@
 
 def _slice(tail: memoryview, offset: int, size: int, what: str) -> memoryview:
     if offset + size > len(tail):
-        raise Malformed(f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}")
+        raise Malformed(f"{what} is outside the tail: offset {offset}, {size} bytes, tail {len(tail)}")
     return tail[offset : offset + size]
 
 
 def read_settings(text: bytes | memoryview | str) -> Settings:
-    """The settings JSON as Settings; unknown keys are ignored, a needed one that lacks is named."""
+    """Parse the settings JSON. Unknown keys are ignored; Malformed names a required key that is missing."""
     try:
         raw = json.loads(bytes(text) if isinstance(text, memoryview) else text)
     except ValueError as error:
@@ -132,7 +133,7 @@
     except KeyError as error:
         raise Malformed(f"settings lack the key {error.args[0]!r}") from None
     except (TypeError, AttributeError) as error:
-        raise Malformed(f"settings are of the wrong form: {error}") from None
+        raise Malformed(f"settings have an invalid structure: {error}") from None
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
@@ -140,32 +141,36 @@
     listed = raw.get("weightSource") in ("nominal", "rough")
     fields = tuple(str(f) for f in raw.get("report", {}).get("fields") or ())
     report = fields if RATE in fields and not listed else ()
-    design = raw.get("design", {})  # set by the configuration tool; the platform has no such object
+    design = raw.get("design", {})  # set by the configuration tool only; the platform sends no such object
     classes = tuple(
         MessageClass(
-            name=c.get("name", str(k)),
-            latency_objective_us=int(c["goalTimeUs"]),
-            deadline_us=int(c["deadlineUs"]),
-            idempotency=_choice(EFFECTS, c["idempotency"], "classes.idempotency"),
-            priority_weight=float(c.get("worth", 1.0)),
-            late_value_share=float(c.get("lateShare", 0.0)),
-            key_scope=c.get("keyScope", "all"),
-            key_window_us=int(c.get("keyTtlUs", 0)),
-            ordered=bool(c.get("sequential", False)),
+            name=row.get("name", str(index)),
+            latency_objective_us=int(row["goalTimeUs"]),
+            deadline_us=int(row["deadlineUs"]),
+            idempotency=_choice(EFFECTS, row["idempotency"], "classes.idempotency"),
+            priority_weight=float(row.get("worth", 1.0)),
+            late_value_share=float(row.get("lateShare", 0.0)),
+            key_scope=row.get("keyScope", "all"),
+            key_window_us=int(row.get("keyTtlUs", 0)),
+            ordered=bool(row.get("sequential", False)),
         )
-        for k, c in enumerate(raw["classes"])
+        for index, row in enumerate(raw["classes"])
     )
     names = raw.get("shapes") or ["any"]
     apart, batch = family.get("kindApart", []), family.get("kindBatch", [])
     kinds = tuple(
         DestinationKind(
-            n, bool(apart[k]) if k < len(apart) else False, int(batch[k]) if k < len(batch) else 1
+            name,
+            bool(apart[index]) if index < len(apart) else False,
+            int(batch[index]) if index < len(batch) else 1,
         )
-        for k, n in enumerate(names)
+        for index, name in enumerate(names)
     )
     tenants = tuple(
-        Tenant(t.get("name", ""), float(t.get("fraction", 0.0)), float(t.get("quotaPerS", 0.0)))
-        for t in raw.get("tenants", [])
+        Tenant(
+            tenant.get("name", ""), float(tenant.get("fraction", 0.0)), float(tenant.get("quotaPerS", 0.0))
+        )
+        for tenant in raw.get("tenants", [])
     )
     return Settings(
         classes=classes,
@@ -207,6 +212,7 @@
 
 
 def read_entries(data: memoryview) -> tuple[EndpointEntry, ...]:
+    """Decode the entries of an endpoint list."""
     return tuple(
         EndpointEntry(
             endpoint_id(address, port), dest, _choice(STATES, state, "endpoint condition"), rate, kind, zone
@@ -216,7 +222,7 @@
 
 
 def split_header(header: bytes) -> tuple[int, int, int, int]:
-    """(sequence number, body length, clock, record count) of a batch."""
+    """Decode a batch header: sequence number, body length, clock in us, record count."""
     if len(header) != BATCH_HEADER.size:
         raise Malformed(f"short batch header: {len(header)} of {BATCH_HEADER.size} bytes")
     return BATCH_HEADER.unpack(header)
@@ -225,44 +231,52 @@
 def read_events(
     body: bytes, count: int, pages: dict[int, tuple[EndpointEntry, ...]]
 ) -> Iterator[tuple[int, Any]]:
-    """(instance, event) for each record in order; numbered lists are kept in `pages` across batches."""
+    """Yield (instance, event) for each record in order; `pages` keeps numbered lists across batches."""
     if count * EVENT_SIZE > len(body):
         raise Malformed(f"{count} records do not fit a body of {len(body)} bytes")
     view = memoryview(body)
     tail, instance = view[count * EVENT_SIZE :], None
-    for at in range(0, count * EVENT_SIZE, EVENT_SIZE):
-        code = view[at]
+    for record_offset in range(0, count * EVENT_SIZE, EVENT_SIZE):
+        code = view[record_offset]
         if code == 1:
-            (instance,) = _U16.unpack_from(view, at)
+            (instance,) = _U16.unpack_from(view, record_offset)
             continue
         if code == 6:
-            page, offset, n = _REGISTER.unpack_from(view, at)
-            pages[page] = read_entries(_slice(tail, offset, n * ENTRY_SIZE, "a list"))
+            page, offset, entry_count = _REGISTER.unpack_from(view, record_offset)
+            pages[page] = read_entries(_slice(tail, offset, entry_count * ENTRY_SIZE, "a list"))
             continue
         if instance is None:
             raise Malformed(f"record {code} before any instance was named")
-        if code == ANSWER and (load := read_load(view, at)):
+        if code == ANSWER and (load := read_load(view, record_offset)):
             yield instance, load
-        yield instance, _event(code, view, at, tail, pages)
+        yield instance, _event(code, view, record_offset, tail, pages)
 
 
-def read_load(view: memoryview, at: int) -> LoadReport | None:
-    """The report that an answer's record carries."""
-    _, _, address, port, *_, n, a, b, c, d = _ANSWER.unpack_from(view, at)
-    return LoadReport(endpoint_id(address, port), (a, b, c, d)[:n]) if n else None
+def read_load(view: memoryview, record_offset: int) -> LoadReport | None:
+    """Return the load report in the record of an ended attempt, None if there is none."""
+    _, _, address, port, *_, value_count, value_1, value_2, value_3, value_4 = _ANSWER.unpack_from(
+        view, record_offset
+    )
+    return (
+        LoadReport(endpoint_id(address, port), (value_1, value_2, value_3, value_4)[:value_count])
+        if value_count
+        else None
+    )
 
 
-def _event(code: int, view: memoryview, at: int, tail: memoryview, pages: dict[int, Any]) -> Any:
+def _event(code: int, view: memoryview, record_offset: int, tail: memoryview, pages: dict[int, Any]) -> Any:
     if code == 2:
-        ident, cls, team, key, until, _, dest, flags = _ARRIVAL.unpack_from(view, at)
-        return MessageArrived(ident, cls, int(dest), until, team, key, bool(flags & 2))
+        message, class_index, tenant, key, deadline_us, _, dest, flags = _ARRIVAL.unpack_from(
+            view, record_offset
+        )
+        return MessageArrived(message, class_index, int(dest), deadline_us, tenant, key, bool(flags & 2))
     if code == 3:
-        latency, result, address, port, *_ = _HEALTH.unpack_from(view, at)
-        return HealthCheckEnded(endpoint_id(address, port), _choice(RESULTS, result, "result"), latency)
+        latency_us, result, address, port, *_ = _HEALTH.unpack_from(view, record_offset)
+        return HealthCheckEnded(endpoint_id(address, port), _choice(RESULTS, result, "result"), latency_us)
     if code == 4:
-        return TimerDue(_U64.unpack_from(view, at)[0])
+        return TimerDue(_U64.unpack_from(view, record_offset)[0])
     if code == 5:
-        page, _, form = _DISCOVERY.unpack_from(view, at)
+        page, _, form = _DISCOVERY.unpack_from(view, record_offset)
         kind = _choice(FORMS, form, "list form")
         if kind is ListUpdateKind.FAILED:
             return EndpointListUpdate(kind)
@@ -270,28 +284,32 @@
             raise Malformed(f"list {page} was never declared")
         return EndpointListUpdate(kind, pages[page])
     if code == 7:
-        seed, offset, size = _BEGIN.unpack_from(view, at)
+        seed, offset, size = _BEGIN.unpack_from(view, record_offset)
         return Begin(seed, read_settings(_slice(tail, offset, size, "the settings")))
     if code == ANSWER:
-        ident, attempt, address, port, result, latency, last, hold_ms, *_ = _ANSWER.unpack_from(view, at)
+        message, attempt, address, port, result, latency_us, is_completed, retry_after_ms, *_ = (
+            _ANSWER.unpack_from(view, record_offset)
+        )
         kind = _choice(RESULTS, result, "result")
-        wait = hold_ms * 1000 if kind is AttemptResult.OVERLOADED else 0
-        return AttemptEnded(ident, attempt, endpoint_id(address, port), kind, latency, bool(last), wait)
+        retry_after_us = retry_after_ms * 1000 if kind is AttemptResult.OVERLOADED else 0
+        return AttemptEnded(
+            message, attempt, endpoint_id(address, port), kind, latency_us, bool(is_completed), retry_after_us
+        )
     if code == 9:
         return Shutdown()
     if code == 10:
-        return MessageWithdrawn(_U32.unpack_from(view, at)[0])
+        return MessageWithdrawn(_U32.unpack_from(view, record_offset)[0])
     if code == 11:
-        author, offset, size = _PEER.unpack_from(view, at)
-        return PeerMessageReceived(author, bytes(_slice(tail, offset, size, "a note")))
+        peer, offset, size = _PEER.unpack_from(view, record_offset)
+        return PeerMessageReceived(peer, bytes(_slice(tail, offset, size, "a note")))
     if code == 12:
-        ident, address, port, attempt, _ = _OPENED.unpack_from(view, at)
-        return ResponseStarted(ident, attempt, endpoint_id(address, port))
+        message, address, port, attempt, _ = _OPENED.unpack_from(view, record_offset)
+        return ResponseStarted(message, attempt, endpoint_id(address, port))
     raise Malformed(f"unknown event code {code}")
 
 
 class Reply:
-    """Collects the actions of one batch and packs them as a frame."""
+    """Collects the actions of one batch and encodes them as a frame."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
@@ -306,37 +324,46 @@
         return offset, len(data)
 
     def instance(self, number: int) -> None:
+        """Name the instance of the records that follow."""
         self._add("BH", 13, number)
 
     def fault(self, text: str) -> None:
+        """Report an exception of the instance."""
         self._add("BII", 10, *self._place(text.encode()))
 
-    def action(self, a: Action) -> None:
-        if isinstance(a, Send):
+    def action(self, action: Action) -> None:
+        """Add an action of the instance."""
+        if isinstance(action, Send):
             self._add(
-                "BIIHI", 1, a.message, a.endpoint >> 16, a.endpoint & 0xFFFF, min(a.timeout_us, MAX_U32)
+                "BIIHI",
+                1,
+                action.message,
+                action.endpoint >> 16,
+                action.endpoint & 0xFFFF,
+                min(action.timeout_us, MAX_U32),
             )
-        elif isinstance(a, SetTimer):
-            self._add("BIQ", 5, min(a.delay_us, MAX_U32), a.token)
-        elif isinstance(a, Reject):
-            self._add("BII", 2, a.message, min(a.retry_after_us, MAX_U32))
-        elif isinstance(a, Fail):
-            self._add("BI", 3, a.message)
-        elif isinstance(a, CancelAttempt):
-            self._add("BIB", 4, a.message, a.attempt)
-        elif isinstance(a, HealthCheck):
-            self._add("BIH", 6, a.endpoint >> 16, a.endpoint & 0xFFFF)
-        elif isinstance(a, CloseIdleConnections):
-            self._add("BIH", 7, a.endpoint >> 16, a.endpoint & 0xFFFF)
-        elif isinstance(a, SendPeerMessage):
-            self._add("BIII", 8, ALL_PEERS if a.peer is None else a.peer, *self._place(a.data))
-        elif isinstance(a, Log):
-            self._add("BII", 9, *self._place(a.text.encode()))
-        elif isinstance(a, Subscribe):
-            self._add("BB", 11, int(a.on))
+        elif isinstance(action, SetTimer):
+            self._add("BIQ", 5, min(action.delay_us, MAX_U32), action.token)
+        elif isinstance(action, Reject):
+            self._add("BII", 2, action.message, min(action.retry_after_us, MAX_U32))
+        elif isinstance(action, Fail):
+            self._add("BI", 3, action.message)
+        elif isinstance(action, CancelAttempt):
+            self._add("BIB", 4, action.message, action.attempt)
+        elif isinstance(action, HealthCheck):
+            self._add("BIH", 6, action.endpoint >> 16, action.endpoint & 0xFFFF)
+        elif isinstance(action, CloseIdleConnections):
+            self._add("BIH", 7, action.endpoint >> 16, action.endpoint & 0xFFFF)
+        elif isinstance(action, SendPeerMessage):
+            self._add("BIII", 8, ALL_PEERS if action.peer is None else action.peer, *self._place(action.data))
+        elif isinstance(action, Log):
+            self._add("BII", 9, *self._place(action.text.encode()))
+        elif isinstance(action, Subscribe):
+            self._add("BB", 11, int(action.on))
         else:
             self._add("B", 12)
 
     def pack(self, sequence: int) -> bytes:
+        """Encode the reply to the batch with this sequence number."""
         body = b"".join(self.records) + bytes(self.tail)
         return REPLY_HEADER.pack(sequence, len(self.records), len(body)) + body
