--- a/bench/routing.py
+++ b/bench/routing.py
@@ -13,8 +13,8 @@
 from madderbeam.importers.nginx.tree import read
 from madderbeam.policy.events import AttemptResult
 from madderbeam.routing.pool import Method, Policy, Pool, Server
-from madderbeam.routing.routes import Match, Route, Routes
-from madderbeam.routing.subset import part
+from madderbeam.routing.routes import Match, Route, RouteMatcher
+from madderbeam.routing.subset import select_subset
 
 SIZES = (10, 100, 5000)
 
@@ -40,8 +40,8 @@
     def play():
         for n in range(calls):
             ident = next(iter(next(iter(pool.tiers(n, f"k{n % 997}", (), n)))[1]))
-            pool.begun(n, ident, n)
-            pool.ended(ident, AttemptResult.OK, False, n)
+            pool.call_started(n, ident, n)
+            pool.call_ended(ident, AttemptResult.OK, False, n)
 
     return best(play) / calls
 
@@ -49,7 +49,7 @@
 def routes():
     rows = [Route(Match.PREFIX, f"/partner-{n:04}/", f"p{n}") for n in range(970)]
     rows += [Route(Match.REGEX, f"^/x{n}/[0-9]+$", f"r{n}") for n in range(30)]
-    table = Routes(rows)
+    table = RouteMatcher(rows)
     names = [f"/partner-{n:04}/orders/{n}" for n in range(0, 970, 7)] + ["/x29/77", "/none"] * 10
     return best(lambda: [table.find(name) for name in names]) / len(names)
 
@@ -76,7 +76,7 @@
 
 def subsets(n=10_000, couriers=1_000, most=30):
     names = [s.name for s in servers(n)]
-    even = Counter(name for me in range(couriers) for name in part(names, me, couriers, most))
+    even = Counter(name for me in range(couriers) for name in select_subset(names, me, couriers, most))
     chance = random.Random(1)
     drawn = Counter(name for _ in range(couriers) for name in chance.sample(names, most))
     shuffled, whole, rounds = Counter(), [], -1
@@ -88,7 +88,7 @@
         shuffled.update(whole[me % each * most : (me % each + 1) * most])
     gone = names[1:]
     moved = [
-        len(set(part(gone, me, couriers, most)) - set(part(names, me, couriers, most)))
+        len(set(select_subset(gone, me, couriers, most)) - set(select_subset(names, me, couriers, most)))
         for me in range(couriers)
     ]
     return (
--- a/madderbeam/config/partners.py
+++ b/madderbeam/config/partners.py
@@ -121,12 +121,12 @@
 
 def _compiles(route: m.Route) -> str:
     """What is wrong with a route by itself, '' if nothing is."""
-    from madderbeam.routing.hosts import HostError, Hosts
-    from madderbeam.routing.routes import Match, Route, RouteError, Routes
+    from madderbeam.routing.hosts import HostError, HostMatcher
+    from madderbeam.routing.routes import Match, Route, RouteError, RouteMatcher
 
     try:
-        Hosts([route.host])
-        Routes([Route(Match(route.match), route.text, "p")])
+        HostMatcher([route.host])
+        RouteMatcher([Route(Match(route.match), route.text, "p")])
     except HostError as error:
         return str(error)
     except RouteError as error:
--- a/madderbeam/host/federation/limit_leases.py
+++ b/madderbeam/host/federation/limit_leases.py
@@ -81,7 +81,7 @@
         """Read the connection limits again: the endpoint list or the routing may have changed."""
         router = self.host.routing.router
         self.connection_limits, self.destinations = {}, {}
-        for dest, endpoint, max_connections in router.places() if router is not None else ():
+        for dest, endpoint, max_connections in router.limited_servers() if router is not None else ():
             if dest not in self.connection_limits and len(self.connection_limits) >= MAX_SHARED_DESTINATIONS:
                 self._log_excess(f"only {MAX_SHARED_DESTINATIONS} partners' places are shared")
                 continue
@@ -143,7 +143,7 @@
             return
         self.applied_limits[endpoint] = max_connections
         if (router := self.host.routing.router) is not None:
-            router.allow(dest, endpoint, max_connections, now_us)
+            router.limit_calls(dest, endpoint, max_connections, now_us)
         entry = self.host.registry.entries.get(endpoint)
         if entry is not None and (before is None or max_connections > before):
             # The engine may dispatch queued messages now.
--- a/madderbeam/host/process.py
+++ b/madderbeam/host/process.py
@@ -20,7 +20,7 @@
 from madderbeam.host.host import Host
 from madderbeam.host.state_transfer import TransferredState, adopt
 from madderbeam.ports import Clock, Ports
-from madderbeam.ports.real import RealClock, RealDisk, open_at_most, real_ports
+from madderbeam.ports.real import RealClock, RealDisk, max_open_descriptors, real_ports
 from madderbeam.transport.control import ControlServer
 
 # Thresholds of the garbage collector's generations: allocations less deallocations for the youngest one, then
@@ -115,7 +115,7 @@
 
     Half of a higher number would go to clients and leave no descriptors for discovery, notices and calls.
     """
-    return replace(config, sockets=open_at_most(config.sockets))
+    return replace(config, sockets=max_open_descriptors(config.sockets))
 
 
 async def serve(env: Mapping[str, str], config: Config) -> None:
--- a/madderbeam/host/routing.py
+++ b/madderbeam/host/routing.py
@@ -60,7 +60,7 @@
                 for number, entry in entries.items()
                 if entry.state is EndpointState.READY and number in self.addresses
             ]
-            self.router.listed(ready, self.clock.monotonic_us())
+            self.router.set_endpoints(ready, self.clock.monotonic_us())
 
     def destination(self, put: Put) -> int:
         """Return the destination of a message routed by name or path; BadRequest if no route matches."""
@@ -85,4 +85,4 @@
 
     def metrics(self) -> dict[str, int]:
         """Return the routing metrics by name."""
-        return self.router.figures() if self.router is not None else {}
+        return self.router.metrics() if self.router is not None else {}
--- a/madderbeam/importers/nginx/servers.py
+++ b/madderbeam/importers/nginx/servers.py
@@ -10,7 +10,7 @@
 from madderbeam.importers.nginx.upstreams import Upstreams
 from madderbeam.importers.nginx.values import address, filled, milliseconds, number, proxied
 from madderbeam.importers.nginx.verdicts import Ledger
-from madderbeam.routing.hosts import ANY, HostError, Hosts
+from madderbeam.routing.hosts import ANY, HostError, HostMatcher
 from madderbeam.routing.routes import Match, RouteError, compiled
 from madderbeam.routing.routes import Route as Pattern
 
@@ -174,7 +174,7 @@
                     self.ledger.changed(at, f"{name!r} is no host that a message could name")
                     continue
                 try:
-                    Hosts([[name]])
+                    HostMatcher([[name]])
                 except HostError as error:
                     self.ledger.left(at, str(error))
                     continue
--- a/madderbeam/ports/real.py
+++ b/madderbeam/ports/real.py
@@ -15,7 +15,7 @@
 from madderbeam.ports import Address, Ports
 
 
-def open_at_most(max_descriptors: int) -> int:
+def max_open_descriptors(max_descriptors: int) -> int:
     """Return how many descriptors the process may open: `max_descriptors`, or the system's limit if lower."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return max_descriptors if limit == resource.RLIM_INFINITY else min(max_descriptors, limit)
--- a/madderbeam/routing/hosts.py
+++ b/madderbeam/routing/hosts.py
@@ -18,7 +18,7 @@
     """An invalid host name pattern; the message is one line."""
 
 
-class Hosts:
+class HostMatcher:
     """Compiled groups of names; a lookup costs the labels of the host plus the regular expressions."""
 
     def __init__(self, groups: Sequence[Sequence[str]]) -> None:
--- a/madderbeam/routing/marks.py
+++ b/madderbeam/routing/marks.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Mark:
+class FailureTracker:
     """The failures of one server, and whether they eject it. Times are microseconds."""
 
     max_fails: int
@@ -24,26 +24,26 @@
     failure_times_us: deque[int] = field(default_factory=deque)  # the newest max_fails at most
     ejected_until_us: int = 0  # ejected until then, 0 if it was not
     needs_probe: bool = False  # was ejected, and no call has succeeded since
-    probe_out: bool = False
+    probe_in_flight: bool = False
     slow_start_since_us: int = -1  # -1: not in slow start
 
     def is_usable(self, now_us: int) -> bool:
         """Whether calls may be sent: not ejected, and no probe in flight."""
-        return now_us >= self.ejected_until_us and not self.probe_out
+        return now_us >= self.ejected_until_us and not self.probe_in_flight
 
     def call_started(self, now_us: int) -> bool:
         """Record the start of a call; return whether the call is the probe."""
-        if self.needs_probe and not self.probe_out:
-            self.probe_out = True
+        if self.needs_probe and not self.probe_in_flight:
+            self.probe_in_flight = True
             return True
         return False
 
-    def ended(self, failed: bool, succeeded: bool, now_us: int) -> bool:
+    def call_ended(self, failed: bool, succeeded: bool, now_us: int) -> bool:
         """Record the end of a call; return whether it ejected the server.
 
         A call that neither failed nor succeeded says nothing about the server's health.
         """
-        probe, self.probe_out = self.probe_out, False
+        probe, self.probe_in_flight = self.probe_in_flight, False
         if succeeded and self.needs_probe:
             self.needs_probe = False
             self.failure_times_us.clear()
--- a/madderbeam/routing/pool.py
+++ b/madderbeam/routing/pool.py
@@ -18,7 +18,7 @@
 
 from madderbeam.policy.events import AttemptResult
 from madderbeam.routing.hashing import Ring, WeightedSlots, memcached_slots, uniform_hash
-from madderbeam.routing.marks import STEPS, Mark
+from madderbeam.routing.marks import STEPS, FailureTracker
 from madderbeam.routing.wheel import SmoothRoundRobin
 
 MAX_START_OFFSET = 4096  # bound of the random start offset that keeps couriers from choosing in lockstep
@@ -220,10 +220,10 @@
     ) -> None:
         self.policy, self.randomize_start = policy, randomize_start
         self.seed = rng.getrandbits(63)
-        self.conns: dict[int, int] = {}
+        self.calls_in_flight: dict[int, int] = {}
         self.conn_limits: dict[int, int] = {}  # override max_conns where couriers share a limit
-        self.marks: dict[int, Mark] = {}
-        self.events: list[
+        self.failure_trackers: dict[int, FailureTracker] = {}
+        self.scheduled_updates: list[
             tuple[int, int]
         ] = []  # heap: (when an ejection ends or a slow start advances, server)
         self.due: dict[int, int] = {}  # the newest of these times by server
@@ -236,17 +236,17 @@
         """Replace the servers; those that stay keep failures, calls in flight and round-robin levels."""
         is_new = not self.servers
         self.servers = {s.id: s for s in servers}
-        self.conns = {n: c for n, c in self.conns.items() if n in self.servers}
+        self.calls_in_flight = {n: c for n, c in self.calls_in_flight.items() if n in self.servers}
         self.conn_limits = {n: limit for n, limit in self.conn_limits.items() if n in self.servers}
         is_only_server = sum(not s.down for s in servers) == 1
-        marks, self.marks = self.marks, {}
+        marks, self.failure_trackers = self.failure_trackers, {}
         for s in servers:
             if not s.max_fails or is_only_server:
                 continue
-            mark = marks.get(s.id) or Mark(s.max_fails, s.fail_timeout_us, s.slow_start_us)
+            mark = marks.get(s.id) or FailureTracker(s.max_fails, s.fail_timeout_us, s.slow_start_us)
             mark.max_fails, mark.fail_timeout_us = s.max_fails, s.fail_timeout_us
             mark.slow_start_us = s.slow_start_us
-            self.marks[s.id] = mark
+            self.failure_trackers[s.id] = mark
         enabled = [s for s in servers if not s.down]
         primary, zone = [s for s in enabled if not s.backup], self.policy.zone
         local = [s for s in primary if zone and s.zone == zone]
@@ -257,7 +257,7 @@
                 (local, others, [s for s in enabled if s.backup]), self._tiers(), strict=True
             )
         )
-        self.events, self.due = [], {}
+        self.scheduled_updates, self.due = [], {}
         for s in enabled:
             self._update(s.id, now_us)
         if self.randomize_start and is_new:
@@ -269,7 +269,11 @@
 
     def _update(self, endpoint: int, now_us: int) -> None:
         """Update whether a server is usable, and its weight, from its failures and its calls in flight."""
-        server, conns, mark = self.servers[endpoint], self.conns.get(endpoint, 0), self.marks.get(endpoint)
+        server, conns, mark = (
+            self.servers[endpoint],
+            self.calls_in_flight.get(endpoint, 0),
+            self.failure_trackers.get(endpoint),
+        )
         if server.down:
             return
         limit = self.conn_limits.get(endpoint) if self.conn_limits else None
@@ -294,9 +298,9 @@
             and self.due.get(endpoint) != due_us
         ):
             self.due[endpoint] = due_us
-            heapq.heappush(self.events, (due_us, endpoint))
+            heapq.heappush(self.scheduled_updates, (due_us, endpoint))
 
-    def allow(self, endpoint: int, max_calls: int | None, now_us: int) -> None:
+    def limit_calls(self, endpoint: int, max_calls: int | None, now_us: int) -> None:
         """Limit concurrent calls to a server, None: to max_conns. Calls in flight are not cancelled."""
         if max_calls is None:
             self.conn_limits.pop(endpoint, None)
@@ -306,8 +310,8 @@
             self._update(endpoint, now_us)
 
     def _process_due_events(self, now_us: int) -> None:
-        while self.events and self.events[0][0] <= now_us:
-            _, endpoint = heapq.heappop(self.events)
+        while self.scheduled_updates and self.scheduled_updates[0][0] <= now_us:
+            _, endpoint = heapq.heappop(self.scheduled_updates)
             if endpoint in self.servers:
                 self._update(endpoint, now_us)
 
@@ -334,7 +338,14 @@
             yield waits_for_first and not already_attempted, unattempted
         if already_attempted:
             for tier in ordered:
-                yield False, (s for s in tier.order(message, affinity, self.conns) if s in already_attempted)
+                yield (
+                    False,
+                    (
+                        s
+                        for s in tier.order(message, affinity, self.calls_in_flight)
+                        if s in already_attempted
+                    ),
+                )
 
     def _unattempted(
         self,
@@ -344,7 +355,7 @@
         attempted: Collection[int],
         passed_over_servers: list[int],
     ) -> Iterator[int]:
-        for endpoint in tier.order(message, affinity, self.conns):
+        for endpoint in tier.order(message, affinity, self.calls_in_flight):
             if endpoint not in attempted:
                 yield endpoint
                 # The caller asked for the next server, so this one was not used.
@@ -356,27 +367,27 @@
         share = self.local_tier.usable_weight / self.local_tier.weight
         return share >= self.policy.spill or uniform_hash(self.seed, message) * self.policy.spill < share
 
-    def begun(self, message: int, endpoint: int, now_us: int) -> bool:
+    def call_started(self, message: int, endpoint: int, now_us: int) -> bool:
         """Record the start of a call; return whether it is the first since the server was ejected."""
         passed_over_servers = self.passed_over.pop(message, [])
         if endpoint not in self.servers:
             return False
         for tier in self._tiers():
             tier.choose(endpoint, passed_over_servers)
-        self.conns[endpoint] = self.conns.get(endpoint, 0) + 1
-        mark = self.marks.get(endpoint)
+        self.calls_in_flight[endpoint] = self.calls_in_flight.get(endpoint, 0) + 1
+        mark = self.failure_trackers.get(endpoint)
         is_probe = mark.call_started(now_us) if mark else False
         self._update(endpoint, now_us)
         return is_probe
 
-    def ended(self, endpoint: int, result: AttemptResult, malformed: bool, now_us: int) -> None:
+    def call_ended(self, endpoint: int, result: AttemptResult, malformed: bool, now_us: int) -> None:
         """Record the end of a call."""
         if endpoint not in self.servers:
             return
-        self.conns[endpoint] = max(0, self.conns.get(endpoint, 0) - 1)
-        if mark := self.marks.get(endpoint):
+        self.calls_in_flight[endpoint] = max(0, self.calls_in_flight.get(endpoint, 0) - 1)
+        if mark := self.failure_trackers.get(endpoint):
             failed = failure_kind(result, malformed) in self.policy.fails_on
-            mark.ended(
+            mark.call_ended(
                 failed, result is AttemptResult.OK or (not failed and result is AttemptResult.ERROR), now_us
             )
         self._update(endpoint, now_us)
@@ -384,11 +395,11 @@
     def recovers_at_us(self, now_us: int) -> int:
         """Return when the first server may be used again if all are ejected, else 0."""
         self._process_due_events(now_us)
-        if any(tier.rotation_keys for tier in self._tiers()) or not self.marks:
+        if any(tier.rotation_keys for tier in self._tiers()) or not self.failure_trackers:
             return 0
         ejection_ends_us = [
             m.ejected_until_us
-            for n, m in self.marks.items()
+            for n, m in self.failure_trackers.items()
             if now_us < m.ejected_until_us and not self.servers[n].down
         ]
         return (
--- a/madderbeam/routing/router.py
+++ b/madderbeam/routing/router.py
@@ -14,15 +14,15 @@
 from typing import Any
 
 from madderbeam.policy.events import AttemptResult
-from madderbeam.routing.hosts import ANY, HostError, Hosts
+from madderbeam.routing.hosts import ANY, HostError, HostMatcher
 from madderbeam.routing.paths import normalized
 from madderbeam.routing.pool import FAILS_ON, Method, Policy, Pool, Server
-from madderbeam.routing.subset import part
+from madderbeam.routing.subset import select_subset
 
 FORM = 1
 
 
-class On(Enum):
+class MatchedProperty(Enum):
     """Which property of a message a route is matched against."""
 
     PATH = "path"
@@ -111,7 +111,7 @@
 class RouteTable:
     """The routes that match one property of a message, in groups by host."""
 
-    hosts: Hosts
+    hosts: HostMatcher
     groups: tuple[Callable[[str], Any], ...]  # each returns the route that a text matches
 
     def find(self, host: str, text: str) -> int:
@@ -135,7 +135,7 @@
         self.pools: dict[int, Pool] = {}
         self.listed_servers: dict[int, tuple[Server, ...]] = {}
         self.numbers: dict[str, int] = {}  # of destinations, by name
-        self.tables: dict[On, RouteTable] = {}
+        self.tables: dict[MatchedProperty, RouteTable] = {}
 
     def configure(self, raw: dict[str, Any]) -> None:
         """Replace all but the endpoints; RoutingError if invalid, and the previous configuration stays."""
@@ -158,7 +158,7 @@
             else:
                 self.pools.pop(number, None)
 
-    def listed(self, endpoints: Iterable[tuple[int, int, str, str]], now_us: int) -> None:
+    def set_endpoints(self, endpoints: Iterable[tuple[int, int, str, str]], now_us: int) -> None:
         """Apply a new list of usable endpoints: number, destination, address, zone."""
         rows: dict[int, list[tuple[int, str, str]]] = {number: [] for number in self.specs}
         for endpoint, destination, address, zone in endpoints:
@@ -191,7 +191,7 @@
             lambda s: not s.backup and s.zone != spec.policy.zone,
         ):
             names = [s.name for s in servers if is_in_group(s) and not s.down]
-            subset_names.update(part(names, self.courier_index, self.couriers, spec.subset))
+            subset_names.update(select_subset(names, self.courier_index, self.couriers, spec.subset))
         return tuple(s for s in servers if s.name in subset_names)
 
     # Resolving a message to a destination
@@ -202,13 +202,13 @@
         Returns None if no route matches; raises PathError for an invalid path.
         """
         if path:
-            return self._resolve(On.PATH, name, normalized(path))
+            return self._resolve(MatchedProperty.PATH, name, normalized(path))
         if name:
-            found = self._resolve(On.NAME, "", name)
+            found = self._resolve(MatchedProperty.NAME, "", name)
             return self.numbers.get(name) if found is None else found
-        return self._resolve(On.CLASS, "", class_name)
+        return self._resolve(MatchedProperty.CLASS, "", class_name)
 
-    def _resolve(self, on: On, host: str, text: str) -> int | None:
+    def _resolve(self, on: MatchedProperty, host: str, text: str) -> int | None:
         found = self.tables[on].find(host, text) if on in self.tables else NOWHERE
         return None if found == NOWHERE else found
 
@@ -223,17 +223,17 @@
 
     # Concurrency limits that couriers share
 
-    def places(self) -> Iterator[tuple[int, int, int]]:
+    def limited_servers(self) -> Iterator[tuple[int, int, int]]:
         """Yield the servers with a limit on concurrent calls: destination, server, max_conns."""
         for number, pool in self.pools.items():
             for server in pool.servers.values():
                 if server.max_conns:
                     yield number, server.id, server.max_conns
 
-    def allow(self, destination: int, endpoint: int, max_calls: int | None, now_us: int) -> None:
+    def limit_calls(self, destination: int, endpoint: int, max_calls: int | None, now_us: int) -> None:
         """Limit concurrent calls to an endpoint; None restores its max_conns."""
         if pool := self.pools.get(destination):
-            pool.allow(endpoint, max_calls, now_us)
+            pool.limit_calls(endpoint, max_calls, now_us)
 
     # EndpointPreference
 
@@ -251,23 +251,23 @@
     def attempt_started(self, destination: int, message: int, endpoint: int, now_us: int) -> bool:
         """See EndpointPreference: whether the call is the first since the endpoint was ejected."""
         pool = self.pools.get(destination)
-        return pool.begun(message, endpoint, now_us) if pool else False
+        return pool.call_started(message, endpoint, now_us) if pool else False
 
     def attempt_ended(
         self, destination: int, endpoint: int, result: AttemptResult, malformed: bool, now_us: int
     ) -> None:
         """See EndpointPreference: count the outcome."""
         if pool := self.pools.get(destination):
-            pool.ended(endpoint, result, malformed, now_us)
+            pool.call_ended(endpoint, result, malformed, now_us)
 
     def recovers_at_us(self, destination: int, now_us: int) -> int:
         """See EndpointPreference: when an endpoint may be used again if all are ejected, else 0."""
         pool = self.pools.get(destination)
         return pool.recovers_at_us(now_us) if pool else 0
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Return the routing metrics by name, for the admin address."""
-        ejected = sum(m.needs_probe for pool in self.pools.values() for m in pool.marks.values())
+        ejected = sum(m.needs_probe for pool in self.pools.values() for m in pool.failure_trackers.values())
         return {
             "route.pools": len(self.pools),
             "route.marked": ejected,
@@ -275,19 +275,19 @@
         }
 
 
-def _tables(rows: Any, known: set[int]) -> dict[On, RouteTable]:
+def _tables(rows: Any, known: set[int]) -> dict[MatchedProperty, RouteTable]:
     """Compile the routes by the property they match. RE2 is imported only if there is a route."""
     if not rows:
         return {}
-    from madderbeam.routing.routes import Match, Route, RouteError, Routes
+    from madderbeam.routing.routes import Match, Route, RouteError, RouteMatcher
 
     if not isinstance(rows, list):
         raise RoutingError("routing.routes: must be a list")
-    routes_by_property: dict[On, dict[tuple[str, ...], list[Route]]] = {}
+    routes_by_property: dict[MatchedProperty, dict[tuple[str, ...], list[Route]]] = {}
     for n, row in enumerate(rows):
         at = f"routing.routes[{n}]"
         try:
-            on, to = On(row["on"]), int(row["to"])
+            on, to = MatchedProperty(row["on"]), int(row["to"])
             route = Route(Match(row["match"]), str(row["text"]), str(to))
             hosts = tuple(str(host) for host in row.get("host", ())) or (ANY,)
         except (KeyError, TypeError, ValueError) as error:
@@ -297,7 +297,9 @@
         routes_by_property.setdefault(on, {}).setdefault(hosts, []).append(route)
     try:
         return {
-            on: RouteTable(Hosts(list(groups)), tuple(Routes(routes).find for routes in groups.values()))
+            on: RouteTable(
+                HostMatcher(list(groups)), tuple(RouteMatcher(routes).find for routes in groups.values())
+            )
             for on, groups in routes_by_property.items()
         }
     except (RouteError, HostError) as error:
--- a/madderbeam/routing/routes.py
+++ b/madderbeam/routing/routes.py
@@ -53,7 +53,7 @@
             raise RouteError("route: text: may be empty for a plain prefix only")
 
 
-class Routes:
+class RouteMatcher:
     """Compiled routes.
 
     The cost of a lookup grows with the number of distinct prefix lengths and of regular expressions, not with
--- a/madderbeam/routing/subset.py
+++ b/madderbeam/routing/subset.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 
 
-def part(names: Iterable[str], courier_index: int, couriers: int, max_size: int) -> list[str]:
+def select_subset(names: Iterable[str], courier_index: int, couriers: int, max_size: int) -> list[str]:
     """Return at most `max_size` names (0: all) for the courier `courier_index`, from 0, of `couriers`."""
     circle = sorted(set(names), key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
     count = len(circle)
--- a/madderbeam/simhost.py
+++ b/madderbeam/simhost.py
@@ -13,14 +13,14 @@
 from madderbeam.policy.settings import Settings
 
 
-class List:
+class EndpointList:
     """The endpoint list of an instance, with rates from load reports if the list has none."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings, self.limits = settings, ReportedRates()
         self.entries: dict[int, EndpointEntry] = {}
 
-    def heard(self, event: Any) -> list[Any]:
+    def update(self, event: Any) -> list[Any]:
         """Return the events that the engine gets for an event of the simulator."""
         if not self.settings.load_report_fields:
             return [] if isinstance(event, wire.LoadReport) else [event]
@@ -53,7 +53,7 @@
     count: int,
     couriers: dict[int, DeliveryEngine],
     pages: dict[int, Any],
-    lists: dict[int, List],
+    lists: dict[int, EndpointList],
 ) -> bytes:
     """Process one batch of events; return the reply frame."""
     events_by_instance: dict[int, list[Any]] = {}
@@ -66,7 +66,9 @@
             lists.pop(instance, None)
             events.clear()
         elif instance in couriers:
-            events += lists.setdefault(instance, List(couriers[instance].state.settings)).heard(event)
+            events += lists.setdefault(instance, EndpointList(couriers[instance].state.settings)).update(
+                event
+            )
     reply = wire.Reply()
     for instance, events in events_by_instance.items():
         courier = couriers.get(instance)
@@ -89,7 +91,7 @@
     """Reply to every batch until the input ends."""
     couriers: dict[int, DeliveryEngine] = {}
     pages: dict[int, Any] = {}
-    lists: dict[int, List] = {}
+    lists: dict[int, EndpointList] = {}
     while header := source.read(wire.BATCH_HEADER.size):
         sequence, size, now_us, count = wire.split_header(header)
         body = source.read(size)
--- a/tests/importers/nginx/test_choices.py
+++ b/tests/importers/nginx/test_choices.py
@@ -204,9 +204,9 @@
         assert (pool.servers[got].name if got is not None else None) == (peer.name if peer else None), path
         if peer:
             model.begin(peer, n)
-            pool.begun(n, got, now)
+            pool.call_started(n, got, now)
             model.end(peer, False, n)
-            pool.ended(got, oracle_result(), False, now)
+            pool.call_ended(got, oracle_result(), False, now)
 
 
 def oracle_result():
@@ -223,5 +223,5 @@
     router = Router(1)
     router.configure(_routing(loaded, app))
     rows = [(n, t["pod_group"], t["endpoint"], "") for n, t in enumerate(_targets(loaded, app))]
-    router.listed(rows, 0)
+    router.set_endpoints(rows, 0)
     return router
--- a/tests/routing/test_pool.py
+++ b/tests/routing/test_pool.py
@@ -12,7 +12,7 @@
 from madderbeam.policy.events import AttemptResult
 from madderbeam.routing.pool import Method, Policy, Pool, Server
 from madderbeam.routing.router import Router, RoutingError
-from madderbeam.routing.subset import part
+from madderbeam.routing.subset import select_subset
 
 S = 1_000_000
 METHODS = {"round_robin": Method.ROUND_ROBIN, "least_conn": Method.LEAST_CONN, "hash": Method.HASH}
@@ -68,10 +68,10 @@
 
 def test_max_fails_counts_failures_within_fail_timeout_only():
     p = pool(a(1, weight=3, max_fails=2, fail_timeout_us=S), a(2))
-    p.ended(1, AttemptResult.TIMEOUT, False, 0)
-    p.ended(1, AttemptResult.TIMEOUT, False, 2 * S)  # the first failure has expired
+    p.call_ended(1, AttemptResult.TIMEOUT, False, 0)
+    p.call_ended(1, AttemptResult.TIMEOUT, False, 2 * S)  # the first failure has expired
     assert first(p, 2 * S) == 1
-    p.ended(1, AttemptResult.TIMEOUT, False, 2 * S + 10)
+    p.call_ended(1, AttemptResult.TIMEOUT, False, 2 * S + 10)
     assert [send(p, 2 * S + 20) for _ in range(4)] == [2] * 4
     assert first(p, 3 * S + 11) == 1
 
@@ -79,20 +79,22 @@
 def test_an_ejected_server_is_probed_by_one_call_and_reported_as_recovering():
     p = pool(a(1, max_fails=1, fail_timeout_us=S, weight=100), a(2))
     assert send(p, 0, result=AttemptResult.RESET) == 1
-    assert first(p, S + 1) == 1 and p.begun(7, 1, S + 1) is True  # recovering: the engine begins a slow start
+    assert (
+        first(p, S + 1) == 1 and p.call_started(7, 1, S + 1) is True
+    )  # recovering: the engine begins a slow start
     assert first(p, S + 2) == 2  # no second call while the probe is in flight
-    p.ended(1, AttemptResult.RESET, False, S + 3)
+    p.call_ended(1, AttemptResult.RESET, False, S + 3)
     assert first(p, S + 4) == 2 and first(p, 2 * S + 4) == 1  # ejected for the same time again
-    assert p.begun(8, 1, 2 * S + 4) is True
-    p.ended(1, AttemptResult.OK, False, 2 * S + 5)
-    assert p.begun(9, 1, 2 * S + 6) is False
+    assert p.call_started(8, 1, 2 * S + 4) is True
+    p.call_ended(1, AttemptResult.OK, False, 2 * S + 5)
+    assert p.call_started(9, 1, 2 * S + 6) is False
 
 
 def test_slow_start_raises_the_share_to_the_full_weight():
     p = pool(a(1, max_fails=1, fail_timeout_us=S, slow_start_us=8 * S), a(2))
     send(p, 0, result=AttemptResult.RESET)
-    p.begun(1, 1, 2 * S)
-    p.ended(1, AttemptResult.OK, False, 2 * S)
+    p.call_started(1, 1, 2 * S)
+    p.call_ended(1, AttemptResult.OK, False, 2 * S)
     shares = []
     for begin in range(2, 12, 2):
         picks = Counter(send(p, begin * S + n * 1000) for n in range(400))
@@ -103,7 +105,7 @@
 def test_a_server_at_max_conns_is_skipped_until_a_call_ends():
     p = pool(a(1, weight=9, max_conns=1), a(2))
     assert [send(p, result=None), send(p, result=None), send(p, result=None)] == [1, 2, 2]
-    p.ended(1, AttemptResult.OK, False, 1)
+    p.call_ended(1, AttemptResult.OK, False, 1)
     assert first(p) == 1
 
 
@@ -148,7 +150,7 @@
     p.replace([a(1, max_fails=1), a(2, max_conns=1), a(3), a(4)], 5, random.Random(1))
     assert {send(p, 6 + n) for n in range(8)} == {3, 4}
     p.replace([a(4)], 20, random.Random(1))
-    p.ended(2, AttemptResult.OK, False, 21)  # of a removed server
+    p.call_ended(2, AttemptResult.OK, False, 21)  # of a removed server
     assert first(p, 22) == 4
 
 
@@ -206,7 +208,7 @@
             if held:
                 peer = held.pop(0)
                 model.end(peer, False, now)
-                mine.ended(int(peer.name[1:]), AttemptResult.OK, False, now)
+                mine.call_ended(int(peer.name[1:]), AttemptResult.OK, False, now)
             continue
         tried = ()
         for _ in range(3 if what == "retry" else 1):
@@ -218,13 +220,13 @@
             if peer is None:
                 break
             model.begin(peer, now)
-            mine.begun(n, got, now)
+            mine.call_started(n, got, now)
             if what == "hold":
                 held.append(peer)
                 break
             bad = what in ("fail", "retry")
             model.end(peer, bad, now)
-            mine.ended(got, AttemptResult.RESET if bad else AttemptResult.OK, False, now)
+            mine.call_ended(got, AttemptResult.RESET if bad else AttemptResult.OK, False, now)
             tried += (got,)
 
 
@@ -274,7 +276,7 @@
     for n in range(200):
         send(p, message=n, result=None)  # all calls stay in flight
     assert (
-        max(p.conns.values()) - min(p.conns.values()) <= 6
+        max(p.calls_in_flight.values()) - min(p.calls_in_flight.values()) <= 6
     )  # 200 calls on 10 servers; a single draw gives a spread above 15
 
 
@@ -293,25 +295,25 @@
     p = pool(*servers, zone="here", spill=0.8)
     assert {send(p, message=n) for n in range(40)} == {1, 2, 3, 4}
     for ident in (1, 2):
-        p.ended(ident, AttemptResult.RESET, False, 100)
+        p.call_ended(ident, AttemptResult.RESET, False, 100)
     picks = Counter(send(p, 200, message=n) for n in range(1000))
     near = (picks[3] + picks[4]) / 1000
     assert abs(near - 0.5 / 0.8) < 0.05 and not picks[1]  # the others go to the other zone
     for ident in (3, 4):
-        p.ended(ident, AttemptResult.RESET, False, 300)
+        p.call_ended(ident, AttemptResult.RESET, False, 300)
     assert {send(p, 400, message=n) for n in range(40)} == {5, 6, 7, 8}
 
 
 def test_subsets_are_even_and_bounded_and_change_little():
     names = [f"10.1.{n // 250}.{n % 250}:80" for n in range(1000)]
-    parts = [part(names, me, 100, 30) for me in range(100)]
+    parts = [select_subset(names, me, 100, 30) for me in range(100)]
     counts = Counter(name for each in parts for name in each)
     assert all(len(each) == 30 for each in parts)
     assert set(counts) == set(names) and set(counts.values()) == {3}
-    fewer = [part(names[1:], me, 100, 30) for me in range(100)]
+    fewer = [select_subset(names[1:], me, 100, 30) for me in range(100)]
     assert max(len(set(x) - set(y)) for x, y in zip(fewer, parts, strict=True)) <= 2
-    assert part(names, 3, 100, 30) == part(list(reversed(names)), 3, 100, 30)
-    assert part(names[:5], 3, 100, 30) == part(names[:5], 9, 100, 0)
+    assert select_subset(names, 3, 100, 30) == select_subset(list(reversed(names)), 3, 100, 30)
+    assert select_subset(names[:5], 3, 100, 30) == select_subset(names[:5], 9, 100, 0)
 
 
 def test_cost_of_a_choice_does_not_grow_with_the_pool():
@@ -383,7 +385,7 @@
 def test_invalid_routing_keeps_the_previous_configuration(change, field):
     r = Router(1)
     r.configure(raw())
-    r.listed([(1, 1, "10.0.0.1:80", "")], 0)
+    r.set_endpoints([(1, 1, "10.0.0.1:80", "")], 0)
     with pytest.raises(RoutingError) as error:
         r.configure(raw(**change))
     assert field in str(error.value) and "\n" not in str(error.value)
@@ -394,10 +396,10 @@
     r = Router(1)
     servers = [{"address": "10.0.0.9:80"}, {"address": "10.0.0.1:80", "weight": 2}]
     r.configure(raw(pools={"1": {"servers": servers}}))
-    r.listed([(1, 1, "10.0.0.1:80", ""), (2, 1, "10.0.0.9:80", ""), (3, 2, "10.0.0.3:80", "")], 0)
+    r.set_endpoints([(1, 1, "10.0.0.1:80", ""), (2, 1, "10.0.0.9:80", ""), (3, 2, "10.0.0.3:80", "")], 0)
     assert [s.id for s in r.pools[1].servers.values()] == [2, 1] and not r.covers(2)
     r.configure(raw(pools={}))
-    r.listed([(1, 1, "10.0.0.1:80", "")], 1)
+    r.set_endpoints([(1, 1, "10.0.0.1:80", "")], 1)
     assert not r.covers(1) and not r.pools and not r.listed_servers
 
 
@@ -406,8 +408,8 @@
     servers = [{"address": "a:1", "max_fails": 1}, {"address": "b:1", "max_fails": 1}]
     r.configure(raw(pools={"1": {"servers": servers}}))
     rows = [(1, 1, "a:1", ""), (2, 1, "b:1", "")]
-    r.listed(rows, 0)
+    r.set_endpoints(rows, 0)
     r.attempt_ended(1, 1, AttemptResult.RESET, False, 1)
     r.configure(raw(pools={"1": {"servers": servers, "method": "least_conn"}}))
-    r.listed(rows, 2)
-    assert first(r.pools[1], 3) == 2 and r.figures()["route.marked"] == 1
+    r.set_endpoints(rows, 2)
+    assert first(r.pools[1], 3) == 2 and r.metrics()["route.marked"] == 1
--- a/tests/routing/test_routes.py
+++ b/tests/routing/test_routes.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from madderbeam.routing.routes import REGEXES, Match, Route, RouteError, Routes
+from madderbeam.routing.routes import REGEXES, Match, Route, RouteError, RouteMatcher
 
 
 def routes(*rows):
-    return Routes(Route(Match(how), text, pool) for how, text, pool in rows)
+    return RouteMatcher(Route(Match(how), text, pool) for how, text, pool in rows)
 
 
 def pool(table, name):
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -759,7 +759,7 @@
 
 @bug(9, "books")
 def counts_the_calls_of_a_pool_up_only(patch):
-    ended = pool.Pool.ended
+    ended = pool.Pool.call_ended
 
     def forgets(self, ident, result, spoilt, now):
         out = self.conns.get(ident, 0)
@@ -772,7 +772,7 @@
 
 @bug(9, "books")
 def waits_for_ever_for_a_probe(patch):
-    ended = marks.Mark.ended
+    ended = marks.FailureTracker.call_ended
 
     def keeps(self, failed, succeeded, now):
         out = self.probe_out
@@ -780,7 +780,7 @@
         self.probe_out = out
         return found
 
-    patch.setattr(marks.Mark, "ended", keeps)
+    patch.setattr(marks.FailureTracker, "ended", keeps)
 
 
 @bug(64, "repeat", "refusal")
--- a/tests/test_told_limits.py
+++ b/tests/test_told_limits.py
@@ -157,13 +157,13 @@
         and reported_rate(FIELDS, (0.5, 9.0)) == 9
         and reported_rate((), (9.0,)) == 0
     )
-    heard = simhost.List(s)
+    heard = simhost.EndpointList(s)
     entry = EndpointEntry(1, 7, EndpointState.READY, rate_per_s=1.0)
-    [listed] = heard.heard(EndpointListUpdate(ListUpdateKind.CACHED, (entry,)))
+    [listed] = heard.update(EndpointListUpdate(ListUpdateKind.CACHED, (entry,)))
     assert listed.entries[0].rate_per_s == 0
-    [news] = heard.heard(wire.LoadReport(1, (0.5, 40.0)))
+    [news] = heard.update(wire.LoadReport(1, (0.5, 40.0)))
     assert news.kind is ListUpdateKind.DELTA and news.entries[0].rate_per_s == 40
-    assert heard.heard(wire.LoadReport(1, (0.5, 41.0))) == []
+    assert heard.update(wire.LoadReport(1, (0.5, 41.0))) == []
 
 
 def test_an_answer_on_the_wire_carries_its_report():
