--- a/tests/routing/test_pooled_courier.py
+++ b/tests/routing/test_pooled_courier.py
@@ -77,7 +77,7 @@
         for endpoint in self.endpoints.values():
             await endpoint.stop()
 
-    def called_endpoints(self):
+    def met(self):
         """Return the endpoints called since the last check, in call order."""
         found = []
         for name, endpoint in self.endpoints.items():
@@ -85,15 +85,15 @@
                 found.append((endpoint.calls.get_nowait()[3], name))
         return [name for _, name in sorted(found)]
 
-    async def all_completed(self):
+    async def settled(self):
         while self.host.journal.pending:
             await asyncio.sleep(0.002)
 
     async def deliver(self, client, ident, **more):
         """Send one message and wait for its completion; return the endpoints that were called."""
         assert await client.put(ident, **{"dest": 1, **more}) == "+OK"
-        await bounded(self.all_completed())
-        return self.called_endpoints()
+        await bounded(self.settled())
+        return self.met()
 
 
 def pooled(test):
@@ -197,8 +197,8 @@
     assert await client.put("m1", dest=1) == "+OK"
     assert (await made.endpoints["a"].call())[0] == "/events"
     assert await client.put("m2", dest=1) == "+OK"
-    await bounded(made.all_completed())
-    called = made.called_endpoints()
+    await bounded(made.settled())
+    called = made.met()
     assert (
         called == ["b"] and asyncio.get_running_loop().time() - begin >= 0.6
     )  # a is ejected, b is called after the Retry-After
@@ -214,10 +214,10 @@
     await made.endpoints["a"].call()
     assert await client.put("m2", dest=1) == "+OK"  # a new destination has a window of one call
     await asyncio.sleep(0.1)
-    assert made.called_endpoints() == []
+    assert made.met() == []
     made.endpoints["a"].release.set()
-    await bounded(made.all_completed())
-    assert made.called_endpoints() == ["a"]
+    await bounded(made.settled())
+    assert made.met() == ["a"]
 
 
 @pooled
@@ -250,7 +250,7 @@
     begin = asyncio.get_running_loop().time()
     assert await made.deliver(client, "m1") == ["a", "b"]
     assert (await client.put("m2", dest=1)).startswith("-BUSY ")
-    assert asyncio.get_running_loop().time() - begin < 2.0 and made.called_endpoints() == []
+    assert asyncio.get_running_loop().time() - begin < 2.0 and made.met() == []
 
 
 ROUTES = """
@@ -295,8 +295,8 @@
     ):
         cls = "unsafe" if not fields else "safe"
         assert await client.send(named(f"m{n}", f"c={cls},t=t,d=3000,{fields}")) == "+OK"
-        await bounded(made.all_completed())
-        assert made.called_endpoints() == [wanted], fields
+        await bounded(made.settled())
+        assert made.met() == [wanted], fields
     assert await client.send(named("z1", "c=safe,t=t,d=3000,path=/none")) == "-ERR path: no route"
     client = await Client().open(made.host.clients.sock.getsockname()[1])
     assert await client.send(named("z2", "c=safe,t=t,d=3000,to=nobody")) == "-ERR to: no route"
@@ -356,5 +356,5 @@
         courier.close()
 
     await asyncio.to_thread(send_messages)
-    await bounded(made.all_completed())
-    assert sorted(made.called_endpoints()) == ["a", "b"]
+    await bounded(made.settled())
+    assert sorted(made.met()) == ["a", "b"]
