--- a/madderbeam/simulation/pools.py
+++ b/madderbeam/simulation/pools.py
@@ -64,12 +64,12 @@
     for ident in pool.servers:
         endpoint = courier.state.endpoints.get(ident)
         out = len(endpoint.calls) if endpoint else 0
-        if pool.conns.get(ident, 0) > out:  # fewer, where it came into the pool with calls out
-            yield f"pool {number} counts {pool.conns[ident]} calls to server {ident}, {out} are out"
-        mark = pool.marks.get(ident)
-        if mark and mark.probe_out and not out:
+        if pool.calls_in_flight.get(ident, 0) > out:  # fewer, where it came into the pool with calls out
+            yield f"pool {number} counts {pool.calls_in_flight[ident]} calls to server {ident}, {out} are out"
+        tracker = pool.failure_trackers.get(ident)
+        if tracker and tracker.probe_in_flight and not out:
             yield f"pool {number} waits for a probe of server {ident} that nobody makes"
-    if len(pool.events) > 4 * len(pool.servers) + 16:
-        yield f"pool {number} keeps {len(pool.events)} instants for {len(pool.servers)} servers"
-    if set(pool.conns) - set(pool.servers):
+    if len(pool.scheduled_updates) > 4 * len(pool.servers) + 16:
+        yield f"pool {number} keeps {len(pool.scheduled_updates)} instants for {len(pool.servers)} servers"
+    if set(pool.calls_in_flight) - set(pool.servers):
         yield f"pool {number} counts calls of servers that have gone"
--- a/tests/routing/test_pool.py
+++ b/tests/routing/test_pool.py
@@ -33,9 +33,9 @@
 def send(p, now=0, message=1, tried=(), key="", result=AttemptResult.OK):
     ident = first(p, now, message, tried, key)
     if ident is not None:
-        p.begun(message, ident, now)
+        p.call_started(message, ident, now)
         if result is not None:
-            p.ended(ident, result, False, now)
+            p.call_ended(ident, result, False, now)
     return ident
 
 
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -762,12 +762,12 @@
     ended = pool.Pool.call_ended
 
     def forgets(self, ident, result, spoilt, now):
-        out = self.conns.get(ident, 0)
+        out = self.calls_in_flight.get(ident, 0)
         ended(self, ident, result, spoilt, now)
         if ident in self.servers:
-            self.conns[ident] = out
+            self.calls_in_flight[ident] = out
 
-    patch.setattr(pool.Pool, "ended", forgets)
+    patch.setattr(pool.Pool, "call_ended", forgets)
 
 
 @bug(9, "books")
@@ -775,12 +775,12 @@
     ended = marks.FailureTracker.call_ended
 
     def keeps(self, failed, succeeded, now):
-        out = self.probe_out
+        out = self.probe_in_flight
         found = ended(self, failed, succeeded, now)
-        self.probe_out = out
+        self.probe_in_flight = out
         return found
 
-    patch.setattr(marks.FailureTracker, "ended", keeps)
+    patch.setattr(marks.FailureTracker, "call_ended", keeps)
 
 
 @bug(64, "repeat", "refusal")
