--- a/madderbeam/config/partners.py
+++ b/madderbeam/config/partners.py
@@ -121,7 +121,7 @@
 
 def _compiles(route: m.Route) -> str:
     """What is wrong with a route by itself, '' if nothing is."""
-    from madderbeam.routing.hosts import HostError, HostMatcher
+    from madderbeam.routing.host_matcher import HostError, HostMatcher
     from madderbeam.routing.routes import Match, Route, RouteError, RouteMatcher
 
     try:
--- a/madderbeam/importers/nginx/servers.py
+++ b/madderbeam/importers/nginx/servers.py
@@ -10,7 +10,7 @@
 from madderbeam.importers.nginx.upstreams import Upstreams
 from madderbeam.importers.nginx.values import address, filled, milliseconds, number, proxied
 from madderbeam.importers.nginx.verdicts import Ledger
-from madderbeam.routing.hosts import ANY, HostError, HostMatcher
+from madderbeam.routing.host_matcher import ANY, HostError, HostMatcher
 from madderbeam.routing.routes import Match, RouteError, compiled
 from madderbeam.routing.routes import Route as Pattern
 
--- a/madderbeam/routing/pool.py
+++ b/madderbeam/routing/pool.py
@@ -17,9 +17,9 @@
 from sortedcontainers import SortedDict
 
 from madderbeam.policy.events import AttemptResult
+from madderbeam.routing.failure_tracker import STEPS, FailureTracker
 from madderbeam.routing.hashing import Ring, WeightedSlots, memcached_slots, uniform_hash
-from madderbeam.routing.marks import STEPS, FailureTracker
-from madderbeam.routing.wheel import SmoothRoundRobin
+from madderbeam.routing.smooth_round_robin import SmoothRoundRobin
 
 MAX_START_OFFSET = 4096  # bound of the random start offset that keeps couriers from choosing in lockstep
 MAX_DRAWS = 20  # random draws, before the remaining servers follow in round-robin order
--- a/madderbeam/routing/router.py
+++ b/madderbeam/routing/router.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from madderbeam.policy.events import AttemptResult
-from madderbeam.routing.hosts import ANY, HostError, HostMatcher
+from madderbeam.routing.host_matcher import ANY, HostError, HostMatcher
 from madderbeam.routing.paths import normalized
 from madderbeam.routing.pool import FAILS_ON, Method, Policy, Pool, Server
 from madderbeam.routing.subset import select_subset
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -19,7 +19,7 @@
 from madderbeam.policy.actions import Reject
 from madderbeam.policy.events import AttemptResult, EndpointState
 from madderbeam.quota import admission
-from madderbeam.routing import marks, pool
+from madderbeam.routing import failure_tracker, pool
 from madderbeam.transport import calls, clients, control, discovery, local
 from madderbeam.transport.kafka import front, outcomes, partner
 
@@ -772,7 +772,7 @@
 
 @bug(9, "books")
 def waits_for_ever_for_a_probe(patch):
-    ended = marks.FailureTracker.call_ended
+    ended = failure_tracker.FailureTracker.call_ended
 
     def keeps(self, failed, succeeded, now):
         out = self.probe_in_flight
@@ -780,7 +780,7 @@
         self.probe_in_flight = out
         return found
 
-    patch.setattr(marks.FailureTracker, "call_ended", keeps)
+    patch.setattr(failure_tracker.FailureTracker, "call_ended", keeps)
 
 
 @bug(64, "repeat", "refusal")
