--- a/madderbeam/relay/__init__.py
+++ b/madderbeam/relay/__init__.py
@@ -1,1 +1,2 @@
-"""Relayed streams: what crosses to another site once, and who owes its deliveries. Decisions with no I/O."""
+"""Relayed streams: reliable transfer of publications to other sites, with custody there. Decisions without
+I/O."""
--- a/madderbeam/relay/choice.py
+++ b/madderbeam/relay/choice.py
@@ -1,4 +1,4 @@
-"""Which member of a site holds a stream's other end: rendezvous hashing (Thaler and Ravishankar, 1998)."""
+"""Selection of the relay among a site's members: rendezvous hashing (Thaler and Ravishankar, 1998)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def lives(view: MemberView) -> bool:
-    """A suspect lives until it is declared dead."""
+    """Whether the member counts as alive; a suspect does until it is declared dead."""
     return view.state in (State.ALIVE, State.SUSPECT)
 
 
@@ -23,12 +23,17 @@
     origin: MemberId,
     views: Iterable[MemberView],
     current: MemberId | None,
-    out: Collection[MemberId] = (),
+    excluded: Collection[MemberId] = (),
 ) -> MemberId | None:
-    """The relay among one site's members: the current one while it lives, is not draining and is not in `out`
-    (no link for too long, or it asked to be kept out); else the highest score, suspects last."""
-    fit = [view for view in views if lives(view) and not view.draining and view.id not in out]
-    if any(view.id == current for view in fit):
+    """The relay among one site's members: the current one while it is alive, not draining and not in
+    `excluded` (it rejected entries and asked for another relay); else the one with the highest score,
+    suspects last."""
+    eligible = [view for view in views if lives(view) and not view.draining and view.id not in excluded]
+    if any(view.id == current for view in eligible):
         return current
-    best = max(fit, key=lambda v: (v.state is State.ALIVE, score(origin, v.id), v.id), default=None)
+    best = max(
+        eligible,
+        key=lambda candidate: (candidate.state is State.ALIVE, score(origin, candidate.id), candidate.id),
+        default=None,
+    )
     return best.id if best else None
--- a/madderbeam/relay/custody.py
+++ b/madderbeam/relay/custody.py
@@ -1,8 +1,9 @@
-"""The relay: takes entries into custody once, acks what the journal has, and tells their ends to the origin.
+"""The relay's end: accepts custody of entries once, acknowledges them, reports the outcomes to the origin.
 
-An unsafe entry's record is written before it is expanded, all others' before they are acked. So after a start
-a record says "it may have run": what the journal still holds goes on, what has a kept end has it, the rest is
-UNKNOWN.
+An entry is acknowledged once the journal has its deliveries. The custody record of a non-idempotent entry is
+written before the entry is expanded, all others before they are acknowledged. So after a restart a record
+means "possibly executed": deliveries pending in the journal continue, recorded outcomes stand, all others
+are UNKNOWN.
 """
 
 from __future__ import annotations
@@ -46,8 +47,12 @@
 
 
 class Custodian:
-    """`expand` gives an entry's destinations by the table that it names (grouping.Tables.expand); `wall_ms`
-    the wall time of a monotonic one. `handle(now_us, event)` gives what is to be done, in order."""
+    """State machine of the relay's end of all streams.
+
+    `expand` returns an entry's destinations by the table that it names (grouping.Tables.expand), `wall_ms`
+    the wall clock time in ms of a monotonic time in us. `records` are the records found on disk at the
+    start.
+    """
 
     def __init__(
         self,
@@ -65,19 +70,20 @@
         self.inbound: dict[MemberId, Inbound] = {}
         self.credit = Credit(0, 0)
         self.draining = False
-        self.sick_us = 0  # nothing is taken on until then
+        self.sick_us = 0  # entries are rejected until then, after a failed write
         self.begun = False
 
     @property
     def open_records(self) -> tuple[tuple[str, tuple[int, ...], bool], ...]:
-        """Name, pending destinations, entry of one: `Resting` is told of each after a start (derive.held_id
-        gives the ids)."""
+        """Name, pending destinations and whether it is for a single destination, of each record with pending
+        deliveries. After a start the host sends `RestoredDeliveries` for each; `recorded_delivery_id` of
+        delivery_ids.py gives the ids."""
         records = (r for r in self.kept.all.values() if r.pending)
         return tuple((r.name, tuple(sorted(r.pending)), r.single) for r in records)
 
     @property
     def figures(self) -> dict[str, int]:
-        """For the operator."""
+        """Counts for the operator, by metric name."""
         return {
             "custody": sum(1 for r in self.kept.all.values() if not r.over),
             "records": len(self.kept.all),
@@ -86,6 +92,7 @@
         }
 
     def handle(self, now_us: int, event: Any) -> list[Action]:
+        """Applies one event and returns the actions to perform, in order."""
         self.out.begin(now_us)
         if not self.begun:
             self._begin()
@@ -137,9 +144,9 @@
                 self._acknowledge(record)
                 self.telling.change(record)
             return
-        dests, why, out = self._whether(member, publication)
+        dests, reason, try_another = self._whether(member, publication)
         if dests is None:
-            self.out.free.append(stream.nak(entry.seq, self.settings.again_us, why, out))
+            self.out.free.append(stream.nak(entry.seq, self.settings.again_us, reason, try_another))
             if stream.settle(entry.stream, entry.seq):
                 self.out.free.append(self._ack(stream))
             return
@@ -185,7 +192,7 @@
         )
         self.kept.add(record)
         if not dests:
-            for dest in wanted:  # the table that it names gives it to another site
+            for dest in wanted:  # another site owns it by the table that the entry names
                 record.end(dest, Result.REFUSED)
             self._take(record)
             return
@@ -225,7 +232,7 @@
             self.out.bound.append(self._ack(stream))
 
     def _acknowledge(self, record: Record) -> None:
-        """The record is on disk, or is written by this list before this."""
+        """The record is on disk, or an earlier action of the same list writes it."""
         if not record.kept:
             self.kept.write(record)
         member, number, seq = record.copy or (record.origin, 0, 0)
@@ -245,15 +252,19 @@
 
     def _credit(self, event: Credit) -> None:
         self.credit = event
-        now = self._share()
+        share_now = self._share()
         for stream in self.inbound.values():
-            told = stream.told
-            if not stream.number or stream.broken:  # `acked` may count what was never told
+            advertised = stream.told
+            if not stream.number or stream.broken:  # `acked` may count entries that no ack covered
                 continue
-            if now[0] > 2 * told[0] or now[1] > 2 * told[1] or now[0] < told[0] // 2:
+            if (
+                share_now[0] > 2 * advertised[0]
+                or share_now[1] > 2 * advertised[1]
+                or share_now[0] < advertised[0] // 2
+            ):
                 self.out.free.append(self._ack(stream))
 
-    # Ends
+    # Outcomes
 
     def _ended(self, event: Ended) -> None:
         record = self.kept.get(event.name)
@@ -270,7 +281,7 @@
             record.lose(record.pending - set(event.dests), f"lost with a process of {self.own}")
             self.telling.change(record)
 
-    # Links, time, disk
+    # Links, timers, failed writes
 
     def _up(self, member: MemberId) -> None:
         self.inbound[member] = Inbound(member)
@@ -281,31 +292,34 @@
         self.telling.down(member)
 
     def _due(self) -> None:
-        gone = 0
+        expired_count = 0
         for token in self.out.due():
-            what, _, name = token.partition(":")
+            kind, _, name = token.partition(":")
             record = self.kept.get(name)
-            if what == "ends":
+            if kind == "ends":
                 self.telling.flush()
-            elif what == "resend":
+            elif kind == "resend":
                 self.telling.resend()
-            elif what == "tell":
+            elif kind == "tell":
                 self.telling.again([name])
-            elif what == "end":
-                gone += record is not None and not record.finished
+            elif kind == "end":
+                expired_count += record is not None and not record.finished
                 self.kept.forget(name)
-        if gone:
-            text = f"ends of {gone} publications were not heard by their origins, or not known, in their time"
+        if expired_count:
+            text = f"outcomes of {expired_count} publications were unknown, or not acknowledged in time"
             self.out.free.append(LogLine(text))
 
     def _unwritten(self, name: str) -> None:
-        """What stood behind it is lost as well: the last writes are told anew, and no stream is acked on."""
+        """The actions after the failed write are lost too: recent records are written and
+        reported again, and no stream is acknowledged further."""
         self.sick_us = self.telling.from_us = self.out.now + self.settings.retry_us
         for stream in self.inbound.values():
             stream.broken = True
-        lost = self.kept.get(name)
-        if lost is not None and not lost.taken:
+        unwritten_record = self.kept.get(name)
+        if unwritten_record is not None and not unwritten_record.taken:
             self.kept.forget(name, written=False)
-            self._turn_away(lost, self.settings.retry_us, f"{self.own} could not write", keep_out=True)
+            self._turn_away(
+                unwritten_record, self.settings.retry_us, f"{self.own} could not write", keep_out=True
+            )
         for record in self.kept.unwritten(self.sick_us):
             self.telling.change(record)
--- a/madderbeam/relay/grouping.py
+++ b/madderbeam/relay/grouping.py
@@ -1,4 +1,5 @@
-"""Who a publication goes to: own destinations and other sites at its origin, destinations at the relay."""
+"""The recipients of a publication: local destinations and other sites at its origin, destinations at a
+relay."""
 
 from __future__ import annotations
 
@@ -10,15 +11,15 @@
 from madderbeam.relay.derive import delivery_id, delivery_key
 from madderbeam.relay.values import Effect, Publication
 
-TABLES_KEPT = 8  # an entry that names an older one is not taken
+TABLES_KEPT = 8  # an entry grouped by an older one is rejected
 
 Owners = Mapping[int, str]  # destination -> site, by one table
-Subscribers = Callable[[str], Iterable[int]]  # topic -> destinations that this site knows
+Subscribers = Callable[[str], Iterable[int]]  # topic -> destinations of this site's subscribers
 
 
 @dataclass(frozen=True)
 class Group:
-    """Destinations that this site serves, and the other sites that get one entry each."""
+    """The destinations that this site serves, and the other sites, which get one entry each."""
 
     dests: tuple[int, ...]
     sites: tuple[str, ...]
@@ -27,11 +28,11 @@
 def group(
     publication: Publication, site: str, owners: Owners, subscribers: Subscribers, sites: Iterable[str]
 ) -> Group:
-    """By the table that the publication names: `owners` is that table's, `sites` have the topic as they told.
-    Raises NoOwner for a destination that nobody serves."""
+    """Groups a publication's destinations by the table that it names: `owners` is that table's, `sites` are
+    those that announced the topic. Raises NoOwner for a destination that no site serves."""
     if publication.dest < 0:
-        others = tuple(sorted(set(sites) - {site}))
-        return Group(expand(publication, site, owners, subscribers), others)
+        other_sites = tuple(sorted(set(sites) - {site}))
+        return Group(expand(publication, site, owners, subscribers), other_sites)
     owner = owners.get(publication.dest)
     if owner is None:
         raise NoOwner(f"destination {publication.dest} has no owner in table {publication.table}")
@@ -39,39 +40,41 @@
 
 
 def expand(publication: Publication, site: str, owners: Owners, subscribers: Subscribers) -> tuple[int, ...]:
-    """The destinations that this site owns by the table that the entry names (`owners` is that table's)."""
-    wanted = (publication.dest,) if publication.dest >= 0 else subscribers(publication.topic)
-    return tuple(sorted({dest for dest in wanted if owners.get(dest) == site}))
+    """The destinations of an entry that this site owns by the table that the entry names; `owners` is that
+    table's."""
+    candidates = (publication.dest,) if publication.dest >= 0 else subscribers(publication.topic)
+    return tuple(sorted({dest for dest in candidates if owners.get(dest) == site}))
 
 
 class Tables:
-    """The owners by the last tables, so that an entry is expanded by the one it was grouped by."""
+    """The owners by the last tables, so that an entry is expanded by the table that it was grouped by."""
 
-    def __init__(self, site: str, subscribers: Subscribers, most: int = TABLES_KEPT) -> None:
-        self.site, self.subscribers, self.most = site, subscribers, most
+    def __init__(self, site: str, subscribers: Subscribers, max_tables: int = TABLES_KEPT) -> None:
+        self.site, self.subscribers, self.most = site, subscribers, max_tables
         self.kept: dict[int, Owners] = {}
 
     def put(self, number: int, owners: Owners) -> None:
-        """A table is in force from now on."""
+        """Adds a table that is now in force, and drops the oldest beyond `max_tables`."""
         self.kept[number] = owners
-        for old in sorted(self.kept)[: -self.most]:
-            del self.kept[old]
+        for old_number in sorted(self.kept)[: -self.most]:
+            del self.kept[old_number]
 
     def expand(self, publication: Publication) -> tuple[int, ...] | None:
-        """None: the table is not known yet, or is older than the last ones."""
+        """The destinations of an entry; None if its table is not known yet or no longer stored."""
         owners = self.kept.get(publication.table)
         return None if owners is None else expand(publication, self.site, owners, self.subscribers)
 
-    def moved(self, dests: Iterable[int], now: int) -> dict[int, str]:
-        """Those of them that another site owns by table `now`, with that site: sent on as entries of one."""
-        owners = self.kept[now]
-        found = {dest: owners.get(dest, "") for dest in dests}
-        return {dest: site for dest, site in found.items() if site and site != self.site}
+    def moved(self, dests: Iterable[int], table_number: int) -> dict[int, str]:
+        """Those of `dests` that another site owns by table `table_number`, with that site: they are
+        forwarded."""
+        owners = self.kept[table_number]
+        new_owners = {dest: owners.get(dest, "") for dest in dests}
+        return {dest: site for dest, site in new_owners.items() if site and site != self.site}
 
 
-def onward(publication: Publication, dest: int, relay: MemberId, table: int) -> Publication:
-    """The entry of one by which a relay sends on what is not its site's any more: the delivery's own id and
-    key, so that it is the same message by whatever way it comes."""
+def onward(publication: Publication, dest: int, relay: MemberId, table_number: int) -> Publication:
+    """The entry for one destination by which a relay forwards a delivery that its site no longer owns. It
+    keeps the delivery's id and key, so that it is the same message on whatever path it arrives."""
     key = delivery_key(publication, dest) if publication.effect is Effect.KEYED else ""
     return replace(
         publication,
@@ -80,5 +83,5 @@
         origin=relay,
         topic="",
         dest=dest,
-        table=table,
+        table=table_number,
     )
--- a/madderbeam/relay/inbound.py
+++ b/madderbeam/relay/inbound.py
@@ -1,4 +1,4 @@
-"""The downstream end of one origin's stream: sequence, cumulative ack, credit that was told."""
+"""The receiving end of one origin's stream: sequence numbers, cumulative ack, advertised credit."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @dataclass
 class Inbound:
-    """While one link lasts. After a gap, or a word that was not written, nothing more is acked in a stream:
-    its origin finds it still and begins another."""
+    """State for the life of one link. After a gap or a failed write nothing more is acknowledged in a
+    stream: the origin finds it stalled and starts another."""
 
     member: MemberId
     number: int = 0
     expected: int = 1
     acked: int = 0
-    done: set[int] = field(default_factory=set)  # settled beyond `acked`: bounded by the credit
+    done: set[int] = field(default_factory=set)  # settled beyond `acked`; the credit bounds it
     told: tuple[int, int] = (0, 0)
     broken: bool = False
 
     def accept(self, entry: Entry) -> bool:
-        """The next one of this stream, or the first of a new one."""
+        """Whether the entry is the next of this stream, or the first of a new one; any other is dropped."""
         if entry.stream > self.number:
             self.number, self.expected, self.acked = entry.stream, 1, 0
             self.done.clear()
@@ -33,27 +33,31 @@
         return True
 
     def settle(self, stream: int, seq: int) -> bool:
-        """In custody, or turned away. True: the cumulative ack has moved."""
+        """The entry is in custody or rejected. True if that advances the cumulative ack."""
         if stream != self.number or self.broken or seq <= self.acked:
             return False
         self.done.add(seq)
-        before = self.acked
+        previous = self.acked
         while self.acked + 1 in self.done:
             self.acked += 1
             self.done.discard(self.acked)
-        return self.acked > before
+        return self.acked > previous
 
-    def ack(self, entries: int, size: int) -> SendMessage:
-        """With the credit beyond it."""
-        self.told = (entries, size)
-        return SendMessage(self.member, Ack(self.number, self.acked, entries, size))
+    def ack(self, credit_entries: int, credit_bytes: int) -> SendMessage:
+        """The cumulative ack, with the credit beyond it."""
+        self.told = (credit_entries, credit_bytes)
+        return SendMessage(self.member, Ack(self.number, self.acked, credit_entries, credit_bytes))
 
-    def nak(self, seq: int, after_us: int, why: str, keep_out: bool = False) -> SendMessage:
-        return SendMessage(self.member, Nak(self.number, seq, after_us, why[:200], keep_out))
+    def nak(self, seq: int, retry_after_us: int, reason: str, try_another_relay: bool = False) -> SendMessage:
+        """The rejection of one entry; the reason is cut to 200 characters."""
+        return SendMessage(
+            self.member, Nak(self.number, seq, retry_after_us, reason[:200], try_another_relay)
+        )
 
 
-def share(entries: int, size: int, streams: int) -> tuple[int, int]:
-    """What one of so many streams may send: an even part, one entry at least while any can be taken on."""
-    if entries <= 0 or size <= 0:
+def share(total_entries: int, total_bytes: int, streams: int) -> tuple[int, int]:
+    """The credit of one of `streams` streams: an even share, but one entry at least while any can be
+    accepted."""
+    if total_entries <= 0 or total_bytes <= 0:
         return 0, 0
-    return max(1, entries // max(1, streams)), max(BODY_MOST, size // max(1, streams))
+    return max(1, total_entries // max(1, streams)), max(BODY_MOST, total_bytes // max(1, streams))
--- a/madderbeam/relay/messages.py
+++ b/madderbeam/relay/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other over a relay's link, and its form as rows with a bound on every field."""
+"""The messages between origin and relay, and their form as rows with a bound on every field."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from madderbeam.membership.values import MAX_NAME_CHARS, MemberId, Row
 from madderbeam.relay.values import DeliveryEnd, Effect, Publication, Result
 
-BODY_MOST = 65_536  # bytes, as the protocol's bodies
+BODY_MOST = 65_536  # bytes; the limit of the client protocol
 TEXT_MOST = 256  # characters of an id, key, order, class or tenant
 NUMBER_MOST = 2**63 - 1
 DESTS_MOST = 20_000  # destinations of one entry
-ROWS_MOST = 256  # publications in a batch of ends
-ENDS_MOST = 256  # destinations that were not reached, told by name, in one row; the rest is a count
-TOLD_MOST = 2_048  # of those in a batch
+ROWS_MOST = 256  # publications in a batch of reports
+ENDS_MOST = 256  # failed destinations listed in one report; the others are only counted
+TOLD_MOST = 2_048  # failed destinations listed in one batch
 
 
 @dataclass(frozen=True)
 class Entry:
-    """One publication for a site. `stream`: a number of the origin's that grows with each link and resend;
-    `seq` counts from 1 in it. `left_us`: time left when it was said. The publication's own
-    `until_us` is 0."""
+    """One publication for a site. `stream` is a number of the origin that grows with each link and each
+    restart of the stream; `seq` counts from 1 in it. `remaining_us` is the time to the deadline when it
+    was sent; the publication's own `deadline_us` is 0."""
 
     stream: int
     seq: int
@@ -32,8 +32,8 @@
 
 @dataclass(frozen=True)
 class Ack:
-    """All entries up to `seq` that were not turned away are in the relay's journal and custody; so many more
-    entries and bytes may be out beyond it."""
+    """Cumulative ack: all entries up to `seq` that were not rejected are in the relay's journal and custody.
+    `entries` and `bytes` are the credit: how much may be in flight beyond `seq`."""
 
     stream: int
     seq: int
@@ -43,8 +43,8 @@
 
 @dataclass(frozen=True)
 class Nak:
-    """This entry was not taken and will not run here; come again after so long, or (`keep_out`) go to another
-    relay of the site."""
+    """This entry was rejected and won't be executed here: send it again after `retry_after_us`, or, with
+    `try_another_relay`, to another relay of the site."""
 
     stream: int
     seq: int
@@ -55,8 +55,8 @@
 
 @dataclass(frozen=True)
 class EndRow:
-    """All that is known of a publication's deliveries at a relay: a later row replaces an earlier
-    one. `left`: not ended yet; `ends`: of those that were not delivered, the first ENDS_MOST."""
+    """The state of a publication's deliveries at a relay; a later report replaces an earlier one. `pending`:
+    not completed yet; `failures`: the first MAX_FAILURES_PER_REPORT that were not delivered."""
 
     name: str
     total: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Ends:
-    """A batch of them, with a number of the relay's own."""
+    """A batch of delivery reports, with a number that the relay chose."""
 
     number: int
     rows: tuple[EndRow, ...]
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class EndsAck:
-    """The origin knows them: they need not be told again."""
+    """The origin has this batch: it need not be sent again."""
 
     number: int
 
@@ -85,26 +85,26 @@
 
 
 def to_row(message: Message) -> Row:
-    """As lists, numbers and strings."""
+    """A message as a row of lists, numbers, strings and bytes, in the order of the wire format."""
     if isinstance(message, Entry):
-        p = message.publication
+        publication = message.publication
         return [
             "e",
             message.stream,
             message.seq,
-            p.id,
-            p.origin.site,
-            p.origin.name,
-            p.topic,
-            p.dest,
-            p.cls,
-            p.effect.value,
-            p.tenant,
-            p.key,
-            p.order,
-            p.body,
+            publication.id,
+            publication.origin.site,
+            publication.origin.name,
+            publication.topic,
+            publication.dest,
+            publication.cls,
+            publication.effect.value,
+            publication.tenant,
+            publication.key,
+            publication.order,
+            publication.body,
             message.left_us,
-            p.table,
+            publication.table,
         ]
     if isinstance(message, Ack):
         return ["a", message.stream, message.seq, message.entries, message.bytes]
@@ -115,21 +115,21 @@
     return ["k", message.number]
 
 
-def _end_row(row: EndRow) -> Row:
-    ends = [[e.dest, int(e.result)] for e in row.ends]
-    return [row.name, row.total, row.delivered, row.left, ends, row.why]
+def _end_row(report: EndRow) -> Row:
+    failures = [[failure.dest, int(failure.result)] for failure in report.ends]
+    return [report.name, report.total, report.delivered, report.left, failures, report.why]
 
 
 def from_row(row: Row) -> Message:
-    """Raises ValueError with the field that is out of bounds."""
+    """The message of a row. Raises ValueError that names the field which is missing or out of bounds."""
     kind = row[0] if isinstance(row, list) and row else None
     if not isinstance(kind, str) or kind not in _READERS:
-        raise ValueError(f"kind: one of {', '.join(_READERS)}, not {kind!r:.40}")
+        raise ValueError(f"kind: must be one of {', '.join(_READERS)}, not {kind!r:.40}")
     return _READERS[kind](_Fields(row[1:]))
 
 
 class _Fields:
-    """Takes a row's fields one after the other, each within its bounds."""
+    """Reads a row's fields one after the other and checks the bounds of each; errors are ValueError."""
 
     def __init__(self, row: Row) -> None:
         self.row, self.at = row, 0
@@ -141,102 +141,136 @@
         return self.row[self.at - 1]
 
     def number(self, name: str, most: int = NUMBER_MOST, least: int = 0) -> int:
+        """The next field, an integer; a bool is none."""
         value = self._next(name)
         if type(value) is not int or not least <= value <= most:
-            raise ValueError(f"{name}: a number from {least} to {most}, not {value!r:.40}")
+            raise ValueError(f"{name}: must be an integer from {least} to {most}, not {value!r:.40}")
         return value
 
     def text(self, name: str, most: int = TEXT_MOST, least: int = 0) -> str:
+        """The next field, a string of that many characters."""
         value = self._next(name)
         if not isinstance(value, str) or not least <= len(value) <= most:
-            raise ValueError(f"{name}: {least} to {most} characters, not {value!r:.40}")
+            raise ValueError(f"{name}: must be text of {least} to {most} characters, not {value!r:.40}")
         return value
 
     def data(self, name: str, most: int) -> bytes:
+        """The next field, of at most `most` bytes."""
         value = self._next(name)
         if not isinstance(value, bytes) or len(value) > most:
-            raise ValueError(f"{name}: at most {most} bytes, not {value!r:.40}")
+            raise ValueError(f"{name}: must be at most {most} bytes, not {value!r:.40}")
         return value
 
     def rows(self, name: str, most: int) -> list[_Fields]:
+        """The next field, a list of at most `most` rows."""
         value = self._next(name)
         if not isinstance(value, list) or len(value) > most or not all(isinstance(v, list) for v in value):
-            raise ValueError(f"{name}: at most {most} rows, not {value!r:.40}")
+            raise ValueError(f"{name}: must be a list of at most {most} rows, not {value!r:.40}")
         return [_Fields(v) for v in value]
 
     def done(self) -> None:
+        """Checks that no field is left."""
         if self.at != len(self.row):
-            raise ValueError(f"row: {self.at} fields, not {len(self.row)}")
-
-
-def _entry(f: _Fields) -> Entry:
-    stream, seq = f.number("stream", least=1), f.number("seq", least=1)
-    ident = f.text("id", least=1)
-    origin = MemberId(f.text("origin.site", MAX_NAME_CHARS, 1), f.text("origin.name", MAX_NAME_CHARS, 1))
-    topic, dest, cls = f.text("topic", MAX_NAME_CHARS), f.number("dest", least=-1), f.text("class")
-    effect, tenant, key, order = f.text("effect"), f.text("tenant"), f.text("key"), f.text("order")
-    body, left = f.data("body", BODY_MOST), f.number("left_us")
-    table = f.number("table")
-    f.done()
-    if effect not in {e.value for e in Effect}:
-        raise ValueError(f"effect: safe, keyed or unsafe, not {effect!r:.40}")
+            raise ValueError(f"row: must have {self.at} fields, not {len(self.row)}")
+
+
+def _entry(fields: _Fields) -> Entry:
+    stream, seq = fields.number("stream", least=1), fields.number("seq", least=1)
+    publication_id = fields.text("id", least=1)
+    origin = MemberId(
+        fields.text("origin.site", MAX_NAME_CHARS, 1), fields.text("origin.name", MAX_NAME_CHARS, 1)
+    )
+    topic, dest, message_class = (
+        fields.text("topic", MAX_NAME_CHARS),
+        fields.number("dest", least=-1),
+        fields.text("class"),
+    )
+    idempotency, tenant, key, order_key = (
+        fields.text("effect"),
+        fields.text("tenant"),
+        fields.text("key"),
+        fields.text("order"),
+    )
+    body, remaining_us = fields.data("body", BODY_MOST), fields.number("left_us")
+    table = fields.number("table")
+    fields.done()
+    if idempotency not in {e.value for e in Effect}:
+        raise ValueError(f"effect: must be safe, keyed or unsafe, not {idempotency!r:.40}")
     if (dest < 0) != bool(topic):
-        raise ValueError(f"topic: stands where dest is -1, and there alone, not {topic!r} with dest {dest}")
+        raise ValueError(f"topic: must be set exactly when dest is -1, not {topic!r} with dest {dest}")
     publication = Publication(
-        ident, origin, topic, dest, cls, Effect(effect), tenant, key, order, body, 0, table
+        publication_id,
+        origin,
+        topic,
+        dest,
+        message_class,
+        Effect(idempotency),
+        tenant,
+        key,
+        order_key,
+        body,
+        0,
+        table,
     )
-    return Entry(stream, seq, publication, left)
-
-
-def _ack(f: _Fields) -> Ack:
-    found = Ack(f.number("stream", least=1), f.number("seq"), f.number("entries"), f.number("bytes"))
-    f.done()
-    return found
+    return Entry(stream, seq, publication, remaining_us)
 
 
-def _nak(f: _Fields) -> Nak:
-    found = Nak(
-        f.number("stream", least=1),
-        f.number("seq", least=1),
-        f.number("after_us"),
-        f.text("why"),
-        bool(f.number("keep_out", 1)),
+def _ack(fields: _Fields) -> Ack:
+    ack = Ack(
+        fields.number("stream", least=1),
+        fields.number("seq"),
+        fields.number("entries"),
+        fields.number("bytes"),
     )
-    f.done()
-    return found
+    fields.done()
+    return ack
 
 
-def _ends(f: _Fields) -> Ends:
-    found = Ends(f.number("number"), tuple(_read_end_row(row) for row in f.rows("rows", ROWS_MOST)))
-    f.done()
-    if sum(len(row.ends) for row in found.rows) > TOLD_MOST:
-        raise ValueError(f"ends: at most {TOLD_MOST} in a batch")
-    return found
-
-
-def _read_end_row(f: _Fields) -> EndRow:
-    name = f.text("name", 2 * MAX_NAME_CHARS + TEXT_MOST + 2, 1)
-    total = f.number("total", DESTS_MOST)
-    delivered = f.number("delivered", total)
-    left = f.number("left", total - delivered)
-    ends = tuple(_end(row) for row in f.rows("ends", ENDS_MOST))
-    why = f.text("why")
-    f.done()
-    if len(ends) > total - delivered - left:
-        raise ValueError(f"ends: at most {total - delivered - left} of {total}, not {len(ends)}")
-    return EndRow(name, total, delivered, left, ends, why)
-
-
-def _end(f: _Fields) -> DeliveryEnd:
-    found = DeliveryEnd(f.number("dest"), Result(f.number("result", max(Result))))
-    f.done()
-    return found
-
-
-def _ends_ack(f: _Fields) -> EndsAck:
-    found = EndsAck(f.number("number"))
-    f.done()
-    return found
+def _nak(fields: _Fields) -> Nak:
+    nak = Nak(
+        fields.number("stream", least=1),
+        fields.number("seq", least=1),
+        fields.number("after_us"),
+        fields.text("why"),
+        bool(fields.number("keep_out", 1)),
+    )
+    fields.done()
+    return nak
+
+
+def _ends(fields: _Fields) -> Ends:
+    batch = Ends(fields.number("number"), tuple(_read_end_row(row) for row in fields.rows("rows", ROWS_MOST)))
+    fields.done()
+    if sum(len(row.ends) for row in batch.rows) > TOLD_MOST:
+        raise ValueError(f"ends: must be at most {TOLD_MOST} in a batch")
+    return batch
+
+
+def _read_end_row(fields: _Fields) -> EndRow:
+    name = fields.text("name", 2 * MAX_NAME_CHARS + TEXT_MOST + 2, 1)
+    total = fields.number("total", DESTS_MOST)
+    delivered = fields.number("delivered", total)
+    pending = fields.number("left", total - delivered)
+    failures = tuple(_end(row) for row in fields.rows("ends", ENDS_MOST))
+    reason = fields.text("why")
+    fields.done()
+    if len(failures) > total - delivered - pending:
+        raise ValueError(
+            f"ends: must be at most {total - delivered - pending} of {total}, not {len(failures)}"
+        )
+    return EndRow(name, total, delivered, pending, failures, reason)
+
+
+def _end(fields: _Fields) -> DeliveryEnd:
+    outcome = DeliveryEnd(fields.number("dest"), Result(fields.number("result", max(Result))))
+    fields.done()
+    return outcome
+
+
+def _ends_ack(fields: _Fields) -> EndsAck:
+    batch_ack = EndsAck(fields.number("number"))
+    fields.done()
+    return batch_ack
 
 
 _READERS: dict[str, Callable[[_Fields], Message]] = {
--- a/madderbeam/relay/origin.py
+++ b/madderbeam/relay/origin.py
@@ -1,7 +1,8 @@
-"""The origin: takes publications on, and tells one end for each, in its time.
+"""The origin's end: accepts publications and reports one outcome for each by its deadline.
 
-An unsafe entry's relay is written down before the entry is sent, and it goes to no other unless that relay
-says that it did not take it. Safe and keyed ones go to the next relay when theirs dies.
+The relay of a non-idempotent entry is recorded on disk before the entry is sent, and no other relay gets the
+entry unless that one rejects it. Idempotent entries, with or without a key, move to the next relay when
+theirs dies.
 """
 
 from __future__ import annotations
@@ -41,12 +42,12 @@
 )
 
 TIMER = "streams"
-WHAT_MOST = 2_000  # characters of an end's text
+WHAT_MOST = 2_000  # characters
 
 
 @dataclass
 class Held:
-    """A publication that has not ended yet."""
+    """A publication that is not completed yet."""
 
     publication: Publication
     legs: dict[str, Leg]
@@ -55,12 +56,16 @@
 
     @property
     def over(self) -> bool:
+        """Whether the deliveries to all sites are completed."""
         return all(leg.stage is Stage.OVER for leg in self.legs.values())
 
 
 class Streams:
-    """`wall_ms` gives the wall time of a monotonic one. `handle(now_us, event)` gives what is to be done, in
-    order."""
+    """State machine of the origin's end of all streams.
+
+    `wall_ms` returns the wall clock time in ms of a monotonic time in us; `records` are the records found on
+    disk at the start.
+    """
 
     def __init__(
         self,
@@ -75,19 +80,20 @@
         self.sent = Sent(self.out, wall_ms, settings.kept_us, records)
         self.sending = Sending(settings, own, life, self.out, self.sent)
         self.held: dict[str, Held] = {}
-        self.taken = 0  # publications, ever
+        self.taken = 0  # publications since the start
         self.begun = False
 
-    # The door
+    # Admission
 
     def why_not(self, sites: Iterable[str], size: int) -> FederationError | None:
-        """The error with which a publication for these sites is refused now, or None."""
-        known, others = self.sending.sites, [name for name in sites if name != self.own.site]
-        found = [known.get(name) or Site(name, away_us=0) for name in others]
-        return why_not(self.settings.room, Use(self.sending.entries, self.sending.bytes), found, size)
+        """The error with which a publication of `size` bytes for these sites is rejected now, or None."""
+        known, remote = self.sending.sites, [name for name in sites if name != self.own.site]
+        candidates = [known.get(name) or Site(name, away_us=0) for name in remote]
+        return why_not(self.settings.room, Use(self.sending.entries, self.sending.bytes), candidates, size)
 
     def refusal(self, sites: Iterable[str], size: int) -> int | None:
-        """None: it may be taken on; else the time after which to come again. PublicationTooLarge: never."""
+        """None if the publication may be accepted, else the Retry-After in us. Raises PublicationTooLarge
+        for a body that is never accepted."""
         error = self.why_not(sites, size)
         if isinstance(error, PublicationTooLarge):
             raise error
@@ -95,7 +101,7 @@
 
     @property
     def figures(self) -> dict[str, dict[str, Any]]:
-        """For the operator, by site."""
+        """State for the operator, by site."""
         return {
             site.name: {
                 "relay": str(site.relay) if site.relay else None,
@@ -109,9 +115,10 @@
             for site in self.sending.sites.values()
         }
 
-    # The machine
+    # Events
 
     def handle(self, now_us: int, event: Any) -> list[Action]:
+        """Applies one event and returns the actions to perform, in order."""
         self.out.begin(now_us)
         if not self.begun:
             self.begun = True
@@ -138,7 +145,7 @@
         return self.out.take()
 
     def _leg(self, key: str) -> Leg | None:
-        """By its record's key."""
+        """The delivery with this record key, if its publication is pending."""
         name, _, site = key.rpartition("|")
         held = self.held.get(name)
         return held.legs.get(site) if held else None
@@ -153,18 +160,18 @@
 
     def _due(self) -> None:
         for token in self.out.due():
-            what, _, name = token.partition(":")
-            if what == "until" and name in self.held:
+            kind, _, name = token.partition(":")
+            if kind == "until" and name in self.held:
                 self._time_up(self.held[name])
-            elif what == "rest":
+            elif kind == "rest":
                 leg = self._leg(name)
                 if leg is not None:
                     self.sending.rested(leg)
-            elif what == "stall":
+            elif kind == "stall":
                 self.sending.stalled(name)
-            elif what == "choose":
+            elif kind == "choose":
                 self.sending.choose(name)
-            elif what == "unsent":
+            elif kind == "unsent":
                 self.sent.forget(name)
 
     # Publications
@@ -177,21 +184,21 @@
             raise PublicationTooLarge(f"a body of {len(publication.body)} bytes, at most {BODY_MOST}")
         self.taken += 1
         held = self.held[publication.name] = Held(publication, {})
-        pins = dict(event.relays)
-        over = []
+        pinned_relays = dict(event.relays)
+        recorded_ends = []
         for name in dict.fromkeys(event.sites):
             leg = held.legs[name] = Leg(publication, name, self.taken)
             if name == self.own.site:
                 leg.stage = Stage.LOCAL
                 continue
-            end = self.sent.pin(leg, pins.get(name))
+            recorded = self.sent.pin(leg, pinned_relays.get(name))
             self.sending.add(leg)
-            if end is not None:
-                over.append((leg, end))
+            if recorded is not None:
+                recorded_ends.append((leg, recorded))
             else:
                 self.sending.queue(leg)
         self.out.alarms.set(f"until:{publication.name}", max(self.out.now, publication.until_us))
-        for leg, (delivered, whole, why, rows) in over:
+        for leg, (delivered, whole, why, rows) in recorded_ends:
             self._end(leg, delivered, tuple(DeliveryEnd(d, Result(r)) for d, r in rows), why, bool(whole))
         self._whole(held)
 
@@ -211,7 +218,7 @@
             self._end(leg, event.delivered, event.ends, "", not event.ends)
 
     def _end(self, leg: Leg, delivered: int, ends: tuple[DeliveryEnd, ...], why: str, whole: bool) -> None:
-        """A site's part is over; told once."""
+        """Completes the deliveries to one site and reports it, once."""
         held = self.held[leg.publication.name]
         self.out.free.append(SiteEnded(leg.publication.name, leg.site, delivered, ends, why))
         if not whole:
@@ -246,8 +253,10 @@
     def _time_up(self, held: Held) -> None:
         for leg in list(held.legs.values()):
             if leg.stage is not Stage.OVER:
-                left = f"{leg.row.left} of {leg.row.total} not over" if leg.row else _missing(leg)
-                self._end(leg, leg.row.delivered if leg.row else 0, leg.ends(), f"time is up: {left}", False)
+                missing = f"{leg.row.left} of {leg.row.total} not over" if leg.row else _missing(leg)
+                self._end(
+                    leg, leg.row.delivered if leg.row else 0, leg.ends(), f"time is up: {missing}", False
+                )
 
     def _row(self, member: MemberId, row: EndRow) -> None:
         held = self.held.get(row.name)
@@ -256,7 +265,7 @@
             return
         whole = not row.left and row.delivered == row.total
         if leg.relay != member and not whole:
-            return  # it went to another since, whose word counts
+            return  # a later relay has the entry, and its reports count
         if not row.left:
             self._end(leg, row.delivered, row.ends, row.why, whole)
         elif leg.row is None or row.left <= leg.row.left:
--- a/madderbeam/relay/outlet.py
+++ b/madderbeam/relay/outlet.py
@@ -1,4 +1,4 @@
-"""What a machine wants done after one event, in the order that keeps its word, its next time in front."""
+"""Collects the actions after one event in an order that is safe when a record can't be written."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 
 
 class Outlet:
-    """`free`: what waits for no record; `bound`: records, and what may only follow them. A timer stands
-    before both, so that no record that is not written takes it along."""
+    """Actions of a state machine. `independent` ones need no record; `ordered` ones are records and the
+    actions that may only follow them. The timer comes before both, so that a failed write, which drops
+    all later actions, doesn't drop it."""
 
     def __init__(self, token: str) -> None:
         self.token, self.now = token, 0
@@ -22,17 +23,19 @@
         self.timer: int | None = None
 
     def begin(self, now_us: int) -> None:
-        """An event has come."""
+        """Starts collecting the actions of one event."""
         self.now, self.free, self.bound = now_us, [], []
 
     def due(self) -> list[str]:
-        """The timer went off: the alarms whose time has come."""
+        """The timer has fired: the tokens that are due."""
         self.timer = None
         return self.alarms.due(self.now)
 
     def take(self) -> list[Action]:
-        """All that is to be done."""
-        at = self.alarms.next()
-        timers: list[Action] = [SetTimer(at, self.token)] if at is not None and at != self.timer else []
-        self.timer = at
+        """All actions to perform, in order."""
+        next_us = self.alarms.next()
+        timers: list[Action] = (
+            [SetTimer(next_us, self.token)] if next_us is not None and next_us != self.timer else []
+        )
+        self.timer = next_us
         return timers + self.free + self.bound
--- a/madderbeam/relay/records.py
+++ b/madderbeam/relay/records.py
@@ -1,4 +1,4 @@
-"""What a relay keeps of one publication in its custody, in memory and as a durable record."""
+"""The state of one publication in a relay's custody, in memory and as a durable record."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 @dataclass
 class Record:
-    """`until_ms`: wall time. Only the first ENDS_MOST that were not delivered are kept by name."""
+    """State of a publication in custody. `deadline_ms` is wall clock time. Only the first
+    MAX_FAILURES_PER_REPORT failures are stored, the others are only counted."""
 
     name: str
     origin: MemberId
-    single: bool  # an entry for one destination
+    single: bool  # the entry had one destination
     effect: Effect
     until_ms: int
     total: int
@@ -28,28 +29,31 @@
     fails: dict[int, Result] = field(default_factory=dict)
     why: str = ""
     taken: bool = False  # the journal has its deliveries
-    kept: bool = False  # the disk has this state, as far as was told
-    copy: tuple[MemberId, int, int] | None = None  # who waits for an ack: member, stream, seq
-    heard: int = -1  # how many ends the origin knows of
-    told_us: int = 0  # when it was last told any
-    settled: list[int] = field(default_factory=list)  # the ends in the last write
-    unsettled: list[int] = field(default_factory=list)  # the ends since
+    kept: bool = False  # the present state was written, and no failure was reported
+    copy: tuple[MemberId, int, int] | None = None  # the entry to acknowledge: member, stream, seq
+    heard: int = -1  # how many outcomes the origin has acknowledged
+    told_us: int = 0  # time of the last report
+    settled: list[int] = field(default_factory=list)  # completed destinations in the last write
+    unsettled: list[int] = field(default_factory=list)  # completed destinations since
 
     @property
     def ended(self) -> int:
+        """How many deliveries are completed."""
         return self.total - len(self.pending)
 
     @property
     def over(self) -> bool:
+        """Whether all deliveries are completed."""
         return self.taken and not self.pending
 
     @property
     def finished(self) -> bool:
-        """Nothing more is owed; it is kept against a second copy."""
+        """Whether the origin has acknowledged everything; it is kept to recognise a repeated entry."""
         return self.over and self.heard >= self.total
 
     def end(self, dest: int, result: Result) -> bool:
-        """False: it has ended before, or is none of this publication's."""
+        """Records the outcome of one delivery. False if it was completed before or is not of this
+        publication."""
         if dest not in self.pending:
             return False
         self.pending.discard(dest)
@@ -62,17 +66,18 @@
         return True
 
     def lose(self, dests: Iterable[int], why: str) -> None:
-        """These ends are not known and will not be."""
+        """Completes these deliveries as UNKNOWN."""
         for dest in sorted(dests):
             self.end(dest, Result.UNKNOWN)
             self.why = why
 
     def row(self) -> EndRow:
+        """The report to the origin."""
         ends = tuple(DeliveryEnd(dest, result) for dest, result in self.fails.items())
         return EndRow(self.name, self.total, self.delivered, len(self.pending), ends, self.why)
 
     def value(self) -> dict[str, Any]:
-        """The whole state, as the disk gets it."""
+        """The whole state, as it is stored."""
         return {
             "origin": [self.origin.site, self.origin.name],
             "single": int(self.single),
@@ -87,7 +92,7 @@
 
 
 def read(name: str, value: Any) -> Record:
-    """A record as it was at the start: in custody, whatever came of its expansion."""
+    """The record with this stored value; it counts as in custody, whether or not its entry was expanded."""
     return Record(
         name,
         MemberId(*value["origin"]),
--- a/madderbeam/relay/sending.py
+++ b/madderbeam/relay/sending.py
@@ -1,4 +1,4 @@
-"""One stream to the relay of each site: queues, choice of relay, credit, resend, hand-over."""
+"""The sender of one stream to each site's relay: queues, choice of relay, credit, resending, hand-over."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 
 @dataclass(frozen=True)
 class StreamSettings:
-    """Times in microseconds."""
+    """Limits and times of the origin's end; times are in microseconds."""
 
     room: Room = field(default_factory=Room)
-    first_entries: int = 8  # may be out before the relay has told its credit
+    first_entries: int = 8  # in flight before the relay has advertised its credit
     first_bytes: int = 256 * 1024
-    stall_us: int = 2_000_000  # a stream with no ack for so long begins anew; doubles with each time
+    stall_us: int = 2_000_000  # a stream without an ack for this time restarts; doubles each time
     stall_most_us: int = 16_000_000
-    link_wait_us: int = 2_000_000  # a relay without a link for so long is left for another
-    handover_us: int = 2_000_000  # the next relay gets nothing for so long while the last settles what is out
-    retry_us: int = 500_000  # nothing is sent for so long after the disk did not take a record
-    kept_us: int = 5_000_000  # records outlast their publication's end so long, until its journal has that
-    keyed_window_us: int = 0  # a keyed entry moves no more after it; 0: the relay's admission decides
+    link_wait_us: int = 2_000_000  # a relay without a link for this time is replaced
+    handover_us: int = 2_000_000  # the next relay waits up to this time for acks of the previous one
+    retry_us: int = 500_000  # nothing is sent for this time after a record was not written
+    kept_us: int = 5_000_000  # records outlive their publication by this time, for the journal to complete it
+    keyed_window_us: int = 0  # after it no other relay gets an entry with key; 0: admission there decides
 
 
 class Sending:
-    """Legs come in by `add` and go by `close`; between them they are queued, out, in custody or at rest."""
+    """Sends the deliveries to other sites. One enters with `add` and leaves with `close`; in between it is
+    queued, in flight, in custody, or waits after a rejection."""
 
     def __init__(
         self, settings: StreamSettings, own: MemberId, life: Incarnation, out: Outlet, sent: Sent
@@ -39,24 +40,25 @@
         self.settings, self.own, self.out, self.sent = settings, own, out, sent
         self.members: dict[MemberId, MemberView] = {}
         self.links: dict[MemberId, Outbound] = {}
-        self.down: dict[MemberId, int] = {}  # members without a link: since when
+        self.down: dict[MemberId, int] = {}  # members without a link -> time of its loss
         self.sites: dict[str, Site] = {}
-        self.number = life.start << 32  # of streams
-        self.entries = self.bytes = 0  # open at all sites
+        self.number = life.start << 32  # of the last stream
+        self.entries = self.bytes = 0  # pending at all sites
 
     def add(self, leg: Leg) -> None:
-        """A new leg takes its place in the site's share; `queue` lets it go on its way."""
+        """Counts a new delivery against the site's backlog; `queue` makes it eligible for sending."""
         self._site(leg.site).add(leg)
         self.entries += 1
         self.bytes += leg.size
 
     def queue(self, leg: Leg) -> None:
+        """Queues a delivery and sends what may be sent."""
         site = self.sites[leg.site]
         site.move(leg, Stage.QUEUED)
         self._pump(site)
 
     def close(self, leg: Leg) -> None:
-        """It is over."""
+        """Removes a completed delivery."""
         site = self.sites[leg.site]
         site.move(leg, Stage.OVER)
         self.entries -= 1
@@ -66,10 +68,10 @@
             self._pump(site)
         self._leave(site)
 
-    # What goes out
+    # Sending
 
     def _pump(self, site: Site) -> None:
-        """Sends what may go now."""
+        """Sends what credit, order and hand-over permit now."""
         for _, leg in list(site.pinned):
             stream = self.links.get(leg.relay) if leg.relay else None
             view = self.members.get(leg.relay) if leg.relay else None
@@ -78,29 +80,34 @@
         stream = self.links.get(site.relay) if site.relay else None
         if stream is None or self._handing_over(site):
             return
-        at = 0
-        while at < len(site.queue) and self._open(stream, site.queue[at][1]):
-            leg = site.queue[at][1]
+        index = 0
+        while index < len(site.queue) and self._open(stream, site.queue[index][1]):
+            leg = site.queue[index][1]
             if not site.fits(leg, stream.member) or not self._send(site, leg, stream):
-                at += 1
+                index += 1
 
     def _open(self, stream: Outbound, leg: Leg) -> bool:
         return stream.sick_us <= self.out.now and stream.room(leg)
 
     def _handing_over(self, site: Site) -> bool:
-        """What is out at the last relay is settled first, so that order holds."""
-        last = self.links.get(site.before) if site.before else None
-        if site.before == site.relay or last is None or not last.out or self.out.now >= site.before_until_us:
+        """Entries in flight to the previous relay are acknowledged first, to keep the order."""
+        previous = self.links.get(site.before) if site.before else None
+        if (
+            site.before == site.relay
+            or previous is None
+            or not previous.out
+            or self.out.now >= site.before_until_us
+        ):
             site.before = None
         return site.before is not None
 
     def _send(self, site: Site, leg: Leg, stream: Outbound) -> bool:
-        """False: its time would be up before it is there and its end is back."""
+        """Sends one entry. False if its deadline would pass before the outcome could be back."""
         publication = leg.publication
         left_us = publication.until_us - self.out.now
         window = self.settings.keyed_window_us
         if publication.effect is Effect.KEYED and window and leg.first_us:
-            # Another relay may have made attempts since then: the key counts for so long.
+            # Another relay may have attempted it since `first_us`, when the window of its key began.
             left_us = min(left_us, leg.first_us + window - self.out.now)
         if left_us <= stream.rtt_us:
             return False
@@ -124,16 +131,16 @@
             self.sites[leg.site].move(leg, Stage.QUEUED)
 
     def _may_move(self, leg: Leg) -> bool:
-        """A second delivery does no harm, as far as is known."""
+        """Whether another relay may get it: a second delivery would do no harm."""
         window = self.settings.keyed_window_us
         if leg.publication.effect is Effect.KEYED and window:
             return self.out.now - leg.first_us <= window
         return leg.publication.effect is not Effect.UNSAFE
 
-    # What relays say
+    # Acknowledgements
 
     def word(self, member: MemberId, message: Ack | Nak) -> None:
-        """Of an older stream it counts for nothing."""
+        """Handles an ack or a rejection; those of an older stream are ignored."""
         stream = self.links.get(member)
         if stream is None or message.stream != stream.number:
             return
@@ -177,12 +184,13 @@
         return self.sites[name]
 
     def _leave(self, site: Site) -> None:
-        """A site with no member and nothing open is let go of."""
+        """Removes a site that has no member and no pending delivery."""
         if not site.legs and site.away_us >= 0:
             self.sites.pop(site.name, None)
             self.out.alarms.drop(f"choose:{site.name}")
 
     def member(self, view: MemberView) -> None:
+        """A member's state changed: deliveries at a dead member move where that does no harm."""
         if view.id.site == self.own.site:
             return
         site = self._site(view.id.site)
@@ -202,23 +210,35 @@
         self._leave(site)
 
     def _choose(self, site: Site) -> None:
-        """The relay of a site, and what goes with it when it changes."""
+        """Chooses the relay of a site, and starts a hand-over if it changes while entries are in flight."""
         views = [view for view in self.members.values() if view.id.site == site.name]
         site.away_us = -1 if views else self.out.now if site.away_us < 0 else site.away_us
-        site.kept_out = {m: at for m, at in site.kept_out.items() if at > self.out.now}
-        linked = [v for v in views if v.id in self.links or (v.id == site.relay and self._waits(v.id))]
-        last = site.relay
-        site.relay = choose(self.own, linked or views, last, site.kept_out)
-        if last is not None and site.relay != last and last in self.links and self.links[last].out:
-            site.before, site.before_until_us = last, self.out.now + self.settings.handover_us
+        site.kept_out = {
+            member: until_us for member, until_us in site.kept_out.items() if until_us > self.out.now
+        }
+        with_link = [
+            view
+            for view in views
+            if view.id in self.links or (view.id == site.relay and self._waits(view.id))
+        ]
+        previous = site.relay
+        site.relay = choose(self.own, with_link or views, previous, site.kept_out)
+        if (
+            previous is not None
+            and site.relay != previous
+            and previous in self.links
+            and self.links[previous].out
+        ):
+            site.before, site.before_until_us = previous, self.out.now + self.settings.handover_us
             self.out.alarms.sooner(f"choose:{site.name}", site.before_until_us)
         self._pump(site)
 
     def _waits(self, member: MemberId) -> bool:
-        """Its link broke lately and may come back."""
+        """Whether its link was lost recently and may come back."""
         return self.out.now < self.down.get(member, 0) + self.settings.link_wait_us
 
     def up(self, event: LinkUp) -> None:
+        """A link is up: a new stream starts on it."""
         if event.member.site == self.own.site:
             return
         self.link_down(event.member)
@@ -238,6 +258,7 @@
             self._choose(self.sites[event.member.site])
 
     def link_down(self, member: MemberId) -> None:
+        """The link is lost: entries in flight are queued again."""
         stream = self.links.pop(member, None)
         if stream is None:
             return
@@ -253,20 +274,20 @@
             leg.pinned = leg.tries > 0
         self._requeue(leg)
 
-    # Times
+    # Timers
 
     def choose(self, name: str) -> None:
-        """Something may have changed with time."""
+        """Chooses the relay of this site again after a timer."""
         if name in self.sites:
             self._choose(self.sites[name])
 
     def rested(self, leg: Leg) -> None:
-        """What was turned away comes again."""
+        """The Retry-After of a rejected delivery has passed."""
         if leg.stage is Stage.RESTING:
             self.queue(leg)
 
     def stalled(self, name: str) -> None:
-        """No ack for too long: the stream begins anew, with all that is out."""
+        """No ack within the stall timeout: the stream restarts, and all entries in flight are sent again."""
         stream = self.links.get(MemberId(*name.split("/", 1)))
         if stream is None:
             return
@@ -279,8 +300,8 @@
             self._pump(self.sites[stream.member.site])
 
     def unwritten(self, leg: Leg | None) -> None:
-        """A record was not written, and what stood behind it is lost, whatever stream it was for: all begin
-        anew, after a while. `leg`: whose record it was."""
+        """A record was not written, and the actions after it are lost, whatever stream they were for: all
+        streams restart after `retry_us`. `leg` is the delivery of that record."""
         if leg is not None and leg.stage is Stage.OUT:
             leg.tries -= 1
         for stream in self.links.values():
--- a/madderbeam/relay/subscriptions.py
+++ b/madderbeam/relay/subscriptions.py
@@ -1,9 +1,9 @@
-"""Which topics each site has subscribers of: each member tells its own site's, as a few bounded rumours.
+"""Which topics each site has subscribers of: each member gossips its site's topics in a few bounded entries.
 
-A rumour holds a Bloom filter (Bloom, 1970) of the topics that hash to its shard, not their names: ten
-thousand topics take 32 rumours of 512 bytes at most. None is dropped for want of room; a filter that is too
-full says "yes" more often, which costs an entry that expands to no one. A subscriber more for a known topic
-tells nothing.
+A gossip entry holds a Bloom filter (Bloom, 1970) of the topics that hash to its shard, not their names: ten
+thousand topics take 32 entries of at most 512 bytes. No topic is dropped for lack of space; an overfull
+filter gives more false positives, and each costs one relayed publication that expands to no destination.
+Another subscriber of a known topic changes no filter and sends nothing.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
 TIMER = "subscriptions"
 PREFIX = "topics/"
 FORM = 1
-HEAD = 3  # bytes: form, number of shards as a power of two, hashes
+HEAD = 3  # bytes: format, log2 of the number of shards, number of hashes
 FILTER_MOST = MAX_ENTRY_BODY_BYTES - 12
-SHARD_TOPICS = 320  # at most in a shard while there are shards left: 12 bits each, 0.3 % of false "yes"
+SHARD_TOPICS = 320  # per shard below MAX_SHARDS: 12 bits each, 0.3 % false positives
 SHARDS_MOST = 64  # of one member
-TOPICS_MOST = SHARDS_MOST * SHARD_TOPICS  # beyond these a false "yes" grows more likely, and it is said
-MEMBERS_MOST = 4_096  # whose shards are kept
+TOPICS_MOST = SHARDS_MOST * SHARD_TOPICS  # beyond it false positives grow, which is logged
+MEMBERS_MOST = 4_096  # whose shards are stored
 
 
 def topic_hash(topic: str) -> tuple[int, int, int]:
-    """Shard and the two hashes of double hashing (Kirsch and Mitzenmacher, 2006)."""
+    """The shard hash and the two hashes of double hashing (Kirsch and Mitzenmacher, 2006)."""
     digest = hashlib.blake2b(topic.encode(), digest_size=20).digest()
     return (
         int.from_bytes(digest[:4], "big"),
@@ -52,7 +52,8 @@
 
 
 def shard_count(topics: int) -> int:
-    """A power of two, so that most topics keep their shard as they become more."""
+    """The number of shards: a power of two, so that most topics keep their shard as the number of topics
+    grows."""
     count = 1
     while count * SHARD_TOPICS < topics and count < SHARDS_MOST:
         count *= 2
@@ -60,28 +61,30 @@
 
 
 def fill(topics: Iterable[str], count: int) -> bytes:
-    """The body of the rumour about one shard's topics."""
+    """The body of the gossip entry for one shard: a header and the Bloom filter of its topics."""
     hashes = [topic_hash(topic)[1:] for topic in topics]
-    size = min(FILTER_MOST, 2 * len(hashes) + 6) if hashes else 0
-    rounds = max(1, min(11, round(size * 8 / max(1, len(hashes)) * 0.69)))
-    bits = bytearray(size)
-    for one, two in hashes:
-        for n in range(rounds):
-            at = (one + n * two) % (size * 8)
-            bits[at >> 3] |= 1 << (at & 7)
-    return bytes((FORM, count.bit_length() - 1, rounds)) + bytes(bits)
+    size_bytes = min(FILTER_MOST, 2 * len(hashes) + 6) if hashes else 0
+    hash_count = max(1, min(11, round(size_bytes * 8 / max(1, len(hashes)) * 0.69)))
+    bits = bytearray(size_bytes)
+    for first, second in hashes:
+        for round_number in range(hash_count):
+            bit = (first + round_number * second) % (size_bytes * 8)
+            bits[bit >> 3] |= 1 << (bit & 7)
+    return bytes((FORM, count.bit_length() - 1, hash_count)) + bytes(bits)
 
 
 def has(body: bytes, topic: str) -> bool:
-    """Whether the topic may be among a shard's."""
-    size = (len(body) - HEAD) * 8
-    _, one, two = topic_hash(topic)
-    places = ((one + n * two) % size for n in range(body[2])) if size else ()
-    return size > 0 and all(body[HEAD + (at >> 3)] >> (at & 7) & 1 for at in places)
+    """Whether the shard with this body may contain the topic."""
+    size_bits = (len(body) - HEAD) * 8
+    _, first, second = topic_hash(topic)
+    bits = (
+        ((first + round_number * second) % size_bits for round_number in range(body[2])) if size_bits else ()
+    )
+    return size_bits > 0 and all(body[HEAD + (bit >> 3)] >> (bit & 7) & 1 for bit in bits)
 
 
 def sound(key: str, body: bytes) -> bool:
-    """A shard's rumour that can be read."""
+    """Whether this is a well-formed gossip entry of a shard."""
     index = key.removeprefix(PREFIX)
     return (
         HEAD <= len(body) <= MAX_ENTRY_BODY_BYTES
@@ -95,14 +98,14 @@
 
 @dataclass
 class Told:
-    """What one member has told: shard -> (version, body). `gone_us`: since when it is dead or left; -1: it
-    lives."""
+    """The topics one member has gossiped: shard -> (version, body). `gone_us` is when the member died or
+    left, -1 while it is alive."""
 
     shards: dict[int, tuple[int, bytes]] = field(default_factory=dict)
     gone_us: int = -1
 
     def may_have(self, topic: str) -> bool:
-        """A shard that has not come yet may have it."""
+        """Whether the topic may be among them; a shard that has not been received may have it."""
         if not self.shards:
             return False
         newest = max(self.shards.values())[1]
@@ -111,32 +114,34 @@
 
 
 class Subscriptions:
-    """A machine; `keep_us`: how long a site's word outlasts its members, so that publications wait for a site
-    that is away and are not dropped in silence."""
+    """State machine of the topics of all sites. `keep_us` is how long a site's topics outlive its members:
+    publications then wait for an unreachable site and are not dropped silently."""
 
     def __init__(self, own: MemberId, life: Incarnation, keep_us: int = 3_600_000_000) -> None:
         self.own, self.keep_us = own, keep_us
         self.topics: Mapping[str, Collection[int]] = {}
-        self.version = 0  # as the host told
-        self.said = life.start << 32  # the version of the last rumour
-        self.bodies: dict[str, bytes] = {}  # as they were spread
+        self.version = 0  # of the local subscriptions
+        self.said = life.start << 32  # the version of the last gossip entry
+        self.bodies: dict[str, bytes] = {}  # gossip key -> the body last disseminated
         self.told: dict[MemberId, Told] = {}
-        self.heard: set[str] = set()  # sites that have told their topics since the start
+        self.heard: set[str] = set()  # sites whose topics were received since the start
 
     def sites(self, topic: str) -> tuple[str, ...]:
-        """Other sites that have subscribers, as far as is known."""
+        """The other sites that may have subscribers of the topic."""
         found = {m.site for m, told in self.told.items() if m.site != self.own.site and told.may_have(topic)}
         return tuple(sorted(found))
 
     def unheard(self, sites: Iterable[str]) -> tuple[str, ...]:
-        """Those of these whose topics no member has told since this one's start: they may have any."""
+        """Those of `sites` whose topics were not received since this member's start: they may have any
+        topic."""
         return tuple(sorted(set(sites) - self.heard - {self.own.site}))
 
     def subscribers(self, topic: str) -> Collection[int]:
-        """Destinations of this site's own partners."""
+        """The destinations of this site that subscribe to the topic."""
         return self.topics.get(topic, ())
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
+        """Applies one event and returns the actions to perform, in order."""
         if isinstance(event, Subscribed):
             return self._subscribed(event)
         if isinstance(event, GossipReceived):
@@ -150,7 +155,7 @@
         return []
 
     def _raised(self, life: Incarnation) -> list[Any]:
-        """What was said is said anew, above all that an earlier life said."""
+        """Disseminates all entries again, with versions above those of earlier incarnations."""
         self.said = max(self.said, life.start << 32)
         actions: list[Any] = []
         for key, body in self.bodies.items():
@@ -167,8 +172,8 @@
         for topic in sorted(event.topics):
             shards[topic_hash(topic)[0] % count].append(topic)
         actions: list[Any] = []
-        for number, topics in enumerate(shards):
-            key, body = f"{PREFIX}{number}", fill(topics, count)
+        for index, topics in enumerate(shards):
+            key, body = f"{PREFIX}{index}", fill(topics, count)
             if self.bodies.get(key) != body:
                 self.said += 1
                 self.bodies[key] = body
@@ -176,49 +181,49 @@
         return actions + self._warnings()
 
     def _warnings(self) -> list[Any]:
-        found: list[Any] = []
+        warnings: list[Any] = []
         if len(self.topics) > TOPICS_MOST:
-            found.append(
+            warnings.append(
                 LogLine(
-                    f"{len(self.topics)} topics at {self.own.site}, filters are made for {TOPICS_MOST}: "
-                    "other sites send more publications here that no one subscribed to"
+                    f"{len(self.topics)} topics at {self.own.site} exceed the {TOPICS_MOST} that the Bloom "
+                    "filters are sized for: other sites will send more publications without subscribers here"
                 )
             )
         for topic, dests in self.topics.items():
             if len(dests) > DESTS_MOST:
-                found.append(
+                warnings.append(
                     LogLine(
-                        f"topic {topic} has {len(dests)} subscribers at {self.own.site}, at most "
-                        f"{DESTS_MOST} can be reached: its publications are turned away here"
+                        f"topic {topic} has {len(dests)} subscribers at {self.own.site}, more than the limit "
+                        f"of {DESTS_MOST}: its publications are rejected here"
                     )
                 )
-        return found[:8]
+        return warnings[:8]
 
     def _heard(self, now_us: int, event: GossipReceived) -> list[Any]:
-        rumour = event.entry
-        if not rumour.key.startswith(PREFIX) or rumour.owner == self.own:
+        entry = event.entry
+        if not entry.key.startswith(PREFIX) or entry.owner == self.own:
             return []
-        if not sound(rumour.key, rumour.body):
-            return [LogLine(f"a rumour of {rumour.owner} about topics can't be read: {rumour.key!r:.40}")]
-        if rumour.owner not in self.told and len(self.told) >= MEMBERS_MOST:
+        if not sound(entry.key, entry.body):
+            return [LogLine(f"malformed gossip entry with topics from {entry.owner}: {entry.key!r:.40}")]
+        if entry.owner not in self.told and len(self.told) >= MEMBERS_MOST:
             return [
-                LogLine(f"topics of {rumour.owner} are not kept: {MEMBERS_MOST} members have told theirs")
+                LogLine(f"topics of {entry.owner} are not stored: limit of {MEMBERS_MOST} members reached")
             ]
-        told = self.told.setdefault(rumour.owner, Told())
-        number = int(rumour.key.removeprefix(PREFIX))
-        if rumour.version <= told.shards.get(number, (-1, b""))[0]:
+        known = self.told.setdefault(entry.owner, Told())
+        shard = int(entry.key.removeprefix(PREFIX))
+        if entry.version <= known.shards.get(shard, (-1, b""))[0]:
             return []
-        told.shards[number] = (rumour.version, rumour.body)
+        known.shards[shard] = (entry.version, entry.body)
         if len(self.heard) < MEMBERS_MOST:
-            self.heard.add(rumour.owner.site)
+            self.heard.add(entry.owner.site)
         return self._timer()
 
     def _member(self, now_us: int, view: MemberView) -> list[Any]:
-        told = self.told.get(view.id)
-        if told is None:
+        known = self.told.get(view.id)
+        if known is None:
             return []
         gone = view.state in (State.DEAD, State.LEFT)
-        told.gone_us = (now_us if told.gone_us < 0 else told.gone_us) if gone else -1
+        known.gone_us = (now_us if known.gone_us < 0 else known.gone_us) if gone else -1
         return self._timer()
 
     def _timer(self) -> list[Any]:
@@ -226,13 +231,19 @@
         return [SetTimer(min(times) + self.keep_us, TIMER)] if times else []
 
     def _due(self, now_us: int) -> list[Any]:
-        """Lets go of members that are gone for too long; a site that is then unknown is told of."""
-        over = [m for m, t in self.told.items() if t.gone_us >= 0 and t.gone_us + self.keep_us <= now_us]
-        for member in over:
+        """Removes the topics of members that are gone for too long, and logs each site that is then
+        unknown."""
+        expired = [
+            member
+            for member, known in self.told.items()
+            if known.gone_us >= 0 and known.gone_us + self.keep_us <= now_us
+        ]
+        for member in expired:
             del self.told[member]
-        lost = sorted({m.site for m in over} - {m.site for m in self.told})
+        unknown_sites = sorted({member.site for member in expired} - {member.site for member in self.told})
         keep_s = self.keep_us // 1_000_000
-        notes = [
-            LogLine(f"topics of {site} are let go of: no member was there for {keep_s} s") for site in lost
+        log_lines = [
+            LogLine(f"topics of {site} are removed: it had no member for {keep_s} s")
+            for site in unknown_sites
         ]
-        return [*notes, *self._timer()]
+        return [*log_lines, *self._timer()]
--- a/madderbeam/relay/values.py
+++ b/madderbeam/relay/values.py
@@ -1,7 +1,8 @@
-"""The values of relayed streams: publications, entries, ends of deliveries.
+"""The values of relayed streams: publications, delivery outcomes, and the events and actions of both ends.
 
-Beside these relay takes MemberChanged, Heard, LinkUp, LinkDown, FromLink, Due and Unwritten, and gives
-Persist, SetTimer, Note, ToLink and Spread (membership/values.py)."""
+The relay's state machines also take the events MemberChanged, GossipReceived, LinkUp, LinkDown,
+MessageReceived, TimerDue and WriteFailed, and return the actions Persist, SetTimer, LogLine, SendMessage and
+Disseminate (membership/values.py)."""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 
 
 class Effect(Enum):
-    """What a second delivery does."""
+    """Whether a second delivery does harm; the values are those on the wire and in records."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -22,19 +23,20 @@
 
 
 class Result(IntEnum):
-    """How a delivery ended. Only DELIVERED counts as done."""
+    """The outcome of a delivery. Only DELIVERED is a success; the numbers are those on the wire."""
 
     DELIVERED = 0
-    FAILED = 1  # it may have run
-    REFUSED = 2  # it never ran
-    UNKNOWN = 3  # its end was lost with a process
+    FAILED = 1  # possibly executed
+    REFUSED = 2  # never executed
+    UNKNOWN = 3  # the outcome was lost with a process
 
 
 @dataclass(frozen=True)
 class Publication:
-    """One notice for all who subscribed to `topic`, or for the one destination `dest` that another site
-    serves (topic is then ""). `id`: the client's; with `origin` it names the publication. `until_us`: when
-    its time is up, by this process's monotonic clock. `cls`, `tenant`: names, the same at all sites."""
+    """One message for all subscribers of `topic`, or for the one destination `dest` that another site serves
+    (`topic` is then ""). `id` is the client's and identifies the publication together with `origin`.
+    `deadline_us` is by this process's monotonic clock. `message_class` and `tenant` are names, the same
+    at all sites."""
 
     id: str
     origin: MemberId
@@ -43,21 +45,21 @@
     cls: str
     effect: Effect
     tenant: str
-    key: str  # "" outside keyed classes
+    key: str  # "" unless the class is idempotent with key
     order: str
     body: bytes
     until_us: int
-    table: int  # by which it was grouped: the relay expands by the same one
+    table: int  # the ownership table it was grouped by; the relay expands it by the same one
 
     @cached_property
     def name(self) -> str:
-        """Unique in the federation."""
+        """The publication's name, unique in the federation."""
         return f"{self.origin}:{self.id}"
 
 
 @dataclass(frozen=True)
 class DeliveryEnd:
-    """One subscriber's end."""
+    """The outcome of the delivery to one subscriber."""
 
     dest: int
     result: Result
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Subscribed:
-    """This site's own subscriptions, all of them; `version` grows with each change within a life."""
+    """All subscriptions of this site; `version` grows with each change within an incarnation."""
 
     topics: Mapping[str, Collection[int]]  # topic -> destinations
     version: int
@@ -79,8 +81,9 @@
 
 @dataclass(frozen=True)
 class Published:
-    """A publication is taken on (journaled here); its entries go to these sites. Where `relays` names one
-    (after a restart), the site's entry was once sent there and may not go to another (unsafe)."""
+    """A publication is accepted (it is in the journal here); one entry goes to each of `sites`.
+    `pinned_relays` names, after a restart, the relay to which a site's non-idempotent entry was sent: no
+    other may get it."""
 
     publication: Publication
     sites: tuple[str, ...]
@@ -89,18 +92,18 @@
 
 @dataclass(frozen=True)
 class Withdrawn:
-    """The publication is over at its origin: its time is up, or it was ended otherwise."""
+    """The publication is completed at its origin: its deadline passed, or it was completed in another way."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class LocalEnded:
-    """The own site's part of a publication is over (its name stood among the sites of `Published`)."""
+    """The local site's deliveries of a publication are completed (`Published.sites` named the local site)."""
 
     name: str
     delivered: int
-    ends: tuple[DeliveryEnd, ...] = ()  # of those that were not delivered
+    ends: tuple[DeliveryEnd, ...] = ()  # of the deliveries that failed
 
 
 # Origin: actions
@@ -108,22 +111,22 @@
 
 @dataclass(frozen=True)
 class SiteEnded:
-    """All deliveries of a publication at one site have ended, or are given up: custody there is over."""
+    """All deliveries of a publication at one site are completed or given up: custody there has ended."""
 
     name: str
     site: str
     delivered: int
-    ends: tuple[DeliveryEnd, ...]  # of those that were not delivered
+    ends: tuple[DeliveryEnd, ...]  # of the deliveries that failed
     why: str = ""
 
 
 @dataclass(frozen=True)
 class PublicationEnded:
-    """All sites have: the origin tells one end."""
+    """The publication is completed at all sites: the origin reports one outcome to its client."""
 
     name: str
     delivered: bool
-    what: str  # for the log: each subscriber that was not reached
+    what: str  # for the log: each failed delivery
 
 
 # Relay: actions and events
@@ -131,8 +134,9 @@
 
 @dataclass(frozen=True)
 class Expand:
-    """An entry has come: take the deliveries to `dests` into the journal (custody), then tell `Taken` or
-    `NotTaken`. Ids and keys are derive.py's; what the journal knows under its id is not made again."""
+    """An entry has arrived: put the deliveries to `dests` into the journal (custody), then reply with
+    `CustodyAccepted` or `CustodyRejected`. Ids and keys are those of delivery_ids.py; a delivery whose id the
+    journal knows is not created again."""
 
     publication: Publication
     dests: tuple[int, ...] = ()
@@ -140,8 +144,9 @@
 
 @dataclass(frozen=True)
 class Taken:
-    """Custody is here: these deliveries are in the journal (again: those that were not over yet). One of
-    `Expand` that is missing and has not `Ended` before counts as UNKNOWN."""
+    """Custody is accepted: these deliveries are in the journal; for a repeated entry, those that were not
+    completed yet. A destination of `Expand` that is absent here and had no `DeliveryCompleted` before
+    counts as UNKNOWN."""
 
     name: str
     dests: tuple[int, ...]
@@ -149,7 +154,7 @@
 
 @dataclass(frozen=True)
 class NotTaken:
-    """The journal or admission did not take it; the origin may send it again after so long."""
+    """The journal or admission rejected the entry; the origin may send it again after the given time."""
 
     name: str
     after_us: int
@@ -158,8 +163,8 @@
 
 @dataclass(frozen=True)
 class Ended:
-    """A delivery under this member's custody has ended; told before it is over in the journal, which it may
-    be from `Settled` on."""
+    """A delivery in this member's custody is completed. This comes before it is completed in the journal,
+    which may happen from `OutcomesPersisted` on."""
 
     name: str
     dest: int
@@ -168,7 +173,7 @@
 
 @dataclass(frozen=True)
 class Credit:
-    """So many entries and bytes can be taken on now, over all streams."""
+    """How many entries and bytes can be accepted now, over all streams."""
 
     entries: int
     bytes: int
@@ -176,8 +181,8 @@
 
 @dataclass(frozen=True)
 class Resting:
-    """After a start, once for each of `Custodian.open_records`: these of its deliveries are still held in the
-    journal. All others whose end was not kept end as UNKNOWN."""
+    """After a start, once for each of `Custodian.open_records`: its deliveries that are still pending in the
+    journal. All others without a recorded outcome complete as UNKNOWN."""
 
     name: str
     dests: tuple[int, ...]
@@ -185,7 +190,7 @@
 
 @dataclass(frozen=True)
 class Settled:
-    """The ends of these deliveries are on disk: they may be over in the journal."""
+    """The outcomes of these deliveries are on disk: the journal may now complete them."""
 
     name: str
     dests: tuple[int, ...]
--- a/tests/relay/test_relay_subscriptions.py
+++ b/tests/relay/test_relay_subscriptions.py
@@ -92,7 +92,7 @@
     assert here.handle(3_600_000_005, TimerDue(TIMER)) == [SetTimer(3_600_000_006, TIMER)]
     assert here.sites("s") == () and here.sites("t") == ("savannah",)
     assert here.handle(3_600_000_006, TimerDue(TIMER)) == [
-        LogLine("topics of savannah are let go of: no member was there for 3600 s")
+        LogLine("topics of savannah are removed: it had no member for 3600 s")
     ]
     assert here.told == {}
 
