--- a/bench/relay.py
+++ b/bench/relay.py
@@ -28,21 +28,21 @@
 from madderbeam.relay.custody import Custodian
 from madderbeam.relay.grouping import Tables
 from madderbeam.relay.messages import to_row
-from madderbeam.relay.origin import Streams
+from madderbeam.relay.origin import OriginStreams
 from madderbeam.relay.sending import StreamSettings
 from madderbeam.relay.subscriptions import Subscriptions
 from madderbeam.relay.telling import CustodySettings
 from madderbeam.relay.values import (
     Credit,
-    Effect,
-    Ended,
+    CustodyAccepted,
+    DeliveryCompleted,
+    DeliveryIdempotency,
     Expand,
     Publication,
-    PublicationEnded,
+    PublicationCompleted,
     Published,
     Result,
-    Subscribed,
-    Taken,
+    SubscriptionsChanged,
 )
 
 ORIGIN = MemberId("macon", "a")
@@ -58,7 +58,7 @@
         self.frames, self.bytes, self.ended, self.now = Counter(), Counter(), 0, 0
         life, wall = Incarnation(1, 1), lambda now: now // 1000
         self.owners = {s * 10_000 + n: site for s, site in enumerate(SITES) for n in range(subscribers)}
-        self.origin = Streams(StreamSettings(), ORIGIN, life, wall, {})
+        self.origin = OriginStreams(StreamSettings(), ORIGIN, life, wall, {})
         self.machines = {ORIGIN: self.origin}
         self.timers, self.todo, self.order = {}, [], 0
         for site in SITES:
@@ -82,12 +82,12 @@
                 self.timers[member] = (action.at_us, action.token)
             elif isinstance(action, Expand):
                 name = action.publication.name
-                self.later(self.now, member, Taken(name, action.dests))
+                self.later(self.now, member, CustodyAccepted(name, action.dests))
                 for dest in action.dests:
                     at = self.now + self.rng.randrange(1, self.call_us)
-                    self.later(at, member, Ended(name, dest, Result.DELIVERED))
-            elif isinstance(action, PublicationEnded):
-                assert action.delivered
+                    self.later(at, member, DeliveryCompleted(name, dest, Result.DELIVERED))
+            elif isinstance(action, PublicationCompleted):
+                assert action.is_delivered
                 self.ended += 1
 
     def later(self, at, member, event):
@@ -103,7 +103,7 @@
                 topic,
                 dest,
                 "notice",
-                Effect.SAFE,
+                DeliveryIdempotency.IDEMPOTENT,
                 "acme",
                 "",
                 "",
@@ -155,10 +155,10 @@
 def filters():
     """What one member tells of 10,000 topics, and how often a filter says yes where it should not."""
     told = Subscriptions(MemberId("savannah", "r"), Incarnation(1, 1))
-    rumours = told.handle(0, Subscribed({f"season-{n}": (n,) for n in range(10_000)}, 1))
+    rumours = told.handle(0, SubscriptionsChanged({f"season-{n}": (n,) for n in range(10_000)}, 1))
     heard = Subscriptions(ORIGIN, Incarnation(1, 1))
     for r in rumours:
-        heard.handle(0, GossipReceived(GossipEntry(told.own, r.key, r.version, r.body)))
+        heard.handle(0, GossipReceived(GossipEntry(told.local_member, r.key, r.version, r.body)))
     false = sum(bool(heard.sites(f"other-{n}")) for n in range(100_000))
     return len(rumours), sum(len(r.body) for r in rumours), false / 100_000
 
--- a/madderbeam/host/federation/admin_calls.py
+++ b/madderbeam/host/federation/admin_calls.py
@@ -27,7 +27,7 @@
 from madderbeam.membership.values import MemberId, MemberView
 from madderbeam.ports import Disk
 from madderbeam.relay.custody import Custodian
-from madderbeam.relay.origin import Streams
+from madderbeam.relay.origin import OriginStreams
 from madderbeam.transport.control import Answer
 from madderbeam.transport.mesh.mesh import Mesh
 
@@ -46,7 +46,7 @@
     membership: Membership
     agreement: Agreement
     switchover: Switchover
-    streams: Streams
+    streams: OriginStreams
     custodian: Custodian
     mesh: Mesh
     shared: SiteSharing | None
@@ -110,8 +110,8 @@
                 str(proposal): "agreed" if outcome.is_agreed else _error_text(outcome.error)
                 for proposal, outcome in self.outcomes.items()
             },
-            "streams": _stream_status(member.streams.figures, now),
-            "custody": member.custodian.figures,
+            "streams": _stream_status(member.streams.metrics, now),
+            "custody": member.custodian.metrics,
             "mesh": member.mesh.metrics(),
             **({"shared": member.shared.status(now)} if member.shared else {}),
         }
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -70,11 +70,17 @@
 from madderbeam.ports import Ports
 from madderbeam.relay import messages as relay_messages
 from madderbeam.relay.custody import Custodian, CustodySettings
-from madderbeam.relay.door import Room as Backlog
+from madderbeam.relay.door import BacklogLimits as Backlog
 from madderbeam.relay.grouping import Tables
-from madderbeam.relay.origin import Streams, StreamSettings
+from madderbeam.relay.origin import OriginStreams, StreamSettings
 from madderbeam.relay.subscriptions import Subscriptions
-from madderbeam.relay.values import Expand, PublicationEnded, Settled, SiteEnded, Subscribed
+from madderbeam.relay.values import (
+    Expand,
+    OutcomesPersisted,
+    PublicationCompleted,
+    SiteCompleted,
+    SubscriptionsChanged,
+)
 from madderbeam.shared import lease_messages
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.leases import Leases
@@ -219,15 +225,19 @@
         self.subscriptions = Subscriptions(self.member_id, self.incarnation)
         self.tables = Tables(self.member_id.site, self.subscriptions.subscribers)
         backlog = Backlog(
-            config.backlog_messages, config.backlog_bytes, away_again_us=config.wait_told_ms * 1000
+            config.backlog_messages,
+            config.backlog_bytes,
+            unreachable_retry_after_us=config.wait_told_ms * 1000,
         )
         windows = [
             message_class.key_window_us
             for message_class in self.host.settings.classes
             if message_class.idempotency is Idempotency.WITH_KEY
         ]
-        settings = StreamSettings(room=backlog, keyed_window_us=min(windows, default=0))
-        self.streams = Streams(settings, self.member_id, self.incarnation, self._wall_ms, self.store.map)
+        settings = StreamSettings(limits=backlog, keyed_window_us=min(windows, default=0))
+        self.streams = OriginStreams(
+            settings, self.member_id, self.incarnation, self._wall_ms, self.store.map
+        )
         self.custodian = Custodian(
             CustodySettings(),
             self.member_id,
@@ -341,7 +351,7 @@
         # An empty set is posted too: after their start other sites wait for this site's subscriptions.
         if self.is_started and (topics != self.posted_subscriptions or not self.subscriptions.version):
             self.posted_subscriptions = topics
-            self.subscriptions_runner.post_event(Subscribed(topics, self.subscriptions.version + 1))
+            self.subscriptions_runner.post_event(SubscriptionsChanged(topics, self.subscriptions.version + 1))
         if self.is_started and self.shared is not None:
             self.shared.list_changed()
 
@@ -373,7 +383,7 @@
 
     def metrics(self) -> dict[str, int]:
         """Return the metrics of federation and mesh by name."""
-        custody = {f"federation.{name}": count for name, count in self.custodian.figures.items()}
+        custody = {f"federation.{name}": count for name, count in self.custodian.metrics.items()}
         mesh = {f"mesh.{name}": count for name, count in sorted(self.mesh.metrics().items())}
         return {
             "federation.members": len(self.membership.alive()) + 1,
@@ -418,7 +428,7 @@
                 self.leases_runner.post_event(decoded)
         elif channel == RELAY:
             is_for_origin = isinstance(
-                decoded.message, (relay_messages.Ack, relay_messages.Nak, relay_messages.Ends)
+                decoded.message, (relay_messages.Ack, relay_messages.Nak, relay_messages.ReportBatch)
             )
             (self.streams_runner if is_for_origin else self.custodian_runner).post_event(decoded)
         else:
@@ -465,9 +475,9 @@
             SuspendServing: self._serving_suspended,
             ProposalOutcome: self._proposal_ended,
             Expand: self.custody.expand,
-            Settled: self.custody.outcomes_stored,
-            SiteEnded: self.publications.site_ended,
-            PublicationEnded: self.publications.publication_ended,
+            OutcomesPersisted: self.custody.outcomes_stored,
+            SiteCompleted: self.publications.site_ended,
+            PublicationCompleted: self.publications.publication_ended,
             **self._sharing_handlers(),
         }
 
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -20,19 +20,19 @@
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.membership.values import Incarnation, LinkUp, MemberId, MessageReceived
 from madderbeam.relay.custody import Custodian
-from madderbeam.relay.derive import delivery_id, delivery_key, held_id
-from madderbeam.relay.messages import BODY_MOST, Ends, EndsAck, Entry, Nak
+from madderbeam.relay.derive import delivery_id, delivery_key, recorded_delivery_id
+from madderbeam.relay.messages import MAX_BODY_BYTES, Entry, Nak, ReportBatch, ReportBatchAck
 from madderbeam.relay.values import (
     Credit,
-    Ended,
+    CustodyAccepted,
+    CustodyRejected,
+    DeliveryCompleted,
     Expand,
-    LocalEnded,
-    NotTaken,
+    LocalSiteCompleted,
+    OutcomesPersisted,
     Publication,
-    Resting,
+    RestoredDeliveries,
     Result,
-    Settled,
-    Taken,
 )
 from madderbeam.transport.clients import BadRequest, Put
 
@@ -125,7 +125,7 @@
         self.closed = False
         for name, dests, single in custodian.open_records:
             for dest in dests:
-                self._add_delivery(held_id(name, dest, single), name, dest)
+                self._add_delivery(recorded_delivery_id(name, dest, single), name, dest)
         marked = [ident for kind, ident in store.map if kind == CLIENT_WAITS]
         self.awaited_by_client.update(ident for ident in marked if ident in self.deliveries)
         self._remove_client_records([ident for ident in marked if ident not in self.deliveries])
@@ -137,11 +137,11 @@
             pending = [
                 candidate
                 for candidate in dests
-                if held_id(name, candidate, single) in self.host.journal.numbers_by_id
+                if recorded_delivery_id(name, candidate, single) in self.host.journal.numbers_by_id
             ]
             for dest in set(dests) - set(pending):
-                self._remove_delivery(held_id(name, dest, single), name, dest)
-            self.post_event(Resting(name, tuple(pending)))
+                self._remove_delivery(recorded_delivery_id(name, dest, single), name, dest)
+            self.post_event(RestoredDeliveries(name, tuple(pending)))
         self._check_credit()
 
     def _add_delivery(self, ident: str, name: str, dest: int) -> None:
@@ -191,7 +191,9 @@
         credit = Credit(free_messages, free_bytes)
         self.unchanged_checks = (
             self.unchanged_checks + 1
-            if credit == self.posted_credit and free_messages > RESERVED_MESSAGES and free_bytes > BODY_MOST
+            if credit == self.posted_credit
+            and free_messages > RESERVED_MESSAGES
+            and free_bytes > MAX_BODY_BYTES
             else 0
         )
         if credit != self.posted_credit:
@@ -220,12 +222,12 @@
         if pending is not None and ident not in self.deliveries:
             self._join_pending(expansion, dest, pending)
             return
-        left_ms = max(0, (publication.until_us - self.host.clock()) // 1000)
+        left_ms = max(0, (publication.deadline_us - self.host.clock()) // 1000)
         self._add_delivery(ident, publication.name, dest)
         put = Put(
             ident,
-            int(publication.order) if publication.order.isdigit() else 0,
-            publication.cls,
+            int(publication.order_key) if publication.order_key.isdigit() else 0,
+            publication.message_class,
             publication.tenant or None,
             left_ms,
             dest,
@@ -249,7 +251,7 @@
         if message.status:
             expansion.unanswered.discard(dest)
             result = Result.FAILED if message.possibly_executed_at else Result.REFUSED
-            self.post_event(Ended(expansion.publication.name, dest, result))
+            self.post_event(DeliveryCompleted(expansion.publication.name, dest, result))
             return
         if not self._record_client(message.id) or not self.take_back(message):
             self._remove_client_records([message.id])
@@ -272,7 +274,7 @@
             dest,
             reason,
         )
-        self.post_event(Ended(expansion.publication.name, dest, Result.REFUSED))
+        self.post_event(DeliveryCompleted(expansion.publication.name, dest, Result.REFUSED))
 
     def check_expansion(self, expansion: Expansion) -> None:
         """Once all deliveries have replies, accept custody, decline it or schedule a retry."""
@@ -280,20 +282,20 @@
             return
         name = expansion.publication.name
         if not expansion.retry_after_us:
-            self.post_event(Taken(name, tuple(sorted(expansion.accepted))))
+            self.post_event(CustodyAccepted(name, tuple(sorted(expansion.accepted))))
             return
         after_us = max(expansion.retry_after_us.values())
         if not expansion.accepted:
             for dest in expansion.retry_after_us:
                 self._remove_delivery(delivery_id(expansion.publication, dest), name, dest)
-            self.post_event(NotTaken(name, after_us, f"{self.member_id} has no room for it now"))
+            self.post_event(CustodyRejected(name, after_us, f"{self.member_id} has no room for it now"))
             return
         # Some deliveries are journaled and may execute, so the others are retried until the deadline.
         rejected, expansion.retry_after_us = expansion.retry_after_us, {}
-        if self.host.clock() + after_us >= expansion.publication.until_us:
+        if self.host.clock() + after_us >= expansion.publication.deadline_us:
             for dest in rejected:
                 self.reject_delivery(expansion, dest, "its time is up")
-            self.post_event(Taken(name, tuple(sorted(expansion.accepted))))
+            self.post_event(CustodyAccepted(name, tuple(sorted(expansion.accepted))))
             return
         expansion.unanswered = set(rejected)
         self.host.schedule(max(MIN_RESUBMIT_S, after_us / 1e6), lambda: self._resubmit(expansion))
@@ -320,13 +322,13 @@
         self.settling.add(m.number)
         for name, dest in sorted(parts):
             self.unsettled[name, dest] = m
-            self.post_event(Ended(name, dest, result))
-            if self.custodian.kept.get(name) is None:
+            self.post_event(DeliveryCompleted(name, dest, result))
+            if self.custodian.store.get(name) is None:
                 # the custodian has no record: nothing to store
-                self.outcomes_stored(Settled(name, (dest,)))
+                self.outcomes_stored(OutcomesPersisted(name, (dest,)))
         return not client_waits
 
-    def outcomes_stored(self, action: Settled) -> None:
+    def outcomes_stored(self, action: OutcomesPersisted) -> None:
         """Release deliveries whose outcomes are stored for all publications that they belong to."""
         numbers = []
         for dest in action.dests:
@@ -347,7 +349,7 @@
         self.last_sequence += 1
         self.own_publications[self.last_sequence] = publication
         now_us = self.host.clock()
-        left_us = max(0, publication.until_us - now_us)
+        left_us = max(0, publication.deadline_us - now_us)
         self.post_event(
             MessageReceived(
                 self.member_id, Entry(self.stream_number, self.last_sequence, publication, left_us), now_us
@@ -358,15 +360,19 @@
         """Handle a message of the custodian that is addressed to this courier."""
         if isinstance(message, Nak):
             publication = self.own_publications.pop(message.seq, None)
-            if publication is not None and self.host.clock() + message.after_us < publication.until_us:
+            if (
+                publication is not None
+                and self.host.clock() + message.retry_after_us < publication.deadline_us
+            ):
                 self.host.schedule(
-                    max(MIN_RESUBMIT_S, message.after_us / 1e6), lambda: self.deliver_locally(publication)
+                    max(MIN_RESUBMIT_S, message.retry_after_us / 1e6),
+                    lambda: self.deliver_locally(publication),
                 )
-        elif isinstance(message, Ends):
-            for row in message.rows:
-                if not row.left:
-                    self.post_stream_event(LocalEnded(row.name, row.delivered, row.ends))
-            self.post_event(MessageReceived(self.member_id, EndsAck(message.number)))
+        elif isinstance(message, ReportBatch):
+            for row in message.reports:
+                if not row.pending:
+                    self.post_stream_event(LocalSiteCompleted(row.name, row.delivered, row.failures))
+            self.post_event(MessageReceived(self.member_id, ReportBatchAck(message.number)))
         elif (seq := getattr(message, "seq", None)) is not None:
             for acknowledged in [number for number in self.own_publications if number <= seq]:
                 del self.own_publications[acknowledged]
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -24,16 +24,16 @@
 from madderbeam.policy.settings import Idempotency
 from madderbeam.relay.derive import derived_id
 from madderbeam.relay.grouping import expand
-from madderbeam.relay.origin import Streams
+from madderbeam.relay.origin import OriginStreams
 from madderbeam.relay.subscriptions import Subscriptions
 from madderbeam.relay.values import (
-    Effect,
+    DeliveryIdempotency,
     Publication,
-    PublicationEnded,
+    PublicationCompleted,
+    PublicationWithdrawn,
     Published,
     Result,
-    SiteEnded,
-    Withdrawn,
+    SiteCompleted,
 )
 from madderbeam.transport.clients import Put
 from madderbeam.transport.reply_handle import ReplyHandle
@@ -55,7 +55,7 @@
         host: Host,
         member_id: MemberId,
         serving: Serving,
-        streams: Streams,
+        streams: OriginStreams,
         subscriptions: Subscriptions,
         table: Callable[[], Table],
         post_event: Callable[[Any], None],
@@ -119,7 +119,7 @@
         )
         sites = tuple(s for s in self.subscriptions.sites(put.topic) if s in table.sites)
         # Just after a start some subscriptions are unknown; sites without subscribers decline the entry.
-        sites += self.subscriptions.unheard(table.sites)
+        sites += self.subscriptions.unknown_sites(table.sites)
         if local_subscribers:
             sites = (self.member_id.site, *sites)
         if not sites:
@@ -133,7 +133,7 @@
         self, message: PendingMessage, publication: Publication, sites: tuple[str, ...], reply: ReplyHandle
     ) -> None:
         try:
-            retry_after_us = self.streams.refusal(sites, len(publication.body))
+            retry_after_us = self.streams.retry_after_us(sites, len(publication.body))
         except FederationError as error:
             self.host.metrics.count_completion(ABORTED, message.class_index)
             reply.failed(error.line())
@@ -179,7 +179,7 @@
             "",
             message.dest,
             message_class.name,
-            Effect(message_class.idempotency.value),
+            DeliveryIdempotency(message_class.idempotency.value),
             tenant,
             message.key,
             str(message.order_key) if message.order_key else "",
@@ -236,7 +236,7 @@
             return False
         name = self.names_by_number[message.number]
         self._forget(name)
-        self.post_event(Withdrawn(name))
+        self.post_event(PublicationWithdrawn(name))
         self.host.post_event(self.host.admission.arrival_event(message))
         return True
 
@@ -292,23 +292,23 @@
 
     # Outcomes
 
-    def site_ended(self, action: SiteEnded) -> None:
+    def site_ended(self, action: SiteCompleted) -> None:
         """Note whether a site rejected its part without any attempt."""
-        results = {end.result for end in action.ends}
-        if not action.delivered and results == {Result.REFUSED} and not action.why:
+        results = {end.result for end in action.failures}
+        if not action.delivered and results == {Result.REFUSED} and not action.reason:
             self.not_executed.add(action.name)
 
-    def publication_ended(self, action: PublicationEnded) -> None:
+    def publication_ended(self, action: PublicationCompleted) -> None:
         """Complete the message of a publication that ended at all sites."""
         not_executed = action.name in self.not_executed
         message = self._forget(action.name)
         if message is None or message.status:
             return
-        if action.delivered:
+        if action.is_delivered:
             self.host.metrics.count_completion(SUCCEEDED, message.class_index)
             self.host.completions.complete_without_notice(message, delivered=True)
             return
-        log.warning("federation: %s was not delivered to all subscribers: %s", action.name, action.what)
+        log.warning("federation: %s was not delivered to all subscribers: %s", action.name, action.failures)
         is_single = message.dest != TOPIC_DEST
         self.host.completions.complete(
             message, "deferred" if is_single and not_executed else "undeliverable", 0
@@ -318,7 +318,7 @@
         """Withdraw the publication of a message that completed by its deadline or a second submission."""
         if (name := self.names_by_number.get(number)) is not None:
             self._forget(name)
-            self.post_event(Withdrawn(name))
+            self.post_event(PublicationWithdrawn(name))
 
     def _forget(self, name: str) -> PendingMessage | None:
         self.not_executed.discard(name)
--- a/madderbeam/relay/alarms.py
+++ b/madderbeam/relay/alarms.py
@@ -7,7 +7,7 @@
 SLACK = 64  # stale heap entries allowed beyond the number of live ones
 
 
-class Alarms:
+class TimerQueue:
     """Token -> time in microseconds. Replaced and cancelled times are removed lazily, so the heap stays
     bounded."""
 
@@ -22,17 +22,17 @@
             heapq.heappush(self.heap, (at_us, token))
             self._sweep()
 
-    def sooner(self, token: str, at_us: int) -> None:
+    def set_earlier(self, token: str, at_us: int) -> None:
         """As `set`, but only if that makes the token due earlier."""
         if at_us < self.at.get(token, at_us + 1):
             self.set(token, at_us)
 
-    def drop(self, token: str) -> None:
+    def cancel(self, token: str) -> None:
         """Cancels the token."""
         self.at.pop(token, None)
         self._sweep()
 
-    def due(self, now_us: int) -> list[str]:
+    def pop_due(self, now_us: int) -> list[str]:
         """Removes and returns the tokens that are due, by time."""
         tokens = []
         while self.heap and self.heap[0][0] <= now_us:
--- a/madderbeam/relay/choice.py
+++ b/madderbeam/relay/choice.py
@@ -8,18 +8,18 @@
 from madderbeam.membership.values import MemberId, MemberView, State
 
 
-def score(origin: MemberId, member: MemberId) -> int:
+def rendezvous_score(origin: MemberId, member: MemberId) -> int:
     """The weight of a member for this origin; the same at all members of the federation."""
     text = f"{origin}>{member}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big")
 
 
-def lives(view: MemberView) -> bool:
+def is_running(view: MemberView) -> bool:
     """Whether the member counts as alive; a suspect does until it is declared dead."""
     return view.state in (State.ALIVE, State.SUSPECT)
 
 
-def choose(
+def choose_relay(
     origin: MemberId,
     views: Iterable[MemberView],
     current: MemberId | None,
@@ -28,12 +28,16 @@
     """The relay among one site's members: the current one while it is alive, not draining and not in
     `excluded` (it rejected entries and asked for another relay); else the one with the highest score,
     suspects last."""
-    eligible = [view for view in views if lives(view) and not view.draining and view.id not in excluded]
+    eligible = [view for view in views if is_running(view) and not view.draining and view.id not in excluded]
     if any(view.id == current for view in eligible):
         return current
     best = max(
         eligible,
-        key=lambda candidate: (candidate.state is State.ALIVE, score(origin, candidate.id), candidate.id),
+        key=lambda candidate: (
+            candidate.state is State.ALIVE,
+            rendezvous_score(origin, candidate.id),
+            candidate.id,
+        ),
         default=None,
     )
     return best.id if best else None
--- a/madderbeam/relay/custody.py
+++ b/madderbeam/relay/custody.py
@@ -24,23 +24,23 @@
     TimerDue,
     WriteFailed,
 )
-from madderbeam.relay.inbound import Inbound, share
-from madderbeam.relay.kept import Kept
-from madderbeam.relay.messages import DESTS_MOST, EndsAck, Entry
-from madderbeam.relay.outlet import Action, Outlet
-from madderbeam.relay.records import CUSTODY, Record
-from madderbeam.relay.telling import CustodySettings, Telling
+from madderbeam.relay.inbound import ReceiveStream, credit_share
+from madderbeam.relay.kept import CustodyStore
+from madderbeam.relay.messages import MAX_DESTINATIONS, Entry, ReportBatchAck
+from madderbeam.relay.outlet import Action, ActionQueue
+from madderbeam.relay.records import CUSTODY, CustodyRecord
+from madderbeam.relay.telling import CustodySettings, DeliveryReporter
 from madderbeam.relay.values import (
     Credit,
-    Effect,
-    Ended,
+    CustodyAccepted,
+    CustodyRejected,
+    DeliveryCompleted,
+    DeliveryIdempotency,
     Expand,
-    NotTaken,
+    OutcomesPersisted,
     Publication,
-    Resting,
+    RestoredDeliveries,
     Result,
-    Settled,
-    Taken,
 )
 
 TIMER = "custody"
@@ -63,54 +63,54 @@
         wall_ms: Callable[[int], int],
         records: Mapping[tuple[str, str], Any],
     ) -> None:
-        self.settings, self.own, self.expand, self.wall_ms = settings, own, expand, wall_ms
-        self.out = Outlet(TIMER)
-        self.kept = Kept(self.out, wall_ms, settings.grace_us, records)
-        self.telling = Telling(settings, life, self.out, self.kept)
-        self.inbound: dict[MemberId, Inbound] = {}
+        self.settings, self.local_member, self.expand, self.wall_ms = settings, own, expand, wall_ms
+        self.actions = ActionQueue(TIMER)
+        self.store = CustodyStore(self.actions, wall_ms, settings.grace_us, records)
+        self.reporter = DeliveryReporter(settings, life, self.actions, self.store)
+        self.inbound: dict[MemberId, ReceiveStream] = {}
         self.credit = Credit(0, 0)
         self.draining = False
-        self.sick_us = 0  # entries are rejected until then, after a failed write
-        self.begun = False
+        self.rejecting_until_us = 0  # entries are rejected until then, after a failed write
+        self.is_started = False
 
     @property
     def open_records(self) -> tuple[tuple[str, tuple[int, ...], bool], ...]:
         """Name, pending destinations and whether it is for a single destination, of each record with pending
         deliveries. After a start the host sends `RestoredDeliveries` for each; `recorded_delivery_id` of
         delivery_ids.py gives the ids."""
-        records = (r for r in self.kept.all.values() if r.pending)
+        records = (r for r in self.store.records.values() if r.pending)
         return tuple((r.name, tuple(sorted(r.pending)), r.single) for r in records)
 
     @property
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Counts for the operator, by metric name."""
         return {
-            "custody": sum(1 for r in self.kept.all.values() if not r.over),
-            "records": len(self.kept.all),
+            "custody": sum(1 for r in self.store.records.values() if not r.is_completed),
+            "records": len(self.store.records),
             "streams": sum(1 for i in self.inbound.values() if i.number),
-            "batches": len(self.telling.batches),
+            "batches": len(self.reporter.batches),
         }
 
     def handle(self, now_us: int, event: Any) -> list[Action]:
         """Applies one event and returns the actions to perform, in order."""
-        self.out.begin(now_us)
-        if not self.begun:
+        self.actions.begin(now_us)
+        if not self.is_started:
             self._begin()
         if isinstance(event, MessageReceived):
             if isinstance(event.message, Entry):
                 self._entry(event.member, event.message, event.earliest_sent_us)
-            elif isinstance(event.message, EndsAck):
-                self.telling.heard(event.member, event.message.number)
-        elif isinstance(event, Taken):
-            self._taken(event)
-        elif isinstance(event, NotTaken):
-            self._not_taken(event)
-        elif isinstance(event, Ended):
-            self._ended(event)
-        elif isinstance(event, Resting):
-            self._resting(event)
+            elif isinstance(event.message, ReportBatchAck):
+                self.reporter.acknowledged(event.member, event.message.number)
+        elif isinstance(event, CustodyAccepted):
+            self._on_custody_accepted(event)
+        elif isinstance(event, CustodyRejected):
+            self._on_custody_rejected(event)
+        elif isinstance(event, DeliveryCompleted):
+            self._on_delivery_completed(event)
+        elif isinstance(event, RestoredDeliveries):
+            self._on_restored_deliveries(event)
         elif isinstance(event, Credit):
-            self._credit(event)
+            self._on_credit(event)
         elif isinstance(event, SetDraining):
             self.draining = event.draining
         elif isinstance(event, LinkUp):
@@ -118,208 +118,219 @@
         elif isinstance(event, LinkDown):
             self._down(event.member)
         elif isinstance(event, TimerDue) and event.token == TIMER:
-            self._due()
+            self._on_timer()
         elif isinstance(event, WriteFailed) and event.kind == CUSTODY:
-            self._unwritten(event.key)
-        return self.out.take()
+            self._on_write_failed(event.key)
+        return self.actions.take()
 
     def _begin(self) -> None:
-        self.begun = True
-        for record in self.kept.all.values():
-            self.kept.until(record)
+        self.is_started = True
+        for record in self.store.records.values():
+            self.store.schedule_expiry(record)
 
     # Entries
 
     def _entry(self, member: MemberId, entry: Entry, said_us: int | None) -> None:
-        stream = self.inbound.setdefault(member, Inbound(member))
+        stream = self.inbound.setdefault(member, ReceiveStream(member))
         if not stream.accept(entry):
             return
-        until_us = (self.out.now if said_us is None else said_us) + entry.left_us
+        until_us = (self.actions.now if said_us is None else said_us) + entry.remaining_us
         publication = replace(entry.publication, until_us=until_us)
-        record = self.kept.get(publication.name)
+        record = self.store.get(publication.name)
         if record is not None:
-            record.copy = (member, entry.stream, entry.seq)
-            if record.taken:
-                self.kept.unheard(record)
+            record.unacknowledged_entry = (member, entry.stream, entry.seq)
+            if record.is_accepted:
+                self.store.unacknowledge(record)
                 self._acknowledge(record)
-                self.telling.change(record)
+                self.reporter.schedule(record)
             return
-        dests, reason, try_another = self._whether(member, publication)
+        dests, reason, try_another = self._check_entry(member, publication)
         if dests is None:
-            self.out.free.append(stream.nak(entry.seq, self.settings.again_us, reason, try_another))
+            self.actions.independent.append(
+                stream.nak(entry.seq, self.settings.retry_after_us, reason, try_another)
+            )
             if stream.settle(entry.stream, entry.seq):
-                self.out.free.append(self._ack(stream))
+                self.actions.independent.append(self._ack(stream))
             return
         self._begin_custody(publication, dests, (member, entry.stream, entry.seq))
 
-    def _whether(
+    def _check_entry(
         self, member: MemberId, publication: Publication
     ) -> tuple[tuple[int, ...] | None, str, bool]:
         """Destinations, or why not, and whether another relay should be asked."""
         if self.draining:
-            return None, f"{self.own} is draining", True
-        if self.out.now < self.sick_us:
-            return None, f"{self.own} could not write", True
+            return None, f"{self.local_member} is draining", True
+        if self.actions.now < self.rejecting_until_us:
+            return None, f"{self.local_member} could not write", True
         if publication.origin != member:
             return None, f"the entry of {publication.origin} came from {member}", False
-        if publication.until_us <= self.out.now:
+        if publication.deadline_us <= self.actions.now:
             return None, "its time is up", False
-        if not self.kept.room(self.settings.records_most):
-            return None, f"{self.own} has {len(self.kept.all)} publications in custody", True
+        if not self.store.make_room(self.settings.max_records):
+            return None, f"{self.local_member} has {len(self.store.records)} publications in custody", True
         dests = self.expand(publication)
         if dests is None:
-            return None, f"table {publication.table} is not kept at {self.own}", False
-        if len(dests) > DESTS_MOST:
-            return None, f"{len(dests)} subscribers at {self.own.site}, at most {DESTS_MOST}", False
+            return None, f"table {publication.table_number} is not kept at {self.local_member}", False
+        if len(dests) > MAX_DESTINATIONS:
+            return (
+                None,
+                f"{len(dests)} subscribers at {self.local_member.site}, at most {MAX_DESTINATIONS}",
+                False,
+            )
         return dests, "", False
 
     def _begin_custody(
         self, publication: Publication, dests: tuple[int, ...], copy: tuple[MemberId, int, int]
     ) -> None:
         single = publication.dest >= 0
-        until_ms = self.wall_ms(publication.until_us)
+        until_ms = self.wall_ms(publication.deadline_us)
         wanted = (publication.dest,) if single else dests
-        record = Record(
+        record = CustodyRecord(
             publication.name,
             publication.origin,
             single,
-            publication.effect,
+            publication.idempotency,
             until_ms,
             len(wanted),
             set(wanted),
-            copy=copy,
-            told_us=self.out.now,
+            unacknowledged_entry=copy,
+            reported_at_us=self.actions.now,
         )
-        self.kept.add(record)
+        self.store.add(record)
         if not dests:
             for dest in wanted:  # another site owns it by the table that the entry names
-                record.end(dest, Result.REFUSED)
-            self._take(record)
+                record.complete(dest, Result.REFUSED)
+            self._accept_custody(record)
             return
-        if publication.effect is Effect.UNSAFE:
-            self.kept.write(record)
-        self.out.bound.append(Expand(publication, dests))
+        if publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT:
+            self.store.write(record)
+        self.actions.ordered.append(Expand(publication, dests))
 
-    def _taken(self, event: Taken) -> None:
-        record = self.kept.get(event.name)
-        if record is None or record.taken:
+    def _on_custody_accepted(self, event: CustodyAccepted) -> None:
+        record = self.store.get(event.name)
+        if record is None or record.is_accepted:
             return
-        record.lose(record.pending - set(event.dests), "not in the relay's journal any more")
-        self._take(record)
+        record.complete_unknown(record.pending - set(event.dests), "not in the relay's journal any more")
+        self._accept_custody(record)
 
-    def _take(self, record: Record) -> None:
-        record.taken = True
-        if not record.kept:
-            self.kept.write(record)
+    def _accept_custody(self, record: CustodyRecord) -> None:
+        record.is_accepted = True
+        if not record.is_written:
+            self.store.write(record)
         self._acknowledge(record)
-        if record.ended or record.over:
-            self.telling.change(record)
+        if record.completed_count or record.is_completed:
+            self.reporter.schedule(record)
 
-    def _not_taken(self, event: NotTaken) -> None:
-        record = self.kept.get(event.name)
-        if record is None or record.taken:
+    def _on_custody_rejected(self, event: CustodyRejected) -> None:
+        record = self.store.get(event.name)
+        if record is None or record.is_accepted:
             return
-        self.kept.forget(record.name, record.effect is Effect.UNSAFE)
-        self._turn_away(record, event.after_us, event.why)
+        self.store.remove(record.name, record.effect is DeliveryIdempotency.NON_IDEMPOTENT)
+        self._reject(record, event.retry_after_us, event.reason)
 
-    def _turn_away(self, record: Record, after_us: int, why: str, keep_out: bool = False) -> None:
-        member, number, seq = record.copy or (record.origin, 0, 0)
+    def _reject(self, record: CustodyRecord, after_us: int, why: str, keep_out: bool = False) -> None:
+        member, number, seq = record.unacknowledged_entry or (record.origin, 0, 0)
         stream = self.inbound.get(member)
         if stream is None or stream.number != number:
             return
-        self.out.bound.append(stream.nak(seq, after_us, why, keep_out))
+        self.actions.ordered.append(stream.nak(seq, after_us, why, keep_out))
         if stream.settle(number, seq):
-            self.out.bound.append(self._ack(stream))
+            self.actions.ordered.append(self._ack(stream))
 
-    def _acknowledge(self, record: Record) -> None:
+    def _acknowledge(self, record: CustodyRecord) -> None:
         """The record is on disk, or an earlier action of the same list writes it."""
-        if not record.kept:
-            self.kept.write(record)
-        member, number, seq = record.copy or (record.origin, 0, 0)
-        record.copy = None
+        if not record.is_written:
+            self.store.write(record)
+        member, number, seq = record.unacknowledged_entry or (record.origin, 0, 0)
+        record.unacknowledged_entry = None
         stream = self.inbound.get(member)
         if stream is not None and stream.settle(number, seq):
-            self.out.bound.append(self._ack(stream))
+            self.actions.ordered.append(self._ack(stream))
 
     # Credit
 
-    def _ack(self, stream: Inbound) -> SendMessage:
+    def _ack(self, stream: ReceiveStream) -> SendMessage:
         return stream.ack(*self._share())
 
     def _share(self) -> tuple[int, int]:
         streams = sum(1 for i in self.inbound.values() if i.number)
-        return share(self.credit.entries, self.credit.bytes, streams)
+        return credit_share(self.credit.entries, self.credit.bytes, streams)
 
-    def _credit(self, event: Credit) -> None:
+    def _on_credit(self, event: Credit) -> None:
         self.credit = event
         share_now = self._share()
         for stream in self.inbound.values():
-            advertised = stream.told
-            if not stream.number or stream.broken:  # `acked` may count entries that no ack covered
+            advertised = stream.advertised
+            if not stream.number or stream.is_broken:  # `acked` may count entries that no ack covered
                 continue
             if (
                 share_now[0] > 2 * advertised[0]
                 or share_now[1] > 2 * advertised[1]
                 or share_now[0] < advertised[0] // 2
             ):
-                self.out.free.append(self._ack(stream))
+                self.actions.independent.append(self._ack(stream))
 
     # Outcomes
 
-    def _ended(self, event: Ended) -> None:
-        record = self.kept.get(event.name)
+    def _on_delivery_completed(self, event: DeliveryCompleted) -> None:
+        record = self.store.get(event.name)
         if record is None or event.dest not in record.pending:
-            self.out.free.append(Settled(event.name, (event.dest,)))
+            self.actions.independent.append(OutcomesPersisted(event.name, (event.dest,)))
             return
-        record.end(event.dest, event.result)
-        if record.taken:
-            self.telling.change(record)
+        record.complete(event.dest, event.result)
+        if record.is_accepted:
+            self.reporter.schedule(record)
 
-    def _resting(self, event: Resting) -> None:
-        record = self.kept.get(event.name)
+    def _on_restored_deliveries(self, event: RestoredDeliveries) -> None:
+        record = self.store.get(event.name)
         if record is not None and record.pending - set(event.dests):
-            record.lose(record.pending - set(event.dests), f"lost with a process of {self.own}")
-            self.telling.change(record)
+            record.complete_unknown(
+                record.pending - set(event.dests), f"lost with a process of {self.local_member}"
+            )
+            self.reporter.schedule(record)
 
     # Links, timers, failed writes
 
     def _up(self, member: MemberId) -> None:
-        self.inbound[member] = Inbound(member)
-        self.telling.up(member)
+        self.inbound[member] = ReceiveStream(member)
+        self.reporter.link_up(member)
 
     def _down(self, member: MemberId) -> None:
         self.inbound.pop(member, None)
-        self.telling.down(member)
+        self.reporter.link_down(member)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         expired_count = 0
-        for token in self.out.due():
+        for token in self.actions.due():
             kind, _, name = token.partition(":")
-            record = self.kept.get(name)
+            record = self.store.get(name)
             if kind == "ends":
-                self.telling.flush()
+                self.reporter.flush()
             elif kind == "resend":
-                self.telling.resend()
+                self.reporter.resend()
             elif kind == "tell":
-                self.telling.again([name])
+                self.reporter.report_again([name])
             elif kind == "end":
-                expired_count += record is not None and not record.finished
-                self.kept.forget(name)
+                expired_count += record is not None and not record.is_acknowledged
+                self.store.remove(name)
         if expired_count:
             text = f"outcomes of {expired_count} publications were unknown, or not acknowledged in time"
-            self.out.free.append(LogLine(text))
+            self.actions.independent.append(LogLine(text))
 
-    def _unwritten(self, name: str) -> None:
+    def _on_write_failed(self, name: str) -> None:
         """The actions after the failed write are lost too: recent records are written and
         reported again, and no stream is acknowledged further."""
-        self.sick_us = self.telling.from_us = self.out.now + self.settings.retry_us
+        self.rejecting_until_us = self.reporter.retry_at_us = self.actions.now + self.settings.retry_us
         for stream in self.inbound.values():
-            stream.broken = True
-        unwritten_record = self.kept.get(name)
-        if unwritten_record is not None and not unwritten_record.taken:
-            self.kept.forget(name, written=False)
-            self._turn_away(
-                unwritten_record, self.settings.retry_us, f"{self.own} could not write", keep_out=True
+            stream.is_broken = True
+        unwritten_record = self.store.get(name)
+        if unwritten_record is not None and not unwritten_record.is_accepted:
+            self.store.remove(name, written=False)
+            self._reject(
+                unwritten_record,
+                self.settings.retry_us,
+                f"{self.local_member} could not write",
+                keep_out=True,
             )
-        for record in self.kept.unwritten(self.sick_us):
-            self.telling.change(record)
+        for record in self.store.unwritten(self.rejecting_until_us):
+            self.reporter.schedule(record)
--- a/madderbeam/relay/derive.py
+++ b/madderbeam/relay/derive.py
@@ -5,7 +5,7 @@
 
 import hashlib
 
-from madderbeam.relay.values import Effect, Publication
+from madderbeam.relay.values import DeliveryIdempotency, Publication
 
 
 def _hex(*parts: str) -> str:
@@ -29,15 +29,22 @@
     """The idempotency key of a delivery; "" unless the class is idempotent with key. It is derived from the
     publication's key if it has one: a client that publishes again with that key under another id gets the
     same derived keys."""
-    if publication.effect is not Effect.KEYED:
+    if publication.idempotency is not DeliveryIdempotency.WITH_KEY:
         return ""
     if publication.dest >= 0:
-        return publication.key
-    if publication.key:
-        return _hex("key", publication.tenant, publication.cls, publication.topic, publication.key, str(dest))
+        return publication.idempotency_key
+    if publication.idempotency_key:
+        return _hex(
+            "key",
+            publication.tenant,
+            publication.message_class,
+            publication.topic,
+            publication.idempotency_key,
+            str(dest),
+        )
     return _hex("name", publication.name, str(dest))
 
 
-def held_id(name: str, dest: int, single: bool) -> str:
+def recorded_delivery_id(name: str, dest: int, single: bool) -> str:
     """The id in the journal of a delivery in a custody record; `single`: the entry had one destination."""
     return name.partition(":")[2] if single else derived_id(name, dest)
--- a/madderbeam/relay/door.py
+++ b/madderbeam/relay/door.py
@@ -12,43 +12,49 @@
 from dataclasses import dataclass
 
 from madderbeam.federation.errors import FederationError, PublicationTooLarge, SiteAway, StreamFull
-from madderbeam.relay.legs import Site
-from madderbeam.relay.messages import BODY_MOST
+from madderbeam.relay.legs import SiteBacklog
+from madderbeam.relay.messages import MAX_BODY_BYTES
 
-AWAY_PART = 4  # divides the share of a site with no reachable member
+UNREACHABLE_DIVISOR = 4  # divides the share of a site with no reachable member
 
 
 @dataclass(frozen=True)
-class Room:
+class BacklogLimits:
     """Limits on the pending entries of all sites together, and the Retry-After times in microseconds."""
 
     entries: int = 4096
     bytes: int = 64 * 1024 * 1024
-    again_us: int = 250_000
-    away_again_us: int = 2_000_000
+    retry_after_us: int = 250_000
+    unreachable_retry_after_us: int = 2_000_000
 
 
 @dataclass(frozen=True)
-class Use:
+class BacklogUsage:
     """What the pending entries of all sites use now."""
 
     entries: int
     bytes: int
 
 
-def why_not(room: Room, use: Use, sites: Iterable[Site], size: int) -> FederationError | None:
+def check_backlog(
+    room: BacklogLimits, use: BacklogUsage, sites: Iterable[SiteBacklog], size: int
+) -> FederationError | None:
     """The error that rejects a publication with a body of `size` bytes for these sites, or None to accept
     it."""
-    if size > BODY_MOST:
-        return PublicationTooLarge(f"a body of {size} bytes, at most {BODY_MOST}")
+    if size > MAX_BODY_BYTES:
+        return PublicationTooLarge(f"a body of {size} bytes, at most {MAX_BODY_BYTES}")
     for site in sites:
-        divisor = AWAY_PART if site.away_us >= 0 else 1
+        divisor = UNREACHABLE_DIVISOR if site.unreachable_since_us >= 0 else 1
         allowed_entries = max(0, room.entries - use.entries) // divisor
         allowed_bytes = max(0, room.bytes - use.bytes) // divisor
-        if len(site.legs) < allowed_entries and site.bytes + size <= allowed_bytes:
+        if len(site.deliveries) < allowed_entries and site.bytes + size <= allowed_bytes:
             continue
-        backlog = f"{len(site.legs)} publications with {site.bytes} bytes wait for {site.name}"
-        if site.away_us >= 0:
-            return SiteAway(f"{backlog}, which has no member that can be reached", room.away_again_us)
-        return StreamFull(f"{backlog}, at most {allowed_entries} with {allowed_bytes} now", room.again_us)
+        backlog = f"{len(site.deliveries)} publications with {site.bytes} bytes wait for {site.name}"
+        if site.unreachable_since_us >= 0:
+            return SiteAway(
+                f"{backlog}, which has no member that can be reached", room.unreachable_retry_after_us
+            )
+        return StreamFull(
+            f"{backlog}, at most {allowed_entries} with {allowed_bytes} now", room.retry_after_us
+        )
     return None
--- a/madderbeam/relay/grouping.py
+++ b/madderbeam/relay/grouping.py
@@ -9,9 +9,9 @@
 from madderbeam.federation.errors import NoOwner
 from madderbeam.membership.values import MemberId
 from madderbeam.relay.derive import delivery_id, delivery_key
-from madderbeam.relay.values import Effect, Publication
+from madderbeam.relay.values import DeliveryIdempotency, Publication
 
-TABLES_KEPT = 8  # an entry grouped by an older one is rejected
+MAX_TABLES = 8  # an entry grouped by an older one is rejected
 
 Owners = Mapping[int, str]  # destination -> site, by one table
 Subscribers = Callable[[str], Iterable[int]]  # topic -> destinations of this site's subscribers
@@ -35,7 +35,7 @@
         return Group(expand(publication, site, owners, subscribers), other_sites)
     owner = owners.get(publication.dest)
     if owner is None:
-        raise NoOwner(f"destination {publication.dest} has no owner in table {publication.table}")
+        raise NoOwner(f"destination {publication.dest} has no owner in table {publication.table_number}")
     return Group((publication.dest,), ()) if owner == site else Group((), (owner,))
 
 
@@ -49,33 +49,33 @@
 class Tables:
     """The owners by the last tables, so that an entry is expanded by the table that it was grouped by."""
 
-    def __init__(self, site: str, subscribers: Subscribers, max_tables: int = TABLES_KEPT) -> None:
-        self.site, self.subscribers, self.most = site, subscribers, max_tables
-        self.kept: dict[int, Owners] = {}
+    def __init__(self, site: str, subscribers: Subscribers, max_tables: int = MAX_TABLES) -> None:
+        self.site, self.subscribers, self.max_tables = site, subscribers, max_tables
+        self.owners_by_table: dict[int, Owners] = {}
 
     def put(self, number: int, owners: Owners) -> None:
         """Adds a table that is now in force, and drops the oldest beyond `max_tables`."""
-        self.kept[number] = owners
-        for old_number in sorted(self.kept)[: -self.most]:
-            del self.kept[old_number]
+        self.owners_by_table[number] = owners
+        for old_number in sorted(self.owners_by_table)[: -self.max_tables]:
+            del self.owners_by_table[old_number]
 
     def expand(self, publication: Publication) -> tuple[int, ...] | None:
         """The destinations of an entry; None if its table is not known yet or no longer stored."""
-        owners = self.kept.get(publication.table)
+        owners = self.owners_by_table.get(publication.table_number)
         return None if owners is None else expand(publication, self.site, owners, self.subscribers)
 
     def moved(self, dests: Iterable[int], table_number: int) -> dict[int, str]:
         """Those of `dests` that another site owns by table `table_number`, with that site: they are
         forwarded."""
-        owners = self.kept[table_number]
+        owners = self.owners_by_table[table_number]
         new_owners = {dest: owners.get(dest, "") for dest in dests}
         return {dest: site for dest, site in new_owners.items() if site and site != self.site}
 
 
-def onward(publication: Publication, dest: int, relay: MemberId, table_number: int) -> Publication:
+def forwarded_entry(publication: Publication, dest: int, relay: MemberId, table_number: int) -> Publication:
     """The entry for one destination by which a relay forwards a delivery that its site no longer owns. It
     keeps the delivery's id and key, so that it is the same message on whatever path it arrives."""
-    key = delivery_key(publication, dest) if publication.effect is Effect.KEYED else ""
+    key = delivery_key(publication, dest) if publication.idempotency is DeliveryIdempotency.WITH_KEY else ""
     return replace(
         publication,
         id=delivery_id(publication, dest),
--- a/madderbeam/relay/inbound.py
+++ b/madderbeam/relay/inbound.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 
 from madderbeam.membership.values import MemberId, SendMessage
-from madderbeam.relay.messages import BODY_MOST, Ack, Entry, Nak
+from madderbeam.relay.messages import MAX_BODY_BYTES, Ack, Entry, Nak
 
 
 @dataclass
-class Inbound:
+class ReceiveStream:
     """State for the life of one link. After a gap or a failed write nothing more is acknowledged in a
     stream: the origin finds it stalled and starts another."""
 
@@ -18,23 +18,23 @@
     expected: int = 1
     acked: int = 0
     done: set[int] = field(default_factory=set)  # settled beyond `acked`; the credit bounds it
-    told: tuple[int, int] = (0, 0)
-    broken: bool = False
+    advertised: tuple[int, int] = (0, 0)
+    is_broken: bool = False
 
     def accept(self, entry: Entry) -> bool:
         """Whether the entry is the next of this stream, or the first of a new one; any other is dropped."""
         if entry.stream > self.number:
             self.number, self.expected, self.acked = entry.stream, 1, 0
             self.done.clear()
-            self.broken = False
-        if entry.stream < self.number or entry.seq != self.expected or self.broken:
+            self.is_broken = False
+        if entry.stream < self.number or entry.seq != self.expected or self.is_broken:
             return False
         self.expected += 1
         return True
 
     def settle(self, stream: int, seq: int) -> bool:
         """The entry is in custody or rejected. True if that advances the cumulative ack."""
-        if stream != self.number or self.broken or seq <= self.acked:
+        if stream != self.number or self.is_broken or seq <= self.acked:
             return False
         self.done.add(seq)
         previous = self.acked
@@ -45,7 +45,7 @@
 
     def ack(self, credit_entries: int, credit_bytes: int) -> SendMessage:
         """The cumulative ack, with the credit beyond it."""
-        self.told = (credit_entries, credit_bytes)
+        self.advertised = (credit_entries, credit_bytes)
         return SendMessage(self.member, Ack(self.number, self.acked, credit_entries, credit_bytes))
 
     def nak(self, seq: int, retry_after_us: int, reason: str, try_another_relay: bool = False) -> SendMessage:
@@ -55,9 +55,9 @@
         )
 
 
-def share(total_entries: int, total_bytes: int, streams: int) -> tuple[int, int]:
+def credit_share(total_entries: int, total_bytes: int, streams: int) -> tuple[int, int]:
     """The credit of one of `streams` streams: an even share, but one entry at least while any can be
     accepted."""
     if total_entries <= 0 or total_bytes <= 0:
         return 0, 0
-    return max(1, total_entries // max(1, streams)), max(BODY_MOST, total_bytes // max(1, streams))
+    return max(1, total_entries // max(1, streams)), max(MAX_BODY_BYTES, total_bytes // max(1, streams))
--- a/madderbeam/relay/messages.py
+++ b/madderbeam/relay/messages.py
@@ -7,15 +7,15 @@
 from typing import Any
 
 from madderbeam.membership.values import MAX_NAME_CHARS, MemberId, Row
-from madderbeam.relay.values import DeliveryEnd, Effect, Publication, Result
+from madderbeam.relay.values import DeliveryIdempotency, DeliveryOutcome, Publication, Result
 
-BODY_MOST = 65_536  # bytes; the limit of the client protocol
-TEXT_MOST = 256  # characters of an id, key, order, class or tenant
-NUMBER_MOST = 2**63 - 1
-DESTS_MOST = 20_000  # destinations of one entry
-ROWS_MOST = 256  # publications in a batch of reports
-ENDS_MOST = 256  # failed destinations listed in one report; the others are only counted
-TOLD_MOST = 2_048  # failed destinations listed in one batch
+MAX_BODY_BYTES = 65_536  # bytes; the limit of the client protocol
+MAX_TEXT_CHARACTERS = 256  # characters of an id, key, order, class or tenant
+MAX_NUMBER = 2**63 - 1
+MAX_DESTINATIONS = 20_000  # destinations of one entry
+MAX_REPORTS_PER_BATCH = 256  # publications in a batch of reports
+MAX_FAILURES_PER_REPORT = 256  # failed destinations listed in one report; the others are only counted
+MAX_FAILURES_PER_BATCH = 2_048  # failed destinations listed in one batch
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
     stream: int
     seq: int
     publication: Publication
-    left_us: int
+    remaining_us: int
 
 
 @dataclass(frozen=True)
@@ -37,8 +37,8 @@
 
     stream: int
     seq: int
-    entries: int
-    bytes: int
+    credit_entries: int
+    credit_bytes: int
 
 
 @dataclass(frozen=True)
@@ -48,40 +48,40 @@
 
     stream: int
     seq: int
-    after_us: int
-    why: str
-    keep_out: bool = False
+    retry_after_us: int
+    reason: str
+    try_another_relay: bool = False
 
 
 @dataclass(frozen=True)
-class EndRow:
+class DeliveryReport:
     """The state of a publication's deliveries at a relay; a later report replaces an earlier one. `pending`:
     not completed yet; `failures`: the first MAX_FAILURES_PER_REPORT that were not delivered."""
 
     name: str
     total: int
     delivered: int
-    left: int
-    ends: tuple[DeliveryEnd, ...] = ()
-    why: str = ""
+    pending: int
+    failures: tuple[DeliveryOutcome, ...] = ()
+    reason: str = ""
 
 
 @dataclass(frozen=True)
-class Ends:
+class ReportBatch:
     """A batch of delivery reports, with a number that the relay chose."""
 
     number: int
-    rows: tuple[EndRow, ...]
+    reports: tuple[DeliveryReport, ...]
 
 
 @dataclass(frozen=True)
-class EndsAck:
+class ReportBatchAck:
     """The origin has this batch: it need not be sent again."""
 
     number: int
 
 
-Message = Entry | Ack | Nak | Ends | EndsAck
+Message = Entry | Ack | Nak | ReportBatch | ReportBatchAck
 
 
 def to_row(message: Message) -> Row:
@@ -97,27 +97,34 @@
             publication.origin.name,
             publication.topic,
             publication.dest,
-            publication.cls,
-            publication.effect.value,
+            publication.message_class,
+            publication.idempotency.value,
             publication.tenant,
-            publication.key,
-            publication.order,
+            publication.idempotency_key,
+            publication.order_key,
             publication.body,
-            message.left_us,
-            publication.table,
+            message.remaining_us,
+            publication.table_number,
         ]
     if isinstance(message, Ack):
-        return ["a", message.stream, message.seq, message.entries, message.bytes]
+        return ["a", message.stream, message.seq, message.credit_entries, message.credit_bytes]
     if isinstance(message, Nak):
-        return ["n", message.stream, message.seq, message.after_us, message.why, int(message.keep_out)]
-    if isinstance(message, Ends):
-        return ["d", message.number, [_end_row(row) for row in message.rows]]
+        return [
+            "n",
+            message.stream,
+            message.seq,
+            message.retry_after_us,
+            message.reason,
+            int(message.try_another_relay),
+        ]
+    if isinstance(message, ReportBatch):
+        return ["d", message.number, [_end_row(row) for row in message.reports]]
     return ["k", message.number]
 
 
-def _end_row(report: EndRow) -> Row:
-    failures = [[failure.dest, int(failure.result)] for failure in report.ends]
-    return [report.name, report.total, report.delivered, report.left, failures, report.why]
+def _end_row(report: DeliveryReport) -> Row:
+    failures = [[failure.dest, int(failure.result)] for failure in report.failures]
+    return [report.name, report.total, report.delivered, report.pending, failures, report.reason]
 
 
 def from_row(row: Row) -> Message:
@@ -140,14 +147,14 @@
         self.at += 1
         return self.row[self.at - 1]
 
-    def number(self, name: str, most: int = NUMBER_MOST, least: int = 0) -> int:
+    def number(self, name: str, most: int = MAX_NUMBER, least: int = 0) -> int:
         """The next field, an integer; a bool is none."""
         value = self._next(name)
         if type(value) is not int or not least <= value <= most:
             raise ValueError(f"{name}: must be an integer from {least} to {most}, not {value!r:.40}")
         return value
 
-    def text(self, name: str, most: int = TEXT_MOST, least: int = 0) -> str:
+    def text(self, name: str, most: int = MAX_TEXT_CHARACTERS, least: int = 0) -> str:
         """The next field, a string of that many characters."""
         value = self._next(name)
         if not isinstance(value, str) or not least <= len(value) <= most:
@@ -191,10 +198,10 @@
         fields.text("key"),
         fields.text("order"),
     )
-    body, remaining_us = fields.data("body", BODY_MOST), fields.number("left_us")
+    body, remaining_us = fields.data("body", MAX_BODY_BYTES), fields.number("left_us")
     table = fields.number("table")
     fields.done()
-    if idempotency not in {e.value for e in Effect}:
+    if idempotency not in {e.value for e in DeliveryIdempotency}:
         raise ValueError(f"effect: must be safe, keyed or unsafe, not {idempotency!r:.40}")
     if (dest < 0) != bool(topic):
         raise ValueError(f"topic: must be set exactly when dest is -1, not {topic!r} with dest {dest}")
@@ -204,7 +211,7 @@
         topic,
         dest,
         message_class,
-        Effect(idempotency),
+        DeliveryIdempotency(idempotency),
         tenant,
         key,
         order_key,
@@ -238,37 +245,40 @@
     return nak
 
 
-def _ends(fields: _Fields) -> Ends:
-    batch = Ends(fields.number("number"), tuple(_read_end_row(row) for row in fields.rows("rows", ROWS_MOST)))
+def _ends(fields: _Fields) -> ReportBatch:
+    batch = ReportBatch(
+        fields.number("number"),
+        tuple(_read_end_row(row) for row in fields.rows("rows", MAX_REPORTS_PER_BATCH)),
+    )
     fields.done()
-    if sum(len(row.ends) for row in batch.rows) > TOLD_MOST:
-        raise ValueError(f"ends: must be at most {TOLD_MOST} in a batch")
+    if sum(len(row.failures) for row in batch.reports) > MAX_FAILURES_PER_BATCH:
+        raise ValueError(f"ends: must be at most {MAX_FAILURES_PER_BATCH} in a batch")
     return batch
 
 
-def _read_end_row(fields: _Fields) -> EndRow:
-    name = fields.text("name", 2 * MAX_NAME_CHARS + TEXT_MOST + 2, 1)
-    total = fields.number("total", DESTS_MOST)
+def _read_end_row(fields: _Fields) -> DeliveryReport:
+    name = fields.text("name", 2 * MAX_NAME_CHARS + MAX_TEXT_CHARACTERS + 2, 1)
+    total = fields.number("total", MAX_DESTINATIONS)
     delivered = fields.number("delivered", total)
     pending = fields.number("left", total - delivered)
-    failures = tuple(_end(row) for row in fields.rows("ends", ENDS_MOST))
+    failures = tuple(_end(row) for row in fields.rows("ends", MAX_FAILURES_PER_REPORT))
     reason = fields.text("why")
     fields.done()
     if len(failures) > total - delivered - pending:
         raise ValueError(
             f"ends: must be at most {total - delivered - pending} of {total}, not {len(failures)}"
         )
-    return EndRow(name, total, delivered, pending, failures, reason)
+    return DeliveryReport(name, total, delivered, pending, failures, reason)
 
 
-def _end(fields: _Fields) -> DeliveryEnd:
-    outcome = DeliveryEnd(fields.number("dest"), Result(fields.number("result", max(Result))))
+def _end(fields: _Fields) -> DeliveryOutcome:
+    outcome = DeliveryOutcome(fields.number("dest"), Result(fields.number("result", max(Result))))
     fields.done()
     return outcome
 
 
-def _ends_ack(fields: _Fields) -> EndsAck:
-    batch_ack = EndsAck(fields.number("number"))
+def _ends_ack(fields: _Fields) -> ReportBatchAck:
+    batch_ack = ReportBatchAck(fields.number("number"))
     fields.done()
     return batch_ack
 
--- a/madderbeam/relay/sending.py
+++ b/madderbeam/relay/sending.py
@@ -5,254 +5,269 @@
 from dataclasses import dataclass, field, replace
 
 from madderbeam.membership.values import Incarnation, LinkUp, MemberId, MemberView, SendMessage
-from madderbeam.relay.choice import choose, lives
-from madderbeam.relay.door import Room
-from madderbeam.relay.legs import Leg, Outbound, Site, Stage
+from madderbeam.relay.choice import choose_relay, is_running
+from madderbeam.relay.door import BacklogLimits
+from madderbeam.relay.legs import DeliveryStage, SendStream, SiteBacklog, SiteDelivery
 from madderbeam.relay.messages import Ack, Entry, Nak
-from madderbeam.relay.outlet import Outlet
-from madderbeam.relay.sent import Sent
-from madderbeam.relay.values import Effect
+from madderbeam.relay.outlet import ActionQueue
+from madderbeam.relay.sent import SentRecords
+from madderbeam.relay.values import DeliveryIdempotency
 
 
 @dataclass(frozen=True)
 class StreamSettings:
     """Limits and times of the origin's end; times are in microseconds."""
 
-    room: Room = field(default_factory=Room)
+    limits: BacklogLimits = field(default_factory=BacklogLimits)
     first_entries: int = 8  # in flight before the relay has advertised its credit
     first_bytes: int = 256 * 1024
     stall_us: int = 2_000_000  # a stream without an ack for this time restarts; doubles each time
-    stall_most_us: int = 16_000_000
+    max_stall_us: int = 16_000_000
     link_wait_us: int = 2_000_000  # a relay without a link for this time is replaced
     handover_us: int = 2_000_000  # the next relay waits up to this time for acks of the previous one
     retry_us: int = 500_000  # nothing is sent for this time after a record was not written
-    kept_us: int = 5_000_000  # records outlive their publication by this time, for the journal to complete it
+    retention_us: int = (
+        5_000_000  # records outlive their publication by this time, for the journal to complete it
+    )
     keyed_window_us: int = 0  # after it no other relay gets an entry with key; 0: admission there decides
 
 
-class Sending:
+class StreamSender:
     """Sends the deliveries to other sites. One enters with `add` and leaves with `close`; in between it is
     queued, in flight, in custody, or waits after a rejection."""
 
     def __init__(
-        self, settings: StreamSettings, own: MemberId, life: Incarnation, out: Outlet, sent: Sent
+        self, settings: StreamSettings, own: MemberId, life: Incarnation, out: ActionQueue, sent: SentRecords
     ) -> None:
-        self.settings, self.own, self.out, self.sent = settings, own, out, sent
+        self.settings, self.local_member, self.actions, self.sent = settings, own, out, sent
         self.members: dict[MemberId, MemberView] = {}
-        self.links: dict[MemberId, Outbound] = {}
-        self.down: dict[MemberId, int] = {}  # members without a link -> time of its loss
-        self.sites: dict[str, Site] = {}
+        self.links: dict[MemberId, SendStream] = {}
+        self.link_lost_us: dict[MemberId, int] = {}  # members without a link -> time of its loss
+        self.sites: dict[str, SiteBacklog] = {}
         self.number = life.start << 32  # of the last stream
         self.entries = self.bytes = 0  # pending at all sites
 
-    def add(self, leg: Leg) -> None:
+    def add(self, leg: SiteDelivery) -> None:
         """Counts a new delivery against the site's backlog; `queue` makes it eligible for sending."""
         self._site(leg.site).add(leg)
         self.entries += 1
         self.bytes += leg.size
 
-    def queue(self, leg: Leg) -> None:
+    def queue(self, leg: SiteDelivery) -> None:
         """Queues a delivery and sends what may be sent."""
         site = self.sites[leg.site]
-        site.move(leg, Stage.QUEUED)
+        site.move(leg, DeliveryStage.QUEUED)
         self._pump(site)
 
-    def close(self, leg: Leg) -> None:
+    def close(self, leg: SiteDelivery) -> None:
         """Removes a completed delivery."""
         site = self.sites[leg.site]
-        site.move(leg, Stage.OVER)
+        site.move(leg, DeliveryStage.COMPLETED)
         self.entries -= 1
         self.bytes -= leg.size
-        self.out.alarms.drop(f"rest:{leg.key}")
-        if leg.publication.order:
+        self.actions.timers.cancel(f"rest:{leg.key}")
+        if leg.publication.order_key:
             self._pump(site)
-        self._leave(site)
+        self._remove_if_unused(site)
 
     # Sending
 
-    def _pump(self, site: Site) -> None:
+    def _pump(self, site: SiteBacklog) -> None:
         """Sends what credit, order and hand-over permit now."""
         for _, leg in list(site.pinned):
             stream = self.links.get(leg.relay) if leg.relay else None
             view = self.members.get(leg.relay) if leg.relay else None
-            if stream and self._open(stream, leg) and (view is None or view.incarnation.start >= leg.start):
+            if (
+                stream
+                and self._may_send(stream, leg)
+                and (view is None or view.incarnation.start >= leg.relay_start)
+            ):
                 self._send(site, leg, stream)
         stream = self.links.get(site.relay) if site.relay else None
         if stream is None or self._handing_over(site):
             return
         index = 0
-        while index < len(site.queue) and self._open(stream, site.queue[index][1]):
+        while index < len(site.queue) and self._may_send(stream, site.queue[index][1]):
             leg = site.queue[index][1]
-            if not site.fits(leg, stream.member) or not self._send(site, leg, stream):
+            if not site.order_permits(leg, stream.member) or not self._send(site, leg, stream):
                 index += 1
 
-    def _open(self, stream: Outbound, leg: Leg) -> bool:
-        return stream.sick_us <= self.out.now and stream.room(leg)
+    def _may_send(self, stream: SendStream, leg: SiteDelivery) -> bool:
+        return stream.paused_until_us <= self.actions.now and stream.has_credit(leg)
 
-    def _handing_over(self, site: Site) -> bool:
+    def _handing_over(self, site: SiteBacklog) -> bool:
         """Entries in flight to the previous relay are acknowledged first, to keep the order."""
-        previous = self.links.get(site.before) if site.before else None
+        previous = self.links.get(site.previous_relay) if site.previous_relay else None
         if (
-            site.before == site.relay
+            site.previous_relay == site.relay
             or previous is None
-            or not previous.out
-            or self.out.now >= site.before_until_us
+            or not previous.in_flight
+            or self.actions.now >= site.handover_until_us
         ):
-            site.before = None
-        return site.before is not None
+            site.previous_relay = None
+        return site.previous_relay is not None
 
-    def _send(self, site: Site, leg: Leg, stream: Outbound) -> bool:
+    def _send(self, site: SiteBacklog, leg: SiteDelivery, stream: SendStream) -> bool:
         """Sends one entry. False if its deadline would pass before the outcome could be back."""
         publication = leg.publication
-        left_us = publication.until_us - self.out.now
+        left_us = publication.deadline_us - self.actions.now
         window = self.settings.keyed_window_us
-        if publication.effect is Effect.KEYED and window and leg.first_us:
+        if publication.idempotency is DeliveryIdempotency.WITH_KEY and window and leg.first_sent_us:
             # Another relay may have attempted it since `first_us`, when the window of its key began.
-            left_us = min(left_us, leg.first_us + window - self.out.now)
+            left_us = min(left_us, leg.first_sent_us + window - self.actions.now)
         if left_us <= stream.rtt_us:
             return False
         view = self.members.get(stream.member)
-        leg.relay, leg.start = stream.member, view.incarnation.start if view else leg.start
-        leg.tries += 1
-        leg.first_us = leg.first_us or self.out.now
-        if publication.effect is Effect.UNSAFE:
-            leg.pinned = True
+        leg.relay, leg.relay_start = stream.member, view.incarnation.start if view else leg.relay_start
+        leg.attempts += 1
+        leg.first_sent_us = leg.first_sent_us or self.actions.now
+        if publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT:
+            leg.is_pinned = True
             self.sent.write(leg)
-        if not stream.out:
-            stream.moved_us = self.out.now
-        site.move(leg, Stage.OUT)
+        if not stream.in_flight:
+            stream.progress_us = self.actions.now
+        site.move(leg, DeliveryStage.IN_FLIGHT)
         entry = Entry(stream.number, stream.push(leg), replace(publication, until_us=0), left_us)
-        self.out.bound.append(SendMessage(stream.member, entry))
-        self.out.alarms.sooner(f"stall:{stream.member}", stream.moved_us + stream.stall_us + stream.rtt_us)
+        self.actions.ordered.append(SendMessage(stream.member, entry))
+        self.actions.timers.set_earlier(
+            f"stall:{stream.member}", stream.progress_us + stream.stall_us + stream.rtt_us
+        )
         return True
 
-    def _requeue(self, leg: Leg) -> None:
-        if leg.stage in (Stage.QUEUED, Stage.OUT, Stage.HELD):
-            self.sites[leg.site].move(leg, Stage.QUEUED)
+    def _requeue(self, leg: SiteDelivery) -> None:
+        if leg.stage in (DeliveryStage.QUEUED, DeliveryStage.IN_FLIGHT, DeliveryStage.IN_CUSTODY):
+            self.sites[leg.site].move(leg, DeliveryStage.QUEUED)
 
-    def _may_move(self, leg: Leg) -> bool:
+    def _may_move(self, leg: SiteDelivery) -> bool:
         """Whether another relay may get it: a second delivery would do no harm."""
         window = self.settings.keyed_window_us
-        if leg.publication.effect is Effect.KEYED and window:
-            return self.out.now - leg.first_us <= window
-        return leg.publication.effect is not Effect.UNSAFE
+        if leg.publication.idempotency is DeliveryIdempotency.WITH_KEY and window:
+            return self.actions.now - leg.first_sent_us <= window
+        return leg.publication.idempotency is not DeliveryIdempotency.NON_IDEMPOTENT
 
     # Acknowledgements
 
-    def word(self, member: MemberId, message: Ack | Nak) -> None:
+    def acknowledged(self, member: MemberId, message: Ack | Nak) -> None:
         """Handles an ack or a rejection; those of an older stream are ignored."""
         stream = self.links.get(member)
         if stream is None or message.stream != stream.number:
             return
-        stream.moved_us, stream.stall_us = self.out.now, self.settings.stall_us
+        stream.progress_us, stream.stall_us = self.actions.now, self.settings.stall_us
         if isinstance(message, Ack):
-            for leg in stream.upto(message.seq):
-                self.sites[leg.site].move(leg, Stage.HELD)
-            stream.entries, stream.bytes = message.entries, message.bytes
+            for leg in stream.acknowledge(message.seq):
+                self.sites[leg.site].move(leg, DeliveryStage.IN_CUSTODY)
+            stream.credit_entries, stream.credit_bytes = message.credit_entries, message.credit_bytes
         else:
-            self._turned_away(stream, message)
+            self._rejected(stream, message)
         self._watch(stream)
         if member.site in self.sites:
             self._pump(self.sites[member.site])
 
-    def _watch(self, stream: Outbound) -> None:
-        if stream.out:
-            self.out.alarms.set(f"stall:{stream.member}", self.out.now + stream.stall_us + stream.rtt_us)
+    def _watch(self, stream: SendStream) -> None:
+        if stream.in_flight:
+            self.actions.timers.set(
+                f"stall:{stream.member}", self.actions.now + stream.stall_us + stream.rtt_us
+            )
         else:
-            self.out.alarms.drop(f"stall:{stream.member}")
+            self.actions.timers.cancel(f"stall:{stream.member}")
 
-    def _turned_away(self, stream: Outbound, nak: Nak) -> None:
+    def _rejected(self, stream: SendStream, nak: Nak) -> None:
         leg = stream.pop(nak.seq)
         if leg is None:
             return
         site = self.sites[leg.site]
-        leg.pinned = False
-        if nak.keep_out:
-            site.kept_out[stream.member] = self.out.now + nak.after_us
-            self.out.alarms.sooner(f"choose:{site.name}", self.out.now + nak.after_us)
-            site.move(leg, Stage.QUEUED)
+        leg.is_pinned = False
+        if nak.try_another_relay:
+            site.excluded[stream.member] = self.actions.now + nak.retry_after_us
+            self.actions.timers.set_earlier(f"choose:{site.name}", self.actions.now + nak.retry_after_us)
+            site.move(leg, DeliveryStage.QUEUED)
             self._choose(site)
         else:
-            site.move(leg, Stage.RESTING)
-            self.out.alarms.set(f"rest:{leg.key}", self.out.now + nak.after_us)
+            site.move(leg, DeliveryStage.REJECTED)
+            self.actions.timers.set(f"rest:{leg.key}", self.actions.now + nak.retry_after_us)
 
     # Members and links
 
-    def _site(self, name: str) -> Site:
+    def _site(self, name: str) -> SiteBacklog:
         if name not in self.sites:
-            self.sites[name] = Site(name, away_us=self.out.now)
+            self.sites[name] = SiteBacklog(name, unreachable_since_us=self.actions.now)
         return self.sites[name]
 
-    def _leave(self, site: Site) -> None:
+    def _remove_if_unused(self, site: SiteBacklog) -> None:
         """Removes a site that has no member and no pending delivery."""
-        if not site.legs and site.away_us >= 0:
+        if not site.deliveries and site.unreachable_since_us >= 0:
             self.sites.pop(site.name, None)
-            self.out.alarms.drop(f"choose:{site.name}")
+            self.actions.timers.cancel(f"choose:{site.name}")
 
     def member(self, view: MemberView) -> None:
         """A member's state changed: deliveries at a dead member move where that does no harm."""
-        if view.id.site == self.own.site:
+        if view.id.site == self.local_member.site:
             return
         site = self._site(view.id.site)
-        if lives(view):
+        if is_running(view):
             self.members[view.id] = view
             if view.id not in self.links:
-                self.down.setdefault(view.id, self.out.now)
+                self.link_lost_us.setdefault(view.id, self.actions.now)
         else:
             self.members.pop(view.id, None)
-            self.down.pop(view.id, None)
-            site.kept_out.pop(view.id, None)
+            self.link_lost_us.pop(view.id, None)
+            site.excluded.pop(view.id, None)
             for leg in site.at(view.id):
                 if self._may_move(leg):
-                    leg.pinned, leg.relay, leg.row = False, None, None
+                    leg.is_pinned, leg.relay, leg.report = False, None, None
                     self._requeue(leg)
         self._choose(site)
-        self._leave(site)
+        self._remove_if_unused(site)
 
-    def _choose(self, site: Site) -> None:
+    def _choose(self, site: SiteBacklog) -> None:
         """Chooses the relay of a site, and starts a hand-over if it changes while entries are in flight."""
         views = [view for view in self.members.values() if view.id.site == site.name]
-        site.away_us = -1 if views else self.out.now if site.away_us < 0 else site.away_us
-        site.kept_out = {
-            member: until_us for member, until_us in site.kept_out.items() if until_us > self.out.now
+        site.unreachable_since_us = (
+            -1 if views else self.actions.now if site.unreachable_since_us < 0 else site.unreachable_since_us
+        )
+        site.excluded = {
+            member: until_us for member, until_us in site.excluded.items() if until_us > self.actions.now
         }
         with_link = [
             view
             for view in views
-            if view.id in self.links or (view.id == site.relay and self._waits(view.id))
+            if view.id in self.links or (view.id == site.relay and self._awaits_link(view.id))
         ]
         previous = site.relay
-        site.relay = choose(self.own, with_link or views, previous, site.kept_out)
+        site.relay = choose_relay(self.local_member, with_link or views, previous, site.excluded)
         if (
             previous is not None
             and site.relay != previous
             and previous in self.links
-            and self.links[previous].out
+            and self.links[previous].in_flight
         ):
-            site.before, site.before_until_us = previous, self.out.now + self.settings.handover_us
-            self.out.alarms.sooner(f"choose:{site.name}", site.before_until_us)
+            site.previous_relay, site.handover_until_us = (
+                previous,
+                self.actions.now + self.settings.handover_us,
+            )
+            self.actions.timers.set_earlier(f"choose:{site.name}", site.handover_until_us)
         self._pump(site)
 
-    def _waits(self, member: MemberId) -> bool:
+    def _awaits_link(self, member: MemberId) -> bool:
         """Whether its link was lost recently and may come back."""
-        return self.out.now < self.down.get(member, 0) + self.settings.link_wait_us
+        return self.actions.now < self.link_lost_us.get(member, 0) + self.settings.link_wait_us
 
-    def up(self, event: LinkUp) -> None:
+    def link_up(self, event: LinkUp) -> None:
         """A link is up: a new stream starts on it."""
-        if event.member.site == self.own.site:
+        if event.member.site == self.local_member.site:
             return
         self.link_down(event.member)
-        self.down.pop(event.member, None)
+        self.link_lost_us.pop(event.member, None)
         self.number += 1
         settings = self.settings
-        self.links[event.member] = Outbound(
+        self.links[event.member] = SendStream(
             event.member,
             event.rtt_us,
             self.number,
             settings.first_entries,
             settings.first_bytes,
             settings.stall_us,
-            self.out.now,
+            self.actions.now,
         )
         if event.member.site in self.sites:
             self._choose(self.sites[event.member.site])
@@ -262,16 +277,18 @@
         stream = self.links.pop(member, None)
         if stream is None:
             return
-        self.out.alarms.drop(f"stall:{member}")
-        for leg in stream.restart(0, self.out.now):
+        self.actions.timers.cancel(f"stall:{member}")
+        for leg in stream.restart(0, self.actions.now):
             self._requeue_out(leg)
         if member in self.members:
-            self.down[member] = self.out.now
-            self.out.alarms.sooner(f"choose:{member.site}", self.out.now + self.settings.link_wait_us)
+            self.link_lost_us[member] = self.actions.now
+            self.actions.timers.set_earlier(
+                f"choose:{member.site}", self.actions.now + self.settings.link_wait_us
+            )
 
-    def _requeue_out(self, leg: Leg) -> None:
+    def _requeue_out(self, leg: SiteDelivery) -> None:
         if not self._may_move(leg):
-            leg.pinned = leg.tries > 0
+            leg.is_pinned = leg.attempts > 0
         self._requeue(leg)
 
     # Timers
@@ -281,9 +298,9 @@
         if name in self.sites:
             self._choose(self.sites[name])
 
-    def rested(self, leg: Leg) -> None:
+    def retry(self, leg: SiteDelivery) -> None:
         """The Retry-After of a rejected delivery has passed."""
-        if leg.stage is Stage.RESTING:
+        if leg.stage is DeliveryStage.REJECTED:
             self.queue(leg)
 
     def stalled(self, name: str) -> None:
@@ -291,19 +308,19 @@
         stream = self.links.get(MemberId(*name.split("/", 1)))
         if stream is None:
             return
-        if stream.out:
+        if stream.in_flight:
             self.number += 1
-            stream.stall_us = min(2 * stream.stall_us, self.settings.stall_most_us)
-            for leg in stream.restart(self.number, self.out.now):
+            stream.stall_us = min(2 * stream.stall_us, self.settings.max_stall_us)
+            for leg in stream.restart(self.number, self.actions.now):
                 self._requeue_out(leg)
         if stream.member.site in self.sites:
             self._pump(self.sites[stream.member.site])
 
-    def unwritten(self, leg: Leg | None) -> None:
+    def unwritten(self, leg: SiteDelivery | None) -> None:
         """A record was not written, and the actions after it are lost, whatever stream they were for: all
         streams restart after `retry_us`. `leg` is the delivery of that record."""
-        if leg is not None and leg.stage is Stage.OUT:
-            leg.tries -= 1
+        if leg is not None and leg.stage is DeliveryStage.IN_FLIGHT:
+            leg.attempts -= 1
         for stream in self.links.values():
-            stream.sick_us = self.out.now + self.settings.retry_us
-            self.out.alarms.set(f"stall:{stream.member}", stream.sick_us)
+            stream.paused_until_us = self.actions.now + self.settings.retry_us
+            self.actions.timers.set(f"stall:{stream.member}", stream.paused_until_us)
--- a/madderbeam/relay/sent.py
+++ b/madderbeam/relay/sent.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from madderbeam.membership.values import MemberId, Persist, Row
-from madderbeam.relay.legs import Leg
-from madderbeam.relay.outlet import Outlet
-from madderbeam.relay.values import Effect
+from madderbeam.relay.legs import SiteDelivery
+from madderbeam.relay.outlet import ActionQueue
+from madderbeam.relay.values import DeliveryIdempotency
 
 SENT = (
     "sent"  # kind of the records; a value: site, member, its incarnation's start, deadline (wall ms), outcome
@@ -20,18 +20,18 @@
 RECENT = 512  # removed records whose removal is repeated when a write fails
 
 
-class Sent:
+class SentRecords:
     """Records of sent entries. Each is removed `kept_us` after its publication's completion, which the
     journal has by then."""
 
     def __init__(
         self,
-        out: Outlet,
+        out: ActionQueue,
         wall_ms: Callable[[int], int],
         kept_us: int,
         records: Mapping[tuple[str, str], Any],
     ) -> None:
-        self.out, self.wall_ms, self.kept_us = out, wall_ms, kept_us
+        self.actions, self.wall_ms, self.retention_us = out, wall_ms, kept_us
         self.found: dict[str, Row] = {key: value for (kind, key), value in records.items() if kind == SENT}
         self.forgotten: deque[str] = deque(maxlen=RECENT)
 
@@ -43,47 +43,47 @@
     def begin(self) -> None:
         """Schedules the removal of records that no restored publication claims by its deadline."""
         for key, value in self.found.items():
-            remaining_us = max(0, value[3] - self.wall_ms(self.out.now)) * 1000
-            self.out.alarms.set(f"unsent:{key}", self.out.now + remaining_us + self.kept_us)
+            remaining_us = max(0, value[3] - self.wall_ms(self.actions.now)) * 1000
+            self.actions.timers.set(f"unsent:{key}", self.actions.now + remaining_us + self.retention_us)
 
-    def pin(self, leg: Leg, relay: MemberId | None) -> Row | None:
+    def pin(self, leg: SiteDelivery, relay: MemberId | None) -> Row | None:
         """After a restart, pins a delivery to the relay that may have it; returns its outcome if one was
         recorded."""
         recorded = self.found.pop(leg.key, None)
         if recorded is not None:
-            leg.relay, leg.start, leg.pinned, leg.tries = (
+            leg.relay, leg.relay_start, leg.is_pinned, leg.attempts = (
                 MemberId(recorded[0], recorded[1]),
                 recorded[2],
                 True,
                 1,
             )
-            self.out.alarms.drop(f"unsent:{leg.key}")
+            self.actions.timers.cancel(f"unsent:{leg.key}")
             end: Row | None = recorded[4]
             return end
-        if relay is not None and leg.publication.effect is Effect.UNSAFE:
-            leg.relay, leg.pinned, leg.tries = relay, True, 1
+        if relay is not None and leg.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT:
+            leg.relay, leg.is_pinned, leg.attempts = relay, True, 1
         return None
 
-    def write(self, leg: Leg, end: Row | None = None) -> None:
+    def write(self, leg: SiteDelivery, end: Row | None = None) -> None:
         """Records the relay of a non-idempotent entry before it is sent, or its outcome while other sites
         are pending."""
         if leg.relay is not None:
-            until_ms = self.wall_ms(leg.publication.until_us)
-            value = [leg.relay.site, leg.relay.name, leg.start, until_ms, end]
-            self.out.bound.append(Persist(SENT, leg.key, value))
+            until_ms = self.wall_ms(leg.publication.deadline_us)
+            value = [leg.relay.site, leg.relay.name, leg.relay_start, until_ms, end]
+            self.actions.ordered.append(Persist(SENT, leg.key, value))
 
-    def over(self, leg: Leg) -> None:
+    def schedule_removal(self, leg: SiteDelivery) -> None:
         """Schedules the removal of the record, as the publication is completed."""
-        if leg.tries and leg.publication.effect is Effect.UNSAFE:
-            self.out.alarms.set(f"unsent:{leg.key}", self.out.now + self.kept_us)
+        if leg.attempts and leg.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT:
+            self.actions.timers.set(f"unsent:{leg.key}", self.actions.now + self.retention_us)
 
-    def forget(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """Removes a record."""
         self.found.pop(key, None)
         self.forgotten.append(key)
-        self.out.bound.append(Persist(SENT, key, None))
+        self.actions.ordered.append(Persist(SENT, key, None))
 
     def unwritten(self, retry_us: int) -> None:
         """Repeats recent removals after a failed write, as those records may still be on disk."""
         for key in self.forgotten:
-            self.out.alarms.set(f"unsent:{key}", self.out.now + retry_us)
+            self.actions.timers.set(f"unsent:{key}", self.actions.now + retry_us)
--- a/madderbeam/relay/values.py
+++ b/madderbeam/relay/values.py
@@ -14,12 +14,12 @@
 from madderbeam.membership.values import MemberId
 
 
-class Effect(Enum):
+class DeliveryIdempotency(Enum):
     """Whether a second delivery does harm; the values are those on the wire and in records."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    WITH_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
 class Result(IntEnum):
@@ -42,14 +42,14 @@
     origin: MemberId
     topic: str
     dest: int  # -1 where there is a topic
-    cls: str
-    effect: Effect
+    message_class: str
+    idempotency: DeliveryIdempotency
     tenant: str
-    key: str  # "" unless the class is idempotent with key
-    order: str
+    idempotency_key: str  # "" unless the class is idempotent with key
+    order_key: str
     body: bytes
-    until_us: int
-    table: int  # the ownership table it was grouped by; the relay expands it by the same one
+    deadline_us: int
+    table_number: int  # the ownership table it was grouped by; the relay expands it by the same one
 
     @cached_property
     def name(self) -> str:
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class DeliveryEnd:
+class DeliveryOutcome:
     """The outcome of the delivery to one subscriber."""
 
     dest: int
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Subscribed:
+class SubscriptionsChanged:
     """All subscriptions of this site; `version` grows with each change within an incarnation."""
 
     topics: Mapping[str, Collection[int]]  # topic -> destinations
@@ -87,46 +87,46 @@
 
     publication: Publication
     sites: tuple[str, ...]
-    relays: tuple[tuple[str, MemberId], ...] = ()
+    pinned_relays: tuple[tuple[str, MemberId], ...] = ()
 
 
 @dataclass(frozen=True)
-class Withdrawn:
+class PublicationWithdrawn:
     """The publication is completed at its origin: its deadline passed, or it was completed in another way."""
 
     name: str
 
 
 @dataclass(frozen=True)
-class LocalEnded:
+class LocalSiteCompleted:
     """The local site's deliveries of a publication are completed (`Published.sites` named the local site)."""
 
     name: str
     delivered: int
-    ends: tuple[DeliveryEnd, ...] = ()  # of the deliveries that failed
+    failures: tuple[DeliveryOutcome, ...] = ()  # of the deliveries that failed
 
 
 # Origin: actions
 
 
 @dataclass(frozen=True)
-class SiteEnded:
+class SiteCompleted:
     """All deliveries of a publication at one site are completed or given up: custody there has ended."""
 
     name: str
     site: str
     delivered: int
-    ends: tuple[DeliveryEnd, ...]  # of the deliveries that failed
-    why: str = ""
+    failures: tuple[DeliveryOutcome, ...]  # of the deliveries that failed
+    reason: str = ""
 
 
 @dataclass(frozen=True)
-class PublicationEnded:
+class PublicationCompleted:
     """The publication is completed at all sites: the origin reports one outcome to its client."""
 
     name: str
-    delivered: bool
-    what: str  # for the log: each failed delivery
+    is_delivered: bool
+    failures: str  # for the log: each failed delivery
 
 
 # Relay: actions and events
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True)
-class Taken:
+class CustodyAccepted:
     """Custody is accepted: these deliveries are in the journal; for a repeated entry, those that were not
     completed yet. A destination of `Expand` that is absent here and had no `DeliveryCompleted` before
     counts as UNKNOWN."""
@@ -153,16 +153,16 @@
 
 
 @dataclass(frozen=True)
-class NotTaken:
+class CustodyRejected:
     """The journal or admission rejected the entry; the origin may send it again after the given time."""
 
     name: str
-    after_us: int
-    why: str
+    retry_after_us: int
+    reason: str
 
 
 @dataclass(frozen=True)
-class Ended:
+class DeliveryCompleted:
     """A delivery in this member's custody is completed. This comes before it is completed in the journal,
     which may happen from `OutcomesPersisted` on."""
 
@@ -180,7 +180,7 @@
 
 
 @dataclass(frozen=True)
-class Resting:
+class RestoredDeliveries:
     """After a start, once for each of `Custodian.open_records`: its deliveries that are still pending in the
     journal. All others without a recorded outcome complete as UNKNOWN."""
 
@@ -189,7 +189,7 @@
 
 
 @dataclass(frozen=True)
-class Settled:
+class OutcomesPersisted:
     """The outcomes of these deliveries are on disk: the journal may now complete them."""
 
     name: str
--- a/madderbeam/shared/candidacy.py
+++ b/madderbeam/shared/candidacy.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from madderbeam.membership.values import MemberId, MemberView
-from madderbeam.relay.choice import lives
+from madderbeam.relay.choice import is_running
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.lease_term import TermVoter
 from madderbeam.shared.majority import by_rendezvous_score
@@ -77,7 +77,7 @@
     def is_eligible(self, member: MemberId, views: Mapping[MemberId, MemberView]) -> bool:
         """Whether the member is live, not draining and not passed over."""
         view = views.get(member)
-        return view is not None and lives(view) and not view.draining and member != self.skipped
+        return view is not None and is_running(view) and not view.draining and member != self.skipped
 
     def _rank(self, views: Mapping[MemberId, MemberView]) -> int:
         """How many eligible members come before this one in the group's order."""
--- a/madderbeam/shared/majority.py
+++ b/madderbeam/shared/majority.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 
 from madderbeam.membership.values import MemberId
-from madderbeam.relay.choice import score
+from madderbeam.relay.choice import rendezvous_score
 
 Members = tuple[MemberId, ...]
 
@@ -24,7 +24,9 @@
 def by_rendezvous_score(group: int, members: Members) -> Members:
     """The members in the order of their rendezvous scores: the first is to grant, the next if it is gone."""
     return tuple(
-        sorted(members, key=lambda member: (score(hash_origin(group), member), member), reverse=True)
+        sorted(
+            members, key=lambda member: (rendezvous_score(hash_origin(group), member), member), reverse=True
+        )
     )
 
 
--- a/madderbeam/shared/partner_outages.py
+++ b/madderbeam/shared/partner_outages.py
@@ -15,7 +15,7 @@
 
 from madderbeam.federation.errors import OutAlone
 from madderbeam.membership.values import Incarnation, LogLine, MemberId, SetTimer
-from madderbeam.relay.choice import score
+from madderbeam.relay.choice import rendezvous_score
 from madderbeam.shared.findings import REPORTERS_REQUIRED, WEIGHED_KINDS, FindingRecord, FindingsBoard
 from madderbeam.shared.values import (
     ApplyFinding,
@@ -251,6 +251,6 @@
 
     def rank(member: MemberId) -> tuple[bool, float, int, MemberId]:
         value = reports[member].value
-        return value % 1 != PROBER_FRACTION, value // 1, -score(hash_origin, member), member
+        return value % 1 != PROBER_FRACTION, value // 1, -rendezvous_score(hash_origin, member), member
 
     return sorted(reports, key=rank)
--- a/madderbeam/simulation/fedjudge.py
+++ b/madderbeam/simulation/fedjudge.py
@@ -15,8 +15,8 @@
 from madderbeam.journal.records import parse
 from madderbeam.membership.values import MemberId, State
 from madderbeam.relay import messages as streams
-from madderbeam.relay.derive import held_id
-from madderbeam.relay.values import Effect
+from madderbeam.relay.derive import recorded_delivery_id
+from madderbeam.relay.values import DeliveryIdempotency
 from madderbeam.simulation.checker import Violation
 from madderbeam.simulation.kernel import Broken
 from madderbeam.simulation.network import Stream
@@ -302,16 +302,16 @@
             key = (found.name, member.site) if found else ("", "")
             if self.out.get(key) is member:
                 del self.out[key]
-        elif isinstance(message, streams.Ends):
-            for end in message.rows:
+        elif isinstance(message, streams.ReportBatch):
+            for end in message.reports:
                 record: Any = self.kept[member].get(("custody", end.name))
-                if record is None or len(record["pending"]) > end.left:
+                if record is None or len(record["pending"]) > end.pending:
                     self.broken("F4", f"{member.name} tells ends of {end.name} that it has not written")
 
     def _entry(self, member: Member, to: Member, entry: streams.Entry) -> None:
         publication = entry.publication
         self.entries[member, to, entry.stream][entry.seq] = publication
-        if publication.effect is not Effect.UNSAFE:
+        if publication.idempotency is not DeliveryIdempotency.NON_IDEMPOTENT:
             return
         key = (publication.name, to.site)
         row = self.kept[member].get(("sent", "|".join(key)))
@@ -329,7 +329,7 @@
             else [
                 d
                 for d in record["pending"]
-                if held_id(publication.name, d, bool(record["single"])) not in self.takes[member]
+                if recorded_delivery_id(publication.name, d, bool(record["single"])) not in self.takes[member]
             ]
         )
         if record is None or missing:
--- a/tests/relay/relaynet.py
+++ b/tests/relay/relaynet.py
@@ -25,24 +25,24 @@
 )
 from madderbeam.relay import custody, derive, origin
 from madderbeam.relay.grouping import Tables, group
-from madderbeam.relay.messages import Ack, Ends, Entry, Nak, from_row, to_row
+from madderbeam.relay.messages import Ack, Entry, Nak, ReportBatch, from_row, to_row
 from madderbeam.relay.sending import StreamSettings
 from madderbeam.relay.telling import CustodySettings
 from madderbeam.relay.values import (
     Credit,
-    Effect,
-    Ended,
+    CustodyAccepted,
+    CustodyRejected,
+    DeliveryCompleted,
+    DeliveryIdempotency,
     Expand,
-    NotTaken,
+    OutcomesPersisted,
     Publication,
-    PublicationEnded,
+    PublicationCompleted,
+    PublicationWithdrawn,
     Published,
-    Resting,
+    RestoredDeliveries,
     Result,
-    Settled,
-    SiteEnded,
-    Taken,
-    Withdrawn,
+    SiteCompleted,
 )
 
 MS, S = 1_000, 1_000_000
@@ -187,10 +187,14 @@
         self.custodian = custody.Custodian(
             net.more.get("custody", CustodySettings()), self.id, life, self.tables.expand, wall_ms, kept
         )
-        self.streams = origin.Streams(net.more.get("streams", StreamSettings()), self.id, life, wall_ms, kept)
+        self.streams = origin.OriginStreams(
+            net.more.get("streams", StreamSettings()), self.id, life, wall_ms, kept
+        )
         for name, dests, single in self.custodian.open_records:
-            ids = {d: derive.held_id(name, d, single) for d in dests}
-            self.handle(Resting(name, tuple(d for d in dests if self.journal.get(ids[d], {}).get("held"))))
+            ids = {d: derive.recorded_delivery_id(name, d, single) for d in dests}
+            self.handle(
+                RestoredDeliveries(name, tuple(d for d in dests if self.journal.get(ids[d], {}).get("held")))
+            )
         self.handle(self.credit)
         for ident, entry in list(self.journal.items()):
             if entry["held"]:
@@ -260,17 +264,17 @@
             net.send(self, action.member, action.message)
         elif isinstance(action, Expand):
             net.at(net.rng.randrange(1, 4 * MS), self.expand, self.lives, action)
-        elif isinstance(action, Settled):
+        elif isinstance(action, OutcomesPersisted):
             for dest in action.dests:
                 ident = self.index.get((action.name, dest), "")
                 if ident in self.journal:
                     self.journal[ident]["held"] = False
                     if net.more.get("compacts"):
                         del self.journal[ident]
-        elif isinstance(action, PublicationEnded):
+        elif isinstance(action, PublicationCompleted):
             net.ends[action.name].append((net.now, action))
             self.pubs.pop(action.name, None)
-        elif isinstance(action, SiteEnded):
+        elif isinstance(action, SiteCompleted):
             net.frames["SiteEnded"] += 1
 
     def due(self, machine, life, token, at_us):
@@ -284,7 +288,7 @@
         if isinstance(message, Entry):
             self.inbox[source, message.stream, message.seq] = message.publication.name
         elif isinstance(message, Ack | Nak) and message.stream != getattr(
-            self.streams.sending.links.get(source), "number", 0
+            self.streams.sender.links.get(source), "number", 0
         ):
             self.net.frames["stale"] += 1
         self.handle(MessageReceived(source, message, said + self.offset))
@@ -309,13 +313,16 @@
 
     def check_word(self, member, message):
         """Where an unsafe entry goes, and what is told of ends, is on disk before."""
-        if isinstance(message, Entry) and message.publication.effect is Effect.UNSAFE:
+        if (
+            isinstance(message, Entry)
+            and message.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT
+        ):
             kept = self.records.get(("sent", f"{message.publication.name}|{member.site}"))
             if kept is None or tuple(kept[:2]) != (member.site, member.name):
                 self.net.fail(f"{self.id} sent unsafe {message.publication.name} with no record")
-        for row in message.rows if isinstance(message, Ends) else ():
+        for row in message.reports if isinstance(message, ReportBatch) else ():
             kept = self.records.get(("custody", row.name))
-            if kept is None or len(kept["pending"]) > row.left:
+            if kept is None or len(kept["pending"]) > row.pending:
                 self.net.fail(f"{self.id} told ends of {row.name} that are not on disk")
 
     # The relay's journal and calls
@@ -328,7 +335,7 @@
         if publication.until_us - self.offset > true.until_us:
             net.fail(f"{publication.name} has more time at {self.id} than at its origin")
         if net.rng.random() < self.turns_away:
-            self.handle(NotTaken(publication.name, 100 * MS, "full"))
+            self.handle(CustodyRejected(publication.name, 100 * MS, "full"))
             return
         over = []
         for dest in action.dests:
@@ -354,14 +361,16 @@
             if self.fuse <= 0:
                 self.kill(net.rng.choice((100 * MS, 500 * MS, 2 * S)))
         for dest, result in over:
-            self.handle(Ended(publication.name, dest, result))
-        self.handle(Taken(publication.name, action.dests))
+            self.handle(DeliveryCompleted(publication.name, dest, result))
+        self.handle(CustodyAccepted(publication.name, action.dests))
 
     def again(self, ident, entry):
         """After a start: an unsafe one that was tried may have run."""
-        if entry["result"] is not None or (entry["tried"] and entry["effect"] is Effect.UNSAFE):
+        if entry["result"] is not None or (
+            entry["tried"] and entry["effect"] is DeliveryIdempotency.NON_IDEMPOTENT
+        ):
             entry["result"] = entry["result"] if entry["result"] is not None else Result.FAILED
-            self.handle(Ended(entry["name"], entry["dest"], entry["result"]))
+            self.handle(DeliveryCompleted(entry["name"], entry["dest"], entry["result"]))
         else:
             self.net.at(self.net.rng.randrange(1, self.speed), self.call, self.lives, ident)
 
@@ -379,11 +388,20 @@
         entry = self.journal.get(ident)
         if self.up and self.lives == life and entry is not None:
             entry["result"] = result
-            self.handle(Ended(entry["name"], entry["dest"], result))
+            self.handle(DeliveryCompleted(entry["name"], entry["dest"], result))
 
     # The origin
 
-    def publish(self, ident, effect=Effect.SAFE, lasts=20 * S, dest=-1, order="", body=b"x" * 100, key=""):
+    def publish(
+        self,
+        ident,
+        effect=DeliveryIdempotency.IDEMPOTENT,
+        lasts=20 * S,
+        dest=-1,
+        order="",
+        body=b"x" * 100,
+        key="",
+    ):
         """Takes a publication on, or is refused at the door."""
         if not self.up:
             return None
@@ -396,7 +414,7 @@
         found = group(
             publication, self.id.site, net.owners[table], lambda t: net.subscribers[self.id.site], sites
         )
-        after = self.streams.refusal(found.sites, len(body))
+        after = self.streams.retry_after_us(found.sites, len(body))
         if after is not None:
             net.refused += 1
             return None
@@ -408,7 +426,7 @@
 
     def withdraw(self, name):
         self.pubs.pop(name, None)
-        self.handle(Withdrawn(name))
+        self.handle(PublicationWithdrawn(name))
 
     def pause(self, span):
         """As SIGSTOP and SIGCONT: others take it for dead, its links stay."""
@@ -443,11 +461,11 @@
             calls = net.calls[name, dest]
             if len({call[2] for call in calls}) > 1 or len({call[3] for call in calls}) > 1:
                 net.fail(f"{name} to {dest} went under several ids or keys")
-            if publication.effect is Effect.UNSAFE and len(calls) > 1:
+            if publication.effect is DeliveryIdempotency.NON_IDEMPOTENT and len(calls) > 1:
                 net.fail(f"unsafe {name} to {dest} was called {len(calls)} times")
-            if publication.effect is not Effect.UNSAFE and not calls and arrive:
+            if publication.effect is not DeliveryIdempotency.NON_IDEMPOTENT and not calls and arrive:
                 net.fail(f"{name} to {dest} never came")
-            known = net.more.get("well") and publication.effect is Effect.SAFE
+            known = net.more.get("well") and publication.effect is DeliveryIdempotency.IDEMPOTENT
             if known and ends and not ends[0][1].delivered:
                 net.fail(f"{name} was not told as delivered, but {ends[0][1].what}")
             if ends and ends[0][1].delivered and not any(c[4] is Result.DELIVERED for c in calls):
--- a/tests/relay/test_relay_cases.py
+++ b/tests/relay/test_relay_cases.py
@@ -7,19 +7,19 @@
 from test_relay_streams import EFFECTS, SITES, SUBSCRIBERS
 
 from madderbeam.federation.errors import PublicationTooLarge, SiteAway, StreamFull
-from madderbeam.relay.door import Room
+from madderbeam.relay.door import BacklogLimits
 from madderbeam.relay.messages import Entry
 from madderbeam.relay.sending import StreamSettings
 from madderbeam.relay.values import (
     Credit,
-    DeliveryEnd,
-    Effect,
-    LocalEnded,
+    CustodyAccepted,
+    DeliveryIdempotency,
+    DeliveryOutcome,
+    LocalSiteCompleted,
     Publication,
-    PublicationEnded,
+    PublicationCompleted,
     Published,
     Result,
-    Taken,
 )
 
 PAIR = {"macon": ("a",), "savannah": ("s", "t")}
@@ -31,7 +31,7 @@
     true, done = Node.handle, []
 
     def handle(self, event):
-        if isinstance(event, Taken) and self.net is net and not done:
+        if isinstance(event, CustodyAccepted) and self.net is net and not done:
             done.append(self)
             action(self)
         true(self, event)
@@ -61,11 +61,11 @@
     finally:
         restore()
     assert len(killed) == 1
-    gone_for_good = back is None and effect is Effect.UNSAFE
+    gone_for_good = back is None and effect is DeliveryIdempotency.NON_IDEMPOTENT
     assert judge(net, arrive=not gone_for_good) == []
     told = [end.delivered for ends in net.ends.values() for _, end in ends]
     doubles = sum(len(calls) > 1 for calls in net.calls.values())
-    if effect is Effect.UNSAFE:
+    if effect is DeliveryIdempotency.NON_IDEMPOTENT:
         assert doubles == 0 and (not gone_for_good or not all(told))
     else:
         assert all(told) and len(told) >= 1
@@ -110,7 +110,7 @@
     assert judge(net) == []
 
 
-ROOM = StreamSettings(room=Room(entries=120, bytes=10**6))
+ROOM = StreamSettings(limits=BacklogLimits(entries=120, bytes=10**6))
 
 
 def test_a_dead_site_holds_up_no_other_and_the_door_says_so():
@@ -120,19 +120,23 @@
         net.at(500 * MS, net.node(name).kill)
     for n in range(4000):
         dest = (11, 21)[n % 2]
-        net.at(2 * S + n * MS, a.publish, f"p{n}", Effect.SAFE, 60 * S, dest)
+        net.at(2 * S + n * MS, a.publish, f"p{n}", DeliveryIdempotency.IDEMPOTENT, 60 * S, dest)
     net.run(7 * S)
-    assert any(a.publish(f"more{n}", Effect.SAFE, 50 * S, 21) is None for n in range(30))
-    away = a.streams.why_not(["athens"], 100)
+    assert any(a.publish(f"more{n}", DeliveryIdempotency.IDEMPOTENT, 50 * S, 21) is None for n in range(30))
+    away = a.streams.rejection(["athens"], 100)
     assert isinstance(away, SiteAway) and not isinstance(away, StreamFull) and "athens" in away.line()
-    assert a.streams.refusal(["athens"], 100) == a.streams.refusal(["savannah", "athens"], 100) == 2_000_000
-    assert a.streams.refusal(["savannah"], 100) is None
-    assert a.streams.figures["athens"]["open"] <= 24  # a fifth of the room
+    assert (
+        a.streams.retry_after_us(["athens"], 100)
+        == a.streams.retry_after_us(["savannah", "athens"], 100)
+        == 2_000_000
+    )
+    assert a.streams.retry_after_us(["savannah"], 100) is None
+    assert a.streams.metrics["athens"]["open"] <= 24  # a fifth of the room
     reached = sum(1 for (_, dest) in net.calls if dest == 11)
     assert reached == 2000  # none of the other site's was refused or late
-    assert a.streams.sending.entries == a.streams.figures["athens"]["open"]
+    assert a.streams.sender.entries == a.streams.metrics["athens"]["open"]
     with pytest.raises(PublicationTooLarge):
-        a.streams.refusal(["savannah"], 65_537)
+        a.streams.retry_after_us(["savannah"], 65_537)
     net.run(80 * S)
     assert judge(net, arrive=False) == []
 
@@ -143,10 +147,10 @@
     for name in "xy":
         net.node(name).speed = 30 * S
     for n in range(3000):
-        net.at(S + n * MS, a.publish, f"p{n}", Effect.SAFE, 40 * S, (11, 21)[n % 2])
+        net.at(S + n * MS, a.publish, f"p{n}", DeliveryIdempotency.IDEMPOTENT, 40 * S, (11, 21)[n % 2])
     net.run(4 * S)
-    assert isinstance(a.streams.why_not(["athens"], 100), StreamFull)
-    assert a.streams.figures["athens"]["open"] <= 60
+    assert isinstance(a.streams.rejection(["athens"], 100), StreamFull)
+    assert a.streams.metrics["athens"]["open"] <= 60
     assert sum(1 for (_, dest) in net.calls if dest == 11) > 1450
     net.run(60 * S)
     assert judge(net, arrive=False) == []
@@ -162,8 +166,8 @@
     def publish(n):
         nonlocal largest
         a.publish(f"p{n}", EFFECTS[n % 3], 30 * S)
-        alarms = len(a.streams.out.alarms.heap) - 200
-        largest = max(largest, a.streams.sending.entries, len(a.records), alarms)
+        alarms = len(a.streams.actions.timers.heap) - 200
+        largest = max(largest, a.streams.sender.entries, len(a.records), alarms)
 
     for n in range(20_000):
         net.at(S + n * 180 * MS, publish, n)
@@ -188,16 +192,16 @@
             runs += 1
             if net.node(name).writes < first:
                 break
-    assert runs > (8 if effect is Effect.UNSAFE else 5)
+    assert runs > (8 if effect is DeliveryIdempotency.NON_IDEMPOTENT else 5)
 
 
 def test_a_draining_relay_hands_over_in_order():
     net = Net(12, PAIR, THEIRS, well=True, speed=300 * MS)
     a = net.node("a")
     for n in range(100):
-        net.at(S + n * 10 * MS, a.publish, f"p{n:03}", Effect.SAFE, 40 * S, -1, "o")
+        net.at(S + n * 10 * MS, a.publish, f"p{n:03}", DeliveryIdempotency.IDEMPOTENT, 40 * S, -1, "o")
     net.run(1_500 * MS)
-    first = a.streams.sending.sites["savannah"].relay
+    first = a.streams.sender.sites["savannah"].relay
     net.nodes[first].drain()
     net.run(50 * S)
     assert judge(net) == []
@@ -214,9 +218,9 @@
     net = Net(13, PAIR, THEIRS, well=True)
     a = net.node("a")
     net.run(S)
-    relay = net.nodes[a.streams.sending.sites["savannah"].relay]
+    relay = net.nodes[a.streams.sender.sites["savannah"].relay]
     relay.turns_away = 1.0
-    a.publish("p1", Effect.UNSAFE)
+    a.publish("p1", DeliveryIdempotency.NON_IDEMPOTENT)
     net.run(1_100 * MS)
     relay.drain()
     net.run(30 * S)
@@ -243,7 +247,13 @@
         for number, owners in enumerate(tables, 1):
             net.at(number * 300 * MS, switch, number, owners)
         for n in range(150):
-            net.at(S // 2 + n * 10 * MS, net.node("a").publish, f"p{n}", Effect.UNSAFE, 20 * S)
+            net.at(
+                S // 2 + n * 10 * MS,
+                net.node("a").publish,
+                f"p{n}",
+                DeliveryIdempotency.NON_IDEMPOTENT,
+                20 * S,
+            )
         net.run(40 * S)
         by_site = {}
         for (name, dest), calls in net.calls.items():
@@ -260,11 +270,11 @@
     true = net.send
     net.send = lambda node, member, message: (sent.append((net.now, message)), true(node, member, message))
     net.run(S)
-    net.node("a").publish("p1", Effect.SAFE, 5 * S)
+    net.node("a").publish("p1", DeliveryIdempotency.IDEMPOTENT, 5 * S)
     net.run(1_010 * MS)
     entries = [message for _, message in sent if isinstance(message, Entry)]
-    assert [e.left_us for e in entries] == [5 * S]
-    assert entries[0].publication.until_us == 0
+    assert [e.remaining_us for e in entries] == [5 * S]
+    assert entries[0].publication.deadline_us == 0
 
 
 def test_a_keyed_entry_moves_inside_its_window_only():
@@ -272,13 +282,13 @@
         net = Net(15, PAIR, THEIRS, speed=30 * S, streams=StreamSettings(keyed_window_us=window))
         a = net.node("a")
         net.run(S)
-        a.publish("p1", Effect.KEYED, 20 * S, key="k")
+        a.publish("p1", DeliveryIdempotency.WITH_KEY, 20 * S, key="k")
         net.run(1_300 * MS)
-        first = a.streams.sending.sites["savannah"].relay
+        first = a.streams.sender.sites["savannah"].relay
         net.nodes[first].kill()
         net.run(4 * S)
         second = next(n for n in net.nodes.values() if n.id.site == "savannah" and n.id != first)
-        assert ("macon/a:p1" in second.custodian.kept.all) is moves
+        assert ("macon/a:p1" in second.custodian.store.records) is moves
 
 
 def test_a_relay_with_an_older_folder_gets_no_unsafe_entry_again():
@@ -287,7 +297,7 @@
     relay.lives = 4
     relay.start()
     net.run(S)
-    a.publish("p1", Effect.UNSAFE)
+    a.publish("p1", DeliveryIdempotency.NON_IDEMPOTENT)
     net.run(1_002 * MS)
     relay.kill()  # the entry is lost on its way
     assert a.records["sent", "macon/a:p1|savannah"][:3] == ["savannah", "s", 5]
@@ -304,9 +314,9 @@
     net = Net(17, PAIR, THEIRS, speed=2 * S, well=True)
     a = net.node("a")
     net.run(S)
-    a.publish("p1", Effect.SAFE)
+    a.publish("p1", DeliveryIdempotency.IDEMPOTENT)
     net.run(1_100 * MS)
-    relay = net.nodes[a.streams.sending.sites["savannah"].relay]
+    relay = net.nodes[a.streams.sender.sites["savannah"].relay]
     for name in "st":
         net.node(name).kill(S)
     lost = next(ident for ident, entry in relay.journal.items() if entry["dest"] == 12)
@@ -349,11 +359,11 @@
     name = a.publish("p1")
     net.run(2 * S)
     assert net.ends == {} and len(net.calls) == 2
-    ends = (DeliveryEnd(1, Result.REFUSED),)
-    a.handle(LocalEnded(name, 4, ends))
-    a.handle(LocalEnded(name, 5))
+    ends = (DeliveryOutcome(1, Result.REFUSED),)
+    a.handle(LocalSiteCompleted(name, 4, ends))
+    a.handle(LocalSiteCompleted(name, 5))
     assert [end for _, end in net.ends.pop(name)] == [
-        PublicationEnded(name, False, "macon: 4 delivered; not: 1 refused")
+        PublicationCompleted(name, False, "macon: 4 delivered; not: 1 refused")
     ]
     a.own_part = False
     for n, effect in enumerate(EFFECTS):
@@ -371,13 +381,13 @@
     net = Net(20, PAIR, THEIRS, well=True, pauses=True)
     a = net.node("a")
     net.run(S)
-    relay = net.nodes[a.streams.sending.sites["savannah"].relay]
+    relay = net.nodes[a.streams.sender.sites["savannah"].relay]
     for n in range(20):
         net.at(n * 10 * MS, a.publish, f"p{n}", effect, 8 * S)
     net.at(95 * MS, relay.pause, 10 * S)
     net.at(3 * S, a.publish, "later", effect, 8 * S)
     net.run(40 * S)
-    assert judge(net, arrive=effect is not Effect.UNSAFE) == []
+    assert judge(net, arrive=effect is not DeliveryIdempotency.NON_IDEMPOTENT) == []
     late = [c for calls in net.calls.values() for c in calls if c[1] == relay.id and c[0] > 12 * S]
     assert not late  # what lay in its socket was out of time, and it knew
     by_next = [c for calls in net.calls.values() for c in calls if c[1] != relay.id]
@@ -388,7 +398,7 @@
     net = Net(21, PAIR, THEIRS, well=True)
     a = net.node("a")
     net.run(S)
-    chosen = a.streams.sending.sites["savannah"].relay
+    chosen = a.streams.sender.sites["savannah"].relay
     other = next(m for m in net.nodes if m.site == "savannah" and m != chosen)
     for n, effect in enumerate(EFFECTS):
         publication = Publication(
--- a/tests/relay/test_relay_disk.py
+++ b/tests/relay/test_relay_disk.py
@@ -18,19 +18,21 @@
 from madderbeam.relay.telling import CustodySettings
 from madderbeam.relay.values import (
     Credit,
-    Effect,
-    Ended,
+    CustodyAccepted,
+    CustodyRejected,
+    DeliveryCompleted,
+    DeliveryIdempotency,
     Expand,
-    NotTaken,
+    OutcomesPersisted,
     Publication,
     Result,
-    Settled,
-    Taken,
 )
 
 S = 1_000_000
 ORIGIN, RELAY = MemberId("macon", "m1"), MemberId("savannah", "m1")
-MESSAGE = Publication("p1", ORIGIN, "", 7, "unsafe", Effect.UNSAFE, "t", "", "", b"body", 0, 1)
+MESSAGE = Publication(
+    "p1", ORIGIN, "", 7, "unsafe", DeliveryIdempotency.NON_IDEMPOTENT, "t", "", "", b"body", 0, 1
+)
 
 
 def custodian(now=0):
@@ -51,7 +53,7 @@
 def test_what_was_turned_away_behind_a_word_that_was_lost_is_acked_by_no_later_credit():
     relay = custodian()
     assert any(isinstance(a, Expand) for a in relay.handle(0, entry()))
-    told = relay.handle(S, NotTaken(MESSAGE.name, 0, "no room"))
+    told = relay.handle(S, CustodyRejected(MESSAGE.name, 0, "no room"))
     assert isinstance(told[0], Persist) and acks(told) == [1]  # behind its record: the disk takes it not
     relay.handle(S, WriteFailed("custody", MESSAGE.name))
     assert acks(relay.handle(2 * S, Credit(100, 1 << 24))) == []
@@ -61,10 +63,10 @@
 
 def test_a_record_that_is_let_go_of_settles_what_has_ended_of_it():
     relay = custodian()
-    relay.handle(0, entry(effect=Effect.SAFE))
-    relay.handle(0, Taken(MESSAGE.name, (7,)))
-    now, ended = 2 * S + CustodySettings().grace_us, Ended(MESSAGE.name, 7, Result.REFUSED)
-    assert not any(isinstance(a, Settled) for a in relay.handle(now - 1, ended))
+    relay.handle(0, entry(effect=DeliveryIdempotency.IDEMPOTENT))
+    relay.handle(0, CustodyAccepted(MESSAGE.name, (7,)))
+    now, ended = 2 * S + CustodySettings().grace_us, DeliveryCompleted(MESSAGE.name, 7, Result.REFUSED)
+    assert not any(isinstance(a, OutcomesPersisted) for a in relay.handle(now - 1, ended))
     told = relay.handle(now, TimerDue("custody"))
-    assert Settled(MESSAGE.name, (7,)) in told and not relay.kept.all
-    assert [a for a in told if not isinstance(a, SetTimer)][0] == Settled(MESSAGE.name, (7,))
+    assert OutcomesPersisted(MESSAGE.name, (7,)) in told and not relay.store.records
+    assert [a for a in told if not isinstance(a, SetTimer)][0] == OutcomesPersisted(MESSAGE.name, (7,))
--- a/tests/relay/test_relay_planted.py
+++ b/tests/relay/test_relay_planted.py
@@ -10,10 +10,10 @@
 from madderbeam.relay import derive, inbound, legs, sending
 from madderbeam.relay.custody import Custodian
 from madderbeam.relay.messages import Ack
-from madderbeam.relay.origin import Streams
-from madderbeam.relay.sending import Sending
-from madderbeam.relay.telling import Telling
-from madderbeam.relay.values import Effect, Expand, Result
+from madderbeam.relay.origin import OriginStreams
+from madderbeam.relay.sending import StreamSender
+from madderbeam.relay.telling import DeliveryReporter
+from madderbeam.relay.values import DeliveryIdempotency, Expand, Result
 
 
 def ack_before_journal(patch):
@@ -29,12 +29,12 @@
 
 
 def unsafe_moves(patch):
-    patch.setattr(Sending, "_may_move", lambda self, leg: True)
+    patch.setattr(StreamSender, "_may_move", lambda self, leg: True)
 
 
 def unsafe_not_written(patch):
     """The origin forgets with its process where an unsafe entry was sent."""
-    true = Sending._send
+    true = StreamSender._send
 
     def careless(self, site, leg, stream):
         before = len(self.out.bound)
@@ -42,12 +42,12 @@
         self.out.bound[before:] = [a for a in self.out.bound[before:] if isinstance(a, SendMessage)]
         return sent
 
-    patch.setattr(Sending, "_send", careless)
+    patch.setattr(StreamSender, "_send", careless)
 
 
 def no_record_before_expansion(patch):
     def bare(self, publication, dests, copy):
-        true(self, replace(publication, effect=Effect.SAFE), dests, copy)
+        true(self, replace(publication, effect=DeliveryIdempotency.IDEMPOTENT), dests, copy)
         self.out.bound[-1] = Expand(publication, dests)
 
     true = Custodian._begin_custody
@@ -65,7 +65,7 @@
 
 
 def end_told_twice(patch):
-    true = Streams._drop
+    true = OriginStreams._remove
 
     def lax(self, held):
         true(self, held)
@@ -74,12 +74,12 @@
             self.held[held.publication.name] = held
             self._whole(held)
 
-    patch.setattr(Streams, "_drop", lax)
+    patch.setattr(OriginStreams, "_drop", lax)
 
 
 def first_end_is_the_whole(patch):
-    true = Streams._row
-    patch.setattr(Streams, "_row", lambda self, member, row: true(self, member, replace(row, left=0)))
+    true = OriginStreams._on_report
+    patch.setattr(OriginStreams, "_row", lambda self, member, row: true(self, member, replace(row, left=0)))
 
 
 def time_not_reduced(patch):
@@ -99,7 +99,7 @@
 
 
 def record_dropped_once_acked(patch):
-    true = Telling.heard
+    true = DeliveryReporter.acknowledged
 
     def eager(self, member, number):
         names = [name for name, _ in self.batches.get(number, (None, 0, ()))[2]]
@@ -108,11 +108,11 @@
             if name in self.kept.all and self.kept.all[name].finished:
                 self.kept.forget(name)
 
-    patch.setattr(Telling, "heard", eager)
+    patch.setattr(DeliveryReporter, "heard", eager)
 
 
 def nothing_sent_again(patch):
-    patch.setattr(Sending, "_requeue_out", lambda self, leg: None)
+    patch.setattr(StreamSender, "_requeue_out", lambda self, leg: None)
 
 
 def gaps_not_seen(patch):
@@ -121,11 +121,11 @@
         self.acked = max(self.acked, entry.seq - 1)
         return True
 
-    patch.setattr(inbound.Inbound, "accept", trusting)
+    patch.setattr(inbound.ReceiveStream, "accept", trusting)
 
 
 def ends_not_sent_again(patch):
-    patch.setattr(Telling, "again", lambda self, names: None)
+    patch.setattr(DeliveryReporter, "again", lambda self, names: None)
 
 
 def rest_is_delivered(patch):
@@ -178,7 +178,7 @@
 def test_credit_ignored_is_seen(monkeypatch):
     """What is out is more than the relay said that it can take."""
     assert out_beyond_credit() <= 0
-    monkeypatch.setattr(legs.Outbound, "room", lambda self, leg: True)
+    monkeypatch.setattr(legs.SendStream, "room", lambda self, leg: True)
     assert out_beyond_credit() > 0
 
 
@@ -194,9 +194,9 @@
     def watched(sender, member, message):
         nonlocal beyond
         true(sender, member, message)
-        stream = net.node("a").streams.sending.links.get(member)
+        stream = net.node("a").streams.sender.links.get(member)
         if stream is not None and not isinstance(message, Ack) and sender.id.name == "a":
-            beyond = max(beyond, len(stream.out) - stream.entries)
+            beyond = max(beyond, len(stream.in_flight) - stream.credit_entries)
 
     net.send = watched
     net.run(10 * S)
--- a/tests/relay/test_relay_streams.py
+++ b/tests/relay/test_relay_streams.py
@@ -4,11 +4,11 @@
 from relaynet import MS, Net, S, judge
 
 from madderbeam.membership.values import State
-from madderbeam.relay.values import Effect
+from madderbeam.relay.values import DeliveryIdempotency
 
 SITES = {"macon": ("a", "b"), "savannah": ("s", "t", "u"), "athens": ("x", "y")}
 SUBSCRIBERS = {"macon": (1,), "savannah": (11, 12, 13), "athens": (21, 22)}
-EFFECTS = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
+EFFECTS = (DeliveryIdempotency.IDEMPOTENT, DeliveryIdempotency.WITH_KEY, DeliveryIdempotency.NON_IDEMPOTENT)
 
 
 def drawn(seed, **more):
--- a/tests/relay/test_relay_values.py
+++ b/tests/relay/test_relay_values.py
@@ -10,15 +10,26 @@
 from madderbeam import relay
 from madderbeam.federation.errors import NoOwner
 from madderbeam.membership.values import Incarnation, MemberId, MemberView, State
-from madderbeam.relay.alarms import Alarms
-from madderbeam.relay.choice import choose
-from madderbeam.relay.derive import delivery_id, delivery_key, held_id
-from madderbeam.relay.grouping import Group, Tables, expand, group, onward
-from madderbeam.relay.messages import Ack, EndRow, Ends, EndsAck, Entry, Nak, from_row, to_row
-from madderbeam.relay.values import DeliveryEnd, Effect, Publication, Result
+from madderbeam.relay.alarms import TimerQueue
+from madderbeam.relay.choice import choose_relay
+from madderbeam.relay.derive import delivery_id, delivery_key, recorded_delivery_id
+from madderbeam.relay.grouping import Group, Tables, expand, forwarded_entry, group
+from madderbeam.relay.messages import (
+    Ack,
+    DeliveryReport,
+    Entry,
+    Nak,
+    ReportBatch,
+    ReportBatchAck,
+    from_row,
+    to_row,
+)
+from madderbeam.relay.values import DeliveryIdempotency, DeliveryOutcome, Publication, Result
 
 A = MemberId("macon", "a")
-PUB = Publication("9b1f03aa5c7e2d41", A, "season", -1, "notice", Effect.KEYED, "acme", "k1", "", b"x", 0, 3)
+PUB = Publication(
+    "9b1f03aa5c7e2d41", A, "season", -1, "notice", DeliveryIdempotency.WITH_KEY, "acme", "k1", "", b"x", 0, 3
+)
 
 
 def view(name, state=State.ALIVE, draining=False):
@@ -27,34 +38,38 @@
 
 def test_ids_and_keys_are_derived_from_publication_and_subscriber():
     again = replace(PUB, id="other")
-    assert delivery_id(PUB, 7) == delivery_id(replace(PUB, body=b"y"), 7) == held_id(PUB.name, 7, False)
+    assert (
+        delivery_id(PUB, 7)
+        == delivery_id(replace(PUB, body=b"y"), 7)
+        == recorded_delivery_id(PUB.name, 7, False)
+    )
     assert len({delivery_id(PUB, 7), delivery_id(PUB, 8), delivery_id(again, 7)}) == 3
     assert len(bytes.fromhex(delivery_id(PUB, 7))) == 8
     assert delivery_key(PUB, 7) == delivery_key(again, 7) != delivery_key(PUB, 8)
     assert delivery_key(replace(PUB, tenant="b"), 7) != delivery_key(PUB, 7)
     assert delivery_key(replace(PUB, key=""), 7) != delivery_key(replace(again, key=""), 7)
-    assert delivery_key(replace(PUB, effect=Effect.SAFE), 7) == ""
+    assert delivery_key(replace(PUB, effect=DeliveryIdempotency.IDEMPOTENT), 7) == ""
     one = replace(PUB, topic="", dest=7)
     assert (delivery_id(one, 7), delivery_key(one, 7)) == (PUB.id, "k1")
-    assert held_id(one.name, 7, True) == PUB.id
+    assert recorded_delivery_id(one.name, 7, True) == PUB.id
 
 
 def test_a_relay_stays_while_it_lives_and_each_origin_has_its_own():
     views = [view(n) for n in "stuv"]
-    first = choose(A, views, None)
+    first = choose_relay(A, views, None)
     others = [v for v in views if v.id != first]
-    assert choose(A, [*others, view(first.name, State.SUSPECT)], first) == first
-    assert choose(A, [*others, view(first.name, State.SUSPECT)], None) != first
+    assert choose_relay(A, [*others, view(first.name, State.SUSPECT)], first) == first
+    assert choose_relay(A, [*others, view(first.name, State.SUSPECT)], None) != first
     for gone in (view(first.name, State.DEAD), view(first.name, State.LEFT), view(first.name, draining=True)):
-        assert choose(A, [*others, gone], first) == choose(A, others, None)
-    assert choose(A, views, first, frozenset({first})) == choose(A, others, None)
+        assert choose_relay(A, [*others, gone], first) == choose_relay(A, others, None)
+    assert choose_relay(A, views, first, frozenset({first})) == choose_relay(A, others, None)
     # a member more takes over only what it wins
     origins = [MemberId("macon", str(n)) for n in range(400)]
-    before = {o: choose(o, others, None) for o in origins}
-    after = {o: choose(o, views, None) for o in origins}
+    before = {o: choose_relay(o, others, None) for o in origins}
+    after = {o: choose_relay(o, views, None) for o in origins}
     assert {after[o] for o in origins if after[o] != before[o]} == {first}
     assert min(sum(1 for o in origins if after[o] == v.id) for v in views) > 60
-    assert choose(A, [], None) is None
+    assert choose_relay(A, [], None) is None
 
 
 def test_a_publication_is_grouped_and_expanded_by_one_table():
@@ -78,13 +93,18 @@
     assert tables.expand(PUB) == (3, 4)
     assert tables.expand(replace(PUB, table=4)) == (3,)
     assert tables.moved((3, 4), 4) == {4: "macon"}
-    sent = onward(PUB, 4, MemberId("savannah", "s"), 4)
-    assert (sent.id, sent.key, sent.dest, sent.topic) == (delivery_id(PUB, 4), delivery_key(PUB, 4), 4, "")
+    sent = forwarded_entry(PUB, 4, MemberId("savannah", "s"), 4)
+    assert (sent.id, sent.idempotency_key, sent.dest, sent.topic) == (
+        delivery_id(PUB, 4),
+        delivery_key(PUB, 4),
+        4,
+        "",
+    )
     assert delivery_id(sent, 4) == delivery_id(PUB, 4) and delivery_key(sent, 4) == delivery_key(PUB, 4)
     for number in range(5, 12):
         tables.put(number, {})
     assert tables.expand(PUB) is None and tables.expand(replace(PUB, table=12)) is None
-    assert len(tables.kept) == 8
+    assert len(tables.owners_by_table) == 8
 
 
 MESSAGES = [
@@ -92,8 +112,14 @@
     Entry(1, 2, replace(PUB, topic="", dest=7), 0),
     Ack(1, 0, 3, 4),
     Nak(1, 2, 300, "full", True),
-    EndsAck(4),
-    Ends(1, (EndRow("macon/a:x", 9, 3, 4, (DeliveryEnd(7, Result.UNKNOWN),), "w"), EndRow("n", 0, 0, 0))),
+    ReportBatchAck(4),
+    ReportBatch(
+        1,
+        (
+            DeliveryReport("macon/a:x", 9, 3, 4, (DeliveryOutcome(7, Result.UNKNOWN),), "w"),
+            DeliveryReport("n", 0, 0, 0),
+        ),
+    ),
 ]
 
 
@@ -113,16 +139,16 @@
 
 
 def test_alarms_come_once_in_order_and_are_swept():
-    alarms = Alarms()
+    alarms = TimerQueue()
     for n in range(10_000):
         alarms.set("one", n + 5)
         alarms.set(f"x{n}", 9)
-        alarms.drop(f"x{n}")
+        alarms.cancel(f"x{n}")
     assert len(alarms.heap) < 200
     alarms.set("two", 7)
-    alarms.sooner("two", 9)
+    alarms.set_earlier("two", 9)
     assert alarms.next() == 7
-    assert alarms.due(10_004) == ["two", "one"] and alarms.due(10**9) == [] and alarms.next() is None
+    assert alarms.pop_due(10_004) == ["two", "one"] and alarms.pop_due(10**9) == [] and alarms.next() is None
 
 
 def test_decisions_do_no_io():
--- a/tests/relay/test_relay_window.py
+++ b/tests/relay/test_relay_window.py
@@ -12,9 +12,9 @@
     State,
 )
 from madderbeam.relay.messages import Ack, Entry
-from madderbeam.relay.origin import Streams
+from madderbeam.relay.origin import OriginStreams
 from madderbeam.relay.sending import StreamSettings
-from madderbeam.relay.values import Effect, Publication, Published
+from madderbeam.relay.values import DeliveryIdempotency, Publication, Published
 
 S = 1_000_000
 AT = 100 * S
@@ -29,9 +29,9 @@
     return [a for a in actions if isinstance(a, SendMessage) and isinstance(a.message, Entry)]
 
 
-def moved(window_us, effect=Effect.KEYED, after_us=2 * S):
+def moved(window_us, effect=DeliveryIdempotency.WITH_KEY, after_us=2 * S):
     """The entries that go to the next relay once the first one has died, and what time they tell."""
-    streams = Streams(
+    streams = OriginStreams(
         StreamSettings(keyed_window_us=window_us), ME, Incarnation(1, 1), lambda now: now // 1000, {}
     )
     actions = []
@@ -55,4 +55,4 @@
 
 
 def test_a_safe_one_and_one_whose_window_is_not_known_keep_their_time():
-    assert moved(3 * S, Effect.SAFE) == [(True, 18 * S)] == moved(0)
+    assert moved(3 * S, DeliveryIdempotency.IDEMPOTENT) == [(True, 18 * S)] == moved(0)
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -20,8 +20,8 @@
 from madderbeam.relay import kept as custody_kept
 from madderbeam.relay.custody import Custodian
 from madderbeam.relay.grouping import Tables
-from madderbeam.relay.sending import Sending
-from madderbeam.relay.sent import Sent
+from madderbeam.relay.sending import StreamSender
+from madderbeam.relay.sent import SentRecords
 from madderbeam.relay.subscriptions import Subscriptions
 from madderbeam.transport.clients import Put
 from madderbeam.transport.mesh.clock_lead import ClockLeadBound
@@ -115,12 +115,12 @@
 
 @bug(3, "F4")
 def an_unsafe_entry_is_moved_to_the_next_relay(patch):
-    patch.setattr(Sending, "_may_move", lambda self, leg: True)
+    patch.setattr(StreamSender, "_may_move", lambda self, leg: True)
 
 
 @bug(0, "F4")
 def an_unsafe_entrys_relay_is_not_written(patch):
-    patch.setattr(Sent, "write", lambda self, leg, end=None: None)
+    patch.setattr(SentRecords, "write", lambda self, leg, end=None: None)
 
 
 @bug(0, "F6")
@@ -204,7 +204,7 @@
 
 @bug(0, "F7")
 def custody_is_never_let_go_of(patch):
-    patch.setattr(custody_kept.Kept, "until", lambda self, record: None)
+    patch.setattr(custody_kept.CustodyStore, "until", lambda self, record: None)
 
 
 @bug(18, "F5")
@@ -242,4 +242,4 @@
 
 @bug(1317, "F3")
 def a_restart_sends_unsafe_ones_by_the_table_alone(patch):
-    patch.setattr(Sent, "sites", lambda self: {})
+    patch.setattr(SentRecords, "sites", lambda self: {})
