--- a/madderbeam/routing/pool.py
+++ b/madderbeam/routing/pool.py
@@ -100,19 +100,23 @@
         """Create a tier; servers that were in the tier `previous` keep their round-robin levels."""
         levels = previous.current_levels() if previous else {}
         self.method, self.seed = method, seed
-        self.servers = {s.id: s for s in members}
-        self.rank = {s.id: n for n, s in enumerate(members)}
-        self.ids = [s.id for s in members]
-        self.scale = STEPS if any(s.slow_start_us for s in members) else 1
+        self.servers = {server.id: server for server in members}
+        self.rank = {server.id: index for index, server in enumerate(members)}
+        self.ids = [server.id for server in members]
+        self.scale = STEPS if any(server.slow_start_us for server in members) else 1
         self.rotations: SortedDict = SortedDict()  # by calls per weight; one unless least_conn
-        self.levels = {n: level for n, level in levels.items() if n in self.servers}  # unusable ones'
+        # Levels of the unusable servers; those of the others are in `rotations`.
+        self.levels = {endpoint: level for endpoint, level in levels.items() if endpoint in self.servers}
         self.rotation_keys: dict[int, float] = {}  # key in `rotations` of each usable server
         self.usable_weight = 0
-        self.weight = sum(s.weight for s in members)
-        self.table = WeightedSlots([s.weight for s in members])
+        self.weight = sum(server.weight for server in members)
+        self.table = WeightedSlots([server.weight for server in members])
         self.ring: Ring | None = None
         if method is Method.CONSISTENT:
-            self.ring = Ring(((s.id, s.name, s.weight) for s in members), previous.ring if previous else None)
+            self.ring = Ring(
+                ((server.id, server.name, server.weight) for server in members),
+                previous.ring if previous else None,
+            )
 
     def set_usable(self, endpoint: int, conns: int, share: int = STEPS) -> None:
         """Make a server usable with `conns` calls in flight and `share` STEPS-ths of its weight."""
@@ -235,31 +239,37 @@
     def replace(self, servers: Sequence[Server], now_us: int, rng: random.Random) -> None:
         """Replace the servers; those that stay keep failures, calls in flight and round-robin levels."""
         is_new = not self.servers
-        self.servers = {s.id: s for s in servers}
-        self.calls_in_flight = {n: c for n, c in self.calls_in_flight.items() if n in self.servers}
-        self.conn_limits = {n: limit for n, limit in self.conn_limits.items() if n in self.servers}
-        is_only_server = sum(not s.down for s in servers) == 1
-        marks, self.failure_trackers = self.failure_trackers, {}
-        for s in servers:
-            if not s.max_fails or is_only_server:
+        self.servers = {server.id: server for server in servers}
+        self.calls_in_flight = {
+            endpoint: count for endpoint, count in self.calls_in_flight.items() if endpoint in self.servers
+        }
+        self.conn_limits = {
+            endpoint: limit for endpoint, limit in self.conn_limits.items() if endpoint in self.servers
+        }
+        is_only_server = sum(not server.down for server in servers) == 1
+        previous_trackers, self.failure_trackers = self.failure_trackers, {}
+        for server in servers:
+            if not server.max_fails or is_only_server:
                 continue
-            mark = marks.get(s.id) or FailureTracker(s.max_fails, s.fail_timeout_us, s.slow_start_us)
-            mark.max_fails, mark.fail_timeout_us = s.max_fails, s.fail_timeout_us
-            mark.slow_start_us = s.slow_start_us
-            self.failure_trackers[s.id] = mark
-        enabled = [s for s in servers if not s.down]
-        primary, zone = [s for s in enabled if not s.backup], self.policy.zone
-        local = [s for s in primary if zone and s.zone == zone]
-        others = [s for s in primary if not zone or s.zone != zone]
+            tracker = previous_trackers.get(server.id) or FailureTracker(
+                server.max_fails, server.fail_timeout_us, server.slow_start_us
+            )
+            tracker.max_fails, tracker.fail_timeout_us = server.max_fails, server.fail_timeout_us
+            tracker.slow_start_us = server.slow_start_us
+            self.failure_trackers[server.id] = tracker
+        enabled = [server for server in servers if not server.down]
+        primary, zone = [server for server in enabled if not server.backup], self.policy.zone
+        local = [server for server in primary if zone and server.zone == zone]
+        others = [server for server in primary if not zone or server.zone != zone]
         self.local_tier, self.remote_tier, self.backup_tier = (
             Tier(self.policy.method, members, self.seed, previous)
             for members, previous in zip(
-                (local, others, [s for s in enabled if s.backup]), self._tiers(), strict=True
+                (local, others, [server for server in enabled if server.backup]), self._tiers(), strict=True
             )
         )
         self.scheduled_updates, self.due = [], {}
-        for s in enabled:
-            self._update(s.id, now_us)
+        for server in enabled:
+            self._update(server.id, now_us)
         if self.randomize_start and is_new:
             for tier in self._tiers():
                 tier.advance(rng.randrange(max(1, min(tier.weight * tier.scale, MAX_START_OFFSET))))
@@ -269,7 +279,7 @@
 
     def _update(self, endpoint: int, now_us: int) -> None:
         """Update whether a server is usable, and its weight, from its failures and its calls in flight."""
-        server, conns, mark = (
+        server, conns, tracker = (
             self.servers[endpoint],
             self.calls_in_flight.get(endpoint, 0),
             self.failure_trackers.get(endpoint),
@@ -280,8 +290,8 @@
         is_full = (
             conns >= limit if limit is not None else bool(server.max_conns) and conns >= server.max_conns
         )
-        is_usable = (mark is None or mark.is_usable(now_us)) and not is_full
-        share = mark.weight_steps(now_us) if mark else STEPS
+        is_usable = (tracker is None or tracker.is_usable(now_us)) and not is_full
+        share = tracker.weight_steps(now_us) if tracker else STEPS
         for tier in self._tiers():
             if endpoint in tier.servers:
                 if is_usable:
@@ -289,11 +299,11 @@
                 else:
                     tier.set_unusable(endpoint)
         if (
-            mark
+            tracker
             and (
-                due_us := mark.ejected_until_us
-                if now_us < mark.ejected_until_us
-                else mark.next_step_us(now_us)
+                due_us := tracker.ejected_until_us
+                if now_us < tracker.ejected_until_us
+                else tracker.next_step_us(now_us)
             )
             and self.due.get(endpoint) != due_us
         ):
@@ -375,8 +385,8 @@
         for tier in self._tiers():
             tier.choose(endpoint, passed_over_servers)
         self.calls_in_flight[endpoint] = self.calls_in_flight.get(endpoint, 0) + 1
-        mark = self.failure_trackers.get(endpoint)
-        is_probe = mark.call_started(now_us) if mark else False
+        tracker = self.failure_trackers.get(endpoint)
+        is_probe = tracker.call_started(now_us) if tracker else False
         self._update(endpoint, now_us)
         return is_probe
 
@@ -385,9 +395,9 @@
         if endpoint not in self.servers:
             return
         self.calls_in_flight[endpoint] = max(0, self.calls_in_flight.get(endpoint, 0) - 1)
-        if mark := self.failure_trackers.get(endpoint):
+        if tracker := self.failure_trackers.get(endpoint):
             failed = failure_kind(result, malformed) in self.policy.fails_on
-            mark.call_ended(
+            tracker.call_ended(
                 failed, result is AttemptResult.OK or (not failed and result is AttemptResult.ERROR), now_us
             )
         self._update(endpoint, now_us)
--- a/madderbeam/routing/router.py
+++ b/madderbeam/routing/router.py
@@ -55,34 +55,36 @@
 FLAGS = ("backup", "down")
 
 
-def read_pool(raw: Any, zone: str, at: str) -> PoolSpec:
+def read_pool(raw: Any, zone: str, field_path: str) -> PoolSpec:
     """Return the checked configuration of a pool; RoutingError names the invalid field."""
     if not isinstance(raw, dict):
-        raise RoutingError(f"{at}: must be a table")
+        raise RoutingError(f"{field_path}: must be a table")
     try:
         method = Method(raw.get("method", "round_robin"))
     except ValueError:
-        raise RoutingError(f"{at}.method: must be one of {', '.join(m.value for m in Method)}") from None
+        raise RoutingError(
+            f"{field_path}.method: must be one of {', '.join(method.value for method in Method)}"
+        ) from None
     hash_on = raw.get("hash_on", "tenant")
     if hash_on not in HASH_ON:
-        raise RoutingError(f"{at}.hash_on: must be one of {', '.join(HASH_ON)}")
+        raise RoutingError(f"{field_path}.hash_on: must be one of {', '.join(HASH_ON)}")
     fails_on = raw.get("fails_on", ["error", "timeout", "invalid_header"])
     if not isinstance(fails_on, list) or not set(fails_on) <= set(FAILS_ON):
-        raise RoutingError(f"{at}.fails_on: must be a list of {', '.join(FAILS_ON)}")
+        raise RoutingError(f"{field_path}.fails_on: must be a list of {', '.join(FAILS_ON)}")
     spill, subset = raw.get("spill", 0.7), raw.get("subset", 0)
     if type(spill) not in (int, float) or not 0 < spill <= 1:
-        raise RoutingError(f"{at}.spill: must be a number above 0, at most 1")
+        raise RoutingError(f"{field_path}.spill: must be a number above 0, at most 1")
     if type(subset) is not int or subset < 0:
-        raise RoutingError(f"{at}.subset: must be a whole number, 0 or more")
+        raise RoutingError(f"{field_path}.subset: must be a whole number, 0 or more")
     rows = raw.get("servers", [])
     if not isinstance(rows, list):
-        raise RoutingError(f"{at}.servers: must be a list")
+        raise RoutingError(f"{field_path}.servers: must be a list")
     servers = {}
-    for n, row in enumerate(rows):
+    for index, row in enumerate(rows):
         if not isinstance(row, dict) or not isinstance(row.get("address"), str):
-            raise RoutingError(f"{at}.servers[{n}]: must be a table with address")
+            raise RoutingError(f"{field_path}.servers[{index}]: must be a table with address")
         servers[row["address"]] = {key: value for key, value in row.items() if key != "address"}
-        _check_server(servers[row["address"]], f"{at}.servers[{n}]")
+        _check_server(servers[row["address"]], f"{field_path}.servers[{index}]")
     return PoolSpec(
         Policy(method, zone if raw.get("zone_first") else "", float(spill), frozenset(fails_on)),
         hash_on,
@@ -91,17 +93,19 @@
     )
 
 
-def _check_server(raw: dict[str, Any], at: str) -> None:
+def _check_server(raw: dict[str, Any], field_path: str) -> None:
     for key, value in raw.items():
         if key in FLAGS:
             if type(value) is not bool:
-                raise RoutingError(f"{at}.{key}: must be true or false")
+                raise RoutingError(f"{field_path}.{key}: must be true or false")
         elif key in NUMBER_RANGES:
             least, most = NUMBER_RANGES[key]
             if type(value) is not int or not least <= value <= most:
-                raise RoutingError(f"{at}.{key}: must be a whole number from {least} to {most}")
+                raise RoutingError(f"{field_path}.{key}: must be a whole number from {least} to {most}")
         else:
-            raise RoutingError(f"{at}.{key}: no such setting; allowed: {', '.join((*FLAGS, *NUMBER_RANGES))}")
+            raise RoutingError(
+                f"{field_path}.{key}: no such setting; allowed: {', '.join((*FLAGS, *NUMBER_RANGES))}"
+            )
 
 
 NOWHERE = -1  # destination of a route whose messages are rejected
@@ -149,7 +153,7 @@
         }
         numbers = {str(name): int(number) for name, number in raw.get("names", {}).items()}
         tables = _tables(raw.get("routes", []), set(numbers.values()))
-        changed = [n for n in {*specs, *self.specs} if specs.get(n) != self.specs.get(n)]
+        changed = [number for number in {*specs, *self.specs} if specs.get(number) != self.specs.get(number)]
         self.configuration, self.specs, self.numbers, self.tables = raw, specs, numbers, tables
         for number in changed:
             self.listed_servers.pop(number, None)
@@ -176,7 +180,7 @@
 
     def _servers(self, spec: PoolSpec, rows: list[tuple[int, str, str]]) -> tuple[Server, ...]:
         """Return this courier's subset, in the configured order, with unconfigured servers last."""
-        configured_order = {name: n for n, name in enumerate(spec.servers)}
+        configured_order = {name: index for index, name in enumerate(spec.servers)}
         rows = sorted(rows, key=lambda row: (configured_order.get(row[1], len(configured_order)), row[1]))
         servers = [
             Server(endpoint, address, zone=zone, **spec.servers.get(address, {}))
@@ -186,13 +190,13 @@
             return tuple(servers)
         subset_names: set[str] = set()
         for is_in_group in (
-            lambda s: s.backup,
-            lambda s: not s.backup and s.zone == spec.policy.zone,
-            lambda s: not s.backup and s.zone != spec.policy.zone,
+            lambda server: server.backup,
+            lambda server: not server.backup and server.zone == spec.policy.zone,
+            lambda server: not server.backup and server.zone != spec.policy.zone,
         ):
-            names = [s.name for s in servers if is_in_group(s) and not s.down]
+            names = [server.name for server in servers if is_in_group(server) and not server.down]
             subset_names.update(select_subset(names, self.courier_index, self.couriers, spec.subset))
-        return tuple(s for s in servers if s.name in subset_names)
+        return tuple(server for server in servers if server.name in subset_names)
 
     # Resolving a message to a destination
 
@@ -284,16 +288,16 @@
     if not isinstance(rows, list):
         raise RoutingError("routing.routes: must be a list")
     routes_by_property: dict[MatchedProperty, dict[tuple[str, ...], list[Route]]] = {}
-    for n, row in enumerate(rows):
-        at = f"routing.routes[{n}]"
+    for index, row in enumerate(rows):
+        field_path = f"routing.routes[{index}]"
         try:
             on, to = MatchedProperty(row["on"]), int(row["to"])
             route = Route(Match(row["match"]), str(row["text"]), str(to))
             hosts = tuple(str(host) for host in row.get("host", ())) or (ANY,)
         except (KeyError, TypeError, ValueError) as error:
-            raise RoutingError(f"{at}: can't be used: {error}") from None
+            raise RoutingError(f"{field_path}: can't be used: {error}") from None
         if to != NOWHERE and to not in known:
-            raise RoutingError(f"{at}.to: must be the number of a partner, or {NOWHERE}, not {to}")
+            raise RoutingError(f"{field_path}.to: must be the number of a partner, or {NOWHERE}, not {to}")
         routes_by_property.setdefault(on, {}).setdefault(hosts, []).append(route)
     try:
         return {
