--- a/madderbeam/wire.py
+++ b/madderbeam/wire.py
@@ -116,7 +116,7 @@
 
 def _slice(tail: memoryview, offset: int, size: int, what: str) -> memoryview:
     if offset + size > len(tail):
-        raise Malformed(f"{what} is outside the tail: offset {offset}, {size} bytes, tail {len(tail)}")
+        raise Malformed(f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}")
     return tail[offset : offset + size]
 
 
@@ -133,7 +133,7 @@
     except KeyError as error:
         raise Malformed(f"settings lack the key {error.args[0]!r}") from None
     except (TypeError, AttributeError) as error:
-        raise Malformed(f"settings have an invalid structure: {error}") from None
+        raise Malformed(f"settings are of the wrong form: {error}") from None
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
