--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -113,7 +113,9 @@
             self._reject(message, reply, self._retry_after_us())
             return
         table = self.table()
-        publication = replace(self._as_publication(message), topic=put.topic, dest=-1, table=table.number)
+        publication = replace(
+            self._as_publication(message), topic=put.topic, dest=-1, table_number=table.number
+        )
         local_subscribers = expand(
             publication, self.member_id.site, table.owners, self.subscriptions.subscribers
         )
@@ -273,7 +275,7 @@
                 self.host.completions.complete(message, "undeliverable", 0)
                 continue
             publication = replace(
-                self._as_publication(replace(message, body=body)), topic=topic, dest=-1, table=table
+                self._as_publication(replace(message, body=body)), topic=topic, dest=-1, table_number=table
             )
             self._publish(message, publication, tuple(sites))
         self.recorded_sites.clear()
--- a/madderbeam/relay/custody.py
+++ b/madderbeam/relay/custody.py
@@ -135,7 +135,7 @@
         if not stream.accept(entry):
             return
         until_us = (self.actions.now if said_us is None else said_us) + entry.remaining_us
-        publication = replace(entry.publication, until_us=until_us)
+        publication = replace(entry.publication, deadline_us=until_us)
         record = self.store.get(publication.name)
         if record is not None:
             record.unacknowledged_entry = (member, entry.stream, entry.seq)
--- a/madderbeam/relay/grouping.py
+++ b/madderbeam/relay/grouping.py
@@ -79,9 +79,9 @@
     return replace(
         publication,
         id=delivery_id(publication, dest),
-        key=key,
+        idempotency_key=key,
         origin=relay,
         topic="",
         dest=dest,
-        table=table_number,
+        table_number=table_number,
     )
--- a/madderbeam/relay/sending.py
+++ b/madderbeam/relay/sending.py
@@ -127,7 +127,7 @@
         if not stream.in_flight:
             stream.progress_us = self.actions.now
         site.move(leg, DeliveryStage.IN_FLIGHT)
-        entry = Entry(stream.number, stream.push(leg), replace(publication, until_us=0), left_us)
+        entry = Entry(stream.number, stream.push(leg), replace(publication, deadline_us=0), left_us)
         self.actions.ordered.append(SendMessage(stream.member, entry))
         self.actions.timers.set_earlier(
             f"stall:{stream.member}", stream.progress_us + stream.stall_us + stream.rtt_us
--- a/madderbeam/relay/subscriptions.py
+++ b/madderbeam/relay/subscriptions.py
@@ -189,16 +189,16 @@
         if len(self.topics) > MAX_TOPICS:
             warnings.append(
                 LogLine(
-                    f"{len(self.topics)} topics at {self.local_member.site} exceed the {MAX_TOPICS} that the Bloom "
-                    "filters are sized for: other sites will send more publications without subscribers here"
+                    f"{len(self.topics)} topics at {self.local_member.site} exceed the {MAX_TOPICS} that the "
+                    "Bloom filters are sized for: other sites will send publications without subscribers here"
                 )
             )
         for topic, dests in self.topics.items():
             if len(dests) > MAX_DESTINATIONS:
                 warnings.append(
                     LogLine(
-                        f"topic {topic} has {len(dests)} subscribers at {self.local_member.site}, more than the limit "
-                        f"of {MAX_DESTINATIONS}: its publications are rejected here"
+                        f"topic {topic} has {len(dests)} subscribers at {self.local_member.site}, more than "
+                        f"the limit of {MAX_DESTINATIONS}: its publications are rejected here"
                     )
                 )
         return warnings[:8]
--- a/madderbeam/simulation/fedjudge.py
+++ b/madderbeam/simulation/fedjudge.py
@@ -472,9 +472,9 @@
     def _bounds(self, member: Member) -> None:
         room = member.room
         left: dict[str, Any] = {
-            "publications held": room.streams.held,
+            "publications held": room.streams.pending,
             "streams open": room.streams.sent.found,
-            "records of custody": room.custodian.kept.all,
+            "records of custody": room.custodian.store.records,
             "deliveries": room.custody.deliveries,
             "unsettled": room.custody.unsettled,
             "numbers": room.publications.numbers_by_name,
--- a/tests/relay/relaynet.py
+++ b/tests/relay/relaynet.py
@@ -200,7 +200,7 @@
             if entry["held"]:
                 self.again(ident, entry)
         for publication, sites in list(self.pubs.values()):
-            here = replace(publication, until_us=publication.until_us + self.offset)
+            here = replace(publication, deadline_us=publication.deadline_us + self.offset)
             self.handle(Published(here, sites))
         for other in net.nodes.values():
             if other is not self:
@@ -275,7 +275,7 @@
             net.ends[action.name].append((net.now, action))
             self.pubs.pop(action.name, None)
         elif isinstance(action, SiteCompleted):
-            net.frames["SiteEnded"] += 1
+            net.frames["SiteCompleted"] += 1
 
     def due(self, machine, life, token, at_us):
         if self.up and self.lives == life and self.timers.get(token) == at_us:
@@ -332,7 +332,7 @@
             return
         publication, net = action.publication, self.net
         true = net.pubs[publication.name]
-        if publication.until_us - self.offset > true.until_us:
+        if publication.deadline_us - self.offset > true.deadline_us:
             net.fail(f"{publication.name} has more time at {self.id} than at its origin")
         if net.rng.random() < self.turns_away:
             self.handle(CustodyRejected(publication.name, 100 * MS, "full"))
@@ -350,7 +350,7 @@
                     "key": key,
                     "held": True,
                     "tried": False,
-                    "effect": publication.effect,
+                    "effect": publication.idempotency,
                     "result": None,
                 }
                 net.at(net.rng.randrange(1, self.speed), self.call, self.lives, ident)
@@ -421,7 +421,7 @@
         net.pubs[publication.name] = publication
         parts = (*found.sites, *([self.id.site] if self.own_part else []))
         self.pubs[publication.name] = (publication, parts)
-        self.handle(Published(replace(publication, until_us=self.clock() + lasts), parts))
+        self.handle(Published(replace(publication, deadline_us=self.clock() + lasts), parts))
         return publication.name
 
     def withdraw(self, name):
@@ -451,24 +451,24 @@
         ends = net.ends[name]
         if len(ends) != 1:
             net.fail(f"{name} has {len(ends)} ends")
-        elif ends[0][0] > publication.until_us + 6 * S or (
-            ends[0][0] > publication.until_us + 50 * MS
+        elif ends[0][0] > publication.deadline_us + 6 * S or (
+            ends[0][0] > publication.deadline_us + 50 * MS
             and net.nodes[publication.origin].lives == 1
             and not net.more.get("pauses")
         ):
-            net.fail(f"{name} ended {(ends[0][0] - publication.until_us) / S} s late")
+            net.fail(f"{name} ended {(ends[0][0] - publication.deadline_us) / S} s late")
         for dest in dests:
             calls = net.calls[name, dest]
             if len({call[2] for call in calls}) > 1 or len({call[3] for call in calls}) > 1:
                 net.fail(f"{name} to {dest} went under several ids or keys")
-            if publication.effect is DeliveryIdempotency.NON_IDEMPOTENT and len(calls) > 1:
+            if publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT and len(calls) > 1:
                 net.fail(f"unsafe {name} to {dest} was called {len(calls)} times")
-            if publication.effect is not DeliveryIdempotency.NON_IDEMPOTENT and not calls and arrive:
+            if publication.idempotency is not DeliveryIdempotency.NON_IDEMPOTENT and not calls and arrive:
                 net.fail(f"{name} to {dest} never came")
-            known = net.more.get("well") and publication.effect is DeliveryIdempotency.IDEMPOTENT
-            if known and ends and not ends[0][1].delivered:
-                net.fail(f"{name} was not told as delivered, but {ends[0][1].what}")
-            if ends and ends[0][1].delivered and not any(c[4] is Result.DELIVERED for c in calls):
+            known = net.more.get("well") and publication.idempotency is DeliveryIdempotency.IDEMPOTENT
+            if known and ends and not ends[0][1].is_delivered:
+                net.fail(f"{name} was not told as delivered, but {ends[0][1].failures}")
+            if ends and ends[0][1].is_delivered and not any(c[4] is Result.DELIVERED for c in calls):
                 net.fail(f"{name} is told as delivered, {dest} did not get it")
     for node in net.nodes.values():
         if node.up:
@@ -478,17 +478,17 @@
 
 def empty(net, node):
     """Nothing is left of what is over."""
-    sending = node.streams.sending
+    sending = node.streams.sender
     left = {
-        "publications": len(node.streams.held),
+        "publications": len(node.streams.pending),
         "entries": sending.entries,
         "bytes": sending.bytes,
         "legs": sum(
-            len(s.legs) + len(s.queue) + len(s.pinned) + len(s.orders) for s in sending.sites.values()
+            len(s.deliveries) + len(s.queue) + len(s.pinned) + len(s.orders) for s in sending.sites.values()
         ),
-        "custody": len(node.custodian.kept.all),
-        "batches": len(node.custodian.telling.batches),
-        "alarms": len(node.streams.out.alarms.at) + len(node.custodian.out.alarms.at),
+        "custody": len(node.custodian.store.records),
+        "batches": len(node.custodian.reporter.batches),
+        "alarms": len(node.streams.actions.timers.at) + len(node.custodian.actions.timers.at),
         "records": len(node.records) if not node.net.more.get("disk") else 0,
     }
     if any(left.values()):
--- a/tests/relay/test_relay_cases.py
+++ b/tests/relay/test_relay_cases.py
@@ -63,7 +63,7 @@
     assert len(killed) == 1
     gone_for_good = back is None and effect is DeliveryIdempotency.NON_IDEMPOTENT
     assert judge(net, arrive=not gone_for_good) == []
-    told = [end.delivered for ends in net.ends.values() for _, end in ends]
+    told = [end.is_delivered for ends in net.ends.values() for _, end in ends]
     doubles = sum(len(calls) > 1 for calls in net.calls.values())
     if effect is DeliveryIdempotency.NON_IDEMPOTENT:
         assert doubles == 0 and (not gone_for_good or not all(told))
@@ -79,7 +79,7 @@
         net.at(at, net.node("a").kill, 30 * MS)
     net.run(40 * S)
     assert judge(net) == [] and len(net.pubs) > 40 and net.node("a").lives > 2
-    assert all(ends[0][1].delivered for ends in net.ends.values())
+    assert all(ends[0][1].is_delivered for ends in net.ends.values())
 
 
 def test_a_link_that_flaps():
@@ -90,7 +90,7 @@
     net.run(50 * S)
     assert judge(net) == []
     assert net.frames["Entry"] > 220  # some went again
-    assert all(ends[0][1].delivered for ends in net.ends.values())
+    assert all(ends[0][1].is_delivered for ends in net.ends.values())
 
 
 def test_no_credit_stops_a_stream_and_new_credit_lets_it_go_on():
@@ -105,7 +105,7 @@
     for name in "st":
         net.node(name).handle(Credit(4, 10**6))
     net.run(6 * S)
-    assert net.frames["Entry"] == 50 and net.frames["SiteEnded"] == 50
+    assert net.frames["Entry"] == 50 and net.frames["SiteCompleted"] == 50
     net.run(40 * S)
     assert judge(net) == []
 
@@ -188,7 +188,7 @@
                 net.at(S + n * 3 * MS, net.node("a").publish, f"p{n}", effect, 20 * S, -1, ("", "o")[n % 2])
             net.run(40 * S)
             assert judge(net) == [], (name, first)
-            assert all(ends[0][1].delivered for ends in net.ends.values()), (name, first)
+            assert all(ends[0][1].is_delivered for ends in net.ends.values()), (name, first)
             runs += 1
             if net.node(name).writes < first:
                 break
@@ -260,8 +260,8 @@
             assert len(calls) == 1
             by_site.setdefault(name, {})[dest] = calls[0][1].site
         for name, publication in net.pubs.items():
-            assert by_site[name] == net.owners[publication.table]
-        assert net.wrong == [] and all(len(e) == 1 and e[0][1].delivered for e in net.ends.values())
+            assert by_site[name] == net.owners[publication.table_number]
+        assert net.wrong == [] and all(len(e) == 1 and e[0][1].is_delivered for e in net.ends.values())
 
 
 def test_time_left_travels_as_it_was_said():
@@ -323,7 +323,11 @@
     del relay.journal[lost]  # the journal's folder lost a message
     net.run(10 * S)
     end = net.ends["macon/a:p1"][0][1]
-    assert not end.delivered and "12 unknown" in end.what and "lost with a process of savannah" in end.what
+    assert (
+        not end.is_delivered
+        and "12 unknown" in end.failures
+        and "lost with a process of savannah" in end.failures
+    )
 
 
 @pytest.mark.parametrize("name", ("sent", "custody"))
@@ -405,7 +409,7 @@
             f"p{n}", a.id, "season", -1, "notice", effect, "acme", "", "", b"", net.now + 20 * S, 1
         )
         net.pubs[publication.name] = publication
-        here = replace(publication, until_us=a.clock() + 20 * S)
+        here = replace(publication, deadline_us=a.clock() + 20 * S)
         a.handle(Published(here, ("savannah",), (("savannah", other),)))
     net.run(10 * S)
     went = {name: {call[1] for call in calls} for (name, _), calls in net.calls.items()}
--- a/tests/relay/test_relay_disk.py
+++ b/tests/relay/test_relay_disk.py
@@ -63,7 +63,7 @@
 
 def test_a_record_that_is_let_go_of_settles_what_has_ended_of_it():
     relay = custodian()
-    relay.handle(0, entry(effect=DeliveryIdempotency.IDEMPOTENT))
+    relay.handle(0, entry(idempotency=DeliveryIdempotency.IDEMPOTENT))
     relay.handle(0, CustodyAccepted(MESSAGE.name, (7,)))
     now, ended = 2 * S + CustodySettings().grace_us, DeliveryCompleted(MESSAGE.name, 7, Result.REFUSED)
     assert not any(isinstance(a, OutcomesPersisted) for a in relay.handle(now - 1, ended))
--- a/tests/relay/test_relay_planted.py
+++ b/tests/relay/test_relay_planted.py
@@ -23,7 +23,7 @@
         true(self, publication, dests, copy)
         member, stream, seq = copy
         if self.inbound[member].settle(stream, seq):
-            self.out.bound.append(self._ack(self.inbound[member]))
+            self.actions.ordered.append(self._ack(self.inbound[member]))
 
     patch.setattr(Custodian, "_begin_custody", hasty)
 
@@ -37,9 +37,11 @@
     true = StreamSender._send
 
     def careless(self, site, leg, stream):
-        before = len(self.out.bound)
+        before = len(self.actions.ordered)
         sent = true(self, site, leg, stream)
-        self.out.bound[before:] = [a for a in self.out.bound[before:] if isinstance(a, SendMessage)]
+        self.actions.ordered[before:] = [
+            a for a in self.actions.ordered[before:] if isinstance(a, SendMessage)
+        ]
         return sent
 
     patch.setattr(StreamSender, "_send", careless)
@@ -47,8 +49,8 @@
 
 def no_record_before_expansion(patch):
     def bare(self, publication, dests, copy):
-        true(self, replace(publication, effect=DeliveryIdempotency.IDEMPOTENT), dests, copy)
-        self.out.bound[-1] = Expand(publication, dests)
+        true(self, replace(publication, idempotency=DeliveryIdempotency.IDEMPOTENT), dests, copy)
+        self.actions.ordered[-1] = Expand(publication, dests)
 
     true = Custodian._begin_custody
     patch.setattr(Custodian, "_begin_custody", bare)
@@ -69,17 +71,19 @@
 
     def lax(self, held):
         true(self, held)
-        if not held.delivered and "again" not in held.what:
-            held.what.append("again")
-            self.held[held.publication.name] = held
-            self._whole(held)
+        if not held.delivered and "again" not in held.failures:
+            held.failures.append("again")
+            self.pending[held.publication.name] = held
+            self._complete_if_done(held)
 
-    patch.setattr(OriginStreams, "_drop", lax)
+    patch.setattr(OriginStreams, "_remove", lax)
 
 
 def first_end_is_the_whole(patch):
     true = OriginStreams._on_report
-    patch.setattr(OriginStreams, "_row", lambda self, member, row: true(self, member, replace(row, left=0)))
+    patch.setattr(
+        OriginStreams, "_on_report", lambda self, member, row: true(self, member, replace(row, pending=0))
+    )
 
 
 def time_not_reduced(patch):
@@ -92,7 +96,7 @@
 
     def forgetful(self, member, entry, said_us):
         if entry.seq % 2:
-            self.kept.all.pop(entry.publication.name, None)
+            self.store.records.pop(entry.publication.name, None)
         true(self, member, entry, said_us)
 
     patch.setattr(Custodian, "_entry", forgetful)
@@ -105,10 +109,10 @@
         names = [name for name, _ in self.batches.get(number, (None, 0, ()))[2]]
         true(self, member, number)
         for name in names:
-            if name in self.kept.all and self.kept.all[name].finished:
-                self.kept.forget(name)
+            if name in self.store.records and self.store.records[name].is_acknowledged:
+                self.store.remove(name)
 
-    patch.setattr(DeliveryReporter, "heard", eager)
+    patch.setattr(DeliveryReporter, "acknowledged", eager)
 
 
 def nothing_sent_again(patch):
@@ -125,19 +129,19 @@
 
 
 def ends_not_sent_again(patch):
-    patch.setattr(DeliveryReporter, "again", lambda self, names: None)
+    patch.setattr(DeliveryReporter, "report_again", lambda self, names: None)
 
 
 def rest_is_delivered(patch):
     """After a start what is lost counts as delivered."""
 
     def hopeful(self, event):
-        record = self.kept.get(event.name)
+        record = self.store.get(event.name)
         for dest in sorted(record.pending - set(event.dests)) if record else ():
-            record.end(dest, Result.DELIVERED)
-            self.telling.change(record)
+            record.complete(dest, Result.DELIVERED)
+            self.reporter.schedule(record)
 
-    patch.setattr(Custodian, "_resting", hopeful)
+    patch.setattr(Custodian, "_on_restored_deliveries", hopeful)
 
 
 def way_not_counted(patch):
@@ -178,7 +182,7 @@
 def test_credit_ignored_is_seen(monkeypatch):
     """What is out is more than the relay said that it can take."""
     assert out_beyond_credit() <= 0
-    monkeypatch.setattr(legs.SendStream, "room", lambda self, leg: True)
+    monkeypatch.setattr(legs.SendStream, "has_credit", lambda self, leg: True)
     assert out_beyond_credit() > 0
 
 
--- a/tests/relay/test_relay_subscriptions.py
+++ b/tests/relay/test_relay_subscriptions.py
@@ -24,7 +24,9 @@
     rumours = [a for a in actions if isinstance(a, Disseminate)]
     for n, rumour in enumerate(rumours):
         for other in others if n not in skip else ():
-            other.handle(0, GossipReceived(GossipEntry(source.own, rumour.key, rumour.version, rumour.body)))
+            other.handle(
+                0, GossipReceived(GossipEntry(source.local_member, rumour.key, rumour.version, rumour.body))
+            )
     return rumours
 
 
--- a/tests/relay/test_relay_values.py
+++ b/tests/relay/test_relay_values.py
@@ -47,8 +47,10 @@
     assert len(bytes.fromhex(delivery_id(PUB, 7))) == 8
     assert delivery_key(PUB, 7) == delivery_key(again, 7) != delivery_key(PUB, 8)
     assert delivery_key(replace(PUB, tenant="b"), 7) != delivery_key(PUB, 7)
-    assert delivery_key(replace(PUB, key=""), 7) != delivery_key(replace(again, key=""), 7)
-    assert delivery_key(replace(PUB, effect=DeliveryIdempotency.IDEMPOTENT), 7) == ""
+    assert delivery_key(replace(PUB, idempotency_key=""), 7) != delivery_key(
+        replace(again, idempotency_key=""), 7
+    )
+    assert delivery_key(replace(PUB, idempotency=DeliveryIdempotency.IDEMPOTENT), 7) == ""
     one = replace(PUB, topic="", dest=7)
     assert (delivery_id(one, 7), delivery_key(one, 7)) == (PUB.id, "k1")
     assert recorded_delivery_id(one.name, 7, True) == PUB.id
@@ -91,7 +93,7 @@
     tables.put(3, {3: "savannah", 4: "savannah"})
     tables.put(4, {3: "savannah", 4: "macon"})
     assert tables.expand(PUB) == (3, 4)
-    assert tables.expand(replace(PUB, table=4)) == (3,)
+    assert tables.expand(replace(PUB, table_number=4)) == (3,)
     assert tables.moved((3, 4), 4) == {4: "macon"}
     sent = forwarded_entry(PUB, 4, MemberId("savannah", "s"), 4)
     assert (sent.id, sent.idempotency_key, sent.dest, sent.topic) == (
@@ -103,7 +105,7 @@
     assert delivery_id(sent, 4) == delivery_id(PUB, 4) and delivery_key(sent, 4) == delivery_key(PUB, 4)
     for number in range(5, 12):
         tables.put(number, {})
-    assert tables.expand(PUB) is None and tables.expand(replace(PUB, table=12)) is None
+    assert tables.expand(PUB) is None and tables.expand(replace(PUB, table_number=12)) is None
     assert len(tables.owners_by_table) == 8
 
 
--- a/tests/relay/test_relay_window.py
+++ b/tests/relay/test_relay_window.py
@@ -43,7 +43,7 @@
     streams.handle(AT + 1, MessageReceived(first.member, Ack(first.message.stream, 1, 9, 1 << 20)))
     for event in (LinkDown(first.member), seen(first.member, State.DEAD)):
         actions += streams.handle(AT + after_us, event)
-    return [(a.member != first.member, a.message.left_us) for a in sent(actions)]
+    return [(a.member != first.member, a.message.remaining_us) for a in sent(actions)]
 
 
 def test_time_left_is_cut_to_the_window_since_the_first_relay_may_have_tried():
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -44,7 +44,7 @@
 
     def early(self, publication, dests, copy):
         begin(self, publication, dests, copy)
-        self._acknowledge(self.kept.all[publication.name])
+        self._acknowledge(self.store.records[publication.name])
 
     patch.setattr(Custodian, "_begin_custody", early)
 
@@ -162,7 +162,7 @@
             tuple(
                 d
                 for d in self.subscribers(publication.topic)
-                if self.kept[max(self.kept)].get(d) == self.site
+                if self.owners_by_table[max(self.owners_by_table)].get(d) == self.site
             )
             if publication.dest < 0
             else (publication.dest,)
@@ -204,12 +204,12 @@
 
 @bug(0, "F7")
 def custody_is_never_let_go_of(patch):
-    patch.setattr(custody_kept.CustodyStore, "until", lambda self, record: None)
+    patch.setattr(custody_kept.CustodyStore, "schedule_expiry", lambda self, record: None)
 
 
 @bug(18, "F5")
 def what_was_not_heard_yet_is_taken_for_no_subscriber(patch):
-    patch.setattr(Subscriptions, "unheard", lambda self, sites: ())
+    patch.setattr(Subscriptions, "unknown_sites", lambda self, sites: ())
 
 
 @bug(6, "F2", "F6")
@@ -233,11 +233,11 @@
         self.credit = event
         now = self._share()
         for stream in self.inbound.values():
-            told = stream.told
+            told = stream.advertised
             if stream.number and (now[0] > 2 * told[0] or now[1] > 2 * told[1] or now[0] < told[0] // 2):
-                self.out.free.append(self._ack(stream))
+                self.actions.independent.append(self._ack(stream))
 
-    patch.setattr(Custodian, "_credit", credit)
+    patch.setattr(Custodian, "_on_credit", credit)
 
 
 @bug(1317, "F3")
