--- a/madderbeam/relay/custody.py
+++ b/madderbeam/relay/custody.py
@@ -228,12 +228,14 @@
         self.store.remove(record.name, record.effect is DeliveryIdempotency.NON_IDEMPOTENT)
         self._reject(record, event.retry_after_us, event.reason)
 
-    def _reject(self, record: CustodyRecord, after_us: int, why: str, keep_out: bool = False) -> None:
+    def _reject(
+        self, record: CustodyRecord, retry_after_us: int, reason: str, try_another_relay: bool = False
+    ) -> None:
         member, number, seq = record.unacknowledged_entry or (record.origin, 0, 0)
         stream = self.inbound.get(member)
         if stream is None or stream.number != number:
             return
-        self.actions.ordered.append(stream.nak(seq, after_us, why, keep_out))
+        self.actions.ordered.append(stream.nak(seq, retry_after_us, reason, try_another_relay))
         if stream.settle(number, seq):
             self.actions.ordered.append(self._ack(stream))
 
@@ -330,7 +332,7 @@
                 unwritten_record,
                 self.settings.retry_us,
                 f"{self.local_member} could not write",
-                keep_out=True,
+                try_another_relay=True,
             )
         for record in self.store.unwritten(self.rejecting_until_us):
             self.reporter.schedule(record)
--- a/madderbeam/relay/door.py
+++ b/madderbeam/relay/door.py
@@ -37,7 +37,7 @@
 
 
 def check_backlog(
-    room: BacklogLimits, use: BacklogUsage, sites: Iterable[SiteBacklog], size: int
+    limits: BacklogLimits, usage: BacklogUsage, sites: Iterable[SiteBacklog], size: int
 ) -> FederationError | None:
     """The error that rejects a publication with a body of `size` bytes for these sites, or None to accept
     it."""
@@ -45,16 +45,16 @@
         return PublicationTooLarge(f"a body of {size} bytes, at most {MAX_BODY_BYTES}")
     for site in sites:
         divisor = UNREACHABLE_DIVISOR if site.unreachable_since_us >= 0 else 1
-        allowed_entries = max(0, room.entries - use.entries) // divisor
-        allowed_bytes = max(0, room.bytes - use.bytes) // divisor
+        allowed_entries = max(0, limits.entries - usage.entries) // divisor
+        allowed_bytes = max(0, limits.bytes - usage.bytes) // divisor
         if len(site.deliveries) < allowed_entries and site.bytes + size <= allowed_bytes:
             continue
         backlog = f"{len(site.deliveries)} publications with {site.bytes} bytes wait for {site.name}"
         if site.unreachable_since_us >= 0:
             return SiteAway(
-                f"{backlog}, which has no member that can be reached", room.unreachable_retry_after_us
+                f"{backlog}, which has no member that can be reached", limits.unreachable_retry_after_us
             )
         return StreamFull(
-            f"{backlog}, at most {allowed_entries} with {allowed_bytes} now", room.retry_after_us
+            f"{backlog}, at most {allowed_entries} with {allowed_bytes} now", limits.retry_after_us
         )
     return None
--- a/madderbeam/relay/legs.py
+++ b/madderbeam/relay/legs.py
@@ -94,57 +94,61 @@
     bytes: int = 0
     unreachable_since_us: int = -1  # since when no member is reachable; -1 while one is
 
-    def add(self, leg: SiteDelivery) -> None:
+    def add(self, delivery: SiteDelivery) -> None:
         """Counts a new delivery."""
-        self.deliveries[leg.publication.name] = leg
-        self.bytes += leg.size
+        self.deliveries[delivery.publication.name] = delivery
+        self.bytes += delivery.size
 
-    def move(self, leg: SiteDelivery, stage: DeliveryStage) -> None:
+    def move(self, delivery: SiteDelivery, stage: DeliveryStage) -> None:
         """Changes the stage of a delivery, and with it queue, order state and backlog; nothing else may."""
-        self._leave(leg)
-        leg.stage = stage
-        order_key = leg.publication.order_key
+        self._leave(delivery)
+        delivery.stage = stage
+        order_key = delivery.publication.order_key
         if stage is DeliveryStage.QUEUED:
-            insort(self.pinned if leg.is_pinned else self.queue, (leg.number, leg), key=lambda item: item[0])
+            insort(
+                self.pinned if delivery.is_pinned else self.queue,
+                (delivery.number, delivery),
+                key=lambda item: item[0],
+            )
         elif order_key and stage in (DeliveryStage.REJECTED, DeliveryStage.IN_FLIGHT):
             self.orders.setdefault(order_key, OrderKeyState()).unsettled += 1
         elif order_key and stage is DeliveryStage.IN_CUSTODY:
             order_state = self.orders.setdefault(order_key, OrderKeyState())
-            order_state.in_custody, order_state.relay = order_state.in_custody + 1, leg.relay
+            order_state.in_custody, order_state.relay = order_state.in_custody + 1, delivery.relay
         elif stage is DeliveryStage.COMPLETED:
-            del self.deliveries[leg.publication.name]
-            self.bytes -= leg.size
+            del self.deliveries[delivery.publication.name]
+            self.bytes -= delivery.size
 
-    def _leave(self, leg: SiteDelivery) -> None:
-        if leg.stage is DeliveryStage.QUEUED:
+    def _leave(self, delivery: SiteDelivery) -> None:
+        if delivery.stage is DeliveryStage.QUEUED:
             for queue in (self.queue, self.pinned):
-                index = bisect_left(queue, leg.number, key=lambda item: item[0])
-                if index < len(queue) and queue[index][1] is leg:
+                index = bisect_left(queue, delivery.number, key=lambda item: item[0])
+                if index < len(queue) and queue[index][1] is delivery:
                     del queue[index]
-        order_state = self.orders.get(leg.publication.order_key)
-        if order_state is not None and leg.stage in (
+        order_state = self.orders.get(delivery.publication.order_key)
+        if order_state is not None and delivery.stage in (
             DeliveryStage.REJECTED,
             DeliveryStage.IN_FLIGHT,
             DeliveryStage.IN_CUSTODY,
         ):
-            if leg.stage is DeliveryStage.IN_CUSTODY:
+            if delivery.stage is DeliveryStage.IN_CUSTODY:
                 order_state.in_custody -= 1
             else:
                 order_state.unsettled -= 1
             if not order_state.unsettled and not order_state.in_custody:
-                del self.orders[leg.publication.order_key]
+                del self.orders[delivery.publication.order_key]
 
-    def order_permits(self, leg: SiteDelivery, relay: MemberId) -> bool:
+    def order_permits(self, delivery: SiteDelivery, relay: MemberId) -> bool:
         """Whether order permits sending it: no earlier one with its key can still be rejected or is at
         another relay."""
-        order_state = self.orders.get(leg.publication.order_key)
+        order_state = self.orders.get(delivery.publication.order_key)
         return order_state is None or (
             not order_state.unsettled and (not order_state.in_custody or order_state.relay == relay)
         )
 
     def at(self, member: MemberId) -> Iterator[SiteDelivery]:
         """The pending deliveries that this member has or may have."""
-        return (leg for leg in list(self.deliveries.values()) if leg.relay == member)
+        return (delivery for delivery in list(self.deliveries.values()) if delivery.relay == member)
 
 
 @dataclass
@@ -164,32 +168,36 @@
     in_flight: dict[int, SiteDelivery] = field(default_factory=dict)
     bytes_in_flight: int = 0
 
-    def has_credit(self, leg: SiteDelivery) -> bool:
+    def has_credit(self, delivery: SiteDelivery) -> bool:
         """Whether the credit covers this entry; with nothing in flight the bytes don't count."""
         return len(self.in_flight) < self.credit_entries and (
-            not self.in_flight or self.bytes_in_flight + leg.size <= self.credit_bytes
+            not self.in_flight or self.bytes_in_flight + delivery.size <= self.credit_bytes
         )
 
-    def push(self, leg: SiteDelivery) -> int:
+    def push(self, delivery: SiteDelivery) -> int:
         """Adds an entry in flight and returns its sequence number."""
         self.seq += 1
-        self.in_flight[self.seq] = leg
-        self.bytes_in_flight += leg.size
-        leg.sent = (self.number, self.seq)
+        self.in_flight[self.seq] = delivery
+        self.bytes_in_flight += delivery.size
+        delivery.sent = (self.number, self.seq)
         return self.seq
 
     def pop(self, seq: int) -> SiteDelivery | None:
         """Removes an entry in flight; returns it unless a later copy was sent elsewhere."""
-        leg = self.in_flight.pop(seq, None)
-        if leg is None:
+        delivery = self.in_flight.pop(seq, None)
+        if delivery is None:
             return None
-        self.bytes_in_flight -= leg.size
-        return leg if leg.stage is DeliveryStage.IN_FLIGHT and leg.sent == (self.number, seq) else None
+        self.bytes_in_flight -= delivery.size
+        return (
+            delivery
+            if delivery.stage is DeliveryStage.IN_FLIGHT and delivery.sent == (self.number, seq)
+            else None
+        )
 
     def acknowledge(self, seq: int) -> list[SiteDelivery]:
         """Removes the entries that a cumulative ack covers and returns them, without those sent elsewhere."""
         numbers = [number for number in self.in_flight if number <= seq]
-        return [leg for number in numbers if (leg := self.pop(number)) is not None]
+        return [delivery for number in numbers if (delivery := self.pop(number)) is not None]
 
     def restart(self, number: int, now_us: int) -> list[SiteDelivery]:
         """Starts a new stream on the same link and returns the entries in flight, to be sent again."""
--- a/madderbeam/relay/origin.py
+++ b/madderbeam/relay/origin.py
@@ -57,7 +57,7 @@
     @property
     def is_completed(self) -> bool:
         """Whether the deliveries to all sites are completed."""
-        return all(leg.stage is DeliveryStage.COMPLETED for leg in self.deliveries.values())
+        return all(delivery.stage is DeliveryStage.COMPLETED for delivery in self.deliveries.values())
 
 
 class OriginStreams:
@@ -111,9 +111,11 @@
                 "open": len(site.deliveries),
                 "bytes": site.bytes,
                 "waiting": len(site.queue) + len(site.pinned),
-                "out": sum(1 for leg in site.deliveries.values() if leg.stage is DeliveryStage.IN_FLIGHT),
+                "out": sum(
+                    1 for delivery in site.deliveries.values() if delivery.stage is DeliveryStage.IN_FLIGHT
+                ),
                 "in_custody": sum(
-                    1 for leg in site.deliveries.values() if leg.stage is DeliveryStage.IN_CUSTODY
+                    1 for delivery in site.deliveries.values() if delivery.stage is DeliveryStage.IN_CUSTODY
                 ),
             }
             for site in self.sender.sites.values()
@@ -151,14 +153,14 @@
     def _leg(self, key: str) -> SiteDelivery | None:
         """The delivery with this record key, if its publication is pending."""
         name, _, site = key.rpartition("|")
-        held = self.pending.get(name)
-        return held.deliveries.get(site) if held else None
+        pending = self.pending.get(name)
+        return pending.deliveries.get(site) if pending else None
 
     def _from_link(self, member: MemberId, message: Any) -> None:
         if isinstance(message, ReportBatch):
             self.actions.independent.append(SendMessage(member, ReportBatchAck(message.number)))
-            for row in message.reports:
-                self._on_report(member, row)
+            for report in message.reports:
+                self._on_report(member, report)
         elif isinstance(message, Ack | Nak):
             self.sender.acknowledged(member, message)
 
@@ -168,9 +170,9 @@
             if kind == "until" and name in self.pending:
                 self._expire(self.pending[name])
             elif kind == "rest":
-                leg = self._leg(name)
-                if leg is not None:
-                    self.sender.retry(leg)
+                delivery = self._leg(name)
+                if delivery is not None:
+                    self.sender.retry(delivery)
             elif kind == "stall":
                 self.sender.stalled(name)
             elif kind == "choose":
@@ -187,110 +189,138 @@
         if len(publication.body) > MAX_BODY_BYTES:
             raise PublicationTooLarge(f"a body of {len(publication.body)} bytes, at most {MAX_BODY_BYTES}")
         self.accepted_count += 1
-        held = self.pending[publication.name] = PendingPublication(publication, {})
+        pending = self.pending[publication.name] = PendingPublication(publication, {})
         pinned_relays = dict(event.pinned_relays)
-        recorded_ends = []
+        recorded_outcomes = []
         for name in dict.fromkeys(event.sites):
-            leg = held.deliveries[name] = SiteDelivery(publication, name, self.accepted_count)
+            delivery = pending.deliveries[name] = SiteDelivery(publication, name, self.accepted_count)
             if name == self.local_member.site:
-                leg.stage = DeliveryStage.LOCAL
+                delivery.stage = DeliveryStage.LOCAL
                 continue
-            recorded = self.sent.pin(leg, pinned_relays.get(name))
-            self.sender.add(leg)
+            recorded = self.sent.pin(delivery, pinned_relays.get(name))
+            self.sender.add(delivery)
             if recorded is not None:
-                recorded_ends.append((leg, recorded))
+                recorded_outcomes.append((delivery, recorded))
             else:
-                self.sender.queue(leg)
+                self.sender.queue(delivery)
         self.actions.timers.set(f"until:{publication.name}", max(self.actions.now, publication.deadline_us))
-        for leg, (delivered, whole, why, rows) in recorded_ends:
+        for delivery, (delivered, is_complete, reason, rows) in recorded_outcomes:
             self._complete_site(
-                leg, delivered, tuple(DeliveryOutcome(d, Result(r)) for d, r in rows), why, bool(whole)
+                delivery,
+                delivered,
+                tuple(DeliveryOutcome(d, Result(r)) for d, r in rows),
+                reason,
+                bool(is_complete),
             )
-        self._complete_if_done(held)
+        self._complete_if_done(pending)
 
     def _withdrawn(self, name: str) -> None:
-        held = self.pending.get(name)
-        if held is None:
+        pending = self.pending.get(name)
+        if pending is None:
             return
-        for leg in held.deliveries.values():
-            if leg.stage is not DeliveryStage.COMPLETED:
-                self._close(leg)
-        self._remove(held)
+        for delivery in pending.deliveries.values():
+            if delivery.stage is not DeliveryStage.COMPLETED:
+                self._close(delivery)
+        self._remove(pending)
 
     def _on_local_site_completed(self, event: LocalSiteCompleted) -> None:
-        held = self.pending.get(event.name)
-        leg = held.deliveries.get(self.local_member.site) if held else None
-        if leg is not None and leg.stage is DeliveryStage.LOCAL:
-            self._complete_site(leg, event.delivered, event.failures, "", not event.failures)
+        pending = self.pending.get(event.name)
+        delivery = pending.deliveries.get(self.local_member.site) if pending else None
+        if delivery is not None and delivery.stage is DeliveryStage.LOCAL:
+            self._complete_site(delivery, event.delivered, event.failures, "", not event.failures)
 
     def _complete_site(
-        self, leg: SiteDelivery, delivered: int, ends: tuple[DeliveryOutcome, ...], why: str, whole: bool
+        self,
+        delivery: SiteDelivery,
+        delivered: int,
+        failures: tuple[DeliveryOutcome, ...],
+        reason: str,
+        is_complete: bool,
     ) -> None:
         """Completes the deliveries to one site and reports it, once."""
-        held = self.pending[leg.publication.name]
-        self.actions.independent.append(SiteCompleted(leg.publication.name, leg.site, delivered, ends, why))
-        if not whole:
-            held.delivered = False
-            missed = ", ".join(f"{end.dest} {end.result.name.lower()}" for end in ends) or "not known which"
-            held.failures.append(f"{leg.site}: {delivered} delivered; not: {missed}{why and '; ' + why}")
-        self._close(leg)
+        pending = self.pending[delivery.publication.name]
+        self.actions.independent.append(
+            SiteCompleted(delivery.publication.name, delivery.site, delivered, failures, reason)
+        )
+        if not is_complete:
+            pending.delivered = False
+            missed = (
+                ", ".join(f"{failure.dest} {failure.result.name.lower()}" for failure in failures)
+                or "not known which"
+            )
+            pending.failures.append(
+                f"{delivery.site}: {delivered} delivered; not: {missed}{reason and '; ' + reason}"
+            )
+        self._close(delivery)
         if (
-            leg.attempts
-            and leg.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT
-            and not held.is_completed
+            delivery.attempts
+            and delivery.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT
+            and not pending.is_completed
         ):
-            self.sent.write(leg, [delivered, int(whole), why, [[e.dest, int(e.result)] for e in ends]])
-        self._complete_if_done(held)
+            self.sent.write(
+                delivery,
+                [
+                    delivered,
+                    int(is_complete),
+                    reason,
+                    [[failure.dest, int(failure.result)] for failure in failures],
+                ],
+            )
+        self._complete_if_done(pending)
 
-    def _close(self, leg: SiteDelivery) -> None:
-        if leg.stage is DeliveryStage.LOCAL:
-            leg.stage = DeliveryStage.COMPLETED
+    def _close(self, delivery: SiteDelivery) -> None:
+        if delivery.stage is DeliveryStage.LOCAL:
+            delivery.stage = DeliveryStage.COMPLETED
         else:
-            self.sender.close(leg)
+            self.sender.close(delivery)
 
-    def _complete_if_done(self, held: PendingPublication) -> None:
-        if self.pending.get(held.publication.name) is not held:
+    def _complete_if_done(self, pending: PendingPublication) -> None:
+        if self.pending.get(pending.publication.name) is not pending:
             return
-        if held.is_completed:
-            what = "; ".join(held.failures)[:MAX_FAILURES_CHARACTERS]
-            self.actions.independent.append(PublicationCompleted(held.publication.name, held.delivered, what))
-            self._remove(held)
-
-    def _remove(self, held: PendingPublication) -> None:
-        self.pending.pop(held.publication.name, None)
-        self.actions.timers.cancel(f"until:{held.publication.name}")
-        for leg in held.deliveries.values():
-            self.sent.schedule_removal(leg)
-
-    def _expire(self, held: PendingPublication) -> None:
-        for leg in list(held.deliveries.values()):
-            if leg.stage is not DeliveryStage.COMPLETED:
+        if pending.is_completed:
+            failures = "; ".join(pending.failures)[:MAX_FAILURES_CHARACTERS]
+            self.actions.independent.append(
+                PublicationCompleted(pending.publication.name, pending.delivered, failures)
+            )
+            self._remove(pending)
+
+    def _remove(self, pending: PendingPublication) -> None:
+        self.pending.pop(pending.publication.name, None)
+        self.actions.timers.cancel(f"until:{pending.publication.name}")
+        for delivery in pending.deliveries.values():
+            self.sent.schedule_removal(delivery)
+
+    def _expire(self, pending: PendingPublication) -> None:
+        for delivery in list(pending.deliveries.values()):
+            if delivery.stage is not DeliveryStage.COMPLETED:
                 missing = (
-                    f"{leg.report.pending} of {leg.report.total} not over" if leg.report else _missing(leg)
+                    f"{delivery.report.pending} of {delivery.report.total} not over"
+                    if delivery.report
+                    else _missing(delivery)
                 )
                 self._complete_site(
-                    leg,
-                    leg.report.delivered if leg.report else 0,
-                    leg.failures(),
+                    delivery,
+                    delivery.report.delivered if delivery.report else 0,
+                    delivery.failures(),
                     f"time is up: {missing}",
                     False,
                 )
 
-    def _on_report(self, member: MemberId, row: DeliveryReport) -> None:
-        held = self.pending.get(row.name)
-        leg = held.deliveries.get(member.site) if held else None
-        if leg is None or leg.stage in (DeliveryStage.COMPLETED, DeliveryStage.LOCAL):
+    def _on_report(self, member: MemberId, report: DeliveryReport) -> None:
+        pending = self.pending.get(report.name)
+        delivery = pending.deliveries.get(member.site) if pending else None
+        if delivery is None or delivery.stage in (DeliveryStage.COMPLETED, DeliveryStage.LOCAL):
             return
-        whole = not row.pending and row.delivered == row.total
-        if leg.relay != member and not whole:
+        is_complete = not report.pending and report.delivered == report.total
+        if delivery.relay != member and not is_complete:
             return  # a later relay has the entry, and its reports count
-        if not row.pending:
-            self._complete_site(leg, row.delivered, row.failures, row.reason, whole)
-        elif leg.report is None or row.pending <= leg.report.pending:
-            leg.report = row
+        if not report.pending:
+            self._complete_site(delivery, report.delivered, report.failures, report.reason, is_complete)
+        elif delivery.report is None or report.pending <= delivery.report.pending:
+            delivery.report = report
 
 
-def _missing(leg: SiteDelivery) -> str:
-    if leg.stage is DeliveryStage.IN_CUSTODY:
-        return f"{leg.relay} has it and tells no ends"
-    return f"sent to {leg.relay}, which does not answer" if leg.attempts else "no relay took it"
+def _missing(delivery: SiteDelivery) -> str:
+    if delivery.stage is DeliveryStage.IN_CUSTODY:
+        return f"{delivery.relay} has it and tells no ends"
+    return f"sent to {delivery.relay}, which does not answer" if delivery.attempts else "no relay took it"
--- a/madderbeam/relay/records.py
+++ b/madderbeam/relay/records.py
@@ -67,11 +67,11 @@
         self.is_written = False
         return True
 
-    def complete_unknown(self, dests: Iterable[int], why: str) -> None:
+    def complete_unknown(self, dests: Iterable[int], reason: str) -> None:
         """Completes these deliveries as UNKNOWN."""
         for dest in sorted(dests):
             self.complete(dest, Result.UNKNOWN)
-            self.why = why
+            self.why = reason
 
     def report(self) -> DeliveryReport:
         """The report to the origin."""
--- a/madderbeam/relay/sending.py
+++ b/madderbeam/relay/sending.py
@@ -47,26 +47,26 @@
         self.number = life.start << 32  # of the last stream
         self.entries = self.bytes = 0  # pending at all sites
 
-    def add(self, leg: SiteDelivery) -> None:
+    def add(self, delivery: SiteDelivery) -> None:
         """Counts a new delivery against the site's backlog; `queue` makes it eligible for sending."""
-        self._site(leg.site).add(leg)
+        self._site(delivery.site).add(delivery)
         self.entries += 1
-        self.bytes += leg.size
+        self.bytes += delivery.size
 
-    def queue(self, leg: SiteDelivery) -> None:
+    def queue(self, delivery: SiteDelivery) -> None:
         """Queues a delivery and sends what may be sent."""
-        site = self.sites[leg.site]
-        site.move(leg, DeliveryStage.QUEUED)
+        site = self.sites[delivery.site]
+        site.move(delivery, DeliveryStage.QUEUED)
         self._pump(site)
 
-    def close(self, leg: SiteDelivery) -> None:
+    def close(self, delivery: SiteDelivery) -> None:
         """Removes a completed delivery."""
-        site = self.sites[leg.site]
-        site.move(leg, DeliveryStage.COMPLETED)
+        site = self.sites[delivery.site]
+        site.move(delivery, DeliveryStage.COMPLETED)
         self.entries -= 1
-        self.bytes -= leg.size
-        self.actions.timers.cancel(f"rest:{leg.key}")
-        if leg.publication.order_key:
+        self.bytes -= delivery.size
+        self.actions.timers.cancel(f"rest:{delivery.key}")
+        if delivery.publication.order_key:
             self._pump(site)
         self._remove_if_unused(site)
 
@@ -74,26 +74,26 @@
 
     def _pump(self, site: SiteBacklog) -> None:
         """Sends what credit, order and hand-over permit now."""
-        for _, leg in list(site.pinned):
-            stream = self.links.get(leg.relay) if leg.relay else None
-            view = self.members.get(leg.relay) if leg.relay else None
+        for _, delivery in list(site.pinned):
+            stream = self.links.get(delivery.relay) if delivery.relay else None
+            view = self.members.get(delivery.relay) if delivery.relay else None
             if (
                 stream
-                and self._may_send(stream, leg)
-                and (view is None or view.incarnation.start >= leg.relay_start)
+                and self._may_send(stream, delivery)
+                and (view is None or view.incarnation.start >= delivery.relay_start)
             ):
-                self._send(site, leg, stream)
+                self._send(site, delivery, stream)
         stream = self.links.get(site.relay) if site.relay else None
         if stream is None or self._handing_over(site):
             return
         index = 0
         while index < len(site.queue) and self._may_send(stream, site.queue[index][1]):
-            leg = site.queue[index][1]
-            if not site.order_permits(leg, stream.member) or not self._send(site, leg, stream):
+            delivery = site.queue[index][1]
+            if not site.order_permits(delivery, stream.member) or not self._send(site, delivery, stream):
                 index += 1
 
-    def _may_send(self, stream: SendStream, leg: SiteDelivery) -> bool:
-        return stream.paused_until_us <= self.actions.now and stream.has_credit(leg)
+    def _may_send(self, stream: SendStream, delivery: SiteDelivery) -> bool:
+        return stream.paused_until_us <= self.actions.now and stream.has_credit(delivery)
 
     def _handing_over(self, site: SiteBacklog) -> bool:
         """Entries in flight to the previous relay are acknowledged first, to keep the order."""
@@ -107,43 +107,46 @@
             site.previous_relay = None
         return site.previous_relay is not None
 
-    def _send(self, site: SiteBacklog, leg: SiteDelivery, stream: SendStream) -> bool:
+    def _send(self, site: SiteBacklog, delivery: SiteDelivery, stream: SendStream) -> bool:
         """Sends one entry. False if its deadline would pass before the outcome could be back."""
-        publication = leg.publication
-        left_us = publication.deadline_us - self.actions.now
+        publication = delivery.publication
+        remaining_us = publication.deadline_us - self.actions.now
         window = self.settings.keyed_window_us
-        if publication.idempotency is DeliveryIdempotency.WITH_KEY and window and leg.first_sent_us:
+        if publication.idempotency is DeliveryIdempotency.WITH_KEY and window and delivery.first_sent_us:
             # Another relay may have attempted it since `first_us`, when the window of its key began.
-            left_us = min(left_us, leg.first_sent_us + window - self.actions.now)
-        if left_us <= stream.rtt_us:
+            remaining_us = min(remaining_us, delivery.first_sent_us + window - self.actions.now)
+        if remaining_us <= stream.rtt_us:
             return False
         view = self.members.get(stream.member)
-        leg.relay, leg.relay_start = stream.member, view.incarnation.start if view else leg.relay_start
-        leg.attempts += 1
-        leg.first_sent_us = leg.first_sent_us or self.actions.now
+        delivery.relay, delivery.relay_start = (
+            stream.member,
+            view.incarnation.start if view else delivery.relay_start,
+        )
+        delivery.attempts += 1
+        delivery.first_sent_us = delivery.first_sent_us or self.actions.now
         if publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT:
-            leg.is_pinned = True
-            self.sent.write(leg)
+            delivery.is_pinned = True
+            self.sent.write(delivery)
         if not stream.in_flight:
             stream.progress_us = self.actions.now
-        site.move(leg, DeliveryStage.IN_FLIGHT)
-        entry = Entry(stream.number, stream.push(leg), replace(publication, deadline_us=0), left_us)
+        site.move(delivery, DeliveryStage.IN_FLIGHT)
+        entry = Entry(stream.number, stream.push(delivery), replace(publication, deadline_us=0), remaining_us)
         self.actions.ordered.append(SendMessage(stream.member, entry))
         self.actions.timers.set_earlier(
             f"stall:{stream.member}", stream.progress_us + stream.stall_us + stream.rtt_us
         )
         return True
 
-    def _requeue(self, leg: SiteDelivery) -> None:
-        if leg.stage in (DeliveryStage.QUEUED, DeliveryStage.IN_FLIGHT, DeliveryStage.IN_CUSTODY):
-            self.sites[leg.site].move(leg, DeliveryStage.QUEUED)
+    def _requeue(self, delivery: SiteDelivery) -> None:
+        if delivery.stage in (DeliveryStage.QUEUED, DeliveryStage.IN_FLIGHT, DeliveryStage.IN_CUSTODY):
+            self.sites[delivery.site].move(delivery, DeliveryStage.QUEUED)
 
-    def _may_move(self, leg: SiteDelivery) -> bool:
+    def _may_move(self, delivery: SiteDelivery) -> bool:
         """Whether another relay may get it: a second delivery would do no harm."""
         window = self.settings.keyed_window_us
-        if leg.publication.idempotency is DeliveryIdempotency.WITH_KEY and window:
-            return self.actions.now - leg.first_sent_us <= window
-        return leg.publication.idempotency is not DeliveryIdempotency.NON_IDEMPOTENT
+        if delivery.publication.idempotency is DeliveryIdempotency.WITH_KEY and window:
+            return self.actions.now - delivery.first_sent_us <= window
+        return delivery.publication.idempotency is not DeliveryIdempotency.NON_IDEMPOTENT
 
     # Acknowledgements
 
@@ -154,8 +157,8 @@
             return
         stream.progress_us, stream.stall_us = self.actions.now, self.settings.stall_us
         if isinstance(message, Ack):
-            for leg in stream.acknowledge(message.seq):
-                self.sites[leg.site].move(leg, DeliveryStage.IN_CUSTODY)
+            for delivery in stream.acknowledge(message.seq):
+                self.sites[delivery.site].move(delivery, DeliveryStage.IN_CUSTODY)
             stream.credit_entries, stream.credit_bytes = message.credit_entries, message.credit_bytes
         else:
             self._rejected(stream, message)
@@ -172,19 +175,19 @@
             self.actions.timers.cancel(f"stall:{stream.member}")
 
     def _rejected(self, stream: SendStream, nak: Nak) -> None:
-        leg = stream.pop(nak.seq)
-        if leg is None:
+        delivery = stream.pop(nak.seq)
+        if delivery is None:
             return
-        site = self.sites[leg.site]
-        leg.is_pinned = False
+        site = self.sites[delivery.site]
+        delivery.is_pinned = False
         if nak.try_another_relay:
             site.excluded[stream.member] = self.actions.now + nak.retry_after_us
             self.actions.timers.set_earlier(f"choose:{site.name}", self.actions.now + nak.retry_after_us)
-            site.move(leg, DeliveryStage.QUEUED)
+            site.move(delivery, DeliveryStage.QUEUED)
             self._choose(site)
         else:
-            site.move(leg, DeliveryStage.REJECTED)
-            self.actions.timers.set(f"rest:{leg.key}", self.actions.now + nak.retry_after_us)
+            site.move(delivery, DeliveryStage.REJECTED)
+            self.actions.timers.set(f"rest:{delivery.key}", self.actions.now + nak.retry_after_us)
 
     # Members and links
 
@@ -212,10 +215,10 @@
             self.members.pop(view.id, None)
             self.link_lost_us.pop(view.id, None)
             site.excluded.pop(view.id, None)
-            for leg in site.at(view.id):
-                if self._may_move(leg):
-                    leg.is_pinned, leg.relay, leg.report = False, None, None
-                    self._requeue(leg)
+            for delivery in site.at(view.id):
+                if self._may_move(delivery):
+                    delivery.is_pinned, delivery.relay, delivery.report = False, None, None
+                    self._requeue(delivery)
         self._choose(site)
         self._remove_if_unused(site)
 
@@ -278,18 +281,18 @@
         if stream is None:
             return
         self.actions.timers.cancel(f"stall:{member}")
-        for leg in stream.restart(0, self.actions.now):
-            self._requeue_out(leg)
+        for delivery in stream.restart(0, self.actions.now):
+            self._requeue_out(delivery)
         if member in self.members:
             self.link_lost_us[member] = self.actions.now
             self.actions.timers.set_earlier(
                 f"choose:{member.site}", self.actions.now + self.settings.link_wait_us
             )
 
-    def _requeue_out(self, leg: SiteDelivery) -> None:
-        if not self._may_move(leg):
-            leg.is_pinned = leg.attempts > 0
-        self._requeue(leg)
+    def _requeue_out(self, delivery: SiteDelivery) -> None:
+        if not self._may_move(delivery):
+            delivery.is_pinned = delivery.attempts > 0
+        self._requeue(delivery)
 
     # Timers
 
@@ -298,10 +301,10 @@
         if name in self.sites:
             self._choose(self.sites[name])
 
-    def retry(self, leg: SiteDelivery) -> None:
+    def retry(self, delivery: SiteDelivery) -> None:
         """The Retry-After of a rejected delivery has passed."""
-        if leg.stage is DeliveryStage.REJECTED:
-            self.queue(leg)
+        if delivery.stage is DeliveryStage.REJECTED:
+            self.queue(delivery)
 
     def stalled(self, name: str) -> None:
         """No ack within the stall timeout: the stream restarts, and all entries in flight are sent again."""
@@ -311,16 +314,16 @@
         if stream.in_flight:
             self.number += 1
             stream.stall_us = min(2 * stream.stall_us, self.settings.max_stall_us)
-            for leg in stream.restart(self.number, self.actions.now):
-                self._requeue_out(leg)
+            for delivery in stream.restart(self.number, self.actions.now):
+                self._requeue_out(delivery)
         if stream.member.site in self.sites:
             self._pump(self.sites[stream.member.site])
 
-    def unwritten(self, leg: SiteDelivery | None) -> None:
+    def unwritten(self, delivery: SiteDelivery | None) -> None:
         """A record was not written, and the actions after it are lost, whatever stream they were for: all
-        streams restart after `retry_us`. `leg` is the delivery of that record."""
-        if leg is not None and leg.stage is DeliveryStage.IN_FLIGHT:
-            leg.attempts -= 1
+        streams restart after `retry_us`. `delivery` is the delivery of that record."""
+        if delivery is not None and delivery.stage is DeliveryStage.IN_FLIGHT:
+            delivery.attempts -= 1
         for stream in self.links.values():
             stream.paused_until_us = self.actions.now + self.settings.retry_us
             self.actions.timers.set(f"stall:{stream.member}", stream.paused_until_us)
--- a/madderbeam/relay/sent.py
+++ b/madderbeam/relay/sent.py
@@ -46,36 +46,36 @@
             remaining_us = max(0, value[3] - self.wall_ms(self.actions.now)) * 1000
             self.actions.timers.set(f"unsent:{key}", self.actions.now + remaining_us + self.retention_us)
 
-    def pin(self, leg: SiteDelivery, relay: MemberId | None) -> Row | None:
+    def pin(self, delivery: SiteDelivery, relay: MemberId | None) -> Row | None:
         """After a restart, pins a delivery to the relay that may have it; returns its outcome if one was
         recorded."""
-        recorded = self.found.pop(leg.key, None)
+        recorded = self.found.pop(delivery.key, None)
         if recorded is not None:
-            leg.relay, leg.relay_start, leg.is_pinned, leg.attempts = (
+            delivery.relay, delivery.relay_start, delivery.is_pinned, delivery.attempts = (
                 MemberId(recorded[0], recorded[1]),
                 recorded[2],
                 True,
                 1,
             )
-            self.actions.timers.cancel(f"unsent:{leg.key}")
+            self.actions.timers.cancel(f"unsent:{delivery.key}")
             end: Row | None = recorded[4]
             return end
-        if relay is not None and leg.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT:
-            leg.relay, leg.is_pinned, leg.attempts = relay, True, 1
+        if relay is not None and delivery.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT:
+            delivery.relay, delivery.is_pinned, delivery.attempts = relay, True, 1
         return None
 
-    def write(self, leg: SiteDelivery, end: Row | None = None) -> None:
+    def write(self, delivery: SiteDelivery, end: Row | None = None) -> None:
         """Records the relay of a non-idempotent entry before it is sent, or its outcome while other sites
         are pending."""
-        if leg.relay is not None:
-            until_ms = self.wall_ms(leg.publication.deadline_us)
-            value = [leg.relay.site, leg.relay.name, leg.relay_start, until_ms, end]
-            self.actions.ordered.append(Persist(SENT, leg.key, value))
+        if delivery.relay is not None:
+            until_ms = self.wall_ms(delivery.publication.deadline_us)
+            value = [delivery.relay.site, delivery.relay.name, delivery.relay_start, until_ms, end]
+            self.actions.ordered.append(Persist(SENT, delivery.key, value))
 
-    def schedule_removal(self, leg: SiteDelivery) -> None:
+    def schedule_removal(self, delivery: SiteDelivery) -> None:
         """Schedules the removal of the record, as the publication is completed."""
-        if leg.attempts and leg.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT:
-            self.actions.timers.set(f"unsent:{leg.key}", self.actions.now + self.retention_us)
+        if delivery.attempts and delivery.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT:
+            self.actions.timers.set(f"unsent:{delivery.key}", self.actions.now + self.retention_us)
 
     def remove(self, key: str) -> None:
         """Removes a record."""
--- a/tests/relay/relaynet.py
+++ b/tests/relay/relaynet.py
@@ -1,4 +1,4 @@
-"""A virtual network of couriers that have nothing but the relay's machines, a disk and a journal."""
+"""A virtual network of couriers that consist of the relay's state machines, a disk and a journal."""
 
 import heapq
 import random
@@ -47,22 +47,22 @@
 
 MS, S = 1_000, 1_000_000
 EPOCH_MS = 10**9
-DETECTED = 800 * MS  # from a death to all knowing it
+DETECTED = 800 * MS  # from a process's end until all members know of it
 
 
 class Killed(Exception):
-    """The process ended amid what it did."""
+    """The process was killed in the middle of an event."""
 
 
 class Net:
-    """Time, links and partners; `wrong` gathers what must not be."""
+    """Virtual time, links and partners; `wrong` collects violations of the invariants."""
 
     def __init__(self, seed, sites, subscribers, delay=5 * MS, **more):
         self.now, self.order, self.queue = 0, 0, []
         self.rng = random.Random(seed)
         self.delay, self.more = delay, more
         self.wrong, self.calls, self.frames = [], defaultdict(list), Counter()
-        self.pubs = {}  # name -> publication, by true time
+        self.pubs = {}  # name -> publication, its deadline by virtual time
         self.ends = defaultdict(list)  # name -> [(time, end)]
         self.refused = 0
         self.owners = {1: {d: site for site, dests in subscribers.items() for d in dests}}
@@ -87,7 +87,7 @@
             owner = getattr(action, "__self__", None)
             lasting = action.__name__ in ("kill", "start", "pause")
             if isinstance(owner, Node) and owner.paused_us > self.now and not lasting:
-                self.at(owner.paused_us - self.now, action, *args)  # it comes when the process goes on
+                self.at(owner.paused_us - self.now, action, *args)  # handled when the process resumes
             else:
                 action(*args)
         self.now = until
@@ -101,7 +101,7 @@
     # Links
 
     def join(self, a, b):
-        """Both are up and may see each other: a link."""
+        """Connects two members if both are up and not partitioned."""
         pair = frozenset((a.id, b.id))
         if not (a.up and b.up) or pair in self.cut or pair in self.links:
             return
@@ -132,7 +132,7 @@
             return
         self.frames[type(message).__name__] += 1
         row = msgpack.packb(to_row(message))
-        # As the mesh bounds it: the answer to a ping was under way for as long as any frame.
+        # The mesh bounds it so: the reply to a ping was in transit for as long as any frame.
         said = self.now - self.delay
         self.at(self.delay, self.arrive, self.links[pair], sender.id, member, row, said)
 
@@ -141,26 +141,26 @@
             self.at(0, self.nodes[member].received, source, from_row(msgpack.unpackb(row)), epoch, said)
 
     def tell(self, node, state, false=False):
-        """Membership has seen it, or is wrong."""
+        """Membership reports the member's state to all others; `false`: although it is wrong."""
         for other in self.nodes.values():
             if other is not node and other.up and (false or node.up == (state is not State.DEAD)):
                 other.handle(MemberChanged(replace(node.view(), state=state)))
 
 
 class Node:
-    """A courier: `records`, `journal` and `pubs` are on its disk, the rest is lost with the process."""
+    """A courier: `records`, `journal` and `pubs` are on its disk, all else is lost with the process."""
 
     def __init__(self, net, ident):
         self.net, self.id, self.up, self.lives = net, ident, False, 0
         self.records, self.journal, self.index, self.pubs = {}, {}, {}, {}
         self.draining, self.fuse, self.bad_disk, self.writes = False, None, 0, 0
-        self.paused_us = 0  # the process stands still until then
-        self.own_part = False  # its publications go to its own site as well
-        self.unwritable = frozenset()  # these writes fail, by their number
+        self.paused_us = 0  # the process is stopped until then
+        self.own_part = False  # its publications go to the local site as well
+        self.unwritable = frozenset()  # numbers of the writes that fail
         self.credit = Credit(1000, 10**8)
         self.turns_away = 0.0
-        self.speed = net.more.get("speed", 40 * MS)  # a call takes so long at most
-        self.fares = 1 if net.more.get("well") else 0.9  # so many calls deliver
+        self.speed = net.more.get("speed", 40 * MS)  # the longest duration of a call
+        self.fares = 1 if net.more.get("well") else 0.9  # fraction of the calls that succeed
 
     def view(self):
         return MemberView(self.id, Incarnation(self.lives, 0), 0, State.ALIVE, ("", 0), 0, self.draining)
@@ -207,7 +207,7 @@
                 net.at(20 * MS, net.join, self, other)
 
     def kill(self, back=None):
-        """The process ends; it comes back after so long with its folder."""
+        """Kills the process; with `back` it restarts after that time with its disk."""
         if not self.up:
             return
         self.up = False
@@ -218,7 +218,7 @@
             self.net.at(back, self.start)
 
     def handle(self, event):
-        """Hands an event to both machines and carries out what they want, in order."""
+        """Passes an event to both machines and performs their actions, in order."""
         if not self.up:
             return
         if self.paused_us > self.net.now:
@@ -256,7 +256,7 @@
     def do(self, machine, action):
         net = self.net
         if isinstance(action, SetTimer):
-            self.timers[action.token] = action.at_us  # a later one replaces it
+            self.timers[action.token] = action.at_us  # a later time replaces it
             net.at(action.at_us - self.clock(), self.due, machine, self.lives, action.token, action.at_us)
         elif isinstance(action, SendMessage):
             self.check_ack(action)
@@ -294,7 +294,7 @@
         self.handle(MessageReceived(source, message, said + self.offset))
 
     def check_ack(self, action):
-        """A word is given only of what is on disk."""
+        """Fails the run if an ack covers what is not on disk."""
         message = action.message
         if isinstance(message, Nak):
             self.inbox.pop((action.member, message.stream, message.seq), None)
@@ -312,7 +312,8 @@
                 self.net.fail(f"{self.id} acked {name}, which is not in its journal")
 
     def check_word(self, member, message):
-        """Where an unsafe entry goes, and what is told of ends, is on disk before."""
+        """Fails the run if a non-idempotent entry or reported outcomes are sent before their record is on
+        disk."""
         if (
             isinstance(message, Entry)
             and message.publication.idempotency is DeliveryIdempotency.NON_IDEMPOTENT
@@ -365,7 +366,7 @@
         self.handle(CustodyAccepted(publication.name, action.dests))
 
     def again(self, ident, entry):
-        """After a start: an unsafe one that was tried may have run."""
+        """After a start: a non-idempotent delivery that was attempted was possibly executed."""
         if entry["result"] is not None or (
             entry["tried"] and entry["effect"] is DeliveryIdempotency.NON_IDEMPOTENT
         ):
@@ -402,7 +403,7 @@
         body=b"x" * 100,
         key="",
     ):
-        """Takes a publication on, or is refused at the door."""
+        """Publishes; returns the publication's name, or None if it is rejected."""
         if not self.up:
             return None
         net, table = self.net, max(self.net.owners)
@@ -429,7 +430,7 @@
         self.handle(PublicationWithdrawn(name))
 
     def pause(self, span):
-        """As SIGSTOP and SIGCONT: others take it for dead, its links stay."""
+        """As SIGSTOP and SIGCONT: the others declare it dead, its links stay."""
         if self.paused_us > self.net.now:
             return
         self.paused_us = self.net.now + span
@@ -444,7 +445,7 @@
 
 
 def judge(net, arrive=True):
-    """What must hold at the end: the list of what does not."""
+    """Checks the invariants at the end and returns the list of violations."""
     for name, publication in net.pubs.items():
         remote = [d for s, dests in net.subscribers.items() if s != publication.origin.site for d in dests]
         dests = [publication.dest] if publication.dest >= 0 else remote
@@ -477,7 +478,7 @@
 
 
 def empty(net, node):
-    """Nothing is left of what is over."""
+    """Fails the run if state of completed publications is left."""
     sending = node.streams.sender
     left = {
         "publications": len(node.streams.pending),
--- a/tests/relay/test_relay_cases.py
+++ b/tests/relay/test_relay_cases.py
@@ -1,4 +1,4 @@
-"""Hard cases by name, each on the virtual network of the relay's machines."""
+"""Single failure scenarios, each on the virtual network of the relay's state machines."""
 
 from dataclasses import replace
 
@@ -27,7 +27,7 @@
 
 
 def at_first_taken(net, action):
-    """Does something to the relay between its journal and its ack, once."""
+    """Runs `action` on the relay once, between its journal write and its ack."""
     true, done = Node.handle, []
 
     def handle(self, event):
@@ -71,7 +71,7 @@
         assert all(told) and len(told) >= 1
 
 
-def test_an_origin_that_is_killed_tells_one_end_for_each():
+def test_a_killed_origin_reports_one_outcome_for_each_publication():
     net = Net(5, PAIR, THEIRS, well=True)
     for n in range(60):
         net.at(S + n * 5 * MS, net.node("a").publish, f"p{n}", EFFECTS[n % 3])
@@ -82,18 +82,18 @@
     assert all(ends[0][1].is_delivered for ends in net.ends.values())
 
 
-def test_a_link_that_flaps():
+def test_a_flapping_link_loses_nothing():
     net = Net(6, PAIR, THEIRS, well=True)
     for n in range(200):
         net.at(S + n * 10 * MS, net.node("a").publish, f"p{n}", EFFECTS[n % 3])
         net.at(S + n * 10 * MS, net.flap, net.node("a"), net.node("st"[n % 2]), 15 * MS)
     net.run(50 * S)
     assert judge(net) == []
-    assert net.frames["Entry"] > 220  # some went again
+    assert net.frames["Entry"] > 220  # some were sent again
     assert all(ends[0][1].is_delivered for ends in net.ends.values())
 
 
-def test_no_credit_stops_a_stream_and_new_credit_lets_it_go_on():
+def test_a_stream_stops_without_credit_and_resumes_with_new_credit():
     net = Net(7, PAIR, THEIRS, well=True)
     for name in "st":
         net.node(name).credit = Credit(0, 0)
@@ -101,7 +101,7 @@
     for n in range(50):
         net.at(S + n * MS, net.node("a").publish, f"p{n}")
     net.run(5 * S)
-    assert net.frames["Entry"] == 8  # what may go before any credit is told
+    assert net.frames["Entry"] == 8  # sent before any credit is advertised
     for name in "st":
         net.node(name).handle(Credit(4, 10**6))
     net.run(6 * S)
@@ -113,7 +113,7 @@
 ROOM = StreamSettings(limits=BacklogLimits(entries=120, bytes=10**6))
 
 
-def test_a_dead_site_holds_up_no_other_and_the_door_says_so():
+def test_a_dead_site_delays_no_other_and_its_publications_are_rejected():
     net = Net(8, SITES, {**SUBSCRIBERS, "macon": ()}, streams=ROOM)
     a = net.node("a")
     for name in "xy":
@@ -131,9 +131,9 @@
         == 2_000_000
     )
     assert a.streams.retry_after_us(["savannah"], 100) is None
-    assert a.streams.metrics["athens"]["open"] <= 24  # a fifth of the room
+    assert a.streams.metrics["athens"]["open"] <= 24  # a fifth of the capacity
     reached = sum(1 for (_, dest) in net.calls if dest == 11)
-    assert reached == 2000  # none of the other site's was refused or late
+    assert reached == 2000  # none for the other site was rejected or late
     assert a.streams.sender.entries == a.streams.metrics["athens"]["open"]
     with pytest.raises(PublicationTooLarge):
         a.streams.retry_after_us(["savannah"], 65_537)
@@ -141,7 +141,7 @@
     assert judge(net, arrive=False) == []
 
 
-def test_a_slow_site_is_refused_at_the_door_before_it_fills_the_holder():
+def test_publications_for_a_slow_site_are_rejected_before_they_fill_the_origin():
     net = Net(9, SITES, {**SUBSCRIBERS, "macon": ()}, streams=ROOM)
     a = net.node("a")
     for name in "xy":
@@ -156,7 +156,7 @@
     assert judge(net, arrive=False) == []
 
 
-def test_a_site_away_for_an_hour_with_a_flood_leaves_nothing():
+def test_a_flood_for_a_site_unreachable_for_an_hour_leaves_no_state():
     net = Net(10, PAIR, THEIRS, streams=ROOM)
     a = net.node("a")
     for name in "st":
@@ -177,8 +177,8 @@
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
-def test_each_write_fails_in_turn_and_no_word_is_given_without_it(effect):
-    """`check_ack` and `check_word` look at every frame; here each write of each courier fails once."""
+def test_nothing_is_acknowledged_without_its_record_whichever_write_fails(effect):
+    """Each write of each courier fails once; `check_ack` and `check_word` look at every frame."""
     runs = 0
     for name in ("a", "s", "t"):
         for first in range(1, 60):
@@ -205,7 +205,7 @@
     net.nodes[first].drain()
     net.run(50 * S)
     assert judge(net) == []
-    # a subscriber's calls under one order: those at the second relay all come after those at the first
+    # one subscriber's calls with one order key: all at the second relay come after all at the first
     by = [(calls[0][0], calls[0][1], name) for (name, dest), calls in net.calls.items() if dest == 11]
     assert {member for _, member, _ in by} == set(net.nodes) - {a.id}
     last = max(at for at, member, _ in by if member == first)
@@ -214,7 +214,7 @@
     assert all(len(calls) == 1 for calls in net.calls.values())
 
 
-def test_unsafe_entries_turned_away_go_to_the_next_relay_and_others_wait_for_theirs():
+def test_rejected_non_idempotent_entries_go_to_the_next_relay():
     net = Net(13, PAIR, THEIRS, well=True)
     a = net.node("a")
     net.run(S)
@@ -229,8 +229,8 @@
     assert {calls[0][1] for calls in net.calls.values()} == set(net.nodes) - {a.id, relay.id}
 
 
-def test_tables_that_change_between_grouping_and_expansion_reach_each_subscriber_by_one_site():
-    """12 and 21 change hands while entries are on their way; both sites know both subscribers."""
+def test_each_subscriber_is_reached_by_one_site_if_tables_change_before_expansion():
+    """The owners of 12 and 21 change while entries are in transit; both sites know both subscribers."""
     every = (11, 12, 21, 22)
     for seed in range(8):
         net = Net(seed, SITES, {"macon": (), "savannah": every, "athens": every}, well=True)
@@ -240,7 +240,7 @@
         def switch(number, owners, net=net):
             net.owners[number] = owners
             nodes = list(net.nodes.values())
-            for node in nodes:  # each member learns of it at another time
+            for node in nodes:  # members learn of it at different times
                 net.at(net.rng.randrange(100 * MS), node.tables.put, number, owners)
 
         tables = (owned, {**owned, 12: "athens"}, {**owned, 12: "athens", 21: "savannah"}, owned)
@@ -264,7 +264,7 @@
         assert net.wrong == [] and all(len(e) == 1 and e[0][1].is_delivered for e in net.ends.values())
 
 
-def test_time_left_travels_as_it_was_said():
+def test_remaining_time_is_sent_in_place_of_the_deadline():
     net = Net(14, PAIR, THEIRS, delay=30 * MS)
     sent = []
     true = net.send
@@ -277,7 +277,7 @@
     assert entries[0].publication.deadline_us == 0
 
 
-def test_a_keyed_entry_moves_inside_its_window_only():
+def test_an_entry_with_key_moves_only_within_its_window():
     for window, moves in ((10 * S, True), (S // 2, False)):
         net = Net(15, PAIR, THEIRS, speed=30 * S, streams=StreamSettings(keyed_window_us=window))
         a = net.node("a")
@@ -291,7 +291,7 @@
         assert ("macon/a:p1" in second.custodian.store.records) is moves
 
 
-def test_a_relay_with_an_older_folder_gets_no_unsafe_entry_again():
+def test_a_relay_restored_from_an_older_copy_gets_no_non_idempotent_entry_again():
     net = Net(16, {"macon": ("a",), "savannah": ("s",)}, THEIRS)
     a, relay = net.node("a"), net.node("s")
     relay.lives = 4
@@ -299,7 +299,7 @@
     net.run(S)
     a.publish("p1", DeliveryIdempotency.NON_IDEMPOTENT)
     net.run(1_002 * MS)
-    relay.kill()  # the entry is lost on its way
+    relay.kill()  # the entry is lost in transit
     assert a.records["sent", "macon/a:p1|savannah"][:3] == ["savannah", "s", 5]
     for lives, calls in ((3, 0), (5, 2)):
         net.run(net.now + 3 * S)
@@ -310,7 +310,7 @@
         relay.kill()
 
 
-def test_a_restart_of_the_whole_site_tells_what_was_lost():
+def test_a_restart_of_the_whole_site_reports_lost_deliveries():
     net = Net(17, PAIR, THEIRS, speed=2 * S, well=True)
     a = net.node("a")
     net.run(S)
@@ -331,7 +331,7 @@
 
 
 @pytest.mark.parametrize("name", ("sent", "custody"))
-def test_records_of_what_is_over_are_let_go_of_after_a_restart(name):
+def test_expired_records_are_removed_after_a_restart(name):
     net = Net(18, PAIR, THEIRS)
     net.run(S)
     node = net.node("s")
@@ -355,7 +355,7 @@
     assert node.lives == 2 and not [key for key in node.records if key[0] == name]
 
 
-def test_the_own_site_is_one_part_and_what_is_withdrawn_leaves_nothing():
+def test_the_local_site_counts_as_one_site_and_withdrawn_publications_leave_no_state():
     net = Net(19, PAIR, THEIRS, speed=300 * MS, well=True)
     a = net.node("a")
     net.run(S)
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
-def test_a_relay_that_was_paused_keeps_apart_what_the_next_one_took(effect):
+def test_a_paused_relay_does_not_execute_what_the_next_one_accepted(effect):
     net = Net(20, PAIR, THEIRS, well=True, pauses=True)
     a = net.node("a")
     net.run(S)
@@ -393,12 +393,12 @@
     net.run(40 * S)
     assert judge(net, arrive=effect is not DeliveryIdempotency.NON_IDEMPOTENT) == []
     late = [c for calls in net.calls.values() for c in calls if c[1] == relay.id and c[0] > 12 * S]
-    assert not late  # what lay in its socket was out of time, and it knew
+    assert not late  # entries left in its socket buffer had expired, and it rejected them
     by_next = [c for calls in net.calls.values() for c in calls if c[1] != relay.id]
-    assert by_next  # the site's other member went on
+    assert by_next  # the site's other member took over
 
 
-def test_the_host_may_name_the_relay_that_an_unsafe_entry_went_to():
+def test_the_host_may_name_the_relay_that_has_a_non_idempotent_entry():
     net = Net(21, PAIR, THEIRS, well=True)
     a = net.node("a")
     net.run(S)
--- a/tests/relay/test_relay_disk.py
+++ b/tests/relay/test_relay_disk.py
@@ -1,4 +1,4 @@
-"""A custodian whose disk takes a record not, or whose records end before their deliveries have settled."""
+"""A custodian whose record is not written, or expires before the outcomes of its deliveries are on disk."""
 
 from dataclasses import replace
 
@@ -50,18 +50,18 @@
     return [a.message.seq for a in actions if isinstance(a, SendMessage) and isinstance(a.message, Ack)]
 
 
-def test_what_was_turned_away_behind_a_word_that_was_lost_is_acked_by_no_later_credit():
+def test_a_rejection_after_a_failed_write_is_not_acked_with_later_credit():
     relay = custodian()
     assert any(isinstance(a, Expand) for a in relay.handle(0, entry()))
     told = relay.handle(S, CustodyRejected(MESSAGE.name, 0, "no room"))
-    assert isinstance(told[0], Persist) and acks(told) == [1]  # behind its record: the disk takes it not
+    assert isinstance(told[0], Persist) and acks(told) == [1]  # after its record, whose write fails below
     relay.handle(S, WriteFailed("custody", MESSAGE.name))
     assert acks(relay.handle(2 * S, Credit(100, 1 << 24))) == []
-    again = relay.handle(3 * S, MessageReceived(ORIGIN, Entry(2, 1, MESSAGE, 2 * S)))  # in its next stream
+    again = relay.handle(3 * S, MessageReceived(ORIGIN, Entry(2, 1, MESSAGE, 2 * S)))  # in the next stream
     assert acks(again) == [1] or any(isinstance(a, Expand) for a in again)
 
 
-def test_a_record_that_is_let_go_of_settles_what_has_ended_of_it():
+def test_an_expired_record_releases_its_completed_deliveries():
     relay = custodian()
     relay.handle(0, entry(idempotency=DeliveryIdempotency.IDEMPOTENT))
     relay.handle(0, CustodyAccepted(MESSAGE.name, (7,)))
--- a/tests/relay/test_relay_planted.py
+++ b/tests/relay/test_relay_planted.py
@@ -1,4 +1,4 @@
-"""Bugs that are planted on purpose: the seeds must find each of them."""
+"""Seeded faults: the random scenarios must find each of them."""
 
 from dataclasses import replace
 
@@ -33,7 +33,7 @@
 
 
 def unsafe_not_written(patch):
-    """The origin forgets with its process where an unsafe entry was sent."""
+    """A restarted origin doesn't know where a non-idempotent entry was sent."""
     true = StreamSender._send
 
     def careless(self, site, leg, stream):
@@ -133,7 +133,7 @@
 
 
 def rest_is_delivered(patch):
-    """After a start what is lost counts as delivered."""
+    """After a start lost deliveries count as delivered."""
 
     def hopeful(self, event):
         record = self.store.get(event.name)
@@ -145,12 +145,12 @@
 
 
 def way_not_counted(patch):
-    """What lay on the way or in the socket has as much time as if it had just been said."""
+    """Time in transit or in the socket buffer is not subtracted from the remaining time."""
     true = Custodian._entry
     patch.setattr(Custodian, "_entry", lambda self, member, entry, said_us: true(self, member, entry, None))
 
 
-PLANTED = (
+SEEDED_FAULTS = (
     ack_before_journal,
     unsafe_moves,
     unsafe_not_written,
@@ -170,8 +170,8 @@
 )
 
 
-@pytest.mark.parametrize("plant", PLANTED, ids=lambda p: p.__name__)
-def test_a_planted_bug_is_found(plant, monkeypatch):
+@pytest.mark.parametrize("plant", SEEDED_FAULTS, ids=lambda p: p.__name__)
+def test_a_seeded_fault_is_found(plant, monkeypatch):
     plant(monkeypatch)
     for seed in range(400):
         if judge(drawn(seed, disk=True)):
@@ -179,8 +179,8 @@
     raise AssertionError("not found")
 
 
-def test_credit_ignored_is_seen(monkeypatch):
-    """What is out is more than the relay said that it can take."""
+def test_ignored_credit_is_found(monkeypatch):
+    """Entries in flight exceed the credit that the relay advertised."""
     assert out_beyond_credit() <= 0
     monkeypatch.setattr(legs.SendStream, "has_credit", lambda self, leg: True)
     assert out_beyond_credit() > 0
--- a/tests/relay/test_relay_settling.py
+++ b/tests/relay/test_relay_settling.py
@@ -1,4 +1,4 @@
-"""A delivery that has ended is passed on no more, though it is held until its end is kept."""
+"""A completed delivery is not forwarded, although it stays pending until its outcome is on disk."""
 
 from types import SimpleNamespace
 
@@ -13,7 +13,7 @@
 
 
 def passed_on(settling):
-    """What the streams are told as the destination of a relayed deposit goes to another site."""
+    """The sites that a relayed deposit is published to when another site takes over its destination."""
     told = []
     unsafe = SimpleNamespace(name="unsafe", idempotency=Idempotency.NON_IDEMPOTENT)
     host = SimpleNamespace(
@@ -30,5 +30,5 @@
     return [event.sites for event in told if isinstance(event, Published)]
 
 
-def test_a_deposit_that_another_site_has_delivered_is_not_passed_on_to_the_next():
+def test_a_completed_deposit_is_not_forwarded_to_the_next_site():
     assert passed_on({151}) == [] and passed_on(set()) == [("macon",)]
--- a/tests/relay/test_relay_streams.py
+++ b/tests/relay/test_relay_streams.py
@@ -1,4 +1,5 @@
-"""Streams and custody over a virtual network: kills, flaps, drains and disks that fail, over many seeds."""
+"""Streams and custody over a virtual network with kills, link flaps, drains and failing disks, for many
+seeds."""
 
 import pytest
 from relaynet import MS, Net, S, judge
@@ -56,6 +57,6 @@
 
 
 @pytest.mark.parametrize("part", range(8))
-def test_at_most_once_where_it_must_be_and_one_end_in_time(part):
+def test_non_idempotent_at_most_once_and_one_outcome_in_time(part):
     for seed in range(part * 50, part * 50 + 50):
         assert judge(drawn(seed)) == [], seed
--- a/tests/relay/test_relay_subscriptions.py
+++ b/tests/relay/test_relay_subscriptions.py
@@ -1,4 +1,4 @@
-"""Topics of each site: bounded rumours, changes, members that go."""
+"""Topics of each site: bounded gossip entries, changes, members that leave."""
 
 from madderbeam.membership.values import (
     Disseminate,
@@ -42,30 +42,30 @@
     assert all(here.sites(topic) == ("savannah",) for topic in topics)
     assert sum(bool(here.sites(f"other-{n}")) for n in range(10_000)) < 100
     assert there.subscribers("season-7") == (7,) and there.sites("season-7") == ()
-    # a subscriber more tells nothing, a topic more one rumour
+    # another subscriber sends nothing, another topic one gossip entry
     assert spread(there, there.handle(0, SubscriptionsChanged({**topics, "season-7": (7, 8)}, 2))) == []
     assert len(spread(there, there.handle(0, SubscriptionsChanged({**topics, "new": (7,)}, 3)), here)) == 1
     assert here.sites("new") == ("savannah",)
-    # too many for the filters: more is sent than needed, it is told, and nothing is dropped
+    # too many for the filters: that is logged, more is sent than needed, and nothing is dropped
     many = {f"many-{n}": (n,) for n in range(30_000)}
     actions = there.handle(0, SubscriptionsChanged(many, 4))
     assert any("30000 topics" in a.text for a in actions if isinstance(a, LogLine))
     assert len(spread(there, actions, here)) == 64
     assert all(here.sites(topic) for topic in many)
-    # and back to one: the rumours of the other shards count no more
+    # back to one topic: entries of the other shards no longer count
     spread(there, there.handle(0, SubscriptionsChanged({"one": (1,)}, 5)), here)
     assert here.sites("one") and sum(bool(here.sites(t)) for t in topics) < 40
     assert len(here.topics_by_member[S].shards) <= 64
 
 
-def test_what_has_not_come_yet_may_be_there():
+def test_a_shard_not_received_yet_may_contain_any_topic():
     here, there = Subscriptions(A, Incarnation(1, 1)), Subscriptions(S, Incarnation(1, 1))
     topics = {f"season-{n}": (n,) for n in range(1_000)}
     spread(there, there.handle(0, SubscriptionsChanged(topics, 1)), here, skip=(2,))
     assert all(here.sites(topic) for topic in topics)
 
 
-def test_an_older_word_and_a_strange_one_do_nothing():
+def test_older_and_malformed_entries_are_ignored():
     here, there = Subscriptions(A, Incarnation(1, 1)), Subscriptions(S, Incarnation(1, 1))
     old = spread(there, there.handle(0, SubscriptionsChanged({"x": (1,)}, 1)), here)
     assert there.handle(0, SubscriptionsChanged({}, 1)) == []
@@ -73,7 +73,7 @@
     assert here.sites("x") == ()
     here.handle(0, GossipReceived(GossipEntry(S, old[0].key, old[0].version, old[0].body)))
     assert here.sites("x") == ()
-    again = Subscriptions(S, Incarnation(2, 1))  # a restart: versions go on growing
+    again = Subscriptions(S, Incarnation(2, 1))  # a restart: versions keep growing
     spread(again, again.handle(0, SubscriptionsChanged({"x": (1,)}, 1)), here)
     assert here.sites("x") == ("savannah",)
     strange = [b"", b"\2\0\1a", b"\1\7\1a", b"\1\0\0a", b"\1\0\1" + b"a" * 600]
@@ -82,7 +82,7 @@
     assert T not in here.topics_by_member
 
 
-def test_a_site_that_is_away_keeps_its_topics_for_an_hour_and_no_longer():
+def test_topics_of_an_unreachable_site_expire_after_an_hour():
     here = Subscriptions(A, Incarnation(1, 1))
     for member in (S, T):
         there = Subscriptions(member, Incarnation(1, 1))
@@ -99,17 +99,17 @@
     assert here.topics_by_member == {}
 
 
-def test_a_site_that_has_told_no_topics_yet_may_have_any():
+def test_a_site_whose_topics_are_unknown_may_have_any():
     here, there = Subscriptions(A, Incarnation(1, 1)), Subscriptions(S, Incarnation(1, 1))
     sites = (A.site, S.site, "elsewhere")
     assert here.unknown_sites(sites) == tuple(sorted((S.site, "elsewhere")))
-    told = there.handle(0, SubscriptionsChanged({}, 1))  # that it has none is a word, too
+    told = there.handle(0, SubscriptionsChanged({}, 1))  # no topics is an announcement too
     assert len(told) == 1
     here.handle(0, GossipReceived(GossipEntry(S, told[0].key, told[0].version, told[0].body)))
     assert here.unknown_sites(sites) == ("elsewhere",) and here.sites("season") == ()
 
 
-def test_in_a_later_life_what_was_told_is_told_anew_above_all_that_was_said():
+def test_a_later_incarnation_disseminates_again_with_higher_versions():
     there = Subscriptions(S, Incarnation(2, 1))
     first = there.handle(0, SubscriptionsChanged({"season": {1}}, 1))[0]
     again = there.handle(0, IncarnationRaised(Incarnation(7, 1)))
--- a/tests/relay/test_relay_values.py
+++ b/tests/relay/test_relay_values.py
@@ -1,4 +1,4 @@
-"""Derived ids and keys, choice of relay, grouping by table, and rows with their bounds."""
+"""Derived ids and keys, relay selection, grouping by table, wire rows and their bounds."""
 
 import ast
 import pathlib
@@ -56,7 +56,7 @@
     assert recorded_delivery_id(one.name, 7, True) == PUB.id
 
 
-def test_a_relay_stays_while_it_lives_and_each_origin_has_its_own():
+def test_a_relay_stays_while_it_is_alive_and_origins_are_spread():
     views = [view(n) for n in "stuv"]
     first = choose_relay(A, views, None)
     others = [v for v in views if v.id != first]
@@ -65,7 +65,7 @@
     for gone in (view(first.name, State.DEAD), view(first.name, State.LEFT), view(first.name, draining=True)):
         assert choose_relay(A, [*others, gone], first) == choose_relay(A, others, None)
     assert choose_relay(A, views, first, frozenset({first})) == choose_relay(A, others, None)
-    # a member more takes over only what it wins
+    # a new member takes over only the origins for which it scores highest
     origins = [MemberId("macon", str(n)) for n in range(400)]
     before = {o: choose_relay(o, others, None) for o in origins}
     after = {o: choose_relay(o, views, None) for o in origins}
@@ -88,7 +88,7 @@
         group(replace(one, dest=9), "macon", owners, known, [])
 
 
-def test_a_relay_keeps_eight_tables_and_sends_on_what_moved():
+def test_a_relay_stores_eight_tables_and_forwards_moved_destinations():
     tables = Tables("savannah", {"season": [3, 4]}.get)
     tables.put(3, {3: "savannah", 4: "savannah"})
     tables.put(4, {3: "savannah", 4: "macon"})
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_rows_come_back_and_each_field_has_bounds(message):
+def test_rows_are_decoded_as_encoded_and_each_field_has_bounds(message):
     row = msgpack.unpackb(msgpack.packb(to_row(message)))
     assert from_row(row) == message
     for at in range(len(row)):
@@ -140,7 +140,7 @@
         from_row([*row, 1])
 
 
-def test_alarms_come_once_in_order_and_are_swept():
+def test_timers_fire_once_in_order_and_stale_ones_are_removed():
     alarms = TimerQueue()
     for n in range(10_000):
         alarms.set("one", n + 5)
@@ -154,7 +154,8 @@
 
 
 def test_decisions_do_no_io():
-    """The package imports the standard library without clock, sockets and files, and value types."""
+    """The package imports only value types and those parts of the standard library without clock, sockets
+    and files."""
     allowed = {
         "madderbeam.membership.values",
         "madderbeam.federation.errors",
--- a/tests/relay/test_relay_window.py
+++ b/tests/relay/test_relay_window.py
@@ -1,4 +1,4 @@
-"""A keyed entry that goes to the next relay is worth only what is left of its key's window."""
+"""An entry with key that moves to the next relay has no more time than is left of its key's window."""
 
 from madderbeam.membership.values import (
     Incarnation,
@@ -30,7 +30,8 @@
 
 
 def moved(window_us, effect=DeliveryIdempotency.WITH_KEY, after_us=2 * S):
-    """The entries that go to the next relay once the first one has died, and what time they tell."""
+    """For each entry sent after the first relay has died: whether it goes to the other one, and its
+    remaining time."""
     streams = OriginStreams(
         StreamSettings(keyed_window_us=window_us), ME, Incarnation(1, 1), lambda now: now // 1000, {}
     )
@@ -46,13 +47,13 @@
     return [(a.member != first.member, a.message.remaining_us) for a in sent(actions)]
 
 
-def test_time_left_is_cut_to_the_window_since_the_first_relay_may_have_tried():
+def test_remaining_time_is_cut_to_the_window_since_the_first_send():
     assert moved(3 * S) == [(True, S)]
 
 
-def test_after_the_window_it_goes_to_nobody():
+def test_after_the_window_no_other_relay_gets_it():
     assert moved(S) == []
 
 
-def test_a_safe_one_and_one_whose_window_is_not_known_keep_their_time():
+def test_an_idempotent_entry_or_an_unknown_window_keeps_the_remaining_time():
     assert moved(3 * S, DeliveryIdempotency.IDEMPOTENT) == [(True, 18 * S)] == moved(0)
