--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -147,7 +147,7 @@
 
     def twice(self, action):
         m = self.host.journal.pending.get(self.numbers_by_name.get(action.name, 0))
-        if m is not None and not action.delivered:
+        if m is not None and not action.is_delivered:
             self.host.notices.add(m.number, m.id, "undeliverable", 0)
             self.host.loop.call_later(0.01, self.host.notices.add, m.number, m.id, "undeliverable", 0)
         ended(self, action)
