--- a/bench/relay.py
+++ b/bench/relay.py
@@ -26,12 +26,12 @@
     TimerDue,
 )
 from madderbeam.relay.custody import Custodian
+from madderbeam.relay.delivery_reporter import CustodySettings
 from madderbeam.relay.grouping import Tables
 from madderbeam.relay.messages import to_row
 from madderbeam.relay.origin import OriginStreams
-from madderbeam.relay.sending import StreamSettings
+from madderbeam.relay.stream_sender import StreamSettings
 from madderbeam.relay.subscriptions import Subscriptions
-from madderbeam.relay.telling import CustodySettings
 from madderbeam.relay.values import (
     Credit,
     CustodyAccepted,
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -69,8 +69,8 @@
 from madderbeam.policy.settings import Idempotency
 from madderbeam.ports import Ports
 from madderbeam.relay import messages as relay_messages
+from madderbeam.relay.backlog import BacklogLimits as Backlog
 from madderbeam.relay.custody import Custodian, CustodySettings
-from madderbeam.relay.door import BacklogLimits as Backlog
 from madderbeam.relay.grouping import Tables
 from madderbeam.relay.origin import OriginStreams, StreamSettings
 from madderbeam.relay.subscriptions import Subscriptions
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -20,7 +20,7 @@
 from madderbeam.journal.pending_message import PendingMessage
 from madderbeam.membership.values import Incarnation, LinkUp, MemberId, MessageReceived
 from madderbeam.relay.custody import Custodian
-from madderbeam.relay.derive import delivery_id, delivery_key, recorded_delivery_id
+from madderbeam.relay.delivery_ids import delivery_id, delivery_key, recorded_delivery_id
 from madderbeam.relay.messages import MAX_BODY_BYTES, Entry, Nak, ReportBatch, ReportBatchAck
 from madderbeam.relay.values import (
     Credit,
--- a/madderbeam/host/federation/publications.py
+++ b/madderbeam/host/federation/publications.py
@@ -22,7 +22,7 @@
 from madderbeam.membership.values import MemberId
 from madderbeam.policy.events import MessageWithdrawn
 from madderbeam.policy.settings import Idempotency
-from madderbeam.relay.derive import derived_id
+from madderbeam.relay.delivery_ids import derived_id
 from madderbeam.relay.grouping import expand
 from madderbeam.relay.origin import OriginStreams
 from madderbeam.relay.subscriptions import Subscriptions
--- a/madderbeam/relay/outlet.py
+++ b/madderbeam/relay/action_queue.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from madderbeam.membership.values import SetTimer
-from madderbeam.relay.alarms import TimerQueue
+from madderbeam.relay.timer_queue import TimerQueue
 
 Action = Any
 
--- a/madderbeam/relay/door.py
+++ b/madderbeam/relay/backlog.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 
 from madderbeam.federation.errors import FederationError, PublicationTooLarge, SiteAway, StreamFull
-from madderbeam.relay.legs import SiteBacklog
 from madderbeam.relay.messages import MAX_BODY_BYTES
+from madderbeam.relay.site_backlog import SiteBacklog
 
 UNREACHABLE_DIVISOR = 4  # divides the share of a site with no reachable member
 
--- a/madderbeam/relay/custody.py
+++ b/madderbeam/relay/custody.py
@@ -24,12 +24,12 @@
     TimerDue,
     WriteFailed,
 )
-from madderbeam.relay.inbound import ReceiveStream, credit_share
-from madderbeam.relay.kept import CustodyStore
+from madderbeam.relay.action_queue import Action, ActionQueue
+from madderbeam.relay.custody_record import CUSTODY, CustodyRecord
+from madderbeam.relay.custody_store import CustodyStore
+from madderbeam.relay.delivery_reporter import CustodySettings, DeliveryReporter
 from madderbeam.relay.messages import MAX_DESTINATIONS, Entry, ReportBatchAck
-from madderbeam.relay.outlet import Action, ActionQueue
-from madderbeam.relay.records import CUSTODY, CustodyRecord
-from madderbeam.relay.telling import CustodySettings, DeliveryReporter
+from madderbeam.relay.receive_stream import ReceiveStream, credit_share
 from madderbeam.relay.values import (
     Credit,
     CustodyAccepted,
--- a/madderbeam/relay/kept.py
+++ b/madderbeam/relay/custody_store.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from madderbeam.membership.values import Persist
-from madderbeam.relay.outlet import ActionQueue
-from madderbeam.relay.records import CUSTODY, CustodyRecord, parse_record
+from madderbeam.relay.action_queue import ActionQueue
+from madderbeam.relay.custody_record import CUSTODY, CustodyRecord, parse_record
 from madderbeam.relay.values import DeliveryIdempotency, OutcomesPersisted
 
 RECENT = 512  # records that are written again when a write fails
--- a/madderbeam/relay/telling.py
+++ b/madderbeam/relay/delivery_reporter.py
@@ -10,15 +10,15 @@
 from dataclasses import dataclass
 
 from madderbeam.membership.values import Incarnation, MemberId, SendMessage
-from madderbeam.relay.kept import CustodyStore
+from madderbeam.relay.action_queue import ActionQueue
+from madderbeam.relay.custody_record import CustodyRecord
+from madderbeam.relay.custody_store import CustodyStore
 from madderbeam.relay.messages import (
     MAX_FAILURES_PER_BATCH,
     MAX_REPORTS_PER_BATCH,
     DeliveryReport,
     ReportBatch,
 )
-from madderbeam.relay.outlet import ActionQueue
-from madderbeam.relay.records import CustodyRecord
 from madderbeam.relay.values import OutcomesPersisted
 
 
--- a/madderbeam/relay/grouping.py
+++ b/madderbeam/relay/grouping.py
@@ -8,7 +8,7 @@
 
 from madderbeam.federation.errors import NoOwner
 from madderbeam.membership.values import MemberId
-from madderbeam.relay.derive import delivery_id, delivery_key
+from madderbeam.relay.delivery_ids import delivery_id, delivery_key
 from madderbeam.relay.values import DeliveryIdempotency, Publication
 
 MAX_TABLES = 8  # an entry grouped by an older one is rejected
--- a/madderbeam/relay/origin.py
+++ b/madderbeam/relay/origin.py
@@ -23,12 +23,12 @@
     TimerDue,
     WriteFailed,
 )
-from madderbeam.relay.door import BacklogUsage, check_backlog
-from madderbeam.relay.legs import DeliveryStage, SiteBacklog, SiteDelivery
+from madderbeam.relay.action_queue import Action, ActionQueue
+from madderbeam.relay.backlog import BacklogUsage, check_backlog
 from madderbeam.relay.messages import MAX_BODY_BYTES, Ack, DeliveryReport, Nak, ReportBatch, ReportBatchAck
-from madderbeam.relay.outlet import Action, ActionQueue
-from madderbeam.relay.sending import StreamSender, StreamSettings
-from madderbeam.relay.sent import SENT, SentRecords
+from madderbeam.relay.sent_records import SENT, SentRecords
+from madderbeam.relay.site_backlog import DeliveryStage, SiteBacklog, SiteDelivery
+from madderbeam.relay.stream_sender import StreamSender, StreamSettings
 from madderbeam.relay.values import (
     DeliveryIdempotency,
     DeliveryOutcome,
--- a/madderbeam/relay/sent.py
+++ b/madderbeam/relay/sent_records.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from madderbeam.membership.values import MemberId, Persist, Row
-from madderbeam.relay.legs import SiteDelivery
-from madderbeam.relay.outlet import ActionQueue
+from madderbeam.relay.action_queue import ActionQueue
+from madderbeam.relay.site_backlog import SiteDelivery
 from madderbeam.relay.values import DeliveryIdempotency
 
 SENT = (
--- a/madderbeam/relay/sending.py
+++ b/madderbeam/relay/stream_sender.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field, replace
 
 from madderbeam.membership.values import Incarnation, LinkUp, MemberId, MemberView, SendMessage
-from madderbeam.relay.choice import choose_relay, is_running
-from madderbeam.relay.door import BacklogLimits
-from madderbeam.relay.legs import DeliveryStage, SendStream, SiteBacklog, SiteDelivery
+from madderbeam.relay.action_queue import ActionQueue
+from madderbeam.relay.backlog import BacklogLimits
 from madderbeam.relay.messages import Ack, Entry, Nak
-from madderbeam.relay.outlet import ActionQueue
-from madderbeam.relay.sent import SentRecords
+from madderbeam.relay.selection import choose_relay, is_running
+from madderbeam.relay.sent_records import SentRecords
+from madderbeam.relay.site_backlog import DeliveryStage, SendStream, SiteBacklog, SiteDelivery
 from madderbeam.relay.values import DeliveryIdempotency
 
 
--- a/madderbeam/shared/candidacy.py
+++ b/madderbeam/shared/candidacy.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from madderbeam.membership.values import MemberId, MemberView
-from madderbeam.relay.choice import is_running
+from madderbeam.relay.selection import is_running
 from madderbeam.shared.lease_settings import LeaseSettings
 from madderbeam.shared.lease_term import TermVoter
 from madderbeam.shared.majority import by_rendezvous_score
--- a/madderbeam/shared/majority.py
+++ b/madderbeam/shared/majority.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 
 from madderbeam.membership.values import MemberId
-from madderbeam.relay.choice import rendezvous_score
+from madderbeam.relay.selection import rendezvous_score
 
 Members = tuple[MemberId, ...]
 
--- a/madderbeam/shared/partner_outages.py
+++ b/madderbeam/shared/partner_outages.py
@@ -15,7 +15,7 @@
 
 from madderbeam.federation.errors import OutAlone
 from madderbeam.membership.values import Incarnation, LogLine, MemberId, SetTimer
-from madderbeam.relay.choice import rendezvous_score
+from madderbeam.relay.selection import rendezvous_score
 from madderbeam.shared.findings import REPORTERS_REQUIRED, WEIGHED_KINDS, FindingRecord, FindingsBoard
 from madderbeam.shared.values import (
     ApplyFinding,
--- a/madderbeam/simulation/fedjudge.py
+++ b/madderbeam/simulation/fedjudge.py
@@ -15,7 +15,7 @@
 from madderbeam.journal.records import parse
 from madderbeam.membership.values import MemberId, State
 from madderbeam.relay import messages as streams
-from madderbeam.relay.derive import recorded_delivery_id
+from madderbeam.relay.delivery_ids import recorded_delivery_id
 from madderbeam.relay.values import DeliveryIdempotency
 from madderbeam.simulation.checker import Violation
 from madderbeam.simulation.kernel import Broken
--- a/tests/relay/relaynet.py
+++ b/tests/relay/relaynet.py
@@ -23,11 +23,11 @@
     TimerDue,
     WriteFailed,
 )
-from madderbeam.relay import custody, derive, origin
+from madderbeam.relay import custody, delivery_ids, origin
+from madderbeam.relay.delivery_reporter import CustodySettings
 from madderbeam.relay.grouping import Tables, group
 from madderbeam.relay.messages import Ack, Entry, Nak, ReportBatch, from_row, to_row
-from madderbeam.relay.sending import StreamSettings
-from madderbeam.relay.telling import CustodySettings
+from madderbeam.relay.stream_sender import StreamSettings
 from madderbeam.relay.values import (
     Credit,
     CustodyAccepted,
@@ -191,7 +191,7 @@
             net.more.get("streams", StreamSettings()), self.id, life, wall_ms, kept
         )
         for name, dests, single in self.custodian.open_records:
-            ids = {d: derive.recorded_delivery_id(name, d, single) for d in dests}
+            ids = {d: delivery_ids.recorded_delivery_id(name, d, single) for d in dests}
             self.handle(
                 RestoredDeliveries(name, tuple(d for d in dests if self.journal.get(ids[d], {}).get("held")))
             )
@@ -340,8 +340,8 @@
             return
         over = []
         for dest in action.dests:
-            ident = derive.delivery_id(publication, dest)
-            key = derive.delivery_key(publication, dest)
+            ident = delivery_ids.delivery_id(publication, dest)
+            key = delivery_ids.delivery_key(publication, dest)
             entry = self.journal.get(ident)
             if entry is None:
                 self.index[publication.name, dest] = ident
--- a/tests/relay/test_relay_cases.py
+++ b/tests/relay/test_relay_cases.py
@@ -7,9 +7,9 @@
 from test_relay_streams import EFFECTS, SITES, SUBSCRIBERS
 
 from madderbeam.federation.errors import PublicationTooLarge, SiteAway, StreamFull
-from madderbeam.relay.door import BacklogLimits
+from madderbeam.relay.backlog import BacklogLimits
 from madderbeam.relay.messages import Entry
-from madderbeam.relay.sending import StreamSettings
+from madderbeam.relay.stream_sender import StreamSettings
 from madderbeam.relay.values import (
     Credit,
     CustodyAccepted,
--- a/tests/relay/test_relay_disk.py
+++ b/tests/relay/test_relay_disk.py
@@ -14,8 +14,8 @@
     WriteFailed,
 )
 from madderbeam.relay.custody import Custodian
+from madderbeam.relay.delivery_reporter import CustodySettings
 from madderbeam.relay.messages import Ack, Entry
-from madderbeam.relay.telling import CustodySettings
 from madderbeam.relay.values import (
     Credit,
     CustodyAccepted,
--- a/tests/relay/test_relay_planted.py
+++ b/tests/relay/test_relay_planted.py
@@ -7,12 +7,12 @@
 from test_relay_streams import SITES, SUBSCRIBERS, drawn
 
 from madderbeam.membership.values import SendMessage
-from madderbeam.relay import derive, inbound, legs, sending
+from madderbeam.relay import delivery_ids, receive_stream, site_backlog, stream_sender
 from madderbeam.relay.custody import Custodian
+from madderbeam.relay.delivery_reporter import DeliveryReporter
 from madderbeam.relay.messages import Ack
 from madderbeam.relay.origin import OriginStreams
-from madderbeam.relay.sending import StreamSender
-from madderbeam.relay.telling import DeliveryReporter
+from madderbeam.relay.stream_sender import StreamSender
 from madderbeam.relay.values import DeliveryIdempotency, Expand, Result
 
 
@@ -58,12 +58,12 @@
 
 def key_not_derived(patch):
     seen = iter(range(10**9))
-    patch.setattr(derive, "delivery_key", lambda publication, dest: f"{next(seen)}")
+    patch.setattr(delivery_ids, "delivery_key", lambda publication, dest: f"{next(seen)}")
 
 
 def id_not_derived(patch):
     seen = iter(range(10**9))
-    patch.setattr(derive, "delivery_id", lambda publication, dest: f"{next(seen)}")
+    patch.setattr(delivery_ids, "delivery_id", lambda publication, dest: f"{next(seen)}")
 
 
 def end_told_twice(patch):
@@ -87,8 +87,8 @@
 
 
 def time_not_reduced(patch):
-    true = sending.Entry
-    patch.setattr(sending, "Entry", lambda *row: true(*row[:3], row[3] + 10 * MS))
+    true = stream_sender.Entry
+    patch.setattr(stream_sender, "Entry", lambda *row: true(*row[:3], row[3] + 10 * MS))
 
 
 def copy_expanded_again(patch):
@@ -125,7 +125,7 @@
         self.acked = max(self.acked, entry.seq - 1)
         return True
 
-    patch.setattr(inbound.ReceiveStream, "accept", trusting)
+    patch.setattr(receive_stream.ReceiveStream, "accept", trusting)
 
 
 def ends_not_sent_again(patch):
@@ -182,7 +182,7 @@
 def test_ignored_credit_is_found(monkeypatch):
     """Entries in flight exceed the credit that the relay advertised."""
     assert out_beyond_credit() <= 0
-    monkeypatch.setattr(legs.SendStream, "has_credit", lambda self, leg: True)
+    monkeypatch.setattr(site_backlog.SendStream, "has_credit", lambda self, leg: True)
     assert out_beyond_credit() > 0
 
 
--- a/tests/relay/test_relay_values.py
+++ b/tests/relay/test_relay_values.py
@@ -10,9 +10,7 @@
 from madderbeam import relay
 from madderbeam.federation.errors import NoOwner
 from madderbeam.membership.values import Incarnation, MemberId, MemberView, State
-from madderbeam.relay.alarms import TimerQueue
-from madderbeam.relay.choice import choose_relay
-from madderbeam.relay.derive import delivery_id, delivery_key, recorded_delivery_id
+from madderbeam.relay.delivery_ids import delivery_id, delivery_key, recorded_delivery_id
 from madderbeam.relay.grouping import Group, Tables, expand, forwarded_entry, group
 from madderbeam.relay.messages import (
     Ack,
@@ -24,6 +22,8 @@
     from_row,
     to_row,
 )
+from madderbeam.relay.selection import choose_relay
+from madderbeam.relay.timer_queue import TimerQueue
 from madderbeam.relay.values import DeliveryIdempotency, DeliveryOutcome, Publication, Result
 
 A = MemberId("macon", "a")
--- a/tests/relay/test_relay_window.py
+++ b/tests/relay/test_relay_window.py
@@ -13,7 +13,7 @@
 )
 from madderbeam.relay.messages import Ack, Entry
 from madderbeam.relay.origin import OriginStreams
-from madderbeam.relay.sending import StreamSettings
+from madderbeam.relay.stream_sender import StreamSettings
 from madderbeam.relay.values import DeliveryIdempotency, Publication, Published
 
 S = 1_000_000
--- a/tests/simulation/planted_federation.py
+++ b/tests/simulation/planted_federation.py
@@ -17,11 +17,11 @@
 from madderbeam.host.federation.runner import Runner
 from madderbeam.host.federation.serving import Serving
 from madderbeam.membership.local_member import LocalMember, ReportOutcome
-from madderbeam.relay import kept as custody_kept
+from madderbeam.relay import custody_store as custody_kept
 from madderbeam.relay.custody import Custodian
 from madderbeam.relay.grouping import Tables
-from madderbeam.relay.sending import StreamSender
-from madderbeam.relay.sent import SentRecords
+from madderbeam.relay.sent_records import SentRecords
+from madderbeam.relay.stream_sender import StreamSender
 from madderbeam.relay.subscriptions import Subscriptions
 from madderbeam.transport.clients import Put
 from madderbeam.transport.mesh.clock_lead import ClockLeadBound
