--- a/madderbeam/relay/custody_record.py
+++ b/madderbeam/relay/custody_record.py
@@ -75,8 +75,8 @@
 
     def report(self) -> DeliveryReport:
         """The report to the origin."""
-        ends = tuple(DeliveryOutcome(dest, result) for dest, result in self.failures.items())
-        return DeliveryReport(self.name, self.total, self.delivered, len(self.pending), ends, self.why)
+        failures = tuple(DeliveryOutcome(dest, result) for dest, result in self.failures.items())
+        return DeliveryReport(self.name, self.total, self.delivered, len(self.pending), failures, self.why)
 
     def value(self) -> dict[str, Any]:
         """The whole state, as it is stored."""
--- a/madderbeam/relay/delivery_reporter.py
+++ b/madderbeam/relay/delivery_reporter.py
@@ -104,7 +104,7 @@
 
     def _report(self, origin: MemberId, records: list[CustodyRecord]) -> None:
         if origin not in self.links:
-            return  # `up` reports all that it has not acknowledged
+            return  # `link_up` reports all that it has not acknowledged
         batch: list[DeliveryReport] = []
         for record in records:
             report = record.report()
--- a/madderbeam/relay/messages.py
+++ b/madderbeam/relay/messages.py
@@ -33,7 +33,7 @@
 @dataclass(frozen=True)
 class Ack:
     """Cumulative ack: all entries up to `seq` that were not rejected are in the relay's journal and custody.
-    `entries` and `bytes` are the credit: how much may be in flight beyond `seq`."""
+    `credit_entries` and `credit_bytes` are how much may be in flight beyond `seq`."""
 
     stream: int
     seq: int
@@ -118,11 +118,11 @@
             int(message.try_another_relay),
         ]
     if isinstance(message, ReportBatch):
-        return ["d", message.number, [_end_row(row) for row in message.reports]]
+        return ["d", message.number, [_report_row(row) for row in message.reports]]
     return ["k", message.number]
 
 
-def _end_row(report: DeliveryReport) -> Row:
+def _report_row(report: DeliveryReport) -> Row:
     failures = [[failure.dest, int(failure.result)] for failure in report.failures]
     return [report.name, report.total, report.delivered, report.pending, failures, report.reason]
 
@@ -201,7 +201,7 @@
     body, remaining_us = fields.data("body", MAX_BODY_BYTES), fields.number("left_us")
     table = fields.number("table")
     fields.done()
-    if idempotency not in {e.value for e in DeliveryIdempotency}:
+    if idempotency not in {member.value for member in DeliveryIdempotency}:
         raise ValueError(f"effect: must be safe, keyed or unsafe, not {idempotency!r:.40}")
     if (dest < 0) != bool(topic):
         raise ValueError(f"topic: must be set exactly when dest is -1, not {topic!r} with dest {dest}")
@@ -245,10 +245,10 @@
     return nak
 
 
-def _ends(fields: _Fields) -> ReportBatch:
+def _report_batch(fields: _Fields) -> ReportBatch:
     batch = ReportBatch(
         fields.number("number"),
-        tuple(_read_end_row(row) for row in fields.rows("rows", MAX_REPORTS_PER_BATCH)),
+        tuple(_report(row) for row in fields.rows("rows", MAX_REPORTS_PER_BATCH)),
     )
     fields.done()
     if sum(len(row.failures) for row in batch.reports) > MAX_FAILURES_PER_BATCH:
@@ -256,12 +256,12 @@
     return batch
 
 
-def _read_end_row(fields: _Fields) -> DeliveryReport:
+def _report(fields: _Fields) -> DeliveryReport:
     name = fields.text("name", 2 * MAX_NAME_CHARS + MAX_TEXT_CHARACTERS + 2, 1)
     total = fields.number("total", MAX_DESTINATIONS)
     delivered = fields.number("delivered", total)
     pending = fields.number("left", total - delivered)
-    failures = tuple(_end(row) for row in fields.rows("ends", MAX_FAILURES_PER_REPORT))
+    failures = tuple(_outcome(row) for row in fields.rows("ends", MAX_FAILURES_PER_REPORT))
     reason = fields.text("why")
     fields.done()
     if len(failures) > total - delivered - pending:
@@ -271,13 +271,13 @@
     return DeliveryReport(name, total, delivered, pending, failures, reason)
 
 
-def _end(fields: _Fields) -> DeliveryOutcome:
+def _outcome(fields: _Fields) -> DeliveryOutcome:
     outcome = DeliveryOutcome(fields.number("dest"), Result(fields.number("result", max(Result))))
     fields.done()
     return outcome
 
 
-def _ends_ack(fields: _Fields) -> ReportBatchAck:
+def _report_batch_ack(fields: _Fields) -> ReportBatchAck:
     batch_ack = ReportBatchAck(fields.number("number"))
     fields.done()
     return batch_ack
@@ -287,6 +287,6 @@
     "e": _entry,
     "a": _ack,
     "n": _nak,
-    "d": _ends,
-    "k": _ends_ack,
+    "d": _report_batch,
+    "k": _report_batch_ack,
 }
--- a/madderbeam/relay/origin.py
+++ b/madderbeam/relay/origin.py
@@ -208,7 +208,7 @@
             self._complete_site(
                 delivery,
                 delivered,
-                tuple(DeliveryOutcome(d, Result(r)) for d, r in rows),
+                tuple(DeliveryOutcome(dest, Result(result)) for dest, result in rows),
                 reason,
                 bool(is_complete),
             )
--- a/madderbeam/relay/selection.py
+++ b/madderbeam/relay/selection.py
@@ -26,8 +26,8 @@
     excluded: Collection[MemberId] = (),
 ) -> MemberId | None:
     """The relay among one site's members: the current one while it is alive, not draining and not in
-    `excluded` (it rejected entries and asked for another relay); else the one with the highest score,
-    suspects last."""
+    `excluded` (it rejected entries and asked for another relay; the caller omits members without a link);
+    else the one with the highest score, suspects last."""
     eligible = [view for view in views if is_running(view) and not view.draining and view.id not in excluded]
     if any(view.id == current for view in eligible):
         return current
--- a/madderbeam/relay/sent_records.py
+++ b/madderbeam/relay/sent_records.py
@@ -21,7 +21,7 @@
 
 
 class SentRecords:
-    """Records of sent entries. Each is removed `kept_us` after its publication's completion, which the
+    """Records of sent entries. Each is removed `retention_us` after its publication's completion, which the
     journal has by then."""
 
     def __init__(
--- a/madderbeam/relay/site_backlog.py
+++ b/madderbeam/relay/site_backlog.py
@@ -77,8 +77,8 @@
 
 @dataclass
 class SiteBacklog:
-    """One downstream site. `before` is the relay before the last hand-over: its entries are acknowledged
-    first."""
+    """One downstream site. `previous_relay` is the one before the last hand-over: its entries are
+    acknowledged first."""
 
     name: str
     relay: MemberId | None = None
@@ -87,9 +87,7 @@
     excluded: dict[MemberId, int] = field(default_factory=dict)  # member -> end of its exclusion
     queue: list[tuple[int, SiteDelivery]] = field(default_factory=list)
     pinned: list[tuple[int, SiteDelivery]] = field(default_factory=list)
-    deliveries: dict[str, SiteDelivery] = field(
-        default_factory=dict
-    )  # all that are not completed, by publication
+    deliveries: dict[str, SiteDelivery] = field(default_factory=dict)  # not completed, by publication
     orders: dict[str, OrderKeyState] = field(default_factory=dict)
     bytes: int = 0
     unreachable_since_us: int = -1  # since when no member is reachable; -1 while one is
@@ -153,8 +151,8 @@
 
 @dataclass
 class SendStream:
-    """The sending end of the stream to one relay, for the life of a link. `entries` and `bytes` are the
-    credit that the relay's last ack advertised."""
+    """The sending end of the stream to one relay, for the life of a link. `credit_entries` and
+    `credit_bytes` are the credit that the relay's last ack advertised."""
 
     member: MemberId
     rtt_us: int
--- a/madderbeam/relay/stream_sender.py
+++ b/madderbeam/relay/stream_sender.py
@@ -113,7 +113,7 @@
         remaining_us = publication.deadline_us - self.actions.now
         window = self.settings.keyed_window_us
         if publication.idempotency is DeliveryIdempotency.WITH_KEY and window and delivery.first_sent_us:
-            # Another relay may have attempted it since `first_us`, when the window of its key began.
+            # Another relay may have attempted it since `first_sent_us`, when the window of its key began.
             remaining_us = min(remaining_us, delivery.first_sent_us + window - self.actions.now)
         if remaining_us <= stream.rtt_us:
             return False
--- a/madderbeam/relay/subscriptions.py
+++ b/madderbeam/relay/subscriptions.py
@@ -130,8 +130,8 @@
         """The other sites that may have subscribers of the topic."""
         found = {
             m.site
-            for m, told in self.topics_by_member.items()
-            if m.site != self.local_member.site and told.may_have(topic)
+            for m, topics in self.topics_by_member.items()
+            if m.site != self.local_member.site and topics.may_have(topic)
         }
         return tuple(sorted(found))
 
@@ -149,7 +149,7 @@
         if isinstance(event, SubscriptionsChanged):
             return self._subscribed(event)
         if isinstance(event, GossipReceived):
-            return self._heard(now_us, event)
+            return self._gossip_received(now_us, event)
         if isinstance(event, MemberChanged):
             return self._member(now_us, event.view)
         if isinstance(event, IncarnationRaised):
@@ -203,7 +203,7 @@
                 )
         return warnings[:8]
 
-    def _heard(self, now_us: int, event: GossipReceived) -> list[Any]:
+    def _gossip_received(self, now_us: int, event: GossipReceived) -> list[Any]:
         entry = event.entry
         if not entry.key.startswith(PREFIX) or entry.owner == self.local_member:
             return []
@@ -231,7 +231,7 @@
         return self._timer()
 
     def _timer(self) -> list[Any]:
-        times = [told.gone_us for told in self.topics_by_member.values() if told.gone_us >= 0]
+        times = [known.gone_us for known in self.topics_by_member.values() if known.gone_us >= 0]
         return [SetTimer(min(times) + self.keep_us, TIMER)] if times else []
 
     def _due(self, now_us: int) -> list[Any]:
