--- a/madderbeam/changes/document.py
+++ b/madderbeam/changes/document.py
@@ -35,7 +35,7 @@
 
 
 def short_list(words: Iterable[str], max_words: int = 8) -> str:
-    """Return sorted words joined by commas, shortened to the first `most`."""
+    """Join the sorted words with commas: at most `max_words`, then "and N more"; "none" if there are none."""
     sorted_words = sorted(words)
     return (
         ", ".join(sorted_words[:max_words])
--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -9,7 +9,10 @@
 
 The actions that activate a change begin with its record, so if the disk rejects the write nothing changes. A
 rollback or a drain is carried out even then, and recorded once the disk accepts writes again. One event
-activates at most one change; the machine requests the runtime state again where more is left to do.
+activates at most one change; the machine requests the runtime state again if more is left to do.
+
+The kinds of records ("trial" is a canary, "back" a rollback record) are described in `records.py`, the
+results ("kept", "undone") at `Outcome`.
 """
 
 from __future__ import annotations
@@ -86,11 +89,11 @@
         settings: Settings,
         restored: RestoredState,
         to_wall_ms: Callable[[int], int],
-        fixed_rows: Mapping[Key, Any] | None = None,
+        file_only_rows: Mapping[Key, Any] | None = None,
     ) -> None:
-        """`fixed_rows`: rows that always come from the file, whatever was committed."""
-        self.settings, self.to_wall_ms, self.fixed_rows = settings, to_wall_ms, fixed_rows or {}
-        self.committed = self._with_fixed(restored.snapshot)
+        """`file_only_rows`: rows that always come from the file, whatever was committed."""
+        self.settings, self.to_wall_ms, self.file_only_rows = settings, to_wall_ms, file_only_rows or {}
+        self.committed = self._with_file_only_rows(restored.snapshot)
         self.canaries = list(restored.canaries)  # in the order of their start; they touch disjoint rows
         self.version = restored.version  # the newest ever active
         self.current = compose(self.committed, self.canaries, self.version)
@@ -101,18 +104,20 @@
         self.rollbacks = dict(sorted(restored.rollbacks.items()))
         self.processed_file = restored.processed_file and (
             restored.processed_file[0],
-            self._with_fixed(restored.processed_file[1]),
+            self._with_file_only_rows(restored.processed_file[1]),
         )
         self.drains = Drains(settings.drain_ms * 1000)
         self.has_unwritten = False  # the disk lacks some of the committed state
         self.actions: list[Any] = []
         # The key of the record, and the actions to carry out even if that can't be written.
         self._unconditional_actions: tuple[str, list[Any]] | None = None
-        self._starting: tuple[Canary, Snapshot, dict[str, int], dict[str, None]] | None = None
+        # Saved to undo the start of a canary whose record can't be written: the canary; and from before it
+        # the snapshot, the times at which drains began, and the removed endpoints.
+        self._undo_start: tuple[Canary, Snapshot, dict[str, int], dict[str, None]] | None = None
         self._restored_drains = restored.drain_began_at_ms
 
-    def _with_fixed(self, snapshot: Snapshot) -> Snapshot:
-        return snapshot.with_rows(self.fixed_rows, snapshot.version) if self.fixed_rows else snapshot
+    def _with_file_only_rows(self, snapshot: Snapshot) -> Snapshot:
+        return snapshot.with_rows(self.file_only_rows, snapshot.version) if self.file_only_rows else snapshot
 
     # Start
 
@@ -197,12 +202,15 @@
     # Events
 
     def handle(self, now_us: int, event: Any) -> list[Any]:
-        """Process one event and return the actions to carry out in their order."""
+        """Process one event and return the actions to carry out in their order.
+
+        Events of other types are ignored.
+        """
         self.actions = []
-        if isinstance(event, WriteFailed):
+        if isinstance(event, WriteFailed):  # refers to the previous event, so what that has saved is needed
             self._write_failed(now_us, event)
             return self.actions
-        self._starting = self._unconditional_actions = None
+        self._undo_start = self._unconditional_actions = None
         if isinstance(event, ChangeSubmitted):
             self._change_submitted(now_us, event)
         elif isinstance(event, ChangeApproved):
@@ -213,7 +221,7 @@
             if (canary := self.canary(event.id)) is not None:
                 self._roll_back(now_us, canary, event.reason)
         elif isinstance(event, RuntimeStateReported):
-            self._observe(now_us, event.runtime_state)
+            self._evaluate_canaries(now_us, event.runtime_state)
         elif isinstance(event, FileProcessed):
             self._record_file(event.digest, event.snapshot)
         elif isinstance(event, ApplyFailed):
@@ -441,7 +449,7 @@
             self.to_wall_ms(now_us),
             runtime_state,
         )
-        self._starting = canary, before, dict(self.drains.began_at_us), dict(self.drains.removed)
+        self._undo_start = canary, before, dict(self.drains.began_at_us), dict(self.drains.removed)
         self.canaries.append(canary)
         self.staged.remove(staged)
         later_actions, self.actions = self.actions, []
@@ -476,7 +484,9 @@
 
     # Canary period
 
-    def _observe(self, now_us: int, runtime_state: RuntimeState) -> None:
+    def _evaluate_canaries(self, now_us: int, runtime_state: RuntimeState) -> None:
+        """Roll back the newest canary that is at fault; if none is, keep those whose period has ended and
+        start the next change."""
         for canary in reversed(
             self.canaries
         ):  # the newest is rolled back first: the others may recover by that
@@ -560,9 +570,9 @@
         if event.kind == "staged" and (staged := self.staged_change(event.key)) is not None:
             self.staged.remove(staged)
             self._reject_unwritten(now_us, event.key)
-        elif event.kind == "trial" and self._starting and event.key == str(self._starting[0].version):
-            canary, self.current, self.drains.began_at_us, self.drains.removed = self._starting
-            self._starting = None
+        elif event.kind == "trial" and self._undo_start and event.key == str(self._undo_start[0].version):
+            canary, self.current, self.drains.began_at_us, self.drains.removed = self._undo_start
+            self._undo_start = None
             self.canaries.remove(canary)
             self.has_unwritten = True  # the records after it were not written either
             self._reject_unwritten(now_us, canary.id)
--- a/madderbeam/changes/records.py
+++ b/madderbeam/changes/records.py
@@ -52,7 +52,11 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """How a change ended. `result`: kept, undone, refused or dropped."""
+    """How a change ended.
+
+    `result`: "kept" (committed), "undone" (rolled back), "refused" (invalid, or its record could not be
+    written) or "dropped" (withdrawn by an operator before it was active).
+    """
 
     id: str
     version: int
--- a/madderbeam/changes/validation.py
+++ b/madderbeam/changes/validation.py
@@ -20,7 +20,7 @@
 
 
 def validate(snapshot: Snapshot, touched: Iterable[Key] = ()) -> list[errors.ChangeError]:
-    """Return all errors of a snapshot. `touched`: rows that an error names first where two rows conflict."""
+    """Return all errors of a snapshot. `touched`: rows that an error names first if two rows conflict."""
     found_errors: list[errors.ChangeError] = []
     touched_keys = frozenset(touched)
     for rule in (_check_sizes, _check_classes, _check_tenants, _check_limits, _check_routing, _check_quota):
--- a/madderbeam/federation/consensus/agreement.py
+++ b/madderbeam/federation/consensus/agreement.py
@@ -161,6 +161,25 @@
         return self.outbox.take_actions()
 
     def _on_timer(self, token: str) -> None:
+        """Handle a timer by the kind that its token begins with.
+
+        Set without a delay, so that they fire once the records written before them are on disk:
+            self      a message of this member to itself can be processed
+            known     the record of an agreed table is on disk
+            staged    the record of the staged table is on disk
+            ended     the record of a completed proposal is removed
+
+        Set with a delay:
+            check     the host has not checked a table in time
+            drive     the coordinator sends unanswered requests again
+            again     retry of a proposal, after a random time
+            watch     take the slot over if its coordinator has stalled
+            greet     announce this member's mark again
+            want      request missing tables again
+            sweep     after a failed write: remove the records of completed proposals again
+            rewrite   after a failed write: write the agreed tables again
+            distrust  after a failed write: write again that this member's state is rolled back
+        """
         match token.partition("/")[0]:
             case "self":
                 message = self.outbox.take_message_to_self(token)
@@ -327,7 +346,7 @@
 
     def _coordinate(self) -> None:
         if self.rollback_detector.distrusted is None:
-            self.failover.begin(self.base, self.slot)
+            self.failover.start_coordinator(self.base, self.slot)
 
     @property
     def pending(self) -> bool:
@@ -379,7 +398,7 @@
             self._open_slot(Slot(slot.number, slot.attempt + 1))
 
     def _open_slot(self, slot: Slot) -> None:
-        """All earlier attempts are known to be rejected."""
+        """Open a later attempt for the same table number: all earlier ones are known to be rejected."""
         if slot.number != self.slot.number or slot.attempt <= self.attempt:
             return
         self.attempt = slot.attempt
@@ -391,7 +410,11 @@
             self.failover.schedule_retry()
 
     def _adopt_table(self, table: Table | None) -> None:
-        """The table is agreed. Once it is on disk, switchover and the table's proposer are notified."""
+        """Make an agreed table the base, and reset the state of the previous slot; None is ignored.
+
+        Switchover and the table's proposer are notified once its record is on disk (timer "known"). The new
+        table may have other voters, so this member's mark is announced to them.
+        """
         if table is None or table.number <= self.base.number:
             return
         self.agreed_tables.add(table)
@@ -406,7 +429,10 @@
     # Rollback detection
 
     def _announce_mark(self) -> None:
-        """Announce this member's mark to the voters until a majority has confirmed that it is the latest."""
+        """Announce this member's mark to the voters until a majority has confirmed that it is the latest.
+
+        A mark is a voter's incarnation and its count of recorded votes; see `rollback_detection`.
+        """
         if not self._announces_mark:
             return
         self.rollback_detector.announce(self.acceptor.mark, self.base.voters)
--- a/madderbeam/federation/consensus/failover.py
+++ b/madderbeam/federation/consensus/failover.py
@@ -17,7 +17,7 @@
 
 
 class CoordinatorFailover:
-    """Runs at most one coordinator at a time. `counter` is the highest of all ballots seen."""
+    """Runs at most one coordinator at a time. `highest_counter`: of all ballots seen."""
 
     def __init__(
         self,
@@ -31,21 +31,22 @@
         self.settings, self.outbox, self.incarnation, self.rng = settings, outbox, incarnation, rng
         self.proposals, self._document = proposals, document
         self.coordinator: Coordinator | None = None
-        self.counter = 0
+        self.highest_counter = 0
         self.last_other: MemberId | None = None  # the last other member that coordinated
         self._claim_known_since: tuple[Slot, str, int] | None = None
         self._retries = 0
         self._takeover_at_us: int | None = None  # until then a pending slot is left to its coordinator
         self._is_watching = False
-        self._no_majority_since_us = 0  # or since this was last logged
+        # Reset by each reply of a majority, and by each log line on the lack of one.
+        self._no_majority_since_us = 0
 
-    def begin(self, base: Table, slot: Slot) -> None:
+    def start_coordinator(self, base: Table, slot: Slot) -> None:
         """Coordinate the slot with a ballot above all that were seen."""
-        self.counter += 1
+        self.highest_counter += 1
         proposal = self.proposals.newest
         if proposal is not None and proposal.number != slot.number:
-            proposal = None  # it is agreed and not on disk yet, or its number is taken
-        ballot = Ballot(self.counter, self.outbox.local_member, self.incarnation)
+            proposal = None  # another slot's: agreed but not yet on disk, or its number went to another table
+        ballot = Ballot(self.highest_counter, self.outbox.local_member, self.incarnation)
         callbacks = self._document, self.proposals.claim, self.claim_known_since_us
         self.coordinator = Coordinator(self.outbox, base, slot, ballot, proposal, *callbacks, self.settings)
         self._no_majority_since_us = self.outbox.now_us
@@ -63,7 +64,7 @@
 
     def observe_ballot(self, ballot: Ballot) -> None:
         """The next ballot of this member is to be above this one."""
-        self.counter = max(self.counter, ballot.counter)
+        self.highest_counter = max(self.highest_counter, ballot.counter)
 
     def reset_retries(self) -> None:
         """There is a new proposal, or a new slot for a proposal."""
--- a/madderbeam/federation/switchover/activation.py
+++ b/madderbeam/federation/switchover/activation.py
@@ -115,7 +115,7 @@
         standing = MemberStanding(self.registry.ledger.number, is_settled, self.settings.lease_us)
         if standing != self._announced or again:
             self._announced = standing
-            version = gossip_version(standing.number, self.incarnation, int(is_settled))
+            version = gossip_version(standing.number, self.incarnation, revision=int(is_settled))
             self.actions.add(
                 Disseminate("force", version, standing_body(standing), self.settings.gossip_retention_us)
             )
--- a/madderbeam/federation/switchover/moves.py
+++ b/madderbeam/federation/switchover/moves.py
@@ -77,7 +77,7 @@
         self.actions.add(
             Disseminate(
                 f"release/{dest}",
-                gossip_version(release.table_number, self.incarnation, 0),
+                gossip_version(release.table_number, self.incarnation, revision=0),
                 gossip_body(release),
                 self.keep_us,
             )
@@ -86,7 +86,9 @@
     def retract(self, dest: int) -> None:
         """Every member knows the release: remove it and its gossip entry."""
         number = self.registry.own_releases.pop(dest).release.table_number
-        self.actions.add(Disseminate(f"release/{dest}", gossip_version(number, self.incarnation, 1), b""))
+        self.actions.add(
+            Disseminate(f"release/{dest}", gossip_version(number, self.incarnation, revision=1), b"")
+        )
         self.actions.remove_record("release", str(dest))
 
     def _reconcile(self, dest: int) -> None:
@@ -119,6 +121,10 @@
         )
 
 
-def gossip_version(number: int, incarnation: Incarnation, is_retracted: int) -> int:
-    """The version of a gossip entry: ordered by the table, the owner's start, and then the retraction."""
-    return number << 25 | (incarnation.start & 0xFFFFFF) << 1 | is_retracted
+def gossip_version(number: int, incarnation: Incarnation, revision: int) -> int:
+    """The version of a gossip entry, ordered by the table number, the owner's start, and `revision`.
+
+    `revision`: 0, or 1 for the entry that replaces it: a retraction, or that the table has settled. Only the
+    low 24 bits of the start are used, so that a version takes 56 bits at most.
+    """
+    return number << 25 | (incarnation.start & 0xFFFFFF) << 1 | revision
--- a/madderbeam/federation/switchover/release_learning.py
+++ b/madderbeam/federation/switchover/release_learning.py
@@ -1,6 +1,10 @@
 """Collects what others announce of releases, decommissioned members and tables in force.
 
 Releases and declarations are written to disk before they count.
+
+Record kinds: "heard" is another member's release, "release" one of this member's own, "off" an operator's
+declaration that a member is decommissioned. Gossip keys: "release/DESTINATION", "off/HASH OF THE MEMBER", and
+"force" for the number of the table in force at a member. A release's source "told" is a reply to a query.
 """
 
 from __future__ import annotations
@@ -50,7 +54,8 @@
             wall_ms,
             keep_us,
         )
-        self.decommissioned_here: dict[MemberId, int] = {}  # declared at this member
+        # Declarations made at this member: the table number by decommissioned member.
+        self.declared_here: dict[MemberId, int] = {}
 
     def start(self, records: Mapping[tuple[str, str], Any]) -> None:
         """Load the records on disk; spans are shortened by the time that has passed."""
@@ -103,9 +108,9 @@
         return None
 
     def decommission(self, member: MemberId, number: int, is_declared_here: bool) -> None:
-        """Record an operator's declaration that the member is gone, as of table `number`.
+        """Record an operator's declaration that `member` is decommissioned, as of table `number`.
 
-        `is_declared_here`: it was made at this member, which then disseminates it.
+        `is_declared_here`: the declaration was made at this member, which then disseminates it.
         """
         known_members = {
             known_member
@@ -126,7 +131,7 @@
             )
             return
         is_new = number > self.registry.decommissioned_up_to.get(member, 0) or (
-            is_declared_here and member not in self.decommissioned_here
+            is_declared_here and member not in self.declared_here
         )
         if (
             is_new
@@ -144,17 +149,20 @@
             number, self.registry.decommissioned_up_to.get(member, 0)
         )
         if is_declared_here:
-            self.decommissioned_here[member] = number
+            self.declared_here[member] = number
             self.announce_decommissioned(member)
         return member
 
     def announce_decommissioned(self, member: MemberId) -> None:
-        """Disseminate the declaration that the member is gone."""
-        number = self.decommissioned_here[member]
+        """Disseminate the declaration that `member` is decommissioned, which was made at this member."""
+        number = self.declared_here[member]
         body = json.dumps([[member.site, member.name], number], separators=(",", ":")).encode()
         self.actions.add(
             Disseminate(
-                _decommissioned_key(member), gossip_version(number, self.incarnation, 0), body, self.keep_us
+                _decommissioned_key(member),
+                gossip_version(number, self.incarnation, revision=0),
+                body,
+                self.keep_us,
             )
         )
 
@@ -168,10 +176,12 @@
             if number < min(self.registry.ledger.number, settled_number):
                 del self.registry.decommissioned_up_to[member]
                 self.actions.remove_record("off", str(member))
-                if self.decommissioned_here.pop(member, None) is not None:
+                if self.declared_here.pop(member, None) is not None:
                     self.actions.add(
                         Disseminate(
-                            _decommissioned_key(member), gossip_version(number, self.incarnation, 1), b""
+                            _decommissioned_key(member),
+                            gossip_version(number, self.incarnation, revision=1),
+                            b"",
                         )
                     )
 
@@ -197,4 +207,5 @@
 
 
 def _decommissioned_key(member: MemberId) -> str:
+    """The gossip key of a declaration; the member is hashed, since a key's length is bounded."""
     return f"off/{blake2b(str(member).encode(), digest_size=8).hexdigest()}"
--- a/madderbeam/federation/switchover/switchover.py
+++ b/madderbeam/federation/switchover/switchover.py
@@ -185,7 +185,7 @@
         self.activation.announce(again=True)
         for dest in self.registry.own_releases:
             self.moves.announce(dest)
-        for member in self.release_learning.decommissioned_here:
+        for member in self.release_learning.declared_here:
             self.release_learning.announce_decommissioned(member)
 
     def _on_timer(self, event: values.TimerDue, name: str) -> None:
@@ -225,7 +225,7 @@
         self.activation.announce(again=True)
         for dest in self.registry.own_releases:
             self.moves.announce(dest)
-        for member in self.release_learning.decommissioned_here:
+        for member in self.release_learning.declared_here:
             self.release_learning.announce_decommissioned(member)
         self.actions.set_timer(self.actions.now_us + self.settings.check_interval_us, "turn")
         self.leases.rearm()
--- a/madderbeam/journal/damage.py
+++ b/madderbeam/journal/damage.py
@@ -108,10 +108,10 @@
     @property
     def header(self) -> list[Any]:
         """Its header record, [] if it has no valid one."""
-        first = self.records[0] if self.records else (1, [])
-        header = first[1]
+        first_record = self.records[0] if self.records else (1, [])
+        header = first_record[1]
         is_header = (
-            first[0] == 0
+            first_record[0] == 0
             and len(header) >= 7
             and header[0] == "segment"
             and isinstance(header[6], (int, float))
@@ -204,11 +204,13 @@
             yield Finding(Kind.EMPTY, file.name)
         return
     if not file.header:
-        first = file.invalid[0].end if file.invalid and not file.invalid[0].offset else file.size
+        first_record_offset = (
+            file.invalid[0].end if file.invalid and not file.invalid[0].offset else file.size
+        )
         if is_newest and not file.records and is_torn(file.tail, is_header=True):
             yield Finding(Kind.TORN, file.name, 0, file.size)
         else:
-            yield Finding(Kind.NO_HEADER, file.name, 0, first if file.records else file.size)
+            yield Finding(Kind.NO_HEADER, file.name, 0, first_record_offset if file.records else file.size)
         return
     for invalid in file.invalid:
         yield _invalid_finding(file, invalid)
@@ -228,8 +230,8 @@
 
 def _invalid_finding(file: SegmentFile, invalid: InvalidRange) -> Finding:
     """The finding for bytes where a record should be."""
-    frame = invalid.prefix[: FRAME.size]
-    size = FRAME.unpack(frame)[0] if len(frame) == FRAME.size else -1
+    header = invalid.prefix[: FRAME.size]
+    size = FRAME.unpack(header)[0] if len(header) == FRAME.size else -1
     if invalid.checksum_matches:
         return Finding(Kind.WRONG_LENGTH, file.name, invalid.offset, invalid.end)
     if size == invalid.end - invalid.offset - FRAME.size:
--- a/madderbeam/journal/expiring_set.py
+++ b/madderbeam/journal/expiring_set.py
@@ -6,7 +6,7 @@
 
 ENTRY_OVERHEAD_BYTES = 12  # bytes that a remembered id or key takes in a record, besides its own characters
 
-# Of one string: its time, when it expires, and the segment that a restart would read it from. A plain tuple
+# Of one string: its time, its expiry, and the segment that a restart would read it from. A plain tuple
 # of numbers, because the garbage collector does not traverse hundreds of thousands of those.
 Entry = tuple[float, float, int]
 
--- a/madderbeam/journal/journal.py
+++ b/madderbeam/journal/journal.py
@@ -429,8 +429,12 @@
     def call_when_written(
         self, ident: str, on_written: Callable[[], None], on_lost: Callable[[], None]
     ) -> None:
-        """For an id that is pending or remembered: call `on_written` once its record is safe, `on_lost` if it
-        never will be."""
+        """Call `on_written` once the acceptance of this id is durable, `on_lost` if it never will be.
+
+        The id is in `numbers_by_id` or `completed_ids`. Here `on_written` is called at once: the caller
+        handles ids whose record is still being written. With a standby it is called once the standby has
+        acknowledged the record.
+        """
         on_written()
 
     def attempt(
--- a/madderbeam/journal/records.py
+++ b/madderbeam/journal/records.py
@@ -1,7 +1,8 @@
-"""Records on disk: frames with a length and a checksum, and how bytes that are not a record are classified.
+"""Records on disk, and how bytes that are not a record are classified.
 
-A segment is a sequence of frames. The first one is its header: ["segment", FORMAT, number, last number, clock
-anchor, boot id, ...]. The record kinds and their meaning are described in `pending_message.py`.
+A record is a header with length and checksum, then the payload. A segment is a sequence of records. The first
+one is the segment header: ["segment", FORMAT, number, last number, clock anchor, boot id,
+...]. The record kinds and their meaning are described in `pending_message.py`.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 import msgpack
 
-FRAME = struct.Struct(">II")  # length, checksum
+FRAME = struct.Struct(">II")  # header of each record: length and checksum of the payload
 FORMAT = 2  # of segments; format 1 was a single file without a header
 MAX_RECORD_BYTES = 1 << 24  # bytes of one record: a larger length is invalid
 PACK = msgpack.Packer().pack  # shared: a new packer for each record costs as much as packing it
@@ -53,9 +54,9 @@
 def parse(data: bytes) -> tuple[list[list[Any]], int]:
     """The valid records at the start of the data, and where they end."""
     records, offset = [], 0
-    while (found := _record_at(data, offset)) is not None:
-        records.append(found[0])
-        offset = found[1]
+    while (record_and_end := _record_at(data, offset)) is not None:
+        records.append(record_and_end[0])
+        offset = record_and_end[1]
     return records, offset
 
 
@@ -70,20 +71,20 @@
     checksum_matches: bool = False  # only the length is wrong: the checksum fits the payload up to `end`
 
 
-# How a record starts after its frame: a msgpack array, and the name of a kind that this version writes. The
+# How a record's payload starts: a msgpack array, and the name of a kind that this version writes. The
 # lookahead consumes nothing, so that matches may overlap.
 RECORD_START = re.compile(
     rb"(?=(?:[\x91-\x9f]|\xdc..)(?:\xa7segment|\xa4take|\xa3try|\xa4miss|\xa5final|\xa4over|"
     rb"\xa5known|\xa3end|\xa4gone))",
     re.DOTALL,
 )
-HEADER_START = re.compile(rb"[\x91-\x9f]\xa7segment")
+SEGMENT_HEADER_START = re.compile(rb"[\x91-\x9f]\xa7segment")
 MAX_RECORD_START_BYTES = 11  # of a match of RECORD_START
 KEPT_PREFIX_BYTES = 64  # of an invalid range
 
 
 def checksum_matches(data: bytes, offset: int, end: int) -> bool:
-    """Whether the checksum at `offset` is that of the bytes after its frame up to `end`."""
+    """Whether the checksum at `offset` is that of the bytes after its header up to `end`."""
     if end - offset <= FRAME.size:
         return False
     return bool(zlib.crc32(memoryview(data)[offset + FRAME.size : end]) == FRAME.unpack_from(data, offset)[1])
@@ -92,7 +93,7 @@
 def is_torn(tail: InvalidRange, is_header: bool = False) -> bool:
     """Whether these bytes at the end of a file may be an incomplete write, as SIGKILL leaves one.
 
-    A complete record with an error, or noise, is not torn. `is_header`: the record would be a header.
+    A complete record with an error, or noise, is not torn. `is_header`: it would be a segment header.
     """
     size, prefix = tail.end - tail.offset, tail.prefix
     if tail.checksum_matches or prefix[:1] != b"\0":  # a first byte over 0 is a length of 16 MB or more
@@ -105,31 +106,32 @@
         return False
     if len(payload) < MAX_RECORD_START_BYTES:  # its kind may be incomplete
         return payload[:1] in (b"", b"\xdc") or 0x91 <= payload[0] <= 0x9F
-    return (HEADER_START if is_header else RECORD_START).match(payload) is not None
+    return (SEGMENT_HEADER_START if is_header else RECORD_START).match(payload) is not None
 
 
 def scan(data: bytes) -> tuple[list[tuple[int, list[Any]]], list[InvalidRange], int]:
     """All records with their offsets, the invalid ranges between them, and where the last record ends.
 
     Whether the bytes after the last record are torn is decided by `is_torn`; an invalid range between two
-    records is damage. After one, the scan resumes at the next known record kind whose checksum is right. Each
-    byte is visited once, whatever the content.
+    records is damage. After an invalid range the scan resumes at the next valid record that starts with the
+    name of a known kind. The search for such a start passes over each byte once, whatever the content; the
+    checksum is computed only at a possible start.
     """
     records: list[tuple[int, list[Any]]] = []
     invalid: list[InvalidRange] = []
-    offset = end = 0
+    offset = last_end = 0
     while offset < len(data):
-        found = _record_at(data, offset)
-        if found is None:
-            offset = _next_record(data, end + 1)
+        record_and_end = _record_at(data, offset)
+        if record_and_end is None:
+            offset = _next_record(data, last_end + 1)
             if offset < 0:
                 break
             continue
-        if offset > end:
-            invalid.append(invalid_range(data, end, offset))
-        records.append((offset, found[0]))
-        offset = end = found[1]
-    return records, invalid, end
+        if offset > last_end:
+            invalid.append(invalid_range(data, last_end, offset))
+        records.append((offset, record_and_end[0]))
+        offset = last_end = record_and_end[1]
+    return records, invalid, last_end
 
 
 def _next_record(data: bytes, start: int) -> int:
--- a/madderbeam/journal/segments.py
+++ b/madderbeam/journal/segments.py
@@ -213,10 +213,10 @@
             # A part of the record may stay in the file for good. Later headers must list the file's real
             # size: otherwise the rest is taken for foreign bytes, and all pending messages for possibly
             # executed.
-            before = rounded_to_blocks(segment.size)
+            used_before_bytes = rounded_to_blocks(segment.size)
             segment.size += written
             segment.overhead_bytes += written
-            self.used_bytes += rounded_to_blocks(segment.size) - before
+            self.used_bytes += rounded_to_blocks(segment.size) - used_before_bytes
 
     def remove(self, number: int) -> None:
         """Remove a segment's file; OSError if that fails, and the segment stays.
--- a/madderbeam/journal/space_budget.py
+++ b/madderbeam/journal/space_budget.py
@@ -17,7 +17,7 @@
 
 MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES, SEGMENTS_PER_LIMIT = 4096, 8 << 20, 32
 # The largest live share of a segment that is rewritten: while half of the limit is free, while less is free,
-# and where space is short.
+# and while space is scarce.
 RELAXED_LIVE_SHARE, HALF_FULL_LIVE_SHARE, SCARCE_LIVE_SHARE = 0.25, 0.5, 0.93
 # The most bytes of a message's later records, without its id and key: "try", "miss", "final" and "over".
 TRY_BYTES, MISS_BYTES, FINAL_BYTES, OVER_BYTES = 36, 24, 44, 52
@@ -59,7 +59,7 @@
 
 
 def new_segment_bytes(header_bytes: int, size: int) -> int:
-    """The most bytes that a record of this size takes where it starts a segment."""
+    """The most bytes that a record of this size takes if it starts a segment."""
     return rounded_to_blocks(END_BYTES) + rounded_to_blocks(header_bytes + size)
 
 
--- a/madderbeam/journal/steady_clock.py
+++ b/madderbeam/journal/steady_clock.py
@@ -13,7 +13,7 @@
 
     Deadlines and key windows use it, so that a step of the system's wall clock neither ends a message early
     nor keeps it past its deadline. The anchor (`offset_s`) is journaled: on the same boot of the machine the
-    next process continues from it. After a reboot, or where the system has no boot id, the clock starts from
+    next process continues from it. After a reboot, or if the system has no boot id, the clock starts from
     the wall clock again, but never before the newest time in the journal: a window may close late, not early.
     """
 
@@ -36,7 +36,7 @@
 
 
 def boot_id(disk: Disk) -> str:
-    """The id of the machine's current boot, '' where the system has none."""
+    """The id of the machine's current boot, '' if the system has none."""
     try:
         return disk.read(BOOT_ID_PATH).decode("ascii", "replace").strip()
     except OSError:
--- a/madderbeam/membership/dissemination.py
+++ b/madderbeam/membership/dissemination.py
@@ -119,7 +119,7 @@
         space_bytes -= 4 * (len(receiver.site) + len(receiver.name))
         reports: list[MemberReport] = []
         entries: list[GossipEntry] = []
-        for item in self.queue.take(
+        for item in self.queue.next_batch(
             space_bytes, sends_per_item(self.settings.retransmit_factor, self.table.live_count)
         ):
             if isinstance(item, GossipEntry):
--- a/madderbeam/membership/failure_detector.py
+++ b/madderbeam/membership/failure_detector.py
@@ -15,7 +15,7 @@
 
 MAX_INDIRECT_PROBES = 1_024  # pings on behalf of others that are in progress
 MAX_REACHED_BY = 3
-PINGS_WHILE_SILENT = 8  # members that are pinged in a period where nothing was received
+PINGS_WHILE_SILENT = 8  # members that are pinged in a period in which nothing was received
 MAX_ACCUSED_PINGS = 8  # accused members that are pinged in a period
 
 
--- a/madderbeam/membership/gossip_queue.py
+++ b/madderbeam/membership/gossip_queue.py
@@ -68,8 +68,8 @@
 
     def keep_local_only(self, local_id: MemberId) -> None:
         """Keep only the reports on and entries of the local member."""
-        self.reports = {m: e for m, e in self.reports.items() if m == local_id}
-        self.entries = {k: e for k, e in self.entries.items() if k[0] == local_id}
+        self.reports = {member: accusers for member, accusers in self.reports.items() if member == local_id}
+        self.entries = {key: queued for key, queued in self.entries.items() if key[0] == local_id}
 
     def _items(self) -> Iterator[QueuedItem]:
         for accusers in self.reports.values():
@@ -81,24 +81,25 @@
         """Whether anything waits to be sent."""
         return bool(self.reports or self.entries)
 
-    def take(self, space_bytes: int, max_sends: int) -> list[MemberReport | GossipEntry]:
-        """Items for one datagram with `space_bytes` bytes left; each is removed after `max_sends` datagrams.
+    def next_batch(self, space_bytes: int, max_sends: int) -> list[MemberReport | GossipEntry]:
+        """Return the items for the next datagram, which has `space_bytes` bytes left, and count them as sent.
 
-        An item that is larger than the space left is sent alone.
+        An item that was returned `max_sends` times is removed. The first item is returned even if it is
+        larger than the space; later ones that do not fit wait for another datagram.
         """
-        taken: list[MemberReport | GossipEntry] = []
-        for queued in sorted(self._items(), key=lambda e: e.rank):
-            if queued.size_bytes > space_bytes and taken:
+        batch: list[MemberReport | GossipEntry] = []
+        for queued in sorted(self._items(), key=lambda item: item.rank):
+            if queued.size_bytes > space_bytes and batch:
                 continue
             space_bytes -= queued.size_bytes
-            taken.append(queued.item)
-            sent, urgency, number = queued.rank
-            queued.rank = (sent + 1, urgency, number)
-            if sent + 1 >= max_sends:
+            batch.append(queued.item)
+            times_sent, urgency, negated_sequence = queued.rank
+            queued.rank = (times_sent + 1, urgency, negated_sequence)
+            if times_sent + 1 >= max_sends:
                 self._remove(queued.item)
             if space_bytes < MIN_ITEM_BYTES:
                 break
-        return taken
+        return batch
 
     def _remove(self, item: MemberReport | GossipEntry) -> None:
         if isinstance(item, GossipEntry):
--- a/madderbeam/quota/admission.py
+++ b/madderbeam/quota/admission.py
@@ -50,7 +50,8 @@
 class QuotaVerdict:
     """Whether a message passes.
 
-    `after_us`: Retry-After of a rejected one; `why`: reason if it can never pass.
+    `borrowed`: it passed with units of other nodes' shares. For a rejected message, `retry_after_us` is its
+    Retry-After; `reason` is set only if it can never pass.
     """
 
     passed: bool
@@ -67,16 +68,20 @@
 PASSED = QuotaVerdict(True)
 
 
-def limits(raw: Mapping[str, Any], reserved: Mapping[str, Any], parts: int) -> Limits:
-    """The limits in a configuration, for one of `parts` couriers."""
+def parse_limits(raw: Mapping[str, Any], reserved: Mapping[str, Any], divisor: int) -> Limits:
+    """Parse the limits and reserved amounts in a configuration, each divided by `divisor`.
+
+    `divisor`: the number of couriers if they divide the limits equally, 1 if leases divide them.
+    """
     parsed: list[Limit | None] = []
     for name in FIELDS:
         if name not in raw:
             parsed.append(None)
             continue
-        amount = max(1, int(raw[name]) // parts)
-        reserved_amount = min(amount, int(reserved.get(name, 0)) // parts)
-        burst = int(raw.get(BURSTS.get(name, ""), 0)) // parts
+        amount = max(1, int(raw[name]) // divisor)
+        reserved_amount = min(amount, int(reserved.get(name, 0)) // divisor)
+        # Only limits per second have a configured burst; for hourly limits it is 0: the amount of an hour.
+        burst = int(raw.get(BURSTS.get(name, ""), 0)) // divisor
         parsed.append(Limit(amount, burst, reserved_amount))
     return (parsed[0], parsed[1], parsed[2], parsed[3])
 
@@ -95,14 +100,14 @@
         self.rng, self.max_pending = rng, max_pending
         self.node_by_sender: dict[tuple[str, str], Node] = {}
         couriers = int(raw.get("couriers", 1))
-        parts = 1 if leased else couriers
+        divisor = 1 if leased else couriers
         nodes: dict[str, Node] = {}
         self.tree = Tree(NONE, now_us)
         if raw.get("form") != FORMAT_VERSION:
             raise QuotaError(f"quota.form: must be {FORMAT_VERSION}")
         for index, row in enumerate(raw.get("nodes", ())):
             try:
-                nodes[row["name"]] = self._node(row, nodes, parts, now_us)
+                nodes[row["name"]] = self._node(row, nodes, divisor, now_us)
             except (KeyError, TypeError) as error:
                 raise QuotaError(f"quota.nodes[{index}]: {error!r} lacks or can't be used") from None
             except ValueError as error:
@@ -112,12 +117,12 @@
         self.leased = LeasedLimits(self.tree, couriers, now_us) if leased else None
         self.is_save_due = False  # so much of an hourly limit is used that the state must be saved again
 
-    def _node(self, row: Mapping[str, Any], nodes: Mapping[str, Node], parts: int, now_us: int) -> Node:
-        own = limits(row.get("limit", {}), {}, parts)
+    def _node(self, row: Mapping[str, Any], nodes: Mapping[str, Node], divisor: int, now_us: int) -> Node:
+        own = parse_limits(row.get("limit", {}), {}, divisor)
         if not row.get("parent"):
             node = self.tree.add(self.tree.root, row["name"], NONE, own, now_us)
         else:
-            share = limits(row.get("share", {}), row.get("reserved", {}), parts)
+            share = parse_limits(row.get("share", {}), row.get("reserved", {}), divisor)
             node = self.tree.add(nodes[row["parent"]], row["name"], share, own, now_us)
         tenants, classes = row.get("tenants") or [""], row.get("classes") or [""]
         if tenants != [""] or classes != [""]:
@@ -133,8 +138,8 @@
                 return found
         return self.tree.root
 
-    def admit(self, tenant: str, class_name: str, size: int, held: int, now_us: int) -> QuotaVerdict:
-        """Decide on a message of `size` bytes; `held`: how many messages are pending.
+    def admit(self, tenant: str, class_name: str, size: int, pending_count: int, now_us: int) -> QuotaVerdict:
+        """Decide on a message of `size` bytes; `pending_count`: how many messages are pending.
 
         A message that passes is counted at once, and only once: attempts do not count, and one that is sent
         again after a rejection counts when it passes.
@@ -151,7 +156,7 @@
         if self.credits.draw(credit, size, now_us, until_us):
             self._check_saved(credit.node)
             return PASSED
-        return self._admit_by_tree(credit, size, held, now_us)
+        return self._admit_by_tree(credit, size, pending_count, now_us)
 
     def _credit(self, tenant: str, class_name: str) -> Credit:
         if len(self.credit_by_sender) >= CREDITS_MAX:
@@ -161,9 +166,9 @@
         credit = self.credit_by_sender[tenant, class_name] = Credit(self.node(tenant, class_name))
         return credit
 
-    def _admit_by_tree(self, credit: Credit, size: int, held: int, now_us: int) -> QuotaVerdict:
+    def _admit_by_tree(self, credit: Credit, size: int, pending_count: int, now_us: int) -> QuotaVerdict:
         """Decide by the tree, for this message alone. Nothing is rejected before all credits are returned."""
-        may_borrow = held <= BORROWING_PENDING_FRACTION_MAX * self.max_pending
+        may_borrow = pending_count <= BORROWING_PENDING_FRACTION_MAX * self.max_pending
         result = self.tree.admit(credit.node, size, now_us, may_borrow)
         if not isinstance(result, Admitted) and self.credits.return_all(now_us):
             result = self.tree.admit(credit.node, size, now_us, may_borrow)
--- a/madderbeam/quota/credits.py
+++ b/madderbeam/quota/credits.py
@@ -1,7 +1,7 @@
 """Credits: room for several messages of one tenant and class, drawn from the tree at once.
 
 So the ordinary message checks a credit instead of four limits of each node. A credit is drawn without
-borrowing, where there is plenty, and lasts a second at most; what is not used is returned. Nothing is
+borrowing, if there is plenty, and lasts a second at most; what is not used is returned. Nothing is
 rejected while a credit is outstanding, and meanwhile the buckets hold that much less (`Split.lock`): so no
 limit is exceeded in any window.
 """
--- a/madderbeam/quota/leased_limits.py
+++ b/madderbeam/quota/leased_limits.py
@@ -4,7 +4,7 @@
 rounded down: so over all couriers no limit's rate is exceeded. Levels are not transferred: what a bucket
 holds beyond its capacity as the fraction falls is lost, and one whose fraction grows fills by its rate. A
 bucket holds at least one message (and `CAPACITY_MIN_BYTES`) while its fraction is above 0, or nothing could
-pass where many couriers need little. Debts stay, and are paid from what the share earns now.
+pass if many couriers need little. Debts stay, and are paid from what the share earns now.
 """
 
 from __future__ import annotations
--- a/madderbeam/quota/tree.py
+++ b/madderbeam/quota/tree.py
@@ -23,7 +23,7 @@
     """What passes per second or hour, in messages or bytes. A share is a fraction of the parent's limit."""
 
     amount: int
-    burst: int = 0  # messages or bytes at once, for limits per second; 0: those of one second
+    burst: int = 0  # most messages or bytes at once; 0: as many as `amount`
     reserved: int = 0  # of a share: what is never lent
 
     def __post_init__(self) -> None:
@@ -32,7 +32,7 @@
 
     @property
     def at_once(self) -> int:
-        """The burst in messages or bytes."""
+        """Most messages or bytes at once: the burst, or the amount of one period if none is configured."""
         return self.burst or self.amount
 
 
--- a/madderbeam/shared/candidacy.py
+++ b/madderbeam/shared/candidacy.py
@@ -82,5 +82,5 @@
     def _rank(self, views: Mapping[MemberId, MemberView]) -> int:
         """How many eligible members come before this one in the group's order."""
         order = by_rendezvous_score(self.group, self.membership.current)
-        before = order[: order.index(self.membership.own_id)]
-        return sum(self.is_eligible(m, views) for m in before)
+        preceding_members = order[: order.index(self.membership.own_id)]
+        return sum(self.is_eligible(member, views) for member in preceding_members)
--- a/madderbeam/shared/division.py
+++ b/madderbeam/shared/division.py
@@ -26,7 +26,7 @@
 
 
 def divide(total: float, claims: Mapping[K, Claim]) -> dict[K, float]:
-    """The share of each claim. They add up to `total`, or to the floors where those exceed it."""
+    """The share of each claim. They add up to `total`, or to the floors if those exceed it."""
     spare = total - sum(claim.floor for claim in claims.values())
     needs_above_floor = {key: max(0.0, claim.need - claim.floor) for key, claim in claims.items()}
     if not claims or spare <= 0:
@@ -55,7 +55,7 @@
 
 
 def _level(total: float, claims: Mapping[K, Claim]) -> float:
-    """The highest level at which no more than the total is distributed; infinite where all needs are met.
+    """The highest level at which no more than the total is distributed; infinite if all needs are met.
 
     The sum grows linearly between the levels at which a share starts or stops to grow.
     """
--- a/madderbeam/shared/findings.py
+++ b/madderbeam/shared/findings.py
@@ -193,23 +193,23 @@
         if len(finding.uid.encode()) > UID_MAX_BYTES:
             return []
         left_us = max(0, min(finding.left_us, _longest(finding.kind)))
-        before = records.get(subject)
+        previous = records.get(subject)
         until_us = now_us + left_us
-        if before is not None and before.until_us > now_us and left_us:
+        if previous is not None and previous.until_us > now_us and left_us:
             if finding.kind is FindingKind.DRAIN:
                 return []  # a repeated drain keeps its first start
             if finding.kind in (FindingKind.RETRY_AFTER, FindingKind.TABLE_FULL):
-                if until_us <= before.until_us:
+                if until_us <= previous.until_us:
                     return []  # the latest end wins
-            elif before.until_us - now_us > left_us // RESEND_DIVISOR and before.value == finding.value:
+            elif previous.until_us - now_us > left_us // RESEND_DIVISOR and previous.value == finding.value:
                 return []  # others have it for long enough
-        if before is None and (not left_us or len(records) >= SUBJECTS_PER_MEMBER_MAX):
+        if previous is None and (not left_us or len(records) >= SUBJECTS_PER_MEMBER_MAX):
             self.refused += bool(left_us)
             return []
-        since_us = before.since_us if before is not None and before.until_us > now_us else now_us
+        since_us = previous.since_us if previous is not None and previous.until_us > now_us else now_us
         records[subject] = FindingRecord(until_us, finding.value, since_us)
-        is_repeated = before is not None and before.until_us > now_us and finding.kind in WEIGHED_KINDS
-        value_changed = is_repeated and before is not None and before.value != finding.value
+        is_repeated = previous is not None and previous.until_us > now_us and finding.kind in WEIGHED_KINDS
+        value_changed = is_repeated and previous is not None and previous.value != finding.value
         is_urgent = finding.kind in URGENT_KINDS and (
             value_changed or self._needs_dissemination(now_us, subject, until_us, is_repeated)
         )
@@ -267,8 +267,8 @@
                     ),
                 )
             )
-        before = records.get(subject)
-        since_us = before.since_us if before is not None and before.until_us > now_us else now_us
+        previous = records.get(subject)
+        since_us = previous.since_us if previous is not None and previous.until_us > now_us else now_us
         records[subject] = FindingRecord(now_us + min(left_us, longest), value, since_us)
         return log_lines
 
@@ -303,16 +303,16 @@
 
 
 def _merged(
-    kind: FindingKind, before: tuple[int, float, MemberId] | None, record: FindingRecord, owner: MemberId
+    kind: FindingKind, previous: tuple[int, float, MemberId] | None, record: FindingRecord, owner: MemberId
 ) -> tuple[int, float, MemberId]:
     candidate = (record.until_us, record.value, owner)
-    if before is None:
+    if previous is None:
         return candidate
     if kind is FindingKind.DRAIN:
-        return min(before, candidate)
+        return min(previous, candidate)
     if kind is FindingKind.RATE_LIMIT:
-        return min((before, candidate), key=lambda row: (row[1], row[0], row[2]))
-    return max(before, candidate)
+        return min((previous, candidate), key=lambda row: (row[1], row[0], row[2]))
+    return max(previous, candidate)
 
 
 def _longest(kind: FindingKind) -> int:
--- a/madderbeam/shared/lease_holder.py
+++ b/madderbeam/shared/lease_holder.py
@@ -23,7 +23,7 @@
 
 @dataclass
 class FollowedTerm:
-    """The lease term whose grants this member accepts in a group, the last that it replied to."""
+    """The lease term of the request that this member last replied to in a group; only its grants count."""
 
     grantor: MemberId
     term: int
@@ -42,7 +42,7 @@
         self.needs: dict[str, tuple[float, float]] = {}
         self.reported_needs: dict[str, float] = {}  # the needs that were last reported to a grantor
         self.followed: dict[int, FollowedTerm] = {}  # by lease group
-        self._replied_at_us: dict[tuple[int, int], int] = {}  # (group, request): when the reply was sent
+        self._replied_at_us: dict[tuple[int, int], int] = {}  # (group, request): when first replied to
 
     def amount(self, resource: str, now_us: int) -> float:
         """How much may be used of the resource at `now_us`; 0 if it is unknown."""
@@ -67,7 +67,10 @@
     def record_reply(
         self, now_us: int, group: int, grantor: MemberId, term: int, request: int
     ) -> FollowedTerm:
-        """Record that a term request is replied to now: the grant's duration counts from here."""
+        """Record that this member replies to a term request at `now_us`, and return the followed term.
+
+        The duration of a grant counts from the first reply to its request: a repeated reply keeps that time.
+        """
         followed = self.followed.get(group)
         if followed is None or (followed.grantor, followed.term) != (grantor, term):
             followed = self.followed[group] = FollowedTerm(grantor, term)
@@ -76,7 +79,7 @@
             }
         self._replied_at_us.setdefault((group, request), now_us)
         group_keys = [key for key in self._replied_at_us if key[0] == group]
-        for key in group_keys[:-REQUESTS_MAX]:
+        for key in group_keys[:-REQUESTS_MAX]:  # the oldest: a dict keeps the order of insertion
             del self._replied_at_us[key]
         return followed
 
--- a/madderbeam/shared/lease_messages.py
+++ b/madderbeam/shared/lease_messages.py
@@ -1,4 +1,8 @@
-"""Messages between the members of a site about leases on limits: rows with a bound on every field."""
+"""Messages between the members of a site about leases on limits: rows with a bound on every field.
+
+In the names of fields `slot` is the number of a lease group, `regime` that of a lease term and `ask` that of
+a term request.
+"""
 
 from __future__ import annotations
 
--- a/madderbeam/shared/lease_pool.py
+++ b/madderbeam/shared/lease_pool.py
@@ -162,7 +162,7 @@
         return self.limit.total, {*self.membership.members, *self.outstanding}
 
     def free(self, now_us: int, wait_until_us: int) -> float:
-        """The amount that is charged to no member. Negative where members use different tables."""
+        """The amount that is charged to no member. Negative if members use different tables."""
         total, members = self.budget(now_us, wait_until_us)
         return total - sum(self.charge(now_us, m) for m in members)
 
--- a/madderbeam/shared/lease_term.py
+++ b/madderbeam/shared/lease_term.py
@@ -14,7 +14,7 @@
 from madderbeam.shared.lease_settings import LeaseSettings, longest_us
 from madderbeam.shared.majority import Members, has_all_majorities
 
-REQUESTS_MAX = 8  # requests whose replies still count
+REQUESTS_MAX = 8  # newest requests of a term that are remembered; what refers to an older one is ignored
 
 
 class TermVoter:
@@ -112,15 +112,15 @@
         self._requests.clear()
 
     def new_request(self, now_us: int) -> int:
-        """Number of a new request. Its lease counts from now, whenever the replies arrive."""
+        """Return the number of a new request; its lease counts from `now_us`, however late replies are."""
         self.last_request += 1
         self._requests[self.last_request] = (now_us, set())
         while len(self._requests) > REQUESTS_MAX:
-            del self._requests[next(iter(self._requests))]
+            del self._requests[next(iter(self._requests))]  # the oldest: a dict keeps the order of insertion
         return self.last_request
 
     def requested_at_us(self, request: int) -> int | None:
-        """When this request was sent, if its replies still count."""
+        """When this request was sent; None if it is no longer remembered, so that its replies are ignored."""
         return self._requests[request][0] if request in self._requests else None
 
     def record_vote(
--- a/madderbeam/shared/leases.py
+++ b/madderbeam/shared/leases.py
@@ -69,7 +69,7 @@
         self.holder = LeaseHolder(settings, usage_of)
         self.membership = SiteMembership(settings, own_id, bool(records.get(("lease", "joined"))))
         self.views: dict[MemberId, MemberView] = {}
-        self._is_join_durable = own_id in self.membership.joined
+        self._is_join_durable = own_id in self.membership.floor_only_from_us
         self._is_writing = False
         self._draining = False
         self._started = False
@@ -142,7 +142,7 @@
             self.out.log("limit ignored", LimitUnfit(problem))
             return
         lingers_us = longest_us(event.lingers_us, self.settings.drift_ppm)
-        self.membership.lingers_us = max(self.membership.lingers_us, lingers_us)
+        self.membership.max_lingers_us = max(self.membership.max_lingers_us, lingers_us)
         self.holder.limit(event, self.membership.unleased_amount(self.out.now_us, event))
         slot = self.group_of(event.resource)
         if not known:
@@ -171,7 +171,7 @@
             self.out.timer(self.out.now_us + self.rng.randrange(self._tick_us()) + 1, "tick")
 
     def _floors(self) -> None:
-        """Reports the amounts that are used without a lease, where they have changed."""
+        """Reports the amounts that are used without a lease, if they have changed."""
         for limit in self.holder.limits.values():
             lease, fallback = (
                 self.holder.leases[limit.resource],
@@ -252,7 +252,7 @@
         if self._is_join_durable:
             return True
         now_us = self.out.now_us
-        if self.own_id not in self.membership.joined:
+        if self.own_id not in self.membership.floor_only_from_us:
             self.membership.record_joined(now_us, self.own_id)
             for resource, limit in self.holder.limits.items():
                 fixed = self.holder.leases[resource].fallback
@@ -307,7 +307,7 @@
                 **({"used": self.holder.usage_of(resource)} if limit.lingers_us else {}),
             }
         return {
-            "joined": self.own_id in self.membership.joined,
+            "joined": self.own_id in self.membership.floor_only_from_us,
             "slots": [slot.status() for slot in self.groups],
             "leases": leases,
             "figures": self.figures,
--- a/madderbeam/shared/partner_outages.py
+++ b/madderbeam/shared/partner_outages.py
@@ -145,7 +145,7 @@
             isinstance(event, CallAnswered)
             and (FindingKind.SUSPICION, event.dest, "") in self.board.owners[self.own_id].records
         ):
-            # The suspicion was wrong: the next is reported later, also where no other member suspected.
+            # The suspicion was wrong: the next is reported later, also if no other member suspected.
             self.hold_offs.setdefault(event.dest, HoldOff()).cool_down_until_us = now_us + SUSPICION_US
             return self.board.handle(now_us, LocalFinding(Finding(FindingKind.SUSPICION, event.dest, "", 0)))
         return []
@@ -193,14 +193,14 @@
             if not is_prober and (is_confirmed or holds_for_now)
             else None
         )
-        before = self.held_off.get(dest)
-        if reason is not None and before is not reason and before is not FindingKind.OUTAGE:
+        previous_reason = self.held_off.get(dest)
+        if reason is not None and previous_reason is not reason and previous_reason is not FindingKind.OUTAGE:
             self.held_off[dest] = reason
             left_us = max(report.until_us for report in reports.values()) - now_us
             actions.append(ApplyFinding(Finding(reason, dest, "", left_us), order[0]))
-        elif reason is None and before is not None:
+        elif reason is None and previous_reason is not None:
             del self.held_off[dest]
-            actions.append(FindingExpired(before, dest, ""))
+            actions.append(FindingExpired(previous_reason, dest, ""))
         return actions
 
     def _log_if_only_reporter(
@@ -227,7 +227,7 @@
         return []
 
     def _set_probing(self, now_us: int, dest: int, is_prober: bool) -> list[Any]:
-        """Start or stop probing; a turn that is over counts and ends it."""
+        """Start or stop probing; a turn that has lasted PROBING_TURN_US is counted and ended."""
         since_us = self.probing.get(dest)
         if is_prober and since_us is not None and now_us - since_us >= PROBING_TURN_US:
             self.unanswered_turns[dest], is_prober = self.unanswered_turns.get(dest, 0) + 1, False
--- a/madderbeam/shared/site_membership.py
+++ b/madderbeam/shared/site_membership.py
@@ -22,7 +22,7 @@
     `member_sets`: by the table in force here, then by each earlier one still in use.
     """
 
-    def __init__(self, settings: LeaseSettings, own_id: MemberId, joined: bool) -> None:
+    def __init__(self, settings: LeaseSettings, own_id: MemberId, has_joined: bool) -> None:
         self.settings, self.own_id = settings, own_id
         self.member_sets: tuple[Members, ...] = ()
         self.is_first_table = True
@@ -31,18 +31,21 @@
         )
         self.current: Members = ()  # by the table in force here
         self.members: Members = ()  # of all sets
-        # with the time from which it uses no fixed share
-        self.joined: dict[MemberId, int] = {own_id: 0} if joined else {}
-        self._retained: dict[Members, int] = {}  # sets of replaced tables, and until when they count
+        # By member that has confirmed a term ("joined"): the time from which it uses no fixed share.
+        self.floor_only_from_us: dict[MemberId, int] = {own_id: 0} if has_joined else {}
+        self._retained: dict[
+            Members, int
+        ] = {}  # sets of replaced tables, with the time until which they count
         self._in_use: tuple[Members, ...] = ()
         self._order_checksum = 0
-        self.lingers_us = 0  # the longest of all limits, by the slowest clock
+        self.max_lingers_us = 0  # longest `lingers_us` of all limits, by the slowest clock
 
     def update(self, now_us: int, site: SiteMembers) -> None:
         """Another table is in force, or a replaced one is no longer in use.
 
-        A dropped set counts for a lease and a renewal more: terms and grants that its members confirmed or
-        gave may still run, and lingering resources be in use.
+        The members of a replaced table keep counting for the length of a lease, a renewal interval and the
+        longest lingering use: terms that they confirmed and leases that they granted may still be valid, and
+        resources used under those leases may still be in use.
         """
         self.is_first_table, self.current = site.is_first_table, tuple(sorted(set(site.members)))
         if self.floor_reserved_from_us is None:
@@ -50,13 +53,13 @@
         sets = tuple(
             dict.fromkeys(tuple(sorted(set(members))) for members in (site.members, *site.earlier) if members)
         )
-        for dropped in self._in_use:
-            self._retained[dropped] = now_us + self.settings.table_settled_us + self.lingers_us
+        for previous_set in self._in_use:  # `expire` removes those that are still in use
+            self._retained[previous_set] = now_us + self.settings.table_settled_us + self.max_lingers_us
         self._in_use = sets
         self.expire(now_us)
 
     def expire(self, now_us: int) -> None:
-        """Drop the sets whose time is over."""
+        """Remove the sets of replaced tables that no longer count; update what depends on the sets."""
         self._retained = {
             members: until_us
             for members, until_us in self._retained.items()
@@ -66,9 +69,9 @@
         if sets != self.member_sets:
             self.member_sets = sets
             self.members = tuple(sorted({member for members in sets for member in members}))
-            self.joined = {
-                member: until_us
-                for member, until_us in self.joined.items()
+            self.floor_only_from_us = {
+                member: from_us
+                for member, from_us in self.floor_only_from_us.items()
                 if member in self.members or member == self.own_id
             }
             self._order_checksum = zlib.crc32(" ".join(map(str, self.members)).encode())
@@ -78,8 +81,8 @@
 
         By the first table that is its fixed share, until it has confirmed a term. Otherwise it is a floor:
         the least by any table while members use different ones, and nothing if one of them does not name it.
-        There is none until a lease and a renewal after its start, since others may have been granted
-        everything.
+        By a later table it is 0 after the start for the length of a lease, a renewal interval and
+        the limit's lingering use: others may have been granted everything.
         """
         if self.floor_reserved_from_us is None or not all(
             self.own_id in members for members in (self.current, *self.member_sets)
@@ -90,14 +93,14 @@
         ):
             return 0.0
         part = min([limit.fixed, *(limit.total / len(members) for members in self.member_sets)])
-        if self.is_first_table and self.own_id not in self.joined:
+        if self.is_first_table and self.own_id not in self.floor_only_from_us:
             return math.floor(part) if limit.in_whole_units else part
         return self._floor(limit, part)
 
     def _floor(self, limit: Limit, fixed_share: float) -> float:
         """The floor for a fixed share.
 
-        It grows with the share; of whole units it is at least one where the share has one.
+        It grows with the share; of whole units it is at least one if the share is.
         """
         floor = fixed_share * self.settings.floor
         return floor if not limit.in_whole_units else float(max(math.floor(floor), fixed_share >= 1))
@@ -118,11 +121,11 @@
 
         It may use its fixed share for another lease, for which all members keep reserving it.
         """
-        self.joined.setdefault(member, now_us + self.settings.expiry_bound_us)
+        self.floor_only_from_us.setdefault(member, now_us + self.settings.expiry_bound_us)
 
     def has_floor(self, now_us: int, member: MemberId) -> bool:
         """Whether the member certainly uses no more than its floor without a lease."""
-        return now_us >= self.joined.get(member, now_us + 1)
+        return now_us >= self.floor_only_from_us.get(member, now_us + 1)
 
     def joined_bitmap(self, now_us: int) -> MemberBitmap:
         """The members that have floors, as sent to others."""
@@ -134,10 +137,10 @@
     def merge_joined(self, now_us: int, bitmap: MemberBitmap) -> None:
         """Merge the set of another member.
 
-        It is ignored where tables differ, which reserves more than needed.
+        It is ignored if the tables differ; then more is reserved than needed.
         """
         if bitmap.names == self._order_checksum:
             bits = int.from_bytes(bitmap.bits, "little")
             for index, member in enumerate(self.members):
                 if bits >> index & 1 and not self.has_floor(now_us, member):
-                    self.joined[member] = now_us
+                    self.floor_only_from_us[member] = now_us
--- a/madderbeam/shared/values.py
+++ b/madderbeam/shared/values.py
@@ -92,7 +92,7 @@
     Resources: `rate/DEST` (messages per second), `places/DEST` (connections to its endpoints), `quota/NODE`
     (fractions of a quota node's limits).
 
-    `in_whole_units`: divided in whole units, with a floor of one unit where the equal share is at least one.
+    `in_whole_units`: divided in whole units, with a floor of one unit if the equal share is at least one.
     `lingers_us`: how long what was begun under a lease may stay in use after the lease was lowered or ended.
     """
 
--- a/tests/federation_pure/agreement_model.py
+++ b/tests/federation_pure/agreement_model.py
@@ -167,8 +167,8 @@
         participant._requester, participant._is_writing,
         tuple((d, p.claimed_slot) for d, p in proposals.pending.items()), tuple(proposals._completed),
         coordination,
-        machine.attempt, machine.base.digest, machine.agreed_tables.written_number, machine.failover.counter,
-        machine.failover._retries, acceptor.incarnation,
+        machine.attempt, machine.base.digest, machine.agreed_tables.written_number,
+        machine.failover.highest_counter, machine.failover._retries, acceptor.incarnation,
     )  # fmt: skip
 
 
--- a/tests/shared/lease_model.py
+++ b/tests/shared/lease_model.py
@@ -164,7 +164,7 @@
             ),
             *(sorted(map(repr, term._requests.items())), sorted(group.grantor._replied.items())),
             *(holder.leases[RATE], holder.followed, sorted(holder._replied_at_us.items())),
-            *(sorted(machine.membership.joined.items()), machine._is_join_durable),
+            *(sorted(machine.membership.floor_only_from_us.items()), machine._is_join_durable),
         )
 
 
