--- a/bench/quota.py
+++ b/bench/quota.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from madderbeam.quota.admission import QuotaAdmission
-from madderbeam.quota.tree import NONE, Admitted, Limit, Limits, Node, Tree
+from madderbeam.quota.tree import NO_LIMITS, Admitted, Limit, Limits, Node, Tree
 
 
 def limits(amount: int, dims: int, reserved: int = 0) -> Limits:
@@ -36,7 +36,9 @@
         amount = fan**height * 8
         own = limits(amount, dims)
         level = [
-            tree.add(parent, str(n), own, own if height else NONE) for parent in level for n in range(fan)
+            tree.add(parent, str(n), own, own if height else NO_LIMITS)
+            for parent in level
+            for n in range(fan)
         ]
     return tree, level
 
--- a/madderbeam/host/federation/durable_map.py
+++ b/madderbeam/host/federation/durable_map.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from madderbeam.host import atomic_file
-from madderbeam.journal.records import FRAME, MAX_RECORD_BYTES, frame, parse
+from madderbeam.journal.records import MAX_RECORD_BYTES, RECORD_HEADER, frame, parse
 from madderbeam.ports import Disk, File
 
 MIN_COMPACTED_BYTES = 1 << 16  # smaller files are not compacted
@@ -121,7 +121,7 @@
 
 def _is_torn(rest: bytes) -> bool:
     """Whether `rest` may be the beginning of a record whose write was interrupted."""
-    if len(rest) < FRAME.size:
+    if len(rest) < RECORD_HEADER.size:
         return True
-    size, _ = FRAME.unpack_from(rest)
-    return 0 < size <= MAX_RECORD_BYTES and len(rest) < FRAME.size + size
+    size, _ = RECORD_HEADER.unpack_from(rest)
+    return 0 < size <= MAX_RECORD_BYTES and len(rest) < RECORD_HEADER.size + size
--- a/madderbeam/journal/damage.py
+++ b/madderbeam/journal/damage.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any
 
-from madderbeam.journal.records import FRAME, InvalidRange, is_torn
+from madderbeam.journal.records import RECORD_HEADER, InvalidRange, is_torn
 
 
 class Meaning(Enum):
@@ -230,11 +230,11 @@
 
 def _invalid_finding(file: SegmentFile, invalid: InvalidRange) -> Finding:
     """The finding for bytes where a record should be."""
-    header = invalid.prefix[: FRAME.size]
-    size = FRAME.unpack(header)[0] if len(header) == FRAME.size else -1
+    header = invalid.prefix[: RECORD_HEADER.size]
+    size = RECORD_HEADER.unpack(header)[0] if len(header) == RECORD_HEADER.size else -1
     if invalid.checksum_matches:
         return Finding(Kind.WRONG_LENGTH, file.name, invalid.offset, invalid.end)
-    if size == invalid.end - invalid.offset - FRAME.size:
+    if size == invalid.end - invalid.offset - RECORD_HEADER.size:
         return Finding(Kind.WRONG_CHECKSUM, file.name, invalid.offset, invalid.end)
     return Finding(Kind.NOT_A_RECORD, file.name, invalid.offset, invalid.end)
 
--- a/madderbeam/journal/records.py
+++ b/madderbeam/journal/records.py
@@ -15,7 +15,7 @@
 
 import msgpack
 
-FRAME = struct.Struct(">II")  # header of each record: length and checksum of the payload
+RECORD_HEADER = struct.Struct(">II")  # header of each record: length and checksum of the payload
 FORMAT = 2  # of segments; format 1 was a single file without a header
 MAX_RECORD_BYTES = 1 << 24  # bytes of one record: a larger length is invalid
 PACK = msgpack.Packer().pack  # shared: a new packer for each record costs as much as packing it
@@ -25,7 +25,7 @@
 def frame(record: list[Any]) -> bytes:
     """The record as it is stored: length, checksum and payload."""
     payload = PACK(record)
-    return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
+    return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def rounded_to_blocks(size: int) -> int:
@@ -35,13 +35,13 @@
 
 def _record_at(data: bytes, offset: int) -> tuple[list[Any], int] | None:
     """The record at this offset and where it ends; None if there is no valid one."""
-    if offset + FRAME.size > len(data):
+    if offset + RECORD_HEADER.size > len(data):
         return None
-    size, checksum = FRAME.unpack_from(data, offset)
-    end = offset + FRAME.size + size
+    size, checksum = RECORD_HEADER.unpack_from(data, offset)
+    end = offset + RECORD_HEADER.size + size
     if not 0 < size <= MAX_RECORD_BYTES or end > len(data):
         return None
-    payload = data[offset + FRAME.size : end]
+    payload = data[offset + RECORD_HEADER.size : end]
     if zlib.crc32(payload) != checksum:
         return None
     try:
@@ -85,9 +85,12 @@
 
 def checksum_matches(data: bytes, offset: int, end: int) -> bool:
     """Whether the checksum at `offset` is that of the bytes after its header up to `end`."""
-    if end - offset <= FRAME.size:
+    if end - offset <= RECORD_HEADER.size:
         return False
-    return bool(zlib.crc32(memoryview(data)[offset + FRAME.size : end]) == FRAME.unpack_from(data, offset)[1])
+    return bool(
+        zlib.crc32(memoryview(data)[offset + RECORD_HEADER.size : end])
+        == RECORD_HEADER.unpack_from(data, offset)[1]
+    )
 
 
 def is_torn(tail: InvalidRange, is_header: bool = False) -> bool:
@@ -98,11 +101,11 @@
     size, prefix = tail.end - tail.offset, tail.prefix
     if tail.checksum_matches or prefix[:1] != b"\0":  # a first byte over 0 is a length of 16 MB or more
         return False
-    if size < FRAME.size:
+    if size < RECORD_HEADER.size:
         return True
-    length = FRAME.unpack_from(prefix)[0]
-    payload = prefix[FRAME.size :]
-    if not 0 < length <= MAX_RECORD_BYTES or size >= FRAME.size + length:
+    length = RECORD_HEADER.unpack_from(prefix)[0]
+    payload = prefix[RECORD_HEADER.size :]
+    if not 0 < length <= MAX_RECORD_BYTES or size >= RECORD_HEADER.size + length:
         return False
     if len(payload) < MAX_RECORD_START_BYTES:  # its kind may be incomplete
         return payload[:1] in (b"", b"\xdc") or 0x91 <= payload[0] <= 0x9F
@@ -136,9 +139,9 @@
 
 def _next_record(data: bytes, start: int) -> int:
     """The offset of the first valid record at or after `start`, -1 if there is none."""
-    for match in RECORD_START.finditer(data, start + FRAME.size):
-        if _record_at(data, match.start() - FRAME.size) is not None:
-            return match.start() - FRAME.size
+    for match in RECORD_START.finditer(data, start + RECORD_HEADER.size):
+        if _record_at(data, match.start() - RECORD_HEADER.size) is not None:
+            return match.start() - RECORD_HEADER.size
     return -1
 
 
--- a/madderbeam/quota/admission.py
+++ b/madderbeam/quota/admission.py
@@ -16,7 +16,7 @@
 from madderbeam.quota.split import FILLING, HOUR, NEVER, Part, Split
 from madderbeam.quota.tree import (
     DIMENSIONS,
-    NONE,
+    NO_LIMITS,
     Admitted,
     Limit,
     Limits,
@@ -102,7 +102,7 @@
         couriers = int(raw.get("couriers", 1))
         divisor = 1 if leased else couriers
         nodes: dict[str, Node] = {}
-        self.tree = Tree(NONE, now_us)
+        self.tree = Tree(NO_LIMITS, now_us)
         if raw.get("form") != FORMAT_VERSION:
             raise QuotaError(f"quota.form: must be {FORMAT_VERSION}")
         for index, row in enumerate(raw.get("nodes", ())):
@@ -120,7 +120,7 @@
     def _node(self, row: Mapping[str, Any], nodes: Mapping[str, Node], divisor: int, now_us: int) -> Node:
         own = parse_limits(row.get("limit", {}), {}, divisor)
         if not row.get("parent"):
-            node = self.tree.add(self.tree.root, row["name"], NONE, own, now_us)
+            node = self.tree.add(self.tree.root, row["name"], NO_LIMITS, own, now_us)
         else:
             share = parse_limits(row.get("share", {}), row.get("reserved", {}), divisor)
             node = self.tree.add(nodes[row["parent"]], row["name"], share, own, now_us)
--- a/madderbeam/quota/tree.py
+++ b/madderbeam/quota/tree.py
@@ -40,7 +40,7 @@
 # bucket and of the pool, and the time.
 Plan = list[tuple[Split, "Part | None", int, int, int, int]]
 Limits = tuple[Limit | None, Limit | None, Limit | None, Limit | None]  # in the order of DIMENSIONS
-NONE: Limits = (None, None, None, None)
+NO_LIMITS: Limits = (None, None, None, None)
 
 
 @dataclass(frozen=True)
@@ -126,7 +126,7 @@
 class Tree:
     """All nodes. Times are microseconds of a monotonic clock."""
 
-    def __init__(self, limits: Limits = NONE, now_us: int = 0, name: str = "all") -> None:
+    def __init__(self, limits: Limits = NO_LIMITS, now_us: int = 0, name: str = "all") -> None:
         self.root = self._node(name, None, limits, now_us)
         self.size = 1
 
@@ -139,7 +139,7 @@
         return node
 
     def add(
-        self, parent: Node, name: str, shares: Limits = NONE, limits: Limits = NONE, now_us: int = 0
+        self, parent: Node, name: str, shares: Limits = NO_LIMITS, limits: Limits = NO_LIMITS, now_us: int = 0
     ) -> Node:
         """Add a child with its shares of the parent's limits and with limits of its own.
 
