--- a/madderbeam/host/admission.py
+++ b/madderbeam/host/admission.py
@@ -50,13 +50,14 @@
         self.cancel, self.post_event, self.retry_after_us = cancel, post_event, retry_after_us
         self.metrics, self.routing = metrics, routing
         self.checks: list[AdmissionCheck] = []  # the checks that are configured
-        self.interceptors: list[MessageInterceptor] = []
+        self.interceptors: list[MessageInterceptor] = []  # only a federation adds one
         self.numbered_listeners: list[
             Callable[[PendingMessage], None]
         ] = []  # called with each message once it has its number
         self.last_number = journal.last_number
-        self.classes = {cls.name: number for number, cls in enumerate(settings.classes)}
-        self.tenants = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
+        # Indices in the settings by name.
+        self.classes = {cls.name: index for index, cls in enumerate(settings.classes)}
+        self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         # Messages by number, with the requests that wait for a reply.
         self.arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]] = {}
         self.arriving_ids: dict[str, int] = {}  # numbers of these messages by id
@@ -66,7 +67,7 @@
         """Submit a message. BadRequest if it is invalid for this courier."""
         if put.dest == UNROUTED and not put.topic:
             put = replace(put, dest=self.routing.destination(put))
-        cls, tenant = self._validated(put)
+        cls, tenant = self._validate(put)
         if put.id in self.arriving_ids:
             self.arrived[self.arriving_ids[put.id]][1].append(reply)
             return
@@ -117,11 +118,12 @@
             self.arriving_keys[message.key] = message.number
         self.post_event(self.arrival_event(message, weight))
 
-    def _validated(self, put: Put) -> tuple[int, int]:
-        """Validate a message; return the numbers of its class and its tenant."""
+    def _validate(self, put: Put) -> tuple[int, int]:
+        """Validate a message; return the indices of its class and its tenant. BadRequest if it is invalid."""
         cls = self.classes.get(put.cls)
         if cls is None:
             raise BadRequest(f"c: no such class, must be one of {', '.join(sorted(self.classes))}")
+        # -1: unknown tenant; 0: the settings have no tenants
         tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
         if tenant < 0:
             raise BadRequest("t: no such tenant, must be one of the settings")
@@ -130,9 +132,11 @@
         max_life_ms = MAX_DEADLINE_MULTIPLE * self.settings.classes[cls].deadline_us // 1000
         if put.life_ms > max_life_ms:
             raise BadRequest(f"d: must be at most {max_life_ms}, by the deadline of the class")
+        # A courier without interceptors is in no federation.
         if put.topic and not self.interceptors:
             raise BadRequest("topic: this courier is in no federation")
-        # Another site may serve a destination that this courier's list lacks; an interceptor decides that.
+        # In a federation another site may serve a destination that this courier's list lacks; the interceptor
+        # decides that.
         if self.registry.dests and not self.interceptors and put.dest not in self.registry.dests:
             raise BadRequest("dest: no such destination, must be one of the list")
         return cls, tenant
--- a/madderbeam/host/changes/config_snapshot.py
+++ b/madderbeam/host/changes/config_snapshot.py
@@ -20,8 +20,9 @@
     "keyed": Idempotency.WITH_KEY,
     "unsafe": Idempotency.NON_IDEMPOTENT,
 }
-NAME_BY_IDEMPOTENCY = {effect: name for name, effect in IDEMPOTENCY_BY_NAME.items()}
-# Sections that only a restart changes while a fixed setting is on, as in validation.restart_errors.
+NAME_BY_IDEMPOTENCY = {idempotency: name for name, idempotency in IDEMPOTENCY_BY_NAME.items()}
+# (setting of the `fixed` section, sections that come from the file at each start if that setting is on).
+# validation.restart_errors rejects changes of these while the courier runs. Of `whole` only `quota` is meant.
 RESTART_SECTIONS = (("kafka", ("class", "tenant")), ("share", ("whole",)))
 FIRST_VERSION = 1  # of the snapshot of the file, if there are no records
 
@@ -81,11 +82,15 @@
     if config.quota:
         rows["whole", "quota"] = config.quota
     rows |= {("limit", name): value for name, value in _limit_rows(settings).items()}
-    return empty_snapshot().with_rows(rows | fixed_rows(config), FIRST_VERSION)
+    return empty_snapshot().with_rows(rows | restart_only_rows(config), FIRST_VERSION)
 
 
-def fixed_rows(config: Config) -> dict[Key, Any]:
-    """Return settings that only a restart changes, where validation needs them."""
+def restart_only_rows(config: Config) -> dict[Key, Any]:
+    """Return the `fixed` section: settings that only a restart changes and that validation refers to.
+
+    `slots`: attempts in flight at most; `disk_bytes`: the size limit of the journal; `kafka`: the courier
+    serves Kafka clients; `share`: the couriers of the site share limits and findings.
+    """
     values: dict[str, Any] = {"slots": config.settings.max_in_flight, "disk_bytes": config.disk_bytes}
     if config.kafka is not None:
         values["kafka"] = True
@@ -97,7 +102,7 @@
 def file_only_rows(config: Config, active: Snapshot) -> dict[Key, Any]:
     """Return the rows that always come from the file: the `fixed` section and what this courier can't change
     while it runs. They take effect at a start, whatever was committed."""
-    fixed_values = fixed_rows(config)
+    fixed_values = restart_only_rows(config)
     sections = [
         section
         for fixed_name, section_names in RESTART_SECTIONS
--- a/madderbeam/host/components.py
+++ b/madderbeam/host/components.py
@@ -60,7 +60,7 @@
 
 
 class Component:
-    """An optional part of a courier, created where it is configured; every hook does nothing by default."""
+    """An optional part of a courier, created if it is configured; every hook does nothing by default."""
 
     @property
     def listeners(self) -> Sequence[ClientListener]:
--- a/madderbeam/host/composition.py
+++ b/madderbeam/host/composition.py
@@ -29,7 +29,7 @@
 
 IDLE_SHARE = 0.2  # of the limit on open files, for idle connections to endpoints; see also CLIENT_SHARE
 # Components by the field of the configuration that enables them; a module is imported, and its
-# `join(host, ports)` called, only where the field is set.
+# `join(host, ports)` called, only if the field is set.
 COMPONENT_MODULES = {
     "quota": "madderbeam.host.quota",
     "kafka": "madderbeam.host.kafka",
--- a/madderbeam/host/endpoint_registry.py
+++ b/madderbeam/host/endpoint_registry.py
@@ -67,11 +67,11 @@
         # Removed endpoints: the key of their Retry-After, and until when a call to them may be in flight.
         self.removed: dict[int, tuple[tuple[int, int], int]] = {}
         self.longest_deadline_us = max(cls.deadline_us for cls in settings.classes)
-        # Whether this courier serves a destination now; set where another courier may serve it.
+        # Whether this courier serves a destination now; set if another courier may serve it.
         self.is_served: Callable[[int], bool] | None = None
         # Ids that another courier saw draining, until this courier's own list has an entry of them.
         self.relayed_drains: dict[str, None] = {}
-        # The rate of an entry to show to the engine, where several couriers share a destination's rate.
+        # The rate of an entry to show to the engine if several couriers share a destination's rate.
         self.shared_rate: Callable[[EndpointEntry], float] | None = None
         # Adds the findings of other couriers to an entry for the engine.
         self.add_shared_findings: Callable[[EndpointEntry], EndpointEntry] | None = None
--- a/madderbeam/host/environment.py
+++ b/madderbeam/host/environment.py
@@ -19,7 +19,7 @@
 from madderbeam.transport.local import Feed, ListFile
 
 CLIENT_SHARE = 0.5  # of the limit on open files, for clients
-SIDECAR_PIPELINE = 1024  # pipelined requests per connection, where all clients are one application's
+SIDECAR_PIPELINE = 1024  # pipelined requests per connection if all clients are one application's
 
 
 @dataclass(frozen=True)
--- a/madderbeam/host/federation/component.py
+++ b/madderbeam/host/federation/component.py
@@ -334,15 +334,15 @@
             self.federation_runner.post_event(RollbackDetected(self.incarnation, self.incarnation))
         self.federation_runner.run(self.federation_machine.start(now))
         self.membership_runner.run(self.membership.start(now))
-        self.list_changed()
+        self.on_list_changed()
         self.custody.open()
         self.publications.resume_restored()
         if self.shared is not None:
             self.shared.open()
         self._update_links()
 
-    def list_changed(self) -> None:
-        """Post the topic subscriptions of the partner list if they changed."""
+    def on_list_changed(self) -> None:
+        """Called when the endpoint list has changed: post its topic subscriptions if they changed."""
         topics: dict[str, set[int]] = {}
         for number, subscribed in self.host.registry.subscribed_topics.items():
             if entry := self.host.registry.entries.get(number):
@@ -353,7 +353,7 @@
             self.posted_subscriptions = topics
             self.subscriptions_runner.post_event(SubscriptionsChanged(topics, self.subscriptions.version + 1))
         if self.is_started and self.shared is not None:
-            self.shared.list_changed()
+            self.shared.on_list_changed()
 
     def reload_files(self) -> None:
         """Propose the configured table file if it is newer."""
@@ -652,5 +652,5 @@
     host.completions.listeners.append(component.custody.report_outcome)
     host.admission.interceptors.append(component.publications.intercept)
     host.restore_handlers.append(component.publications.claim_restored)
-    host.list_listeners.append(component.list_changed)
+    host.list_listeners.append(component.on_list_changed)
     host.components.append(component)
--- a/madderbeam/host/federation/custody.py
+++ b/madderbeam/host/federation/custody.py
@@ -37,9 +37,9 @@
 from madderbeam.transport.clients import BadRequest, Put
 
 CREDIT_CHECK_S = 0.2  # interval of credit updates
-IDLE_AFTER_CHECKS = 25  # consecutive checks with the same, ample credit before the longer interval applies
+IDLE_AFTER_CHECKS = 25  # consecutive checks with the same, sufficient credit until the interval is longer
 IDLE_CREDIT_CHECK_S = 1.6  # interval after that; each entry that arrives also updates the credit
-RESERVED_MESSAGES = 16  # capacity withheld from the credit for messages that are not relayed
+RESERVED_MESSAGES = 16  # pending messages withheld from the credit, for messages that are not relayed
 CLIENT_WAITS = "home"  # kind of the record that a client of this courier also waits for a relayed message
 TAKE_BACK_RETRY_US = 100_000  # retry delay of a returned message whose destination is not served yet
 MIN_RESUBMIT_S = 0.05  # minimum delay before a rejected delivery is submitted again
@@ -74,7 +74,11 @@
         self._record(lambda: self.expansion.retry_after_us.update({self.dest: wait_us}))
 
     def failed(self, why: str = "failed") -> None:
-        """The delivery is rejected for good."""
+        """The delivery is not accepted and is not submitted again; it is reported as never executed.
+
+        `ReplyHandle.failed` makes no promise about the effect: if a standby did not acknowledge the record of
+        the acceptance, that record may survive.
+        """
         self._record(lambda: self.custody.reject_delivery(self.expansion, self.dest, why))
 
     def _record(self, update: Callable[[], None]) -> None:
@@ -181,14 +185,21 @@
             )
 
     def _update_credit(self) -> None:
-        """Post the free capacity to the custodian if it changed."""
+        """Post the free capacity, in messages and journal bytes, to the custodian if it changed.
+
+        Also counts the consecutive checks without a change; after IDLE_AFTER_CHECKS of them the courier is
+        idle and checks less often. While either capacity is low it is not idle, so that freed capacity is
+        posted soon.
+        """
         host, journal = self.host, self.host.journal
         free_messages = max(
             0,
             host.settings.max_pending - journal.open_count - len(host.admission.arrived) - RESERVED_MESSAGES,
         )
+        # Offers half of the journal space that neither files nor the completion of pending messages need.
         free_bytes = max(0, (journal.limit_bytes - journal.files.used_bytes - journal.needed_bytes) // 2)
         credit = Credit(free_messages, free_bytes)
+        # Low: no more messages than the reserve that is already subtracted, or less than the largest body.
         self.unchanged_checks = (
             self.unchanged_checks + 1
             if credit == self.posted_credit
@@ -266,7 +277,7 @@
         expansion.accepted.add(dest)
 
     def reject_delivery(self, expansion: Expansion, dest: int, reason: str) -> None:
-        """Reject a delivery for good and report that to the custodian."""
+        """Report to the custodian that a delivery was never executed; it is not submitted again."""
         self._remove_delivery(delivery_id(expansion.publication, dest), expansion.publication.name, dest)
         log.warning(
             "federation: delivery of %s to destination %d rejected: %s",
--- a/madderbeam/host/federation/limit_leases.py
+++ b/madderbeam/host/federation/limit_leases.py
@@ -28,8 +28,10 @@
 
 
 class LimitLeases:
-    """Applies leases on connection limits and quotas. Is the `Places` of the calls.
+    """Applies leases on connection limits and quotas.
 
+    Implements `Places`, the connection limits that the calls evaluate (`most`). The lease resource
+    `places/DEST` is the connections to a destination, `quota/NODE` the fraction of a quota node's limits.
     `post_lease_event` posts events to the lease machine.
     """
 
@@ -48,11 +50,11 @@
         self.is_excess_logged = False  # that some limits are not shared was logged
         self.quota_admission: Any = None
         if host.config.quota is not None:
-            # already imported where quotas are configured
+            # already imported if quotas are configured
             from madderbeam.host.quota import QuotaComponent
 
             self.quota_admission = next(
-                g.gate for g in host.admission.checks if isinstance(g, QuotaComponent)
+                check.quota_admission for check in host.admission.checks if isinstance(check, QuotaComponent)
             )
             if self.quota_admission.leased.unleased_count:
                 self._log_excess(f"{self.quota_admission.leased.unleased_count} quotas have equal parts")
@@ -71,19 +73,19 @@
     def apply_table(self, member_count: int) -> None:
         """Adjust all limits to the number of members of this site."""
         self.member_count = member_count
-        self.list_changed()
+        self.on_list_changed()
         if self.quota_admission is not None:
             couriers = max(member_count, int((self.host.config.quota or {}).get("couriers", 1)))
             for name in self.quota_admission.leased.nodes:
                 self._post_limit(Limit(f"quota/{name}", member_count / couriers, 1 / couriers))
 
-    def list_changed(self) -> None:
-        """Read the connection limits again: the endpoint list or the routing may have changed."""
+    def on_list_changed(self) -> None:
+        """Called when the endpoint list or the routing may have changed: read and apply the limits again."""
         router = self.host.routing.router
         self.connection_limits, self.destinations = {}, {}
         for dest, endpoint, max_connections in router.limited_servers() if router is not None else ():
             if dest not in self.connection_limits and len(self.connection_limits) >= MAX_SHARED_DESTINATIONS:
-                self._log_excess(f"only {MAX_SHARED_DESTINATIONS} partners' places are shared")
+                self._log_excess(f"only {MAX_SHARED_DESTINATIONS} destinations' connection limits are shared")
                 continue
             self.connection_limits.setdefault(dest, {})[endpoint] = max_connections
             self.destinations[endpoint] = dest
@@ -96,7 +98,7 @@
         self.applied_limits.clear()  # the pools may be new objects
         self.divided_leases.clear()
         for endpoint in self.destinations:
-            self.most(endpoint)
+            self.most(endpoint)  # applies the limit
 
     def _post_limit(self, limit: Limit) -> None:
         if self.posted_limits.get(limit.resource) != limit:
@@ -106,10 +108,11 @@
     # Connection limits
 
     def most(self, endpoint: int) -> int | None:
-        """Return how many connections may be open to the endpoint; None without a limit.
+        """Apply and return the limit of open connections to the endpoint; None without a shared limit.
 
-        Evaluated before each call, so that an expired lease is not used. Connections that other endpoints
-        have beyond their share, after the lease shrank, reduce the result.
+        Evaluated before each call, so that an expired lease is not used. If the limit has changed, it is set
+        in the endpoint's pool; an event about a higher limit is posted to the engine. Connections that other
+        endpoints have beyond their share, after the lease shrank, reduce the result.
         """
         dest = self.destinations.get(endpoint)
         if dest is None:
@@ -130,22 +133,27 @@
         """
         limits = self.connection_limits[dest]
         order = sorted(limits)
-        first = self.host.settings.courier_index % len(order)
+        offset = self.host.settings.courier_index % len(order)
         total = sum(limits.values())
         parts = rounded(
-            {endpoint: lease * limits[endpoint] / total for endpoint in order[first:] + order[:first]}
+            {endpoint: lease * limits[endpoint] / total for endpoint in order[offset:] + order[:offset]}
         )
         return {endpoint: int(part) for endpoint, part in parts.items()}
 
     def _apply_limit(self, dest: int, endpoint: int, max_connections: int, now_us: int) -> None:
-        before = self.applied_limits.get(endpoint)
-        if max_connections == before:
+        """Set a changed limit in the endpoint's pool; post a list update to the engine if it has risen.
+
+        Without a previous limit it counts as risen: the previous limits are forgotten when the list or the
+        routing changes, so an update is then posted for each endpoint.
+        """
+        previous_limit = self.applied_limits.get(endpoint)
+        if max_connections == previous_limit:
             return
         self.applied_limits[endpoint] = max_connections
         if (router := self.host.routing.router) is not None:
             router.limit_calls(dest, endpoint, max_connections, now_us)
         entry = self.host.registry.entries.get(endpoint)
-        if entry is not None and (before is None or max_connections > before):
+        if entry is not None and (previous_limit is None or max_connections > previous_limit):
             # The engine may dispatch queued messages now.
             self.host.post_list_update(ListUpdateKind.DELTA, [entry])
 
--- a/madderbeam/host/federation/serving.py
+++ b/madderbeam/host/federation/serving.py
@@ -65,7 +65,7 @@
         self.releasing: dict[int, tuple[int, int]] = {}
         self.is_check_scheduled = False
         self.may_start_call: Callable[[int], bool] | None = (
-            None  # set where couriers of a site share findings and limits
+            None  # set if couriers of a site share findings and limits
         )
         # last change of the table in force or of the suspension
         self.changed_at_us = host.clock()
@@ -113,8 +113,8 @@
             for wait in release.retry_waits:
                 uid = wait.uid if wait.uid in registry.uids else ""
                 for entry in registry.adopt_retry_after(dest, uid, now + wait.remaining_us):
-                    before = waiting.get(entry.endpoint, entry)
-                    until = max(before.retry_after_until_us, entry.retry_after_until_us)
+                    waiting_entry = waiting.get(entry.endpoint, entry)
+                    until = max(waiting_entry.retry_after_until_us, entry.retry_after_until_us)
                     waiting[entry.endpoint] = replace(entry, retry_after_until_us=until)
             registry.relayed_drains.update(dict.fromkeys(w.uid for w in release.draining))
         cold = any(release.is_cold for release in action.releases)
--- a/madderbeam/host/federation/site_sharing.py
+++ b/madderbeam/host/federation/site_sharing.py
@@ -83,11 +83,11 @@
             post_lease_event,
         )
         self.outages: set[int] = set()  # destinations with an outage found by this courier
-        # destinations with a failed call and no later reply
+        # destinations with a failed call and no later success
         self.failed_destinations: set[int] = set()
-        self.answered_at_us: dict[int, int] = {}
+        self.last_success_at_us: dict[int, int] = {}  # by destination
         self.is_check_scheduled = False
-        # destinations that another member probes, or that two members suspect
+        # destinations that get no calls from here: another member probes them, or two members suspect them
         self.held_off: set[int] = set()
         # endpoint -> when its full connection table was last reported
         self.table_full_at_us: dict[int, int] = {}
@@ -111,22 +111,22 @@
         self.is_waiting_for_findings = True
         host.registry.shared_rate, host.registry.add_shared_findings = self.listed_rate, self.add_findings
         serving.may_start_call = self.may_start_call
-        previous_told_wait, previous_ended = host.calls.hooks.told_wait, host.calls.hooks.ended
+        previous_on_retry_after, previous_on_call_ended = host.calls.hooks.told_wait, host.calls.hooks.ended
 
-        def told_wait(endpoint: int, wait_us: int) -> None:
-            previous_told_wait(endpoint, wait_us)
+        def on_retry_after(endpoint: int, wait_us: int) -> None:
+            previous_on_retry_after(endpoint, wait_us)
             self._retry_after_received(endpoint, wait_us)
 
         def on_call_ended(item: Item, endpoint: int, outcome: Outcome, latency_us: int) -> None:
-            previous_ended(item, endpoint, outcome, latency_us)
+            previous_on_call_ended(item, endpoint, outcome, latency_us)
             if outcome.result is AttemptResult.OK:
-                self.call_answered(endpoint)
+                self._call_succeeded(endpoint)
             elif outcome.result in OUTAGE_RESULTS:
                 self._call_failed(endpoint, latency_us)
             elif outcome.result is AttemptResult.OVERLOADED and (entry := self._entry(endpoint)) is not None:
                 self.overloaded.add(entry.destination)
 
-        host.calls.hooks.told_wait, host.calls.hooks.ended = told_wait, on_call_ended
+        host.calls.hooks.told_wait, host.calls.hooks.ended = on_retry_after, on_call_ended
 
     def open(self) -> None:
         """Start the checks; calls wait a moment for the findings of other members."""
@@ -184,12 +184,12 @@
             uid = self.host.registry.names[endpoint] if per_endpoint else ""
             self.post_finding(LocalFinding(Finding(FindingKind.RETRY_AFTER, entry.destination, uid, wait_us)))
 
-    def call_answered(self, endpoint: int) -> None:
-        """Note a reply of the endpoint, and report the recovery of a destination that was out."""
+    def _call_succeeded(self, endpoint: int) -> None:
+        """Record a successful call, and report the recovery if the destination had an outage."""
         if (entry := self._entry(endpoint)) is None:
             return
         dest, now = entry.destination, self.host.clock()
-        self.answered_at_us[dest] = now
+        self.last_success_at_us[dest] = now
         self.failed_destinations.discard(dest)
         if self.partners.answered(now, dest):
             self.post_finding(CallAnswered(dest))
@@ -207,7 +207,7 @@
     def _call_failed(self, endpoint: int, latency_us: int) -> None:
         """Report a failed call, unless a call that started later has succeeded."""
         entry, now = self._entry(endpoint), self.host.clock()
-        if entry is None or self.answered_at_us.get(entry.destination, -1) >= now - latency_us:
+        if entry is None or self.last_success_at_us.get(entry.destination, -1) >= now - latency_us:
             return
         self.failed_destinations.add(entry.destination)
         self.post_finding(CallFailed(entry.destination))
@@ -215,8 +215,8 @@
             self.is_check_scheduled = True
             self.host.schedule(FAILURE_CHECK_S, self._check_failed)
 
-    def list_changed(self) -> None:
-        """Report new drains of the endpoint list and update the limits."""
+    def on_list_changed(self) -> None:
+        """Called when the endpoint list has changed: report endpoints that began to drain, update limits."""
         registry = self.host.registry
         draining = {
             registry.names[listed_entry.endpoint]: listed_entry.destination
@@ -231,7 +231,7 @@
             )
         self.reported_drains = set(draining)
         self._post_rate_limits()
-        self.limit_leases.list_changed()
+        self.limit_leases.on_list_changed()
 
     def _check_failed(self) -> None:
         self.is_check_scheduled = False
@@ -259,7 +259,7 @@
             self.post_finding(LocalFinding(Finding(FindingKind.OUTAGE, number, "", 0)))
 
     def _check_limits(self, number: int, dest: Destination) -> None:
-        """Report full connection tables, and paces that rejections led to where no rate is listed."""
+        """Report full connection tables, and the rates found by rejections if none is listed."""
         for scope in dest.scopes:
             for endpoint in scope.endpoints.values():
                 uid = self.host.registry.names.get(endpoint.id)
@@ -392,12 +392,16 @@
             self.limit_leases.apply_allowance(action)
 
     def _set_rate(self, dest: int, amount: float, until_us: int) -> None:
-        before = self.posted_rates.get(dest)
+        previous_rate = self.posted_rates.get(dest)
         if until_us:
             self.leased_until_us[dest] = until_us
         else:
             self.leased_until_us.pop(dest, None)
-        if before is None or amount < before or abs(amount - before) > MIN_RATE_INCREASE * before:
+        if (
+            previous_rate is None
+            or amount < previous_rate
+            or abs(amount - previous_rate) > MIN_RATE_INCREASE * previous_rate
+        ):
             self.posted_rates[dest] = amount
             self._repost_entries(dest)
 
--- a/madderbeam/host/host.py
+++ b/madderbeam/host/host.py
@@ -94,7 +94,7 @@
         self.successor_died = False  # the process that took over has died
         self.closed: asyncio.Future[None] = loop.create_future()
         self.listeners: list[ClientListener] = []
-        self.components: list[Component] = []  # optional components, present where they are configured
+        self.components: list[Component] = []  # optional components, present if they are configured
         # Called for each restored message; True if a component is responsible for it.
         self.restore_handlers: list[Callable[[PendingMessage], bool]] = []
         self.list_listeners: list[Callable[[], None]] = []  # called after each change of the endpoint list
--- a/madderbeam/host/kafka.py
+++ b/madderbeam/host/kafka.py
@@ -25,7 +25,7 @@
 
 
 class KafkaComponent(Component):
-    """Serves Kafka clients where the configuration has `kafka`; their messages are submitted to admission."""
+    """Serves Kafka clients if the configuration has `kafka`; their messages are submitted to admission."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         except FileNotFoundError:
             pass
         except (OSError, ValueError) as error:
-            log.error("kafka: %s: stored offsets are unreadable, starting without: %s", self.path, error)
+            log.error("kafka: %s: stored offsets are unreadable and ignored: %s", self.path, error)
         base, groups = stored.get("base", 0), stored.get("groups", {})
         if isinstance(base, int) and isinstance(groups, dict):
             self.front.finals.base, self.front.groups.offsets = base, groups
--- a/madderbeam/host/quota.py
+++ b/madderbeam/host/quota.py
@@ -1,4 +1,4 @@
-"""Quotas in the host: a check of each message, and their state stored beside the courier's state folder."""
+"""Quotas in the host: checks each message, and stores the quota usage beside the courier's state folder."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 from madderbeam.ports import Clock, Disk, Ports
 from madderbeam.quota.admission import QuotaAdmission, QuotaVerdict
 
-SAVE_INTERVAL_S = 5.0  # while messages pass; sooner if much of a quota was used since
+# Interval of saves while messages pass; sooner if much of an hourly limit was used since the last save.
+SAVE_INTERVAL_S = 5.0
 log = logging.getLogger(__name__)
 
 
 class QuotaComponent(Component):
-    """The quota gate, where the configuration has `quota`; a check of admission before journaling."""
+    """Checks messages against the quotas before they are journaled; present if `quota` is configured."""
 
     def __init__(
         self, config: Config, raw: Mapping[str, Any], disk: Disk, clock: Clock, pending: Callable[[], int]
@@ -28,7 +29,9 @@
         self.config, self.disk, self.clock, self.pending = config, disk, clock, pending
         rng = random.Random(f"quota {config.seed}")
         leased = config.federation is not None and config.federation.share
-        self.gate = QuotaAdmission(raw, clock.monotonic_us(), rng, config.settings.max_pending, leased)
+        self.quota_admission = QuotaAdmission(
+            raw, clock.monotonic_us(), rng, config.settings.max_pending, leased
+        )
         self.path = quota_path(config.state)
         self.saved_at_us = clock.monotonic_us()
         self.rejected = self.borrowed = 0
@@ -42,10 +45,12 @@
         """
         settings, now_us = self.config.settings, self.clock.monotonic_us()
         name = settings.tenants[tenant].name if tenant < len(settings.tenants) else ""
-        verdict = self.gate.admit(name, settings.classes[cls].name, size, self.pending(), now_us)
+        verdict = self.quota_admission.admit(name, settings.classes[cls].name, size, self.pending(), now_us)
         self.rejected += not verdict.passed
         self.borrowed += verdict.borrowed
-        if verdict.passed and (self.gate.is_save_due or now_us - self.saved_at_us > SAVE_INTERVAL_S * 1e6):
+        if verdict.passed and (
+            self.quota_admission.is_save_due or now_us - self.saved_at_us > SAVE_INTERVAL_S * 1e6
+        ):
             self.save()
         return verdict
 
@@ -54,31 +59,34 @@
         return {
             "quota.refused": self.rejected,
             "quota.borrowed": self.borrowed,
-            "quota.nodes": self.gate.tree.size,
+            "quota.nodes": self.quota_admission.tree.size,
         }
 
     # State
 
     def save(self) -> None:
-        """Store the state; a failure is logged only."""
+        """Store the quota usage; a failure is logged only."""
         now_us = self.clock.monotonic_us()
         self.saved_at_us = now_us
-        data = json.dumps({"form": 1, "at": self.clock.wall(), "rows": self.gate.dump(now_us)}).encode()
+        # form: version of the file's format; at: wall clock in seconds
+        data = json.dumps(
+            {"form": 1, "at": self.clock.wall(), "rows": self.quota_admission.dump(now_us)}
+        ).encode()
         try:
             atomic_file.replace(self.disk, self.path, data)
         except OSError as error:
-            log.error("quota: state could not be stored: %s", error)
+            log.error("quota: usage could not be stored: %s", error)
 
     def _load(self) -> None:
         try:
             stored = json.loads(self.disk.read(self.path))
-            # If the wall clock has stepped back, no time counts as elapsed.
+            # If the wall clock has stepped back, the elapsed time is treated as 0.
             elapsed = max(0.0, self.clock.wall() - float(stored["at"]))
-            self.gate.restore(stored["rows"], int(elapsed * 1e6), self.clock.monotonic_us())
+            self.quota_admission.restore(stored["rows"], int(elapsed * 1e6), self.clock.monotonic_us())
         except FileNotFoundError:
             return
         except (OSError, ValueError, KeyError, TypeError, IndexError) as error:
-            log.error("quota: %s: stored state is unreadable, starting without: %r", self.path, error)
+            log.error("quota: %s: stored usage could not be restored completely: %r", self.path, error)
 
 
 def quota_path(state: str) -> str:
--- a/madderbeam/host/standby/journal.py
+++ b/madderbeam/host/standby/journal.py
@@ -116,7 +116,7 @@
 
     def __init__(self, disk: Disk, clock: Clock, folder: str, *options: Any) -> None:
         self.reporting_disk = ReportingDisk(disk, folder)
-        self.unacknowledged_accepts: set[int] = set()  # numbers of messages whose `+OK` waits
+        self.unacknowledged_accepts: set[int] = set()  # numbers; the standby has not acknowledged these yet
         self.deferred_callbacks: dict[str, list[tuple[Callable[[], None], Callable[[], None]]]] = {}
         super().__init__(self.reporting_disk, clock, folder, *options)
 
@@ -194,7 +194,10 @@
     def call_when_written(
         self, ident: str, on_written: Callable[[], None], on_lost: Callable[[], None]
     ) -> None:
-        """Call `on_written` once the acceptance of this id is acknowledged, `on_lost` if it never will be."""
+        """Call `on_written` once the standby has acknowledged the acceptance of the message with this id.
+
+        Calls `on_lost` instead if the write fails or the standby does not acknowledge it.
+        """
         if self.numbers_by_id.get(ident) in self.unacknowledged_accepts:
             self.deferred_callbacks.setdefault(ident, []).append((on_written, on_lost))
         else:
--- a/madderbeam/host/standby/primary.py
+++ b/madderbeam/host/standby/primary.py
@@ -61,10 +61,12 @@
         assert isinstance(host.journal, ReplicatedJournal)
         self.host, self.ports, self.journal = host, ports, host.journal
         standby, self.loop, self.clock = standby_config(host.config), host.loop, ports.clock.monotonic_us
-        self.kept = DurableMap(ports.disk, records_folder(host.config), host.journal.sync)
+        self.records = DurableMap(ports.disk, records_folder(host.config), host.journal.sync)
         sizes = {index: segment.size for index, segment in host.journal.files.segments.items()}
-        self.machine = Primary(replication_settings(host.config), host.config.name, sizes, self.kept.map)
-        self.runner = ObservedRunner(self.loop, self.clock, self.machine, self.kept, self._perform, "standby")
+        self.machine = Primary(replication_settings(host.config), host.config.name, sizes, self.records.map)
+        self.runner = ObservedRunner(
+            self.loop, self.clock, self.machine, self.records, self._perform, "standby"
+        )
         assert standby.to is not None
         self.link = PrimaryLink(
             self.loop,
@@ -240,7 +242,7 @@
         """Close the connection and the durable records."""
         self.runner.close()
         self.link.close(flush=True)
-        self.kept.close()
+        self.records.close()
 
     # Metrics and status
 
--- a/madderbeam/host/standby/process.py
+++ b/madderbeam/host/standby/process.py
@@ -93,7 +93,7 @@
                 ports.disk, ports.clock, config.state, config.disk_bytes, takeover.is_prefix
             )
             log.warning("standby: each of %d open messages is treated as possibly executed", count)
-            service.kept.write([("over", "", False)])
+            service.records.write([("over", "", False)])
         service.release_folder()
         return await _run_courier(loop, ports, config, control, shutdown)
     finally:
@@ -109,9 +109,9 @@
     shutdown: asyncio.Future[None],
 ) -> int:
     """Run a courier; if it has a standby, work begins once that one is in sync or is not waited for."""
-    kept = DurableMap(ports.disk, records_folder(config))
-    fence = kept.map.get(("fenced", ""), 0)
-    kept.close()
+    records = DurableMap(ports.disk, records_folder(config))
+    fence = records.map.get(("fenced", ""), 0)
+    records.close()
     if fence:
         return _log_fenced(fence)
     with process.collector_paused():
--- a/madderbeam/host/standby/service.py
+++ b/madderbeam/host/standby/service.py
@@ -40,14 +40,14 @@
         """Raises OSError if a folder cannot be used."""
         self.loop, self.ports, self.config, self.clock = loop, ports, config, ports.clock.monotonic_us
         standby, sync = standby_config(config), bool(config.sidecar and config.sidecar.sync)
-        self.kept = DurableMap(ports.disk, records_folder(config), sync)
-        if self.kept.damaged:  # promises may be lost: the copy counts as never complete
+        self.records = DurableMap(ports.disk, records_folder(config), sync)
+        if self.records.damaged:  # recorded state may be lost: the copy counts as never complete
             log.error("standby: the durable records are damaged: the copy must become complete again")
         self.copy = JournalCopy(ports.disk, config.state, sync)
         self.machine = Standby(
-            replication_settings(config), self.copy.sizes, self.copy.digests, self.kept.map
+            replication_settings(config), self.copy.sizes, self.copy.digests, self.records.map
         )
-        self.runner = Runner(loop, self.clock, self.machine, self.kept, self._perform, "standby")
+        self.runner = Runner(loop, self.clock, self.machine, self.records, self._perform, "standby")
         self.listener = ReplicationListener(
             loop,
             ports.network,
@@ -85,7 +85,7 @@
             case RemoveSegment(segment=segment):
                 try:
                     self.copy.remove(segment)
-                except OSError as error:  # an unused file is left over
+                except OSError as error:  # the file is unused and remains
                     log.error("standby: segment %d: %s", segment, error)
                 self.runner.post_event(RemoveResult(segment))
             case CloseConnection(link=link):
@@ -136,7 +136,7 @@
         return Answer(200, f"promoting: {progress}\n")
 
     def metrics(self) -> dict[str, int]:
-        """Return the metrics by name."""
+        """Return the metrics by name; for `whole` and `sure` see `status`."""
         machine = self.machine
         return {
             "standby_connected": int(bool(machine.link)),
@@ -147,7 +147,11 @@
         }
 
     def status(self) -> dict[str, Any]:
-        """Return the reply to GET /standby."""
+        """Return the reply to GET /standby.
+
+        owner: name of the primary; whole: the copy once had all of the primary's journal; midway: see
+        `Standby.is_midway`; sure: the primary is strict and the copy has every record that allowed an effect.
+        """
         machine, now_us = self.machine, self.clock()
         return {
             "role": "standby",
@@ -172,7 +176,7 @@
         self.copy.close()
         if not self.is_closed:
             self.is_closed = True
-            self.kept.close()
+            self.records.close()
 
     def close(self) -> None:
         """Release all resources."""
--- a/madderbeam/replication/primary.py
+++ b/madderbeam/replication/primary.py
@@ -45,21 +45,22 @@
 class Primary:
     """The primary's side of one replication pair.
 
-    `sizes`: the journal's segments at the start; `kept`: the durable records (fence, fenced, agreed).
+    `sizes`: the journal's segments at the start; `records`: the durable records (fence, fenced, agreed).
 
     `state`: down (not connected), checking (comparing the copy), stream (catching up), live (sending data as
     it is written), apart (the copy is no earlier state of this folder), fenced.
     """
 
     def __init__(
-        self, settings: Settings, name: str, sizes: Mapping[int, int], kept: Mapping[tuple[str, str], Any]
+        self, settings: Settings, name: str, sizes: Mapping[int, int], records: Mapping[tuple[str, str], Any]
     ) -> None:
         self.settings, self.name = settings, name
         self.sizes = dict(sizes)
-        self.fence: int = kept.get(("fence", ""), 1)
-        self.fenced_by: int = kept.get(("fenced", ""), 0)  # the fence of the courier that took over, 0: none
+        self.fence: int = records.get(("fence", ""), 1)
+        # the fence of the courier that took over, 0: none
+        self.fenced_by: int = records.get(("fenced", ""), 0)
         # The standby may still assume strict mode: it applies until the standby received a weaker setting.
-        self.agreed_strict = bool(kept.get(("agreed", ""), False))
+        self.agreed_strict = bool(records.get(("agreed", ""), False))
         self.state = "fenced" if self.fenced_by else "down"
         self.cursor = Cursor(self.sizes, {}, {})
         self.copy_segments: dict[int, tuple[int, int]] = {}
--- a/madderbeam/replication/standby.py
+++ b/madderbeam/replication/standby.py
@@ -38,8 +38,9 @@
 class Standby:
     """The standby's side of one replication pair.
 
-    `sizes`, `digests`: the copy's segments; `kept`: the durable records fence, owner (the primary's last
-    [strict, silent_us]), whole, midway, sure, over (see `takeover_doubt`).
+    `sizes`, `digests`: the copy's segments. `records`: the durable records by (kind, ""): fence, owner (the
+    primary's last [strict, silent_us]), whole (`was_complete`), midway (`is_midway`), sure
+    (`has_all_records`), over (`takeover_doubt`).
 
     `has_all_records`: the primary is strict and the copy has every record that allowed an effect, so that a
     takeover need not treat open messages as possibly executed. `was_complete`: the copy once had all of the
@@ -52,17 +53,17 @@
         settings: Settings,
         sizes: Mapping[int, int],
         digests: Mapping[int, int],
-        kept: Mapping[tuple[str, str], Any],
+        records: Mapping[tuple[str, str], Any],
     ) -> None:
         self.settings = settings
         self.sizes, self.digests = dict(sizes), dict(digests)
-        self.fence: int = kept.get(("fence", ""), 0)
-        is_strict, lease_us = kept.get(("owner", ""), [False, settings.silent_us])
+        self.fence: int = records.get(("fence", ""), 0)
+        is_strict, lease_us = records.get(("owner", ""), [False, settings.silent_us])
         self.primary_is_strict, self.lease_us = bool(is_strict), int(lease_us)
-        self.was_complete = bool(kept.get(("whole", ""), False))
-        self.is_midway = bool(kept.get(("midway", ""), False))
-        self.has_all_records = bool(kept.get(("sure", ""), False))
-        self.takeover_doubt: bool | None = kept.get(("over", ""))
+        self.was_complete = bool(records.get(("whole", ""), False))
+        self.is_midway = bool(records.get(("midway", ""), False))
+        self.has_all_records = bool(records.get(("sure", ""), False))
+        self.takeover_doubt: bool | None = records.get(("over", ""))
         self.link, self.primary_name = 0, ""  # the primary's connection, 0 if there is none
         self.position = self.received_bytes = self.latest_stamp = 0
         self.pending_operations = 0  # operations on the copy without a result yet
--- a/madderbeam/replication/wait_queue.py
+++ b/madderbeam/replication/wait_queue.py
@@ -35,11 +35,11 @@
         """Remove and return the operations whose records the standby has acknowledged, up to `position`."""
         removed = []
         while self.entries:
-            first = next(iter(self.entries.values()))
-            if first.position > position:
+            oldest = next(iter(self.entries.values()))
+            if oldest.position > position:
                 break
-            removed.append(first)
-            del self.entries[first.token]
+            removed.append(oldest)
+            del self.entries[oldest.token]
         return removed
 
     def pop_due(self, now_us: int) -> list[PendingWait]:
--- a/madderbeam/transport/mesh/exchanges.py
+++ b/madderbeam/transport/mesh/exchanges.py
@@ -30,10 +30,10 @@
     ) -> None:
         """OSError or InvalidFrame if it cannot be started."""
         self.context, self.address, self.channel, self.on_end = context, address, channel, on_end
-        first = context.identifying_frame(REQUEST, [channel, row])
+        request_frame = context.identifying_frame(REQUEST, [channel, row])
         self.connection = context.connection(address)
         self.connection.on_frame, self.connection.on_lost = self._on_reply, self._on_lost
-        self.connection.send(first)
+        self.connection.send(request_frame)
         timeout_s = context.settings.exchange_timeout_s
         self.timer = context.loop.call_later(timeout_s, self._on_lost, f"no reply within {timeout_s:g} s")
         self.connection.dial()
--- a/madderbeam/transport/mesh/frames.py
+++ b/madderbeam/transport/mesh/frames.py
@@ -1,9 +1,9 @@
 """The frames that members exchange: msgpack with bounds on every field.
 
 A datagram, and the first frame of a connection, is a `Frame`: [version, federation, site, name, start, nonce,
-channel, row]. Later frames on a link are short, [channel, row, stamp], since the first frame identifies the
-sender. On a connection each frame is preceded by its length, four bytes, big-endian. Malformed input never
-fails this process: whatever is not in this form raises `InvalidFrame`, and the reader counts it.
+channel, row]; `start` counts the starts of the sender. Later frames on a link are short, [channel, row,
+stamp], since the first frame identifies the sender. On a connection each frame is preceded by its length,
+four bytes, big-endian. Malformed input raises `InvalidFrame` and no other exception; the reader counts it.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 LENGTH_PREFIX_BYTES = 4  # bytes of a length prefix
 MAX_CHANNEL_CHARS = 8  # characters
 MAX_ITEMS = 1 << 16  # items of one list or map
-MAX_DEPTH = 32  # nesting of lists, bounded because readers may recurse
+MAX_DEPTH = 32  # nesting of lists and maps, bounded because readers may recurse
 MAX_START = (1 << 63) - 1
 MAX_NONCE = (1 << 64) - 1
 MAX_STAMP_US = (1 << 53) - 1  # microseconds
@@ -72,7 +72,7 @@
     federation: str, data: bytes | bytearray | memoryview, max_bytes: int = MAX_DATAGRAM_BYTES
 ) -> Frame:
     """Decode a frame. InvalidFrame for anything that `pack` does not write for this federation."""
-    value = _unpack(data, max_bytes)
+    value = _decode_msgpack(data, max_bytes)
     if not isinstance(value, list) or not value:
         raise InvalidFrame("broken", "not a list with a version")
     if type(value[0]) is not int or value[0] != VERSION:
@@ -98,7 +98,7 @@
 
 def unpack_link_frame(data: bytes | bytearray | memoryview) -> tuple[str, Row, int]:
     """Decode a frame of an established link: channel, row and stamp. InvalidFrame if it is not one."""
-    value = _unpack(data, MAX_STREAM_FRAME_BYTES)
+    value = _decode_msgpack(data, MAX_STREAM_FRAME_BYTES)
     if not isinstance(value, list) or len(value) != 3:
         raise InvalidFrame("broken", "not a list of channel, row and stamp")
     return (
@@ -152,7 +152,7 @@
     return data
 
 
-def _unpack(data: bytes | bytearray | memoryview, max_bytes: int) -> Any:
+def _decode_msgpack(data: bytes | bytearray | memoryview, max_bytes: int) -> Any:
     if len(data) > max_bytes:
         raise InvalidFrame("large", f"frame of {len(data)} bytes exceeds the limit of {max_bytes}")
     try:
@@ -170,7 +170,7 @@
     except (ValueError, TypeError, msgpack.UnpackException, RecursionError) as error:
         raise InvalidFrame("broken", f"not msgpack within bounds: {error!r:.80}") from None
     if _is_too_deep(value):
-        raise InvalidFrame("broken", f"lists in lists are nested deeper than {MAX_DEPTH} levels")
+        raise InvalidFrame("broken", f"lists and maps are nested deeper than {MAX_DEPTH} levels")
     return value
 
 
--- a/tests/federation/test_frames.py
+++ b/tests/federation/test_frames.py
@@ -122,7 +122,7 @@
     for _ in range(30):
         deep = [deep]
     assert unpack_link_frame(msgpack.packb(["r", deep, 1])) == ("r", deep, 1)
-    with pytest.raises(InvalidFrame, match="lists in lists"):
+    with pytest.raises(InvalidFrame, match="lists and maps are nested deeper than 32 levels"):
         unpack_link_frame(msgpack.packb(["r", [[deep]], 1]))
 
 
--- a/tests/standby/test_machines.py
+++ b/tests/standby/test_machines.py
@@ -191,16 +191,16 @@
 def test_a_repeated_submission_waits_with_the_first():
     journal, _, _ = open_journal()
     journal.attach(gate := ControlledGate(), frozenset({0}), {})
-    told = []
-    journal.accept(message(1, journal), lambda: told.append("first"))
-    journal.call_when_written("m1", lambda: told.append("again"), lambda: told.append("lost"))
-    assert not told
+    calls = []
+    journal.accept(message(1, journal), lambda: calls.append("first"))
+    journal.call_when_written("m1", lambda: calls.append("again"), lambda: calls.append("lost"))
+    assert not calls
     gate.asked[0][1]()
-    assert told == ["first", "again"]
-    journal.accept(message(2, journal), failed=lambda error: told.append(type(error).__name__))
-    journal.call_when_written("m2", lambda: told.append("again"), lambda: told.append("lost"))
+    assert calls == ["first", "again"]
+    journal.accept(message(2, journal), failed=lambda error: calls.append(type(error).__name__))
+    journal.call_when_written("m2", lambda: calls.append("again"), lambda: calls.append("lost"))
     gate.asked[1][2]()
-    assert told[2:] == ["UnconfirmedError", "lost"]
+    assert calls[2:] == ["UnconfirmedError", "lost"]
 
 
 def test_an_attempt_before_its_acceptance_is_acknowledged_waits_in_any_class():
