--- a/madderbeam/host/admission.py
+++ b/madderbeam/host/admission.py
@@ -56,8 +56,8 @@
         ] = []  # called with each message once it has its number
         self.last_number = journal.last_number
         # Indices in the settings by name.
-        self.classes = {cls.name: index for index, cls in enumerate(settings.classes)}
-        self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
+        self.class_indices = {cls.name: index for index, cls in enumerate(settings.classes)}
+        self.tenant_indices = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         # Messages by number, with the requests that wait for a reply.
         self.arrived: dict[int, tuple[PendingMessage, list[ReplyHandle]]] = {}
         self.arriving_ids: dict[str, int] = {}  # numbers of these messages by id
@@ -120,11 +120,11 @@
 
     def _validate(self, put: Put) -> tuple[int, int]:
         """Validate a message; return the indices of its class and its tenant. BadRequest if it is invalid."""
-        cls = self.classes.get(put.cls)
+        cls = self.class_indices.get(put.cls)
         if cls is None:
-            raise BadRequest(f"c: no such class, must be one of {', '.join(sorted(self.classes))}")
+            raise BadRequest(f"c: no such class, must be one of {', '.join(sorted(self.class_indices))}")
         # -1: unknown tenant; 0: the settings have no tenants
-        tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
+        tenant = self.tenant_indices.get(put.tenant or "", -1) if self.tenant_indices else 0
         if tenant < 0:
             raise BadRequest("t: no such tenant, must be one of the settings")
         if self.settings.classes[cls].idempotency is Idempotency.WITH_KEY and not put.key:
--- a/madderbeam/host/changes/applier.py
+++ b/madderbeam/host/changes/applier.py
@@ -177,8 +177,8 @@
 
     def _update_names(self, snapshot: Snapshot) -> None:
         admission = self.host.admission
-        admission.classes = _active_numbers(snapshot, "class")
-        admission.tenants = _active_numbers(snapshot, "tenant")
+        admission.class_indices = _active_numbers(snapshot, "class")
+        admission.tenant_indices = _active_numbers(snapshot, "tenant")
 
     def _number_zones(self, zones: set[str]) -> None:
         """Assign the next numbers to new zones."""
--- a/madderbeam/simulation/changes.py
+++ b/madderbeam/simulation/changes.py
@@ -324,7 +324,11 @@
     s = host.settings
     present = {name: m.current.get(("class", name))["number"] for name in m.current.active_names("class")}
     one = host.courier.state.settings is s and host.admission.settings is s
-    if host.admission.classes != present or not one or s.max_pending != m.current.get(("limit", "max_held")):
+    if (
+        host.admission.class_indices != present
+        or not one
+        or s.max_pending != m.current.get(("limit", "max_held"))
+    ):
         return f"settings are not those of version {m.version}"
     for name, number in present.items():
         if s.classes[number].deadline_us != m.current.get(("class", name))["deadline_ms"] * 1000:
--- a/tests/changes/test_changes_hard_cases.py
+++ b/tests/changes/test_changes_hard_cases.py
@@ -299,7 +299,7 @@
         async with Courier(made) as courier:
             assert courier.machine.canaries[0].id == "less"
             if how == "removed":
-                assert courier.host.admission.classes == {"unsafe": 1, "other": 2}
+                assert courier.host.admission.class_indices == {"unsafe": 1, "other": 2}
                 assert courier.host.settings.classes[0].name == "safe"
             await courier.until(
                 lambda: not courier.host.journal.pending
--- a/tests/changes/test_room.py
+++ b/tests/changes/test_room.py
@@ -160,7 +160,7 @@
     report = check(path)
     write(render(report.loaded), estate.folder / "rendered")
     async with Courier(estate) as courier:
-        assert courier.host.admission.classes == {"unsafe": 0}
+        assert courier.host.admission.class_indices == {"unsafe": 0}
         assert [c.name for c in courier.host.settings.classes] == ["unsafe"]
 
 
