--- a/tests/shared/site_net.py
+++ b/tests/shared/site_net.py
@@ -135,7 +135,7 @@
         self.routing = SimpleNamespace(router=None)
         if network.share:
             self.partners = PartnerOutages(node.id, Incarnation(1, 1))
-            serving = SimpleNamespace(before_call=None, repost_list=lambda: None)
+            serving = SimpleNamespace(may_start_call=None, repost_list=lambda: None)
             leases = SimpleNamespace(status=lambda now: {}, amount=lambda name, now: 0.0)
             self.shared = SiteSharing(
                 self,
