--- a/tests/journal/test_damage.py
+++ b/tests/journal/test_damage.py
@@ -67,6 +67,14 @@
     check(BEFORE, ", ".join(titles), files)
 
 
+def test_a_removed_newest_segment_after_an_emptied_one_is_found():
+    # Each alone is found, or is what a kill leaves; together they look like a new segment with no record yet.
+    previous, newest = sorted(FILES)[-2:]
+    files = {**FILES, previous: b""}
+    del files[newest]
+    check(BEFORE, f"{previous} cut to 0 bytes, {newest} removed", files)
+
+
 def test_noise_as_the_only_segment_is_damage():
     # It passed as intact, and a start continued as if no message had been accepted.
     import random
