--- a/madderbeam/changes/machine.py
+++ b/madderbeam/changes/machine.py
@@ -4,8 +4,8 @@
 
 Changes that touch disjoint rows run their canary periods concurrently; each has its own period, is observed
 and rolled back by itself. A change that touches rows of a running canary waits until that has ended. Each
-change is checked when it is submitted and again when its turn comes, against the snapshot that results from
-the one active then, since a valid change may have become invalid in between.
+change is checked when it is submitted and again just before it is activated, each time on top of the snapshot
+that is active then, since a valid change may have become invalid in between.
 
 The actions that activate a change begin with its record, so if the disk rejects the write nothing changes. A
 rollback or a drain is carried out even then, and recorded once the disk accepts writes again. One event
--- a/madderbeam/changes/records.py
+++ b/madderbeam/changes/records.py
@@ -7,7 +7,7 @@
                      committed snapshot is the base with all records above its last record applied in order
     trial  VERSION   an active change in its canary period, with its rows before and after
     back   VERSION   the operations that roll back this version, and the id of its change; newest versions
-    staged ID        a staged change, waiting for approval (false) or for its turn (true)
+    staged ID        a staged change, waiting for approval (false) or to be activated (true)
     past   N         an outcome
     drain  UID       wall time in ms at which the drain began
     file   ""        [digest, N, rows in which the file's snapshot differs from the one committed by record N]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class StagedChange:
-    """A staged change: waits for its turn if `is_approved` is set, else for approval."""
+    """A staged change: waits to be activated if `is_approved` is set, else for approval."""
 
     change: Change
     is_approved: bool
--- a/madderbeam/federation/consensus/agreement.py
+++ b/madderbeam/federation/consensus/agreement.py
@@ -2,7 +2,7 @@
 catch-up.
 
 The open slot is (number of the latest agreed table + 1, attempt). A coordinator is the member that proposes a
-table, or one that has heard nothing about a pending slot for a while. It prepares, claims the slot for one
+table, or one that has received nothing about a pending slot for a while. It prepares, claims the slot for one
 table, has the sites stage it, relays their votes to the voters, and notifies all of the decision:
 docs/design/federation.md.
 """
--- a/madderbeam/federation/consensus/coordinator.py
+++ b/madderbeam/federation/consensus/coordinator.py
@@ -61,7 +61,7 @@
     ) -> None:
         """`base`: the latest agreed table, whose voters decide; `document`: the table of a digest, if it is
         here; `on_claim`: called before the own proposal is claimed; `claim_known_since_us`: when this member
-        first heard of a claim.
+        first learned of a claim.
         """
         self.outbox, self.base, self.slot, self.ballot, self.proposal = outbox, base, slot, ballot, proposal
         self._document, self._on_claim, self._claim_known_since_us, self.settings = (
--- a/madderbeam/federation/consensus/failover.py
+++ b/madderbeam/federation/consensus/failover.py
@@ -71,7 +71,7 @@
         self._retries = 0
 
     def claim_known_since_us(self, slot: Slot, digest: str) -> int:
-        """When this member first heard of the slot's claim on this table."""
+        """When this member first learned of the slot's claim on this table."""
         if self._claim_known_since is None or self._claim_known_since[:2] != (slot, digest):
             self._claim_known_since = slot, digest, self.outbox.now_us
         return self._claim_known_since[2]
