--- a/madderbeam/sidecar/__init__.py
+++ b/madderbeam/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Sidecars of one estate: kept running, changed, shown."""
+"""Process supervision of the sidecar couriers of one estate, and the demo."""
--- a/madderbeam/sidecar/commands.py
+++ b/madderbeam/sidecar/commands.py
@@ -7,7 +7,7 @@
 
 
 def add_commands(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add this package's subcommands to the `madderbeam` command. What they need is imported as they run."""
+    """Add this package's subcommands to `madderbeam`; each imports its module only when it runs."""
     up = commands.add_parser("up", help="check an estate, then keep its couriers running")
     up.add_argument("estate", type=Path, metavar="ESTATE")
     up.add_argument(
--- a/madderbeam/sidecar/supervisor.py
+++ b/madderbeam/sidecar/supervisor.py
@@ -1,8 +1,9 @@
-"""What is to be started and stopped so that an estate's couriers run. Pure: time comes in with each call.
+"""Decides which courier processes of an estate to start and stop.
 
-A courier is WAITING for its start, RUNNING, or STOPPING. One that ends by itself is started again after a
-jittered wait below a ceiling that doubles; a long enough run brings the ceiling back. A changed file stops
-its courier, and the end of that starts it anew at once, from the file that is wanted then.
+This module does no I/O; the current time is an argument of each call. A courier is WAITING for its start,
+RUNNING, or STOPPING. One that exits by itself is restarted after a jittered backoff whose ceiling doubles; a
+run of STEADY_S or longer resets the ceiling. A changed file stops its courier, which is restarted without
+delay once it has exited, from the file that is current then.
 """
 
 from __future__ import annotations
@@ -11,12 +12,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-FIRST_S, LONGEST_S = 0.5, 30.0  # ceilings of the wait before a start
-STEADY_S = 10.0  # a run of this length brings the ceiling back to the first
-KILL_S = 5.0  # SIGKILL comes this long after SIGTERM
+FIRST_S, LONGEST_S = 0.5, 30.0  # first and largest ceiling of the restart backoff
+STEADY_S = 10.0  # a run of at least this length resets the restart backoff
+KILL_S = 5.0  # SIGKILL follows SIGTERM after this time, and is repeated at this interval
 
 
 class State(Enum):
+    """The state of one courier process."""
+
     WAITING = "waiting"
     RUNNING = "running"
     STOPPING = "stopping"
@@ -31,14 +34,14 @@
 
 @dataclass(frozen=True)
 class Stop:
-    """Ask this courier to end (SIGTERM)."""
+    """Send SIGTERM to this courier."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class Kill:
-    """End this courier at once (SIGKILL): it was asked KILL_S ago."""
+    """Send SIGKILL to this courier, which has not exited within KILL_S of SIGTERM."""
 
     name: str
 
@@ -48,95 +51,99 @@
 
 @dataclass
 class Courier:
-    """One courier as the supervisor has it."""
+    """The supervised state of one courier."""
 
     name: str
-    digest: str  # of the file that it runs from, or is to run from
+    digest: str  # of the configuration file that it is to run from
     state: State = State.WAITING
-    at: float = 0.0  # WAITING: when it is due; RUNNING: since when; STOPPING: when it is killed
-    ceiling: float = FIRST_S
+    at: float = 0.0  # WAITING: time of its start; RUNNING: since when; STOPPING: time of the next SIGKILL
+    backoff_ceiling_s: float = FIRST_S
     wanted: bool = True
     starts: int = 0
 
 
 class Supervisor:
-    """Keeps couriers as they are wanted. Times are seconds of one clock."""
+    """Keeps the wanted couriers running. Times are in seconds of one monotonic clock."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.couriers: dict[str, Courier] = {}
-        self.ending = False
+        self.is_shutting_down = False
 
     def want(self, files: dict[str, str], now: float) -> list[Action]:
-        """These couriers are to run, by name, from files with these digests. Only what differs is touched."""
-        if self.ending:
+        """Set the couriers to run, as digests of their files by name; unchanged couriers are left running."""
+        if self.is_shutting_down:
             return []
         actions: list[Action] = []
         for name, digest in files.items():
-            c = self.couriers.get(name)
-            if c is None:
+            courier = self.couriers.get(name)
+            if courier is None:
                 self.couriers[name] = Courier(name, digest, at=now)
                 continue
-            c.wanted = True
-            if c.digest != digest:
-                c.digest, c.ceiling = digest, FIRST_S
-                if c.state is State.WAITING:
-                    c.at = now
-                actions += self._stop(c, now)
-        for c in list(self.couriers.values()):
-            if c.name not in files:
-                c.wanted = False
-                actions += self._stop(c, now)
-                if c.state is State.WAITING:
-                    del self.couriers[c.name]
+            courier.wanted = True
+            if courier.digest != digest:
+                courier.digest, courier.backoff_ceiling_s = digest, FIRST_S
+                if courier.state is State.WAITING:
+                    courier.at = now
+                actions += self._stop(courier, now)
+        for courier in list(self.couriers.values()):
+            if courier.name not in files:
+                courier.wanted = False
+                actions += self._stop(courier, now)
+                if courier.state is State.WAITING:
+                    del self.couriers[courier.name]
         return actions + self.due(now)
 
-    def _stop(self, c: Courier, now: float) -> list[Action]:
-        if c.state is not State.RUNNING:
+    def _stop(self, courier: Courier, now: float) -> list[Action]:
+        if courier.state is not State.RUNNING:
             return []
-        c.state, c.at = State.STOPPING, now + KILL_S
-        return [Stop(c.name)]
+        courier.state, courier.at = State.STOPPING, now + KILL_S
+        return [Stop(courier.name)]
 
     def ended(self, name: str, now: float) -> list[Action]:
-        """The courier's process has ended, in whatever way."""
-        c = self.couriers[name]
-        if self.ending or not c.wanted:
+        """Handle the exit of a courier's process, or its failure to start."""
+        courier = self.couriers[name]
+        if self.is_shutting_down or not courier.wanted:
             del self.couriers[name]
             return []
-        asked = c.state is State.STOPPING
-        if c.state is State.RUNNING and now - c.at >= STEADY_S:
-            c.ceiling = FIRST_S
-        c.state = State.WAITING
-        c.at = now if asked else now + self.chance.uniform(c.ceiling / 2, c.ceiling)
-        if not asked:
-            c.ceiling = min(LONGEST_S, c.ceiling * 2)
+        stop_requested = courier.state is State.STOPPING
+        if courier.state is State.RUNNING and now - courier.at >= STEADY_S:
+            courier.backoff_ceiling_s = FIRST_S
+        courier.state = State.WAITING
+        courier.at = (
+            now
+            if stop_requested
+            else now + self.rng.uniform(courier.backoff_ceiling_s / 2, courier.backoff_ceiling_s)
+        )
+        if not stop_requested:
+            courier.backoff_ceiling_s = min(LONGEST_S, courier.backoff_ceiling_s * 2)
         return self.due(now)
 
     def due(self, now: float) -> list[Action]:
-        """What the time has brought."""
+        """Return the starts and kills whose time has come."""
         actions: list[Action] = []
-        for c in self.couriers.values():
-            if c.at > now:
+        for courier in self.couriers.values():
+            if courier.at > now:
                 continue
-            if c.state is State.WAITING and not self.ending:
-                c.state, c.at, c.starts = State.RUNNING, now, c.starts + 1
-                actions.append(Start(c.name))
-            elif c.state is State.STOPPING:
-                c.at = now + KILL_S
-                actions.append(Kill(c.name))
+            if courier.state is State.WAITING and not self.is_shutting_down:
+                courier.state, courier.at, courier.starts = State.RUNNING, now, courier.starts + 1
+                actions.append(Start(courier.name))
+            elif courier.state is State.STOPPING:
+                courier.at = now + KILL_S
+                actions.append(Kill(courier.name))
         return actions
 
     def next_at(self) -> float | None:
-        """When something is due; None if nothing is."""
-        times = [c.at for c in self.couriers.values() if c.state is not State.RUNNING]
+        """Return the time of the next start or kill; None if there is none."""
+        times = [courier.at for courier in self.couriers.values() if courier.state is not State.RUNNING]
         return min(times, default=None)
 
     def end(self, now: float) -> list[Action]:
-        """All are to end, the newest first; nothing is started any more."""
-        self.ending = True
+        """Stop all couriers, the most recently added first; nothing is started afterwards."""
+        self.is_shutting_down = True
         actions: list[Action] = []
-        for c in reversed(list(self.couriers.values())):
-            actions += self._stop(c, now)
-            if c.state is State.WAITING:
-                del self.couriers[c.name]
+        for courier in reversed(list(self.couriers.values())):
+            actions += self._stop(courier, now)
+            if courier.state is State.WAITING:
+                del self.couriers[courier.name]
         return actions
--- a/madderbeam/sidecar/up.py
+++ b/madderbeam/sidecar/up.py
@@ -1,10 +1,11 @@
-"""`madderbeam up ESTATE`: checks all, then keeps an estate's couriers running in the foreground.
+"""`madderbeam up ESTATE`: checks an estate, then runs its couriers in the foreground.
 
-Its couriers end in order when it does, also if it is killed: they see the end of their standard input.
+The couriers shut down gracefully when this process exits, even if it is killed: they read end of file on
+their standard input.
 
-The files stand in a folder that one `up` holds by a lock. A second `up` of the same estate checks and writes
-the files, tells the first by SIGHUP, and ends; the first touches only what has changed. If a check fails
-nothing is written and nothing is touched.
+The rendered files are in a folder that one `up` process locks. A second `up` of the same estate checks and
+writes the files, sends SIGHUP to the first, and exits; the first restarts only couriers whose files have
+changed. If a check fails, nothing is written and no courier is restarted.
 """
 
 from __future__ import annotations
@@ -32,32 +33,35 @@
 from madderbeam.sidecar.supervisor import Action, Start, Stop, Supervisor
 
 LOCK = "up.lock"
-Tell = Callable[[str], None]
+LogLine = Callable[[str], None]
 
 
-def say(text: str) -> None:
+def log_to_stderr(text: str) -> None:
+    """Write one log line to standard error."""
     print(f"madderbeam up: {text}", file=sys.stderr, flush=True)
 
 
 def standing(out: Path) -> dict[str, str]:
-    """The couriers in a folder of rendered files, by name, with their files' digests. Only a whole set
-    counts: Unfit if the manifest names a file that is not as it was written."""
-    names = read(out / MANIFEST)["files"]
-    found = {}
-    for name, written in names.items():
+    """Return the digests of the courier files in a folder of rendered files, by courier name.
+
+    Raises Unfit unless the set is complete: each file must match its digest in the manifest.
+    """
+    file_digests = read(out / MANIFEST)["files"]
+    couriers = {}
+    for name, expected_digest in file_digests.items():
         content = read(out / name)
-        if file_digest(out / name) != written:
+        if file_digest(out / name) != expected_digest:
             raise Unfit(f"{out / name}: is not the file that the manifest names; render the estate again")
         if not name.endswith(".partners.json"):
-            found[content["name"]] = content["digest"]
-    return found
+            couriers[content["name"]] = content["digest"]
+    return couriers
 
 
 class Up:
-    """The processes of an estate."""
+    """Runs the courier processes of an estate as its supervisor decides."""
 
-    def __init__(self, out: Path, tell: Tell = say) -> None:
-        self.out, self.tell = out, tell
+    def __init__(self, out: Path, log: LogLine = log_to_stderr) -> None:
+        self.out, self.log = out, log
         self.loop = asyncio.get_running_loop()
         self.supervisor = Supervisor(random.Random())
         self.processes: dict[str, asyncio.subprocess.Process] = {}
@@ -66,16 +70,16 @@
         self.changed = asyncio.Event()
 
     def reload(self) -> None:
-        """Bring into force what stands in the folder; what can't be used leaves all as it is."""
+        """Apply the files in the folder; if they are unusable, all couriers run on unchanged."""
         try:
             wanted = standing(self.out)
         except Unfit as error:
-            self.tell(f"nothing is touched: {error}")
+            self.log(f"reload rejected, running couriers left unchanged: {error}")
             return
         self._do(self.supervisor.want(wanted, self.loop.time()))
 
     def end(self) -> None:
-        """SIGTERM: all couriers end, then this does."""
+        """Stop all couriers, after which `wait` returns."""
         self._do(self.supervisor.end(self.loop.time()))
 
     def _due(self) -> None:
@@ -99,8 +103,8 @@
         self.changed.set()
 
     async def _run(self, name: str) -> None:
-        """One life of a courier."""
-        code: int | str = "it could not be started"
+        """Run one courier process until it exits, and copy its log lines to standard error."""
+        code: int | str = "a failure to start"
         try:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -113,27 +117,27 @@
                 start_new_session=True,
             )
         except OSError as error:
-            self.tell(f"{name}: {error}")
+            self.log(f"{name}: {error}")
         else:
             self.processes[name] = process
-            self.tell(f"{name}: started, process {process.pid}")
+            self.log(f"{name}: started, process {process.pid}")
             assert process.stderr is not None
             async for line in process.stderr:
                 print(f"{name}: {line.decode('utf-8', 'replace').rstrip()}", file=sys.stderr, flush=True)
             code = await process.wait()
             del self.processes[name]
-        self.tell(f"{name}: ended with {code}")
+        self.log(f"{name}: exited with {code}")
         self._do(self.supervisor.ended(name, self.loop.time()))
 
     async def wait(self) -> None:
-        """Until all have ended after `end`."""
-        while not self.supervisor.ending or self.supervisor.couriers:
+        """Wait until all couriers have exited after a call of `end`."""
+        while not self.supervisor.is_shutting_down or self.supervisor.couriers:
             self.changed.clear()
             await self.changed.wait()
 
 
 def prepared(estate: Path) -> list[File] | None:
-    """The files of an estate that holds; None, with its mistakes told, of one that does not."""
+    """Return the rendered files of a valid estate; None, after printing the problems, of an invalid one."""
     report = check(estate)
     for line in (*report.problems, *report.warnings):
         print(line)
@@ -144,8 +148,8 @@
     return render(report.loaded)
 
 
-def hold(out: Path) -> RealLock | int:
-    """The lock of an estate's folder, or the process that holds it."""
+def lock_folder(out: Path) -> RealLock | int:
+    """Lock an estate's folder; return the lock, or the id of the process that holds it (0 if unknown)."""
     out.mkdir(parents=True, exist_ok=True)
     path = out / LOCK
     try:
@@ -159,30 +163,33 @@
     return lock
 
 
-def taken(out: Path, files: list[File]) -> list[str]:
-    """The couriers that would not get their address, since somebody else has it: told before any is touched.
-    One that runs from this folder has its own."""
-    had, found = set(), []
+def unavailable_addresses(out: Path, files: list[File]) -> list[str]:
+    """Return a problem line for each courier whose listen address another process uses.
+
+    It is checked before any courier is restarted. An address that a file in this folder already names is
+    skipped, since the courier that runs from that file uses it.
+    """
+    current_addresses, problems = set(), []
     for path in out.glob("*.json"):
         with contextlib.suppress(Unfit):
-            had.add(read(path).get("listen"))
+            current_addresses.add(read(path).get("listen"))
     for file in files:
         content = json.loads(file.text)
         listen = content.get("listen")
-        if listen is None or listen in had:
+        if listen is None or listen in current_addresses:
             continue
         try:
-            _try(listen)
+            _check_available(listen)
         except OSError as error:
-            found.append(
+            problems.append(
                 f"{content['name']}: listen: {listen} can't be had: {error.strerror or error}; "
                 "allowed: an address that nobody else has"
             )
-    return found
+    return problems
 
 
-def _try(listen: str) -> None:
-    """OSError if nobody could listen there now."""
+def _check_available(listen: str) -> None:
+    """Raise OSError if the address can't be listened on now."""
     if listen.startswith("unix:"):
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
             if probe.connect_ex(listen[5:]) == 0:
@@ -192,15 +199,17 @@
 
 
 def _changes(out: Path, files: list[File]) -> list[str]:
-    """What the files change against those that stand there."""
-    old = {}
+    """Return a line for each difference between the files and those in the folder."""
+    current = {}
     for file in files:
         with contextlib.suppress(Unfit):
-            old[file.name] = read(out / file.name)
-    return [str(c) for c in differences(old, {f.name: json.loads(f.text) for f in files})]
+            current[file.name] = read(out / file.name)
+    return [
+        str(difference) for difference in differences(current, {f.name: json.loads(f.text) for f in files})
+    ]
 
 
-async def _keep(out: Path) -> None:
+async def _run_estate(out: Path) -> None:
     up = Up(out)
     up.loop.add_signal_handler(signal.SIGHUP, up.reload)
     for sig in (signal.SIGTERM, signal.SIGINT):
@@ -210,28 +219,31 @@
 
 
 def main(estate: Path, out: Path | None = None) -> int:
-    """Run an estate until SIGTERM; or, where it runs already, bring its changes into force. 1: a check
-    failed; 2: the files can't be written, or whoever runs it can't be told."""
+    """Run an estate until SIGTERM; if another `up` runs it already, have that one apply the changes.
+
+    Returns the exit code. 1: a check failed; 2: the files can't be written, or the running `up` can't be
+    signalled.
+    """
     out = out or estate.parent / ".madderbeam" / estate.stem
     files = prepared(estate)
     if files is None:
         return 1
     try:
-        held = hold(out)
-        if lines := taken(out, files):
+        lock_or_pid = lock_folder(out)
+        if lines := unavailable_addresses(out, files):
             print("\n".join(lines))
             return 1
-        if isinstance(held, RealLock):
+        if isinstance(lock_or_pid, RealLock):
             write(files, out)
-            asyncio.run(_keep(out))
+            asyncio.run(_run_estate(out))
             return 0
         for line in _changes(out, files) or ["nothing changes"]:
             print(line)
         write(files, out)
-        os.kill(held, signal.SIGHUP) if held else say(
-            "another up has just begun: it takes the files up itself"
+        os.kill(lock_or_pid, signal.SIGHUP) if lock_or_pid else log_to_stderr(
+            "another up process has just started: it will read the files itself"
         )
     except OSError as error:
-        say(str(error))
+        log_to_stderr(str(error))
         return 2
     return 0
--- a/tests/sidecar/test_launch.py
+++ b/tests/sidecar/test_launch.py
@@ -210,7 +210,7 @@
         await made.endpoints[2].call()
         mark, old = len(made.lines), made.pids["notices"]
         os.kill(old, signal.SIGKILL)
-        await made.said("notices: ended with -9", after=mark)
+        await made.said("notices: exited with -9", after=mark)
         await made.said("notices:", "is ready", after=mark)
         assert (await made.endpoints[2].call())[1]["x-request-id"] == "kept"
         assert made.pids["notices"] != old
@@ -255,13 +255,13 @@
             mark = len(made.lines)
             (out / "orders.json").write_bytes(spoilt)
             made.process.send_signal(signal.SIGHUP)
-            await made.said("nothing is touched", "orders.json", after=mark)
+            await made.said("reload rejected, running couriers left unchanged", "orders.json", after=mark)
         edit(made.path, "slots = 16", "slots = 20")
         files = render(check(made.path).loaded)
         write(files[3:4], out)  # as if killed behind the second rename
         mark = len(made.lines)
         made.process.send_signal(signal.SIGHUP)
-        await made.said("nothing is touched", after=mark)
+        await made.said("reload rejected, running couriers left unchanged", after=mark)
         assert made.pids == pids
         await deliver(made, await made.clients(), "after")
 
