--- a/tests/sidecar/test_redis_clients.py
+++ b/tests/sidecar/test_redis_clients.py
@@ -253,3 +253,25 @@
     assert done.wait(10)
     thread.join()
     assert got == [f"m{n}" for n in range(1, 7)]
+
+
+def test_the_small_client_reads_the_rest_of_a_feed_that_is_rotated_after_its_last_read(tmp_path, monkeypatch):
+    # The courier writes a line and rotates the feed between the client's empty read and its check for rotation.
+    feed, replaced, rotations = tmp_path / "f.jsonl", Courier._replaced, []
+
+    def row(n):
+        return json.dumps({"id": f"m{n}", "status": "deferred", "again_ms": n}) + "\n"
+
+    def rotate_before_the_check(self, descriptor):
+        if not rotations:
+            rotations.append(1)
+            with feed.open("a") as file:
+                file.write(row(2))
+            feed.rename(tmp_path / "f.jsonl.1")
+            feed.write_text(row(3))
+        return replaced(self, descriptor)
+
+    monkeypatch.setattr(Courier, "_replaced", rotate_before_the_check)
+    feed.write_text(row(1))
+    finals = Courier("redis://127.0.0.1:1", feed).finals(poll_s=0.01)
+    assert [next(finals).id for _ in range(2)] == ["m1", "m2"]
