--- a/tests/sidecar/test_redis_clients.py
+++ b/tests/sidecar/test_redis_clients.py
@@ -256,7 +256,7 @@
 
 
 def test_the_small_client_reads_the_rest_of_a_feed_that_is_rotated_after_its_last_read(tmp_path, monkeypatch):
-    # The courier writes a line and rotates the feed between the client's empty read and its check for rotation.
+    # The courier writes a line and rotates the feed after the client's empty read, ahead of its check.
     feed, replaced, rotations = tmp_path / "f.jsonl", Courier._replaced, []
 
     def row(n):
